--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/CrashSettings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/CrashSettings.java
@@ -3,14 +3,17 @@
 import java.time.Duration;
 
 /**
- * When a request counts as one that ends upstreams, and what follows.
+ * Thresholds that decide when a request counts as a poison request (one that crashes upstreams),
+ * and how long it is quarantined.
  *
- * @param ends so many upstreams have ended under it
- * @param remembered how long an end counts
- * @param quarantine how long it is kept from upstreams for the first time
- * @param trials how often it is let through again, one at a time, before it is kept out for good
- * @param mostQuarantined with more than these something else ends upstreams, a release for example
- * @param mostSuspects requests that are remembered; those seen longest ago go
+ * @param ends number of counted crashes from which a request is a poison request
+ * @param remembered how long a crash counts
+ * @param quarantine length of the first quarantine
+ * @param trials number of trials, one at a time, after which a request is quarantined for good
+ * @param mostQuarantined maximum number of quarantined requests; beyond it the crashes have another
+ *     cause, for example a faulty release
+ * @param mostSuspects maximum number of requests that are tracked; the least recently seen ones are
+ *     evicted
  */
 public record CrashSettings(
         int ends,
@@ -19,7 +22,7 @@
         int trials,
         int mostQuarantined,
         int mostSuspects) {
-    /** What suits all deployments known so far. */
+    /** Returns the default settings, which suit all known deployments. */
     public static CrashSettings usual() {
         return new CrashSettings(3, Duration.ofMinutes(10), Duration.ofMinutes(10), 2, 64, 4_096);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Evidence.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Evidence.java
@@ -8,31 +8,36 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What speaks against one request, and what for it. */
+/**
+ * Collects the evidence for and against one suspect request: the crashes at which it ran, the runs
+ * that the upstream survived, and its last success.
+ */
 final class Evidence {
-    /** Upstreams of a rack end within this, as several routers see it. */
+    /** Crashes of the upstreams of one rack are seen within this time, by several routers. */
     private static final Duration TOGETHER = Duration.ofMillis(150);
 
-    /** Routers' words of when something was may differ by this. */
+    /** Maximum difference between the times that several routers give for the same event. */
     private static final Duration INEXACT = Duration.ofMillis(50);
 
     private final Map<UpstreamEnd, Sighting> sightings = new HashMap<>();
     private int borne;
     private Instant clearedAt = Instant.MIN;
 
-    /** An upstream ended while a run of the request was there, which had begun then. */
+    /**
+     * A crash of an upstream while a run of the request, which began at {@code began}, was there.
+     */
     private record Sighting(Instant began, Instant at) {}
 
-    /** Tells how many upstreams ended in a time, whatever ran there. */
+    /** Counts the crashes of upstreams in a period, whichever requests ran there. */
     @FunctionalInterface
     interface Ends {
-        /** From the first instant to the second. */
+        /** Returns the number of crashes from the first instant to the second, both inclusive. */
         long between(Instant from, Instant to);
     }
 
     /**
-     * It was there at an end; several routers may say so of the same. Word of an end may come after
-     * that of a later success.
+     * Records that the request was running at a crash. Several routers may report the same crash,
+     * and a report may arrive after that of a later success, which clears it.
      */
     void seen(UpstreamEnd end, Instant began, Instant at) {
         if (at.isAfter(clearedAt)) {
@@ -40,12 +45,12 @@
         }
     }
 
-    /** An upstream took it and did not end, so often. */
+    /** Records runs of the request that did not crash the upstream. */
     void borne(int times) {
         borne += times;
     }
 
-    /** It was answered with a success then: whatever ended before that did not end by it. */
+    /** Records that the request succeeded: it did not cause the crashes up to that time. */
     void cleared(Instant at) {
         if (at.isAfter(clearedAt)) {
             clearedAt = at;
@@ -58,17 +63,23 @@
         return borne;
     }
 
-    /** Forgets ends of before. */
+    /** Removes the crashes before the given time. */
     void forgetBefore(Instant oldest) {
         sightings.values().removeIf(each -> each.at.isBefore(oldest));
     }
 
-    /** When upstreams had ended under it so often, those of a rack one by one. */
+    /**
+     * Returns the time of the n-th crash at which the request ran, in order of time, or empty if
+     * there are fewer. The crashes of a rack are not merged here.
+     */
     Optional<Instant> end(int number) {
         return sightings.values().stream().map(Sighting::at).sorted().skip(number - 1).findFirst();
     }
 
-    /** When the last upstream ended under it. */
+    /**
+     * Returns the time of the last crash at which the request ran, or {@link Instant#MIN} if there
+     * is none.
+     */
     Instant lastEnd() {
         return sightings.values().stream()
                 .map(Sighting::at)
@@ -77,12 +88,15 @@
     }
 
     /**
-     * How many ends speak against it, of all that there were. Where several upstreams ended at one
-     * moment and it ran at each of them, each counts: these are copies side by side. Where it ran
-     * at some of them only, something else ended all of them, and they count as one.
+     * Returns the number of crashes that count against the request. Of several upstreams that crash
+     * at the same moment, each counts if the request ran at all of them: these are copies running
+     * side by side. If it ran at some of them only, they have another common cause and count as
+     * one.
+     *
+     * @param ends all crashes, whichever requests ran there
      */
     int weight(Ends ends) {
-        // Nearly all requests that ran at an end ran at no other, and there may be hundreds.
+        // Nearly all requests that run at a crash run at a single one, and there may be hundreds.
         if (sightings.size() <= 1) {
             return sightings.size();
         }
@@ -109,7 +123,8 @@
         return ends.between(from, to) > moment.size() ? oneAfterTheOther(moment) : moment.size();
     }
 
-    // One that comes again at once is sent after the end before.
+    // Counts a crash only if the run began after the previous counted crash: a request that is
+    // retried at once is sent after the crash before.
     private static int oneAfterTheOther(List<Sighting> moment) {
         int count = 0;
         Instant last = Instant.MIN;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Quarantine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Quarantine.java
@@ -9,16 +9,20 @@
 import java.util.TreeMap;
 
 /**
- * Requests that are kept from all upstreams: {@code quarantine.left(digest, tries, now)}.
+ * Keeps poison requests away from all upstreams: {@code quarantine.left(digest, tries, now)}.
  *
- * <p>After a while one may be tried again, since the next release of the upstreams may bear it;
- * each time that it fails again it is kept out for longer, and in the end for good.
+ * <p>When its quarantine is over, a request gets a trial, since a newer release of the upstreams
+ * may survive it. Each failed trial is followed by a longer quarantine, and after the last one the
+ * request is quarantined for good.
  */
 public final class Quarantine {
-    /** Longer than any process of a router lives. */
+    /** Longer than any router process runs. */
     private static final Duration FOR_GOOD = Duration.ofDays(30);
 
-    /** Until a trial has shown something, and what others are told who may not try. */
+    /**
+     * Time within which a trial shows its result; also the delay for routers that may not make the
+     * trial.
+     */
     private static final Duration TRIAL = Duration.ofMinutes(1);
 
     private static final int LONGER = 3;
@@ -27,23 +31,25 @@
     private final Map<RequestDigest, Entry> entries = new TreeMap<>();
 
     /**
-     * One request that is kept out.
+     * One quarantined request.
      *
-     * @param until when it may be tried once
-     * @param trials how often it was tried already
-     * @param lastEnd when the last upstream that was counted ended under it
+     * @param until when the request may get its next trial
+     * @param trials number of trials so far
+     * @param lastEnd time of the last counted crash
      */
     public record Entry(RequestDigest request, Instant until, int trials, Instant lastEnd) {}
 
-    /** Nothing is kept out yet. */
+    /** Creates an empty quarantine. */
     public Quarantine(CrashSettings settings) {
         this.settings = settings;
     }
 
     /**
-     * Enough upstreams have ended under it, the last one then: keeps it out.
+     * Quarantines a request that has reached the number of crashes.
      *
-     * @return what is news, or empty if it is kept out for as long already, or too many are
+     * @param lastEnd time of the last counted crash
+     * @return the new entry to announce, or empty if the request is already quarantined for as
+     *     long, or the quarantine is full
      */
     public Optional<Entry> add(RequestDigest request, Instant lastEnd, Instant now) {
         Entry known = entries.get(request);
@@ -58,7 +64,10 @@
                 : settings.quarantine().multipliedBy((long) Math.pow(LONGER, trials));
     }
 
-    /** Another router says so; the longer time counts. True if that is news. */
+    /**
+     * Merges an entry that another router announced; the later end of the two quarantines applies.
+     * Returns true if this changed the quarantine.
+     */
     public boolean told(Entry entry) {
         Entry known = entries.get(entry.request());
         if (known == null && entries.size() >= settings.mostQuarantined()) {
@@ -72,10 +81,11 @@
     }
 
     /**
-     * A run of it that was sent then has succeeded. One that was sent before the last end proves
-     * nothing against what is known since.
+     * Records that a run of the request succeeded. A run that was sent before the last counted
+     * crash proves nothing, and the request stays quarantined.
      *
-     * @return true if it is kept out no longer
+     * @param sentAt when the successful run was sent
+     * @return true if the request is not quarantined any more
      */
     public boolean cleared(RequestDigest request, Instant sentAt) {
         Entry known = entries.get(request);
@@ -87,8 +97,11 @@
     }
 
     /**
-     * How long it is still kept out; empty if it may go to an upstream. Of all routers one {@code
-     * tries}, so that it is let through once and not once by each.
+     * Decides whether a request may be sent to an upstream, and starts a trial if one is due.
+     *
+     * @param tries whether this router makes the trials of the request; one router of all does, so
+     *     that the request is let through once and not once by each
+     * @return how long the request stays quarantined, or empty if it may be sent
      */
     public Optional<Duration> left(RequestDigest request, boolean tries, Instant now) {
         Entry known = entries.get(request);
@@ -112,32 +125,32 @@
         return new Entry(known.request(), now.plus(TRIAL), known.trials() + 1, known.lastEnd());
     }
 
-    /** True if it is kept out, or is being tried. */
+    /** Returns true if the request is quarantined or on trial. */
     public boolean knows(RequestDigest request) {
         return entries.containsKey(request);
     }
 
-    /** What is held of the request. */
+    /** Returns the entry of the request. */
     public Optional<Entry> find(RequestDigest request) {
         return Optional.ofNullable(entries.get(request));
     }
 
-    /** True if it may not go to an upstream now. */
+    /** Returns true if the request must not be sent to an upstream now. */
     public boolean keepsOut(RequestDigest request, Instant now) {
         return knows(request) && now.isBefore(entries.get(request).until());
     }
 
-    /** True if nothing is kept out, so that no request need be looked at. */
+    /** Returns true if no request is quarantined, so that no digest need be computed. */
     public boolean isEmpty() {
         return entries.isEmpty();
     }
 
-    /** How many are kept out. */
+    /** Returns the number of quarantined requests, those on trial included. */
     public int size() {
         return entries.size();
     }
 
-    /** All that is kept out, for a router that has just come. */
+    /** Returns all entries, for a router that has just joined. */
     public List<Entry> all() {
         return new ArrayList<>(entries.values());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RecentAnswers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RecentAnswers.java
@@ -6,42 +6,42 @@
 import java.util.Optional;
 
 /**
- * What became of requests of late: {@code recent.succeeded(digest, sentAt, now)}.
+ * Remembers the outcomes of recent requests: {@code recent.succeeded(digest, sentAt, now)}.
  *
- * <p>Which request is under suspicion shows at the second end only. An innocent one that is asked
- * over and over has been answered in between, and whoever saw that can say so.
+ * <p>Which request is suspect shows at the second crash only. An innocent request that is sent
+ * again and again has succeeded in between, and a router that saw the success can then report it.
  */
 public final class RecentAnswers {
     private final Map<RequestDigest, Answers> answers;
 
     /**
-     * What became of one request.
+     * The outcome of the runs of one request.
      *
      * @param success its last success, if there was one
-     * @param borne how often an upstream has taken it since without a success, and did not end
+     * @param borne number of runs since then that neither succeeded nor crashed the upstream
      */
     public record Answers(Optional<Success> success, int borne) {}
 
-    /** A success: when the run was sent, and when the answer was whole. */
+    /** A successful run: when it was sent, and when its answer was complete. */
     public record Success(Instant sentAt, Instant answeredAt) {}
 
-    /** Remembers so many requests; those seen longest ago go. */
+    /** Creates a memory of at most this many requests; the least recently seen ones are evicted. */
     public RecentAnswers(int most) {
         this.answers = new RecentlyUsed<>(most);
     }
 
-    /** A run that was sent then has succeeded now. */
+    /** Records that a run that was sent at {@code sentAt} has succeeded now. */
     public void succeeded(RequestDigest request, Instant sentAt, Instant now) {
         answers.put(request, new Answers(Optional.of(new Success(sentAt, now)), 0));
     }
 
-    /** An upstream took it and did not end. */
+    /** Records that the upstream survived a run of the request. */
     public void borne(RequestDigest request) {
         Answers known = of(request);
         answers.put(request, new Answers(known.success(), known.borne() + 1));
     }
 
-    /** What is known of the request. */
+    /** Returns the known outcome of the request; an unknown request has no success and no runs. */
     public Answers of(RequestDigest request) {
         return answers.getOrDefault(request, new Answers(Optional.empty(), 0));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RequestDigest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RequestDigest.java
@@ -7,15 +7,15 @@
 import java.util.HexFormat;
 
 /**
- * What a request is known again by, whoever sends it to whichever router under whatever id: {@code
- * RequestDigest.of("/sheets/1", "kitchens", body)}.
+ * Identifies equal requests, whichever caller sends them to whichever router under whatever id:
+ * {@code RequestDigest.of("/sheets/1", "kitchens", body)}.
  *
- * @param value of path, workspace and body, in hexadecimal digits
+ * @param value digest of target, workspace and body, in hexadecimal digits
  */
 public record RequestDigest(String value) implements Comparable<RequestDigest> {
     private static final int BYTES = 16;
 
-    /** The digest of a request; the body's position is left as it is. */
+    /** Returns the digest of a request; the position of the body is not changed. */
     public static RequestDigest of(String target, String workspace, ByteBuffer body) {
         MessageDigest digest = sha256();
         add(digest, target);
@@ -24,7 +24,7 @@
         return new RequestDigest(HexFormat.of().formatHex(digest.digest(), 0, BYTES));
     }
 
-    // A zero byte ends each text, so that no two of them run into one another.
+    // The zero byte separates the texts, so that different pairs have different digests.
     private static void add(MessageDigest digest, String text) {
         digest.update(text.getBytes(StandardCharsets.UTF_8));
         digest.update((byte) 0);
@@ -34,7 +34,8 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is missing, although every Java platform must provide it", e);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Suspects.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Suspects.java
@@ -8,34 +8,34 @@
 import java.util.Optional;
 
 /**
- * Counts the upstreams that ended under each request: {@code suspects.ended(end, ran, at, now)}.
+ * Counts the upstreams that crashed under each request: {@code suspects.ended(end, ran, at, now)}.
  *
- * <p>The pattern: an upstream ends with a dozen requests, of which one may have done it and the
- * rest are innocent. The one comes again and is there at the next end; the others come again too,
- * once or twice, and are answered. So a request is held to be the cause only by what several ends
- * have in common, and cleared by one success. An answer that is no success clears nothing, as an
- * upstream may give one without running the request; it only counts for it.
+ * <p>The pattern: an upstream crashes with a dozen requests, of which one may be the cause and the
+ * rest are innocent. The poison request is retried and runs at the next crash too; the others are
+ * retried once or twice and succeed. So a request is held responsible only for what several crashes
+ * have in common, and is cleared by one success. An unsuccessful answer clears nothing, as an
+ * upstream may give one without running the request; it only counts as a survived run.
  */
 public final class Suspects {
-    /** Ends that are remembered, to tell those of one moment from others. */
+    /** Crashes that are remembered, to tell simultaneous ones from others. */
     private static final int MOST_ENDS = 1_024;
 
     private final CrashSettings settings;
     private final Map<RequestDigest, Evidence> evidence;
     private final Map<UpstreamEnd, Instant> ends = new RecentlyUsed<>(MOST_ENDS);
 
-    /** Nothing is suspected yet. */
+    /** Creates a counter without suspects. */
     public Suspects(CrashSettings settings) {
         this.settings = settings;
         this.evidence = new RecentlyUsed<>(settings.mostSuspects());
     }
 
     /**
-     * An upstream has ended while these ran there, as one router saw it.
+     * Records that an upstream crashed while the given requests ran there, as one router saw it.
      *
      * @param ran how long each of them had run
-     * @param at when the upstream ended
-     * @return those under which enough upstreams have ended by now
+     * @param at when the upstream crashed
+     * @return those of them that are poison requests by now
      */
     public List<RequestDigest> ended(
             UpstreamEnd end, Map<RequestDigest, Duration> ran, Instant at, Instant now) {
@@ -48,27 +48,31 @@
     }
 
     /**
-     * True if enough upstreams have ended under it, and no fewer than have borne it. A request that
-     * is asked over and over and always fails is borne many times as often as upstreams end.
+     * Returns true if the request is a poison request: enough upstreams have crashed under it, and
+     * at least as many as have survived it. A request that is sent again and again and always fails
+     * is survived many times as often as upstreams crash.
      */
     public boolean convicts(RequestDigest request, Instant now) {
         int count = count(request, now);
         return count >= settings.ends() && count >= evidence.get(request).timesBorne();
     }
 
-    /** When enough upstreams had ended under it, should each of them speak against it. */
+    /**
+     * Returns when the request reached the number of crashes, if each crash is counted by itself,
+     * or empty if it has not.
+     */
     public Optional<Instant> enoughAt(RequestDigest request) {
         return Optional.ofNullable(evidence.get(request))
                 .flatMap(known -> known.end(settings.ends()));
     }
 
-    /** When the last upstream that is counted ended under it. */
+    /** Returns the time of the last counted crash, or {@link Instant#MIN} if there is none. */
     public Instant lastEnd(RequestDigest request) {
         Evidence known = evidence.get(request);
         return known == null ? Instant.MIN : known.lastEnd();
     }
 
-    /** An upstream took it so often and did not end, though it gave no success. */
+    /** Records that upstreams survived this many runs of the request, none of which succeeded. */
     public void borne(RequestDigest request, int times) {
         Evidence known = evidence.get(request);
         if (known != null) {
@@ -76,7 +80,10 @@
         }
     }
 
-    /** How many upstreams have ended under the request of late, those of a rack as one. */
+    /**
+     * Returns the number of recent crashes that count against the request; those of one rack count
+     * as one.
+     */
     public int count(RequestDigest request, Instant now) {
         Evidence known = evidence.get(request);
         if (known == null) {
@@ -90,7 +97,7 @@
         return ends.values().stream().filter(at -> !at.isBefore(from) && !at.isAfter(to)).count();
     }
 
-    /** It was answered with a success then: it is not the cause of ends before that. */
+    /** Records that the request succeeded: it is not the cause of crashes up to that time. */
     public void cleared(RequestDigest request, Instant at) {
         Evidence known = evidence.get(request);
         if (known != null) {
@@ -98,7 +105,7 @@
         }
     }
 
-    /** How many requests are remembered. */
+    /** Returns the number of tracked requests. */
     public int size() {
         return evidence.size();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/UpstreamEnd.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/UpstreamEnd.java
@@ -3,8 +3,9 @@
 import io.damaskyoke.control.upstreams.UpstreamId;
 
 /**
- * The end of one life of an upstream, by which two routers tell of the same end.
+ * A crash of an upstream, identified by the upstream's incarnation, so that reports of several
+ * routers about one crash are recognized as such.
  *
- * @param startedAt Unix milliseconds of that life's start
+ * @param startedAt start of the incarnation that crashed, in Unix milliseconds
  */
 public record UpstreamEnd(UpstreamId upstream, long startedAt) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/WatchedRequests.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/WatchedRequests.java
@@ -6,21 +6,30 @@
 import java.util.Map;
 
 /**
- * Requests for which one more end would be enough: {@code watched.add(digest, now)}. While there is
- * one, each answer costs a digest, so they are forgotten after a while.
+ * Holds the requests that need one more crash to be poison requests: {@code watched.add(digest,
+ * now)}. While there is one, a digest is computed for each answer, so requests are removed after
+ * some time.
  */
 public final class WatchedRequests {
     private final int most;
     private final Duration time;
     private final Map<RequestDigest, Instant> until = new HashMap<>();
 
-    /** So many are watched at the most, each for that time after the last word of it. */
+    /**
+     * Creates an empty set.
+     *
+     * @param most maximum number of watched requests
+     * @param time how long a request is watched after it was last added
+     */
     public WatchedRequests(int most, Duration time) {
         this.most = most;
         this.time = time;
     }
 
-    /** Watches it from now on; true if it was not watched. */
+    /**
+     * Starts to watch a request, or extends its time; returns true if it was not watched. A new
+     * request is not added when the set is full.
+     */
     public boolean add(RequestDigest request, Instant now) {
         forgetOld(now);
         boolean news = !contains(request);
@@ -30,27 +39,27 @@
         return news;
     }
 
-    /** Forgets those whose time is over. */
+    /** Removes the requests whose time is over. */
     public void forgetOld(Instant now) {
         until.values().removeIf(each -> each.isBefore(now));
     }
 
-    /** It need not be watched any more. */
+    /** Stops watching the request. */
     public void remove(RequestDigest request) {
         until.remove(request);
     }
 
-    /** True if it is watched. */
+    /** Returns true if the request is watched. */
     public boolean contains(RequestDigest request) {
         return until.containsKey(request);
     }
 
-    /** True if none is watched. */
+    /** Returns true if no request is watched. */
     public boolean isEmpty() {
         return until.isEmpty();
     }
 
-    /** How many are watched. */
+    /** Returns the number of watched requests. */
     public int size() {
         return until.size();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Requests under which upstreams end: which they are, by what several ends have in common, and how
- * long they are kept from all upstreams. No sockets and no threads; a clock's time comes with each
- * call.
+ * Poison requests: detects the requests that crash upstreams, by what several crashes have in
+ * common, and decides how long they are quarantined. The package uses no sockets and no threads;
+ * each call gets the time of a clock.
  */
 package io.damaskyoke.control.crashes;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/crashes/QuarantineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/QuarantineTest.java
@@ -32,7 +32,8 @@
         assertTrue(quarantine.left(ONE, true, now).isPresent());
     }
 
-    // Guards against trials that add up: three sends are allowed after the third end, for ever.
+    // Guards against trials without a limit: after the third crash a request is sent three times at
+    // most.
     @Test
     void afterTwoTrialsItIsKeptOutForGood() {
         quarantine.add(ONE, now, now);
@@ -55,7 +56,7 @@
         assertTrue(quarantine.left(ONE, true, now).isEmpty());
     }
 
-    // Guards against a success that was on its way when the last upstream ended.
+    // Guards against clearing a request by a run that was under way at the last crash.
     @Test
     void aSuccessOfARunFromBeforeTheLastEndDoesNot() {
         quarantine.add(ONE, now, now.plusSeconds(2));
@@ -70,7 +71,8 @@
         assertTrue(quarantine.add(ONE, now, now).isEmpty());
     }
 
-    // Guards against a trial that shows nothing, as its upstream fails it, and is made each minute.
+    // Guards against a trial that is repeated each minute because its upstream fails it and it
+    // shows nothing.
     @Test
     void trialsThatShowNothingAreMadeTwiceAtTheMost() {
         quarantine.add(ONE, now, now);
@@ -82,7 +84,7 @@
         assertEquals(2, trials);
     }
 
-    // Guards against a bad release of the upstreams, under which they end whatever they run.
+    // Guards against a faulty release of the upstreams, which crashes under any request.
     @Test
     void whereSoManySeemToBeTheCauseNoMoreAreKeptOut() {
         for (int each = 0; each < 1_000; each++) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/crashes/RecentAnswersTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/RecentAnswersTest.java
@@ -29,7 +29,7 @@
         assertEquals(2, recent.of(ONE).borne());
     }
 
-    // Guards against memory that grows with each answer.
+    // Guards against memory use that grows with each answer.
     @Test
     void whatWasSeenLongestAgoIsForgotten() {
         recent.borne(ONE);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/crashes/SuspectsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/SuspectsTest.java
@@ -34,7 +34,8 @@
         assertEquals(1, suspects.count(ONE, now));
     }
 
-    // Guards against an innocent request that is asked again and again, and ran at a few ends.
+    // Guards against blaming an innocent request that is sent again and again and ran at a few
+    // crashes.
     @Test
     void aSuccessClearsARequest() {
         ended("a", ONE);
@@ -43,7 +44,7 @@
         assertEquals(List.of(), ended("c", ONE));
     }
 
-    // Guards against word of an end that comes after word of a later success.
+    // Guards against a report of a crash that arrives after the report of a later success.
     @Test
     void endsFromBeforeASuccessDoNotCountHoweverLateTheyAreTold() {
         suspects.ended(end("a"), Map.of(ONE, Duration.ofMillis(500)), now, now);
@@ -53,7 +54,7 @@
         assertEquals(0, suspects.count(ONE, now));
     }
 
-    // Guards against a failure as answer that lets a deadly request go on.
+    // Guards against clearing a poison request by an unsuccessful answer.
     @Test
     void aRequestThatIsBorneNowAndThenStaysTheCause() {
         ended("a", ONE);
@@ -62,7 +63,8 @@
         assertEquals(List.of(ONE), ended("c", ONE));
     }
 
-    // Guards against a request that always fails, is asked over and over, and ends nothing.
+    // Guards against blaming a request that always fails, is sent again and again, and crashes
+    // nothing.
     @Test
     void aRequestThatIsBorneMoreOftenThanUpstreamsEndIsNotTheCause() {
         ended("a", ONE);
@@ -79,7 +81,7 @@
         assertEquals(List.of(), ended("c", ONE));
     }
 
-    // Guards against memory that grows with each end.
+    // Guards against memory use that grows with each crash.
     @Test
     void onlySoManyAreRemembered() {
         for (int each = 0; each < 10_000; each++) {
@@ -88,7 +90,8 @@
         assertEquals(CrashSettings.usual().mostSuspects(), suspects.size());
     }
 
-    // Guards against a request that many ask at once, and that ran at some upstreams of a rack.
+    // Guards against blaming a request with many concurrent copies, some of which ran in a rack
+    // that failed as a whole.
     @Test
     void upstreamsThatEndTogetherWithOthersCountAsOne() {
         ended("a", ONE);
@@ -99,7 +102,7 @@
         assertEquals(1, suspects.count(ONE, now));
     }
 
-    // Guards against copies of a deadly request that run side by side.
+    // Guards against counting several copies of a poison request that run side by side as one.
     @Test
     void copiesThatEndAllUpstreamsThatEndTogetherCountEach() {
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(100));
@@ -109,7 +112,7 @@
         assertEquals(3, suspects.count(ONE, now));
     }
 
-    // Guards against long runs that were on their way when the upstream before them ended.
+    // Guards against ignoring long runs that were under way when the previous upstream crashed.
     @Test
     void copiesThatEndUpstreamsAtDifferentTimesCountEach() {
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofSeconds(2));
@@ -119,7 +122,8 @@
         assertEquals(3, suspects.count(ONE, now));
     }
 
-    // Guards against a deadly request that comes again as soon as its upstream has ended.
+    // Guards against merging the crashes of a poison request that is retried as soon as its
+    // upstream has crashed.
     @Test
     void upstreamsThatEndOneAfterTheOtherCountHoweverFast() {
         ended("a", ONE);
