--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Departure.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Departure.java
@@ -1,9 +1,9 @@
 package io.damaskyoke.control.upstreams;
 
 /**
- * An upstream that leaves, as one router tells another.
+ * An upstream that drains or was removed, as one router announces it to another.
  *
- * @param revision where the store stood when it was known to leave
- * @param gone whether its entry is gone; else it drains
+ * @param revision store revision at which this was known
+ * @param gone whether the entry of the upstream was removed; otherwise it drains
  */
 public record Departure(UpstreamId upstream, long revision, boolean gone) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/DrainedZones.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/DrainedZones.java
@@ -8,33 +8,39 @@
 /**
  * The availability zones that operators have drained: {@code zones.drain("b", notBefore)}.
  *
- * <p>A drained zone is left by degrees. While its upstreams may still be sent to, what only they
- * hold is loaded elsewhere, and requests that others can take go there. Then it is closed, and
- * nothing new reaches it. What is under way there ends by itself. Belongs to the traffic thread.
+ * <p>A zone is drained in two phases. While its upstreams may still receive requests, models that
+ * only they hold are loaded elsewhere, and requests that other upstreams can serve go there. Then
+ * the zone is closed and receives nothing new; requests that run there end by themselves. Belongs
+ * to the traffic thread.
  */
 public final class DrainedZones {
-    /** How long after an accepted drain requests may reach the zone, if operators set no time. */
+    /** Default of the time after an accepted drain during which requests may reach the zone. */
     public static final Duration USUAL_LIMIT = Duration.ofSeconds(5);
 
-    /** A request's way to an upstream, over a link with a queue, from a thread that is late. */
+    /** Allowance for the delivery of a request: a link with a queue, and a delayed thread. */
     private static final Duration ON_THE_WAY = Duration.ofSeconds(1);
 
     private final Duration limit;
     private final Map<String, Instant> notBefore = new HashMap<>();
 
-    /** None is drained; a request may reach a zone for this long after its drain was accepted. */
+    /**
+     * Creates an object without drained zones.
+     *
+     * @param limit how long requests may reach a zone after its drain was accepted
+     */
     public DrainedZones(Duration limit) {
         if (limit.isNegative()) {
-            throw new IllegalArgumentException("the limit of a drain must not be negative");
+            throw new IllegalArgumentException(
+                    "the time limit of a zone drain must not be negative: " + limit);
         }
         this.limit = limit;
     }
 
     /**
-     * The zone is drained, which nobody had asked for yet at that moment; {@link Instant#MIN},
-     * which closes it at once, if no such moment is known. Of two words of one drain the earlier
-     * counts.
+     * Drains a zone. If a drain is reported twice, the earlier moment applies.
      *
+     * @param notYetAt a moment at which the drain had not been requested yet; {@link Instant#MIN},
+     *     which closes the zone at once, if no such moment is known
      * @return true if the zone was not drained before
      */
     public boolean drain(String zone, Instant notYetAt) {
@@ -46,7 +52,7 @@
     }
 
     /**
-     * The drain is taken back.
+     * Revokes the drain of a zone.
      *
      * @return true if the zone was drained before
      */
@@ -54,12 +60,12 @@
         return notBefore.remove(zone) != null;
     }
 
-    /** True if the zone is drained, whether requests may still go there or not. */
+    /** Returns true if the zone is drained, whether requests may still go there or not. */
     public boolean drained(String zone) {
         return !notBefore.isEmpty() && notBefore.containsKey(zone);
     }
 
-    /** True if nothing may be sent there. */
+    /** Returns true if no request may be sent to the zone. */
     public boolean closed(String zone, Instant now) {
         Instant asked = notBefore.isEmpty() ? null : notBefore.get(zone);
         if (asked == null) {
@@ -68,7 +74,9 @@
         return asked.equals(Instant.MIN) || !now.isBefore(asked.plus(limit).minus(ON_THE_WAY));
     }
 
-    /** All that are drained, each with a moment at which nobody had asked for it yet. */
+    /**
+     * Returns all drained zones, each with a moment at which its drain had not been requested yet.
+     */
     public Map<String, Instant> all() {
         return Map.copyOf(notBefore);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Gates.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Gates.java
@@ -3,9 +3,11 @@
 import io.damaskyoke.control.cold.ColdGate;
 import io.damaskyoke.control.cold.LimitGate;
 
-/** What keeps requests from one upstream, and outlives its entry in the list. */
+/**
+ * The limits on requests to one upstream. They are kept when its entry is removed from the list.
+ */
 record Gates(ColdGate cold, LimitGate limit) {
-    /** Gates that let everything through. */
+    /** Creates gates that let every request pass. */
     Gates() {
         this(new ColdGate(), new LimitGate());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Health.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Health.java
@@ -4,20 +4,23 @@
 import java.time.Instant;
 
 /**
- * What real requests show of an upstream: it answers, it fails some, or it is best left alone.
+ * Circuit breaker of one upstream, driven by the outcomes of real requests.
  *
- * <p>Health checks can be wrong either way, so they aren't asked. After several failures on end an
- * upstream gets no requests for a while that doubles each time, then one; if that one is answered
- * it is back.
+ * <p>Health checks can be wrong either way, so they are not used. After several consecutive
+ * failures the upstream is ejected for a time that doubles with each ejection. Then it gets a
+ * single request as a probe; if that is answered, the upstream gets requests again.
  */
 final class Health {
-    /** Two failures may be chance where some requests fail by themselves; three rarely are. */
+    /**
+     * Two consecutive failures may be chance where some requests fail by themselves; three rarely
+     * are.
+     */
     private static final int FAILURES_TO_EJECT = 3;
 
     private static final Duration FIRST_EJECTION = Duration.ofMillis(700);
     private static final Duration LONGEST_EJECTION = Duration.ofSeconds(5);
 
-    /** Weight of the newest outcome in the share of failures: about the last ten count. */
+    /** Weight of the newest outcome in the moving average of failures: about the last ten count. */
     private static final double NEWEST = 0.1;
 
     private State state = State.SERVING;
@@ -29,11 +32,11 @@
     private enum State {
         SERVING,
         EJECTED,
-        /** One request is out to see whether the upstream is back. */
+        /** One request is under way as a probe. */
         TRYING
     }
 
-    /** True if a request may be sent now. */
+    /** Returns true if a request may be sent now. */
     boolean takes(Instant now) {
         return switch (state) {
             case SERVING -> true;
@@ -42,12 +45,15 @@
         };
     }
 
-    /** True if it fails, so that what only it holds is better also held elsewhere. */
+    /**
+     * Returns true unless the upstream is known to serve, so that models that only it holds are
+     * better loaded elsewhere too.
+     */
     boolean suspect() {
         return state != State.SERVING;
     }
 
-    /** The share of requests that failed of late, from 0 to 1. */
+    /** Returns the moving average of the failure rate, from 0 to 1. */
     double failing() {
         return failing;
     }
@@ -67,7 +73,7 @@
         }
     }
 
-    /** The request was called off, and says nothing either way. */
+    /** Records that a request was canceled, which shows nothing either way. */
     void calledOff() {
         if (state == State.TRYING) {
             state = State.EJECTED;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/HeldModels.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/HeldModels.java
@@ -6,39 +6,40 @@
 import java.util.TreeMap;
 
 /**
- * What an upstream holds ready, as of one moment of one of its lives.
+ * The models and adapters that an upstream holds in working memory, at one moment of one
+ * incarnation.
  *
- * @param startedAt Unix milliseconds of the upstream's start: which life of it this is of
- * @param sequence orders that it has accepted in this life; {@link #UNCOUNTED} where its source
- *     doesn't say
- * @param adapters those of each model that it holds
+ * @param startedAt start of the upstream's incarnation, in Unix milliseconds
+ * @param sequence number of orders that this incarnation has accepted; {@link #UNCOUNTED} where the
+ *     source does not give it
+ * @param adapters names of the adapters of each model that it holds
  */
 public record HeldModels(long startedAt, long sequence, Map<String, Set<String>> adapters) {
-    /** The platform's list doesn't count orders. */
+    /** Sequence of the platform's list, which does not count orders. */
     public static final long UNCOUNTED = -1;
 
-    /** The start of a life where its source doesn't say. */
+    /** Start of an incarnation whose source does not give it. */
     public static final long NO_START = 0;
 
-    /** Copies what it is given. */
+    /** Copies the given adapters. */
     public HeldModels {
         Map<String, Set<String>> copy = new TreeMap<>();
         adapters.forEach((model, names) -> copy.put(model, Set.copyOf(names)));
         adapters = copy;
     }
 
-    /** Nothing, in this life. */
+    /** Returns an empty set for this incarnation. */
     public static HeldModels none(long startedAt) {
         return new HeldModels(startedAt, 0, Map.of());
     }
 
-    /** True if a request for it can run. */
+    /** Returns true if a request for the model or adapter can run. */
     public boolean has(ModelRef wanted) {
         Set<String> names = adapters.get(wanted.model());
         return names != null && (!wanted.adapted() || names.contains(wanted.adapter()));
     }
 
-    /** The same with one more order, which brought this. */
+    /** Returns a copy with one more model or adapter, after the order that loaded it. */
     public HeldModels with(ModelRef loaded, long newSequence) {
         Map<String, Set<String>> next = new TreeMap<>(adapters);
         Set<String> names = new HashSet<>(next.getOrDefault(loaded.model(), Set.of()));
@@ -49,7 +50,7 @@
         return new HeldModels(startedAt, newSequence, next);
     }
 
-    /** The same with one more order, which took this away. */
+    /** Returns a copy without this model or adapter, after the order that unloaded it. */
     public HeldModels without(ModelRef unloaded, long newSequence) {
         Map<String, Set<String>> next = new TreeMap<>(adapters);
         if (!unloaded.adapted()) {
@@ -62,7 +63,7 @@
         return new HeldModels(startedAt, newSequence, next);
     }
 
-    /** How many adapters there are over all models. */
+    /** Returns the number of adapters over all models. */
     public int adapterCount() {
         return adapters.values().stream().mapToInt(Set::size).sum();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/ModelRef.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/ModelRef.java
@@ -1,12 +1,12 @@
 package io.damaskyoke.control.upstreams;
 
 /**
- * A model, or an adapter of it: {@code ModelRef.parse("cut-sheet/a3")}.
+ * Names a model, or an adapter of a model: {@code ModelRef.parse("cut-sheet/a3")}.
  *
- * @param adapter empty for the model itself
+ * @param adapter name of the adapter, empty for the model itself
  */
 public record ModelRef(String model, String adapter) implements Comparable<ModelRef> {
-    /** Reads {@code MODEL} or {@code MODEL/ADAPTER}. */
+    /** Parses {@code MODEL} or {@code MODEL/ADAPTER}. */
     public static ModelRef parse(String text) {
         int slash = text.indexOf('/');
         return slash < 0
@@ -14,12 +14,12 @@
                 : new ModelRef(text.substring(0, slash), text.substring(slash + 1));
     }
 
-    /** True if it names an adapter. */
+    /** Returns true if an adapter is named. */
     public boolean adapted() {
         return !adapter.isEmpty();
     }
 
-    /** The model without its adapter. */
+    /** Returns the model without its adapter. */
     public ModelRef base() {
         return adapted() ? new ModelRef(model, "") : this;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Upstream.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Upstream.java
@@ -9,19 +9,21 @@
 import java.util.TreeMap;
 
 /**
- * One upstream as this router sees it: what it says of itself, what others say of it, and what this
- * router's own requests show. Belongs to the traffic thread.
+ * One upstream as this router sees it: what its entry says, what other routers announce, and what
+ * this router's own requests show. Belongs to the traffic thread.
  */
 public final class Upstream {
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** What an answer said of the load counts less and less, and nothing after this. */
+    /**
+     * The load that an answer reported loses weight linearly and no longer counts after this time.
+     */
     private static final double LOAD_FADES_MILLIS = 1_000;
 
-    /** Weight of the newest answer in the usual time: about the last eight count. */
+    /** Weight of the newest answer in the moving average: about the last eight count. */
     private static final double NEWEST = 0.12;
 
-    /** What it says of itself reaches this router a heartbeat and the list's lag later. */
+    /** A heartbeat and the list's delay: how late an upstream's entry may reach this router. */
     private static final Duration OWN_WORD_LAGS = Duration.ofMillis(2_500);
 
     private final Health health = new Health();
@@ -47,98 +49,111 @@
         cold.says(facts.coldLeft(), now);
     }
 
-    /** What it says of itself. */
+    /** Returns the newest entry of the upstream in the platform's list. */
     public UpstreamFacts facts() {
         return facts;
     }
 
-    /** What it holds: by the leader's word where that is newer than its own. */
+    /**
+     * Returns the models that it holds: by the leader's announcement where that is newer than the
+     * entry.
+     */
     public HeldModels held() {
         return held;
     }
 
-    /** True if new requests may go there: it is open, and not given up on. */
+    /** Returns true if new requests may go there: it is open, and not ejected. */
     public boolean takes(Instant now) {
         return open(now) && health.takes(now);
     }
 
-    /** True unless it leaves or its zone is closed, whatever its health. */
+    /** Returns true unless it drains or its zone is closed, whatever its health. */
     public boolean open(Instant now) {
         return !facts.draining() && !closed(now);
     }
 
-    /** True unless this router has sent its share of what it bears while cold, or of its limit. */
+    /**
+     * Returns true unless this router has sent its share of the requests that the upstream allows,
+     * or can serve while cold.
+     */
     public boolean hasRoom(UpstreamShare share, Instant now) {
         return limit.room(facts.id(), share, now)
                 && cold.room(() -> share.of(facts.id(), cold.limit().perSecond()), now);
     }
 
-    /** How many requests it says it takes. */
+    /** Returns the limit on requests that the upstream itself has declared. */
     public LimitGate limitGate() {
         return limit;
     }
 
-    /** True if it has started of late, or may have, and is slow. */
+    /** Returns true if it has recently started, or may have, and is slow. */
     public boolean cold(Instant now) {
         boolean mayBe = !cold.limit().none() && cold.cold(now);
         return mayBe || !facts.coldLeft().isZero();
     }
 
-    /** It may have become cold just now, without a word. */
+    /** Records that it may have become cold just now, without a report. */
     void mayBeCold(Instant now) {
         cold.mayBeCold(now);
     }
 
-    /** True if operators let nothing more be sent to its zone. */
+    /** Returns true if its zone is drained and closed to new requests. */
     public boolean closed(Instant now) {
         return zones.closed(facts.zone(), now);
     }
 
-    /** True if its zone is drained, so that others are better sent to. */
+    /** Returns true if its zone is drained, so that upstreams elsewhere are preferred. */
     public boolean zoneDrained() {
         return zones.drained(facts.zone());
     }
 
-    /** True if this router's requests fail there. */
+    /**
+     * Returns true if the upstream is ejected or being probed, as this router's requests failed
+     * there.
+     */
     public boolean suspect() {
         return health.suspect();
     }
 
-    /** The share of this router's requests that it failed of late. */
+    /** Returns the moving average of the failure rate of this router's requests, from 0 to 1. */
     public double failing() {
         return health.failing();
     }
 
     /**
-     * This router's own requests there, by what they ask for; those without a model are left out.
+     * Returns the number of this router's requests there by model; requests without a model are not
+     * included.
      */
     public Map<ModelRef, Integer> running() {
         return running;
     }
 
-    /** The usual time to the first byte of an answer, in milliseconds; 0 if none has come yet. */
+    /**
+     * Returns the moving average of the time to the first byte of an answer, in milliseconds; 0 if
+     * none has come yet.
+     */
     public double usualMillis() {
         return usualMillis;
     }
 
-    /** Requests that are likely to be there now, this router's and the others'. */
+    /** Returns the estimated number of requests there now, from this router and the others. */
     public double load(Instant now) {
         double age = loadAt.equals(Instant.MIN) ? LOAD_FADES_MILLIS : millis(loadAt, now);
         double fresh = Math.max(0, 1 - age / LOAD_FADES_MILLIS);
         return inFlight + othersThen * fresh;
     }
 
-    /** This router's requests that are there now. */
+    /** Returns the number of this router's requests there now. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** True if it has turned a request away a moment ago because it was full. */
+    /** Returns true if it has rejected a request a moment ago because it was full. */
     public boolean full(Instant now) {
         return now.isBefore(fullUntil);
     }
 
-    /** A request goes there now. */
+    /** Records that a request was assigned to the upstream and is about to be sent. */
     public void sent(ModelRef model, Instant now) {
         inFlight++;
         cold.begins();
@@ -149,33 +164,36 @@
         }
     }
 
-    /** This router has just started, and knows nothing of it but its entry. */
+    /**
+     * Records that this router has just started and knows only the entry, which may be out of date.
+     */
     public void unknown(Instant now) {
         cold.unknown(now);
     }
 
-    /** The bytes of a request leave for it. */
+    /** Records that the bytes of a request were sent. */
     public void left(Instant now) {
         cold.leaves(now);
         limit.leaves(now);
     }
 
-    /** A request for it will not leave. */
+    /** Records that a request will not be sent. */
     public void neverLeft() {
         cold.calledOff();
         limit.calledOff();
     }
 
     /**
-     * It can't be reached, or has broken off, here or at another router: it may have ended.
+     * Records that the upstream can't be reached or has broken a connection, here or at another
+     * router: it may have crashed.
      *
-     * @return true if that is news, which other routers should be told
+     * @return true if this is new and is to be announced to other routers
      */
     public boolean lost(Instant now) {
         return cold.lost(now);
     }
 
-    /** A request that went there is over, however it ended. */
+    /** Records that a request there is finished, whatever its outcome. */
     public void over(ModelRef model) {
         inFlight--;
         if (model != null) {
@@ -183,7 +201,11 @@
         }
     }
 
-    /** The first byte of an answer has come now, after this time. */
+    /**
+     * Records that the first byte of an answer has come now.
+     *
+     * @param took time from sending the request to the first byte
+     */
     public void answered(Duration took, Instant now) {
         health.answered();
         cold.answers(now);
@@ -191,41 +213,56 @@
         usualMillis = usualMillis == 0 ? millis : usualMillis + NEWEST * (millis - usualMillis);
     }
 
-    /** It failed a request: no connection, no answer, or none that can be used. */
+    /** Records that it failed a request: no connection, no answer, or none that can be used. */
     public void failed(Instant now) {
         health.failed(now);
     }
 
-    /** A request was called off before anything was known. */
+    /** Records that a request was canceled before its outcome was known. */
     public void calledOff() {
         health.calledOff();
     }
 
-    /** It turned a request away, as it was full, for about this time. */
+    /**
+     * Records that it rejected a request because it was full.
+     *
+     * @param pause for about how long it expects to be full
+     */
     public void turnedAway(Instant now, Duration pause) {
         health.answered();
         cold.answers(now);
         fullUntil = now.plus(pause);
     }
 
-    /** An answer said how many requests run and wait there. */
+    /**
+     * Records the load that an answer reported.
+     *
+     * @param runningThere number of requests running there, from all routers
+     * @param waitingThere number of requests queued there, from all routers
+     */
     public void reported(int runningThere, int waitingThere, Instant now) {
         othersThen = Math.max(0, runningThere + waitingThere - inFlight);
         loadAt = now;
     }
 
-    /** The leader says what it holds. */
+    /** Takes the leader's announcement of the models that it holds. */
     public void told(HeldModels given, Instant now) {
         held = given;
         toldAt = now;
     }
 
-    /** It refused a request for something that the leader says it holds. */
+    /**
+     * Drops the leader's announcement, as the upstream refused a request for something that it
+     * names.
+     */
     public void contradicted() {
         held = facts.held();
     }
 
-    /** It says something new of itself; a new life forgets what the one before showed. */
+    /**
+     * Takes a new entry; one of a new incarnation discards what the one before showed. Returns
+     * false if the entry is older than the known one.
+     */
     boolean update(UpstreamFacts given, Instant now) {
         if (given.revision() < facts.revision()) {
             return false;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamChoice.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamChoice.java
@@ -7,30 +7,31 @@
 import java.util.Set;
 
 /**
- * Picks the upstream at which a request is likely to be answered first.
+ * Picks the upstream that is expected to answer a request first.
  *
- * <p>The pattern: a dozen upstreams of unlike speed behind several routers that see only a part of
- * their load. One predicted time in milliseconds decides: what is usual there, the queue before it,
- * failures of late, a cold start, another zone. A failing upstream thus loses requests by degrees,
- * long before it is given up on, and one in a drained zone is sent to only if no other can serve.
+ * <p>The pattern: a dozen upstreams of different speed behind several routers that see only a part
+ * of their load. Upstreams are compared by one predicted time in milliseconds, which covers the
+ * usual time to answer, the queue, recent failures, a cold start and the distance to another zone.
+ * A failing upstream thus gets fewer requests long before it is ejected, and an upstream in a
+ * drained zone gets requests only if no other can serve them.
  */
 public final class UpstreamChoice {
-    /** A failed request costs its caller about this, in ms: the wait and the second try. */
+    /** Estimated cost of a failed request to its caller: the wait and the second attempt. */
     private static final double FAILURE_MILLIS = 1_500;
 
-    /** There and back between zones, in ms; also the preference among equals. */
+    /** Round trip between zones; also makes the router prefer its own zone among equals. */
     private static final double OTHER_ZONE_MILLIS = 2;
 
-    /** An upstream that is cold is slower by about this, in ms. */
+    /** Estimated delay of an answer by a cold upstream. */
     private static final double COLD_MILLIS = 100;
 
-    /** A batch grows slower by about this for each request in it, in ms. */
+    /** Estimated delay of a batch for each request in it. */
     private static final double SHARE_MILLIS = 0.5;
 
-    /** More than any wait that a caller accepts: any other upstream goes first. */
+    /** Longer than any wait that a caller accepts, so that any other upstream is preferred. */
     private static final double DRAINED_ZONE_MILLIS = 60_000;
 
-    /** What an upstream is taken to need where nothing is known yet, in ms. */
+    /** Assumed time to answer of an upstream that has not answered yet. */
     private static final double UNKNOWN_MILLIS = 20;
 
     private final String zone;
@@ -38,8 +39,12 @@
     private final UpstreamShare share;
 
     /**
-     * A choice for a router in this zone; an upstream may be sent this many times its slots before
-     * it counts as full, and this router's share of what it bears while it is cold.
+     * Creates a choice for a router.
+     *
+     * @param zone availability zone of this router
+     * @param queueing an upstream counts as full from this many times its slots on
+     * @param share this router's share of the requests that a limited upstream can take from all
+     *     routers
      */
     public UpstreamChoice(String zone, double queueing, UpstreamShare share) {
         this.zone = zone;
@@ -47,7 +52,10 @@
         this.share = share;
     }
 
-    /** The best of those that hold the model, have room and weren't tried before. */
+    /**
+     * Returns the best upstream of those that hold the model, have capacity and were not tried
+     * before.
+     */
     public Optional<Upstream> pick(
             List<Upstream> all, ModelRef model, Set<UpstreamId> tried, Instant now) {
         Upstream best = null;
@@ -65,7 +73,10 @@
         return Optional.ofNullable(best);
     }
 
-    /** True if any upstream holds the model ready, whether it has room or not. */
+    /**
+     * Returns true if any upstream that accepts requests holds the model, whether it has capacity
+     * or not.
+     */
     public static boolean held(List<Upstream> all, ModelRef model, Instant now) {
         return all.stream().anyMatch(each -> each.takes(now) && holds(each, model));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamFacts.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamFacts.java
@@ -5,15 +5,15 @@
 import java.util.Set;
 
 /**
- * What an upstream says of itself in the platform's list.
+ * The entry of an upstream in the platform's list, as the upstream has written it.
  *
- * @param revision where this stands in the store
- * @param zone its availability zone
- * @param slots requests that it runs at once
- * @param draining whether it is about to leave and takes no new work
- * @param coldLeft how much longer it is slow after its start
+ * @param revision store revision of the entry
+ * @param zone availability zone of the upstream
+ * @param slots maximum number of requests that it runs at once
+ * @param draining whether it is about to leave and takes no new requests
+ * @param coldLeft how much longer it is slow after its start; zero if it is warm
  * @param held the models and adapters that it holds
- * @param inMemory models with a copy in its main memory, ready to be loaded fast
+ * @param inMemory models with a copy in its main memory, from which they are loaded fast
  * @param onDisk models with a copy on its disk
  */
 public record UpstreamFacts(
@@ -28,7 +28,7 @@
         HeldModels held,
         Set<String> inMemory,
         Set<String> onDisk) {
-    /** The same, known at this revision to be about to leave. */
+    /** Returns a copy that is draining as of this store revision. */
     public UpstreamFacts leavingAt(long since) {
         return new UpstreamFacts(
                 id, since, service, endpoint, zone, slots, true, coldLeft, held, inMemory, onDisk);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamId.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamId.java
@@ -1,15 +1,15 @@
 package io.damaskyoke.control.upstreams;
 
-/** The name of an upstream; another upstream at the same address has another. */
+/** The name of an upstream; another upstream at the same address has a different one. */
 public record UpstreamId(String value) implements Comparable<UpstreamId> {
-    /** Refuses an empty name. */
+    /** Rejects an empty name. */
     public UpstreamId {
         if (value.isEmpty()) {
-            throw new IllegalArgumentException("an upstream's id must not be empty");
+            throw new IllegalArgumentException("the id of an upstream must not be empty");
         }
     }
 
-    /** Short for the constructor. */
+    /** Returns the id with this name. */
     public static UpstreamId of(String value) {
         return new UpstreamId(value);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamTable.java
@@ -10,9 +10,12 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** All upstreams, by what the platform's list says. Belongs to the traffic thread. */
+/** The table of all upstreams, filled from the platform's list. Belongs to the traffic thread. */
 public final class UpstreamTable {
-    /** Upstreams come and go for as long as the process lives. */
+    /**
+     * Bounds the gates kept for removed upstreams, as upstreams come and go for as long as the
+     * process runs.
+     */
     private static final int MOST_GATES_KEPT = 64;
 
     private final Map<UpstreamId, Upstream> byId = new TreeMap<>();
@@ -23,22 +26,22 @@
     private Map<String, ColdLimit> coldLimits = Map.of();
     private long revision;
 
-    /** A table of upstreams whose zones may be drained. */
+    /** Creates a table of upstreams whose zones may be drained. */
     public UpstreamTable(DrainedZones zones) {
         this.zones = zones;
     }
 
-    /** A table with no zone drained. */
+    /** Creates a table with no drained zone. */
     public UpstreamTable() {
         this(new DrainedZones(DrainedZones.USUAL_LIMIT));
     }
 
-    /** The zones that are drained. */
+    /** Returns the drained zones. */
     public DrainedZones zones() {
         return zones;
     }
 
-    /** Takes in what an upstream says; false if something newer is known. */
+    /** Adds or updates the entry of an upstream; returns false if a newer one is known. */
     public boolean put(UpstreamFacts facts, Instant now) {
         revision = Math.max(revision, facts.revision());
         if (removedAt.getOrDefault(facts.id(), 0L) > facts.revision()) {
@@ -58,7 +61,10 @@
         return taken;
     }
 
-    /** The list has it no longer, as of this revision. */
+    /**
+     * Removes an upstream that the list no longer has as of this store revision; returns false if
+     * it is unknown or a newer entry is known.
+     */
     public boolean remove(UpstreamId id, long at) {
         revision = Math.max(revision, at);
         Upstream known = byId.get(id);
@@ -71,7 +77,7 @@
         return true;
     }
 
-    /** Those that drain or are gone since this revision. */
+    /** Returns the upstreams that drain or were removed since this store revision. */
     public List<Departure> departures(long since) {
         List<Departure> found = new ArrayList<>();
         removedAt.forEach(
@@ -89,21 +95,21 @@
         return found;
     }
 
-    /** What cold upstreams bear, by service. */
+    /** Sets the limits for cold upstreams, by service. */
     public void coldLimits(Map<String, ColdLimit> given) {
         coldLimits = Map.copyOf(given);
         byId.values().forEach(each -> gates(each.facts()));
     }
 
-    /** The upstreams of the zone may have become cold just now, without a word. */
+    /** Records that the upstreams of the zone may have become cold just now, without a report. */
     public void mayBeCold(String zone, Instant now) {
         byId.values().stream()
                 .filter(each -> each.facts().zone().equals(zone))
                 .forEach(each -> each.mayBeCold(now));
     }
 
-    // Kept when an upstream goes off the list: one that is back under its name a moment later would
-    // else get another share within the second.
+    // Gates are kept when an upstream is removed from the list: otherwise one that returns under
+    // its name a moment later would get another share within the same second.
     private Gates gates(UpstreamFacts facts) {
         if (gates.size() > 2 * byId.size() + MOST_GATES_KEPT) {
             gates.keySet().retainAll(byId.keySet());
@@ -113,22 +119,22 @@
         return found;
     }
 
-    /** The upstreams of a service. */
+    /** Returns the upstreams of a service. */
     public List<Upstream> of(String service) {
         return byService.getOrDefault(service, List.of());
     }
 
-    /** The upstream of that name. */
+    /** Returns the upstream with this id. */
     public Optional<Upstream> find(UpstreamId id) {
         return Optional.ofNullable(byId.get(id));
     }
 
-    /** All of them. */
+    /** Returns all upstreams. */
     public Collection<Upstream> all() {
         return byId.values();
     }
 
-    /** The store's revision up to which the list was read. */
+    /** Returns the store revision up to which the list was read. */
     public long revision() {
         return revision;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which upstreams there are, what is known of each and how old that is, and which one a request
- * goes to.
+ * The known upstreams: their entries, health and load with the age of each, and the choice of an
+ * upstream for a request.
  */
 package io.damaskyoke.control.upstreams;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/DrainedZonesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/DrainedZonesTest.java
@@ -22,14 +22,14 @@
         assertFalse(zones.closed("b", ASKED.plusSeconds(60)));
     }
 
-    // Guards against a router that has just started and gives an old drain its whole time again.
+    // Guards against a router that has just started and gives an old drain its full time again.
     @Test
     void aDrainOfUnknownAgeClosesAtOnce() {
         zones.drain("a", Instant.MIN);
         assertTrue(zones.closed("a", ASKED));
     }
 
-    // Guards against a second word of a drain, which comes later and would keep the zone open.
+    // Guards against a later report of the same drain, which would keep the zone open for longer.
     @Test
     void theEarlierOfTwoWordsCounts() {
         zones.drain("a", ASKED);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/UpstreamChoiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/UpstreamChoiceTest.java
@@ -66,8 +66,9 @@
 
     @Test
     void anUpstreamThatFailsThreeTimesOnEndIsTriedOnceLater() {
-        // An upstream fails every request while its health check is good. After three it gets none
-        // for a while, then a single one; when that is answered, it is back.
+        // Guards against an upstream that fails every request while its health check passes. After
+        // three failures it is ejected, then probed by a single request; when that is answered, it
+        // is back.
         put("one", "a", false, Map.of());
         for (int i = 0; i < 3; i++) {
             find("one").failed(now);
@@ -95,9 +96,8 @@
 
     @Test
     void theOrderLeadersWordGoesBeforeAnOlderOneOfTheUpstream() {
-        // The leader has just had a model unloaded. The upstream's own entry, which lags by a
-        // second
-        // or two, still names it; requests must not be sent there for it.
+        // Guards against requests for a model that the leader has just unloaded, but that the
+        // upstream's entry, which lags by a second or two, still names.
         put("one", "a", false, Map.of("cut-sheet", Set.of()));
         find("one").told(new HeldModels(1, 5, Map.of()), now);
         now = now.plusMillis(1_000);
@@ -133,8 +133,8 @@
         return table.find(UpstreamId.of(id)).orElseThrow();
     }
 
-    // Guards against a slow start that is not taken into account where cold upstreams bear
-    // anything.
+    // Guards against ignoring a slow start where a cold upstream may get as many requests as a warm
+    // one.
     @Test
     void anUpstreamThatSaysItIsColdGoesAfterOthersThoughItBearsAsMuch() {
         UpstreamFacts cold = facts("cold", "a", false, Map.of(), ++revision);
