--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdGate.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdGate.java
@@ -5,32 +5,35 @@
 import java.util.function.IntSupplier;
 
 /**
- * Decides whether one upstream may get another request now, as it may be cold: {@code
+ * Decides whether one upstream, which may be cold, may get another request now: {@code
  * gate.room(share, now)}.
  *
- * <p>An upstream's own word that it is cold comes a heartbeat and the list's lag late. Those that
- * come back together after a loss of power get what has waited for them at all routers, before that
- * word is there. So an upstream counts as cold from the first failed connection on, here or at
- * another router, until, after its first answer, the time has passed in which one that has just
- * started is cold; or until the list says that it is warm, later than the list may lag.
+ * <p>An upstream's own report that it is cold arrives late, by a heartbeat and the list's delay.
+ * Upstreams that restart together after a power failure would get the requests queued for them at
+ * all routers before that report arrives. So an upstream counts as cold from the first failed
+ * connection on, here or at another router. It counts as warm again when, after its first answer,
+ * the time has passed for which a started upstream is cold, or when the list reports it warm later
+ * than the list may lag.
  *
- * <p>One that this router has not used of late may have ended and started again unnoticed. It is
- * used more by degrees, in step with what it answers.
+ * <p>An upstream that this router has not used recently may have crashed and restarted unnoticed.
+ * Its rate is raised gradually, in step with its answers.
  */
 public final class ColdGate {
-    /** A heartbeat, and the way of the list's words to a router behind a relay. */
+    /**
+     * Maximum age of an entry: a heartbeat, and the delay of the list at a router behind a relay.
+     */
     private static final Duration NEWS = Duration.ofSeconds(2);
 
-    /** What an upstream that was not used of late may get in a second. */
+    /** Requests per second to an upstream that was not used recently. */
     private static final int UNUSED = 2;
 
-    /** What one that answers may get in a second beyond its growth. */
+    /** Requests per second to an upstream that answers, on top of its growth. */
     private static final int SPARE = 3;
 
-    /** How much more than it answered in the second before it may get in one. */
+    /** Maximum ratio of the requests in a second to the answers in the second before. */
     private static final double GROWTH = 1.5;
 
-    /** Two requests a second apart may come closer to each other on their way. */
+    /** A second, with an allowance for requests that get closer to each other on their way. */
     private static final Duration SECOND = Duration.ofMillis(1_050);
 
     private final SendWindow window = new SendWindow();
@@ -41,25 +44,29 @@
     private Instant coldUntil = Instant.MIN;
 
     private enum State {
-        /** What is known of it holds. */
+        /** The known state can be relied on. */
         KNOWN,
-        /** This router has just started and goes by an entry that may be out of date. */
+        /** This router has just started and knows only an entry that may be out of date. */
         UNKNOWN,
-        /** It can't be reached, or broke off, and has answered nothing since. */
+        /** The upstream can't be reached or broke a connection, and has answered nothing since. */
         LOST
     }
 
-    /** What cold upstreams of its service bear. */
+    /** Sets the limit for cold upstreams of its service. */
     public void limit(ColdLimit given) {
         limit = given;
     }
 
-    /** What cold upstreams of its service bear. */
+    /** Returns the limit for cold upstreams of its service. */
     public ColdLimit limit() {
         return limit;
     }
 
-    /** It says itself that it stays cold for this long, or, by zero, that it is warm. */
+    /**
+     * Takes the upstream's own report.
+     *
+     * @param coldLeft how much longer it is cold; zero if it is warm
+     */
     public void says(Duration coldLeft, Instant now) {
         if (!coldLeft.isZero()) {
             coldFor(coldLeft, now);
@@ -70,22 +77,25 @@
         }
     }
 
-    /** It may have become cold now, without a word. */
+    /** Records that the upstream may have become cold now, without a report. */
     public void mayBeCold(Instant now) {
         doubtedAt = now;
         coldFor(limit.lasts(), now);
     }
 
-    /** Nothing is known of it but an entry that may be of a life that is over. */
+    /**
+     * Records that only an entry is known of the upstream, which may be of an earlier incarnation.
+     */
     public void unknown(Instant now) {
         state = State.UNKNOWN;
         doubtedAt = now;
     }
 
     /**
-     * It can't be reached, or broke off, here or at another router: it may have ended.
+     * Records that the upstream can't be reached or broke a connection, here or at another router:
+     * it may have crashed.
      *
-     * @return true if that is news, which others should be told
+     * @return true if this is new and is to be announced to other routers
      */
     public boolean lost(Instant now) {
         boolean news = state != State.LOST && !limit.none();
@@ -95,7 +105,7 @@
         return news;
     }
 
-    /** It answers; if it was lost, it may have started just now. */
+    /** Records an answer; an upstream that was lost may have started just now. */
     public void answers(Instant now) {
         if (limit.none()) {
             return;
@@ -107,7 +117,7 @@
         }
     }
 
-    /** True if it counts as cold. */
+    /** Returns true if the upstream counts as cold. */
     public boolean cold(Instant now) {
         return switch (state) {
             case LOST -> true;
@@ -117,8 +127,11 @@
     }
 
     /**
-     * True if it may get one more request. This router's share of a cold one is always free, and
-     * only asked for if it matters: in a large fleet it takes a look at all routers' names.
+     * Returns true if the upstream may get one more request. This router's share for a cold
+     * upstream may always be used. The share is computed only where it matters: in a large fleet
+     * that reads the names of all routers.
+     *
+     * @param share supplies this router's share, in requests per second
      */
     public boolean room(IntSupplier share, Instant now) {
         if (limit.none()) {
@@ -133,18 +146,18 @@
         return answered == 0 ? UNUSED : SPARE + GROWTH * answered;
     }
 
-    /** A request is about to leave for it. */
+    /** Records that a request is about to be sent. */
     public void begins() {
         window.begins();
     }
 
-    /** The request has left. */
+    /** Records that the request was sent. */
     public void leaves(Instant now) {
         window.leaves(now);
         window.count(SECOND, now);
     }
 
-    /** The request will not leave. */
+    /** Records that the request will not be sent. */
     public void calledOff() {
         window.calledOff();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdLimit.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdLimit.java
@@ -3,23 +3,27 @@
 import java.time.Duration;
 
 /**
- * What a cold upstream of a service bears.
+ * The rate of requests that a cold upstream of a service can serve.
  *
  * @param lasts how long an upstream is cold after its start; zero if it never is
- * @param perSecond requests in any second, from all routers together
+ * @param perSecond maximum number of requests in any second, from all routers together
  */
 public record ColdLimit(Duration lasts, double perSecond) {
-    /** Upstreams that bear as much from their first moment on. */
+    /** The limit for upstreams that can serve their full rate from the start. */
     public static final ColdLimit NONE = new ColdLimit(Duration.ZERO, 0);
 
-    /** Refuses what is negative. */
+    /** Rejects negative values. */
     public ColdLimit {
         if (lasts.isNegative() || perSecond < 0) {
-            throw new IllegalArgumentException("a cold upstream's time and rate can't be negative");
+            throw new IllegalArgumentException(
+                    "the cold time and rate of an upstream must not be negative: "
+                            + lasts
+                            + ", "
+                            + perSecond);
         }
     }
 
-    /** True if upstreams of the service are never cold. */
+    /** Returns true if upstreams of the service are never cold. */
     public boolean none() {
         return lasts.isZero() || perSecond == 0;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/EvenShare.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/EvenShare.java
@@ -8,18 +8,24 @@
 import java.util.zip.CRC32;
 
 /**
- * An even part for each router, and one request more for as many routers as there are requests left
- * over; in large fleets most have none.
+ * Divides the requests evenly among the routers, and the remainder one by one among as many
+ * routers; in large fleets most routers get none.
  *
- * <p>Which have one more is agreed upon without a word: those whose names, hashed with the
- * upstream's, come first. Other upstreams have others, so that each router can use some. A router
- * that is not listed itself can't know how many there are, and has one request.
+ * <p>The routers agree on who gets the remainder without communication: those whose names, hashed
+ * with the name of the upstream, come first. The order differs between upstreams, so that each
+ * router can use some. A router that is not listed itself can't know how many there are, and gets
+ * one request.
  */
 public final class EvenShare implements UpstreamShare {
     private final VmId self;
     private final Supplier<Collection<VmId>> routers;
 
-    /** For this router among these, once the list holds it too. */
+    /**
+     * Creates the shares of a router.
+     *
+     * @param self this router
+     * @param routers supplies all listed routers; contains this one once it is listed too
+     */
     public EvenShare(VmId self, Supplier<Collection<VmId>> routers) {
         this.self = self;
         this.routers = routers;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/LimitGate.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/LimitGate.java
@@ -5,24 +5,27 @@
 import java.time.Instant;
 
 /**
- * Decides whether an upstream that names how many requests a second it takes may get one more:
+ * Decides whether an upstream that declares how many requests per second it takes may get one more:
  * {@code gate.room(upstream, share, now)}.
  *
- * <p>A limit is often below one request a second and router, so parts are counted over some
- * seconds: all routers together send no more in any such time than the limit allows, whatever each
- * of them knows of the others.
+ * <p>A limit is often below one request per second and router, so shares are counted over several
+ * seconds: all routers together send no more in any such window than the limit allows, whatever
+ * each of them knows of the others.
  *
- * <p>Answers overtake each other, and those to requests from before the limit was named come after
- * it is known. So a limit ends only by an answer to a request that left after it was last named.
+ * <p>Answers overtake each other, and answers to requests sent before the limit was declared arrive
+ * after it is known. So a limit is lifted only by an answer to a request that was sent after the
+ * limit was last declared.
  */
 public final class LimitGate {
-    /** Parts are counted over this time at least. */
+    /** Minimum length of the window in which requests are counted. */
     private static final Duration LEAST_WINDOW = Duration.ofSeconds(4);
 
-    /** Requests that leave so far apart may arrive within the window. */
+    /** Requests that are sent this much further apart may still arrive within the window. */
     private static final Duration LATENESS = Duration.ofMillis(150);
 
-    /** A limit of which nothing is heard for so long is over: its upstream answers nobody. */
+    /**
+     * A limit expires if it is not declared again within this time: its upstream answers nobody.
+     */
     private static final Duration LAPSE = Duration.ofSeconds(30);
 
     private static final double MILLIS = 1_000;
@@ -35,11 +38,11 @@
     private boolean unreadable;
 
     /**
-     * Takes in what an answer, here or at another router, says of the limit.
+     * Takes what an answer, here or at another router, says of the limit.
      *
-     * @param at for a limit that is named when that was heard, for the end of one when the request
-     *     left whose answer lacked it
-     * @return true if it changes what is known, so that others should be told
+     * @param at for a declared limit, when it was received; for a lifted one, when the request was
+     *     sent whose answer declared no limit
+     * @return true if this changes the known limit and is to be announced to other routers
      */
     public boolean heard(RequestLimit given, Instant at, Instant now) {
         if (given.isNamed()) {
@@ -63,44 +66,44 @@
         return news;
     }
 
-    /** It has named something that is no limit; true the first time. */
+    /** Records that the upstream declared an invalid limit; returns true the first time. */
     public boolean firstUnreadable() {
         boolean first = !unreadable;
         unreadable = true;
         return first;
     }
 
-    /** The upstream has begun another life, of which nothing is known. */
+    /** Discards the limit, as a new incarnation of the upstream has started. */
     public void forget() {
         limit = RequestLimit.NO_LIMIT;
     }
 
-    /** True if it takes only so many. */
+    /** Returns true if a limit applies. */
     public boolean limited(Instant now) {
         return limit.isNamed() && now.isBefore(namedAt.plus(LAPSE));
     }
 
-    /** What it last said. */
+    /** Returns the last limit, which may have expired. */
     public RequestLimit limit() {
         return limit;
     }
 
-    /** When it was last heard to name its limit. */
+    /** Returns when the limit was last received. */
     public Instant namedAt() {
         return namedAt;
     }
 
-    /** When the request left whose answer ended its last limit. */
+    /** Returns when the request was sent whose answer lifted the last limit. */
     public Instant endedAt() {
         return endedAt;
     }
 
-    /** How often a request was kept from it. */
+    /** Returns how often a request was held back by the limit. */
     public long heldBack() {
         return heldBack;
     }
 
-    /** True if this router may send one more request there now. */
+    /** Returns true if this router may send one more request to the upstream now. */
     public boolean room(UpstreamId upstream, UpstreamShare share, Instant now) {
         if (!limited(now)) {
             return true;
@@ -112,7 +115,7 @@
         return room;
     }
 
-    // Long enough for one request at least, so that the smallest limit is used.
+    // The window allows at least one request, so that the smallest limit can be used.
     private Duration window() {
         if (limit.perSecond() == 0) {
             return LEAST_WINDOW;
@@ -121,12 +124,12 @@
         return one.compareTo(LEAST_WINDOW) > 0 ? one : LEAST_WINDOW;
     }
 
-    /** A request is about to leave for it. */
+    /** Records that a request is about to be sent. */
     public void begins() {
         sent.begins();
     }
 
-    /** The request has left. */
+    /** Records that the request was sent. */
     public void leaves(Instant now) {
         sent.leaves(now);
         if (!limited(now)) {
@@ -134,7 +137,7 @@
         }
     }
 
-    /** The request will not leave. */
+    /** Records that the request will not be sent. */
     public void calledOff() {
         sent.calledOff();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/RecentAnswers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/RecentAnswers.java
@@ -5,13 +5,13 @@
 import java.util.ArrayDeque;
 
 /**
- * Counts the answers that one upstream gave this router in the second before the last one, if there
- * was no gap since in which it may have ended and started again.
+ * Counts the answers that one upstream gave this router between two seconds and one second ago. The
+ * count restarts after a gap in which the upstream may have crashed and restarted.
  */
 final class RecentAnswers {
     /**
-     * An upstream that ends is hardly away for less. Answers to what is sent once a second, when a
-     * share is free again, must not count as gaps.
+     * A crashed upstream is rarely back in less time. Answers to requests that are sent once a
+     * second, when a share is free again, must not count as a gap.
      */
     private static final Duration GAP = Duration.ofMillis(1_200);
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/RequestLimit.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/RequestLimit.java
@@ -1,39 +1,43 @@
 package io.damaskyoke.control.cold;
 
 /**
- * What an answer says of the requests that its upstream takes: {@code RequestLimit.named(1.6)}.
+ * What an answer says about the number of requests that its upstream takes: {@code
+ * RequestLimit.named(1.6)}.
  *
- * @param perSecond requests a second from all routers together; of no meaning unless named
+ * @param perSecond requests per second from all routers together; without meaning unless declared
  */
 public record RequestLimit(Kind kind, double perSecond) {
-    /** What an answer can say. */
+    /** The kinds of statement that an answer can make. */
     public enum Kind {
-        /** It is not known to be the upstream's own, or tells nothing. */
+        /** The answer says nothing, or is not known to come from the upstream itself. */
         NOTHING,
-        /** The upstream takes as many as ever. */
+        /** The upstream has no limit. */
         NO_LIMIT,
-        /** The upstream takes so many. */
+        /** The upstream declares a limit. */
         NAMED,
-        /** It names something that is no limit. */
+        /** The upstream declares an invalid limit. */
         UNREADABLE
     }
 
-    /** An answer that tells nothing. */
+    /** No statement about a limit. */
     public static final RequestLimit NOTHING = new RequestLimit(Kind.NOTHING, 0);
 
-    /** The upstream takes as many as ever. */
+    /** The upstream has no limit. */
     public static final RequestLimit NO_LIMIT = new RequestLimit(Kind.NO_LIMIT, 0);
 
-    /** A limit that can't be read. */
+    /** An invalid limit. */
     public static final RequestLimit UNREADABLE = new RequestLimit(Kind.UNREADABLE, 0);
 
-    /** A limit in requests a second; unreadable if it is negative or no number. */
+    /**
+     * Returns a limit in requests per second; {@link #UNREADABLE} if it is negative or not a finite
+     * number.
+     */
     public static RequestLimit named(double perSecond) {
         boolean readable = Double.isFinite(perSecond) && perSecond >= 0;
         return readable ? new RequestLimit(Kind.NAMED, perSecond) : UNREADABLE;
     }
 
-    /** True if it names a limit. */
+    /** Returns true if a limit is declared. */
     public boolean isNamed() {
         return kind == Kind.NAMED;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/SendWindow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/SendWindow.java
@@ -4,28 +4,30 @@
 import java.time.Instant;
 import java.util.ArrayDeque;
 
-/** How many requests have left, or are about to leave, within a time up to now. */
+/** Counts the requests that were sent within a recent period or are about to be sent. */
 final class SendWindow {
     private final ArrayDeque<Instant> left = new ArrayDeque<>();
     private int leaving;
 
-    /** A request is about to leave: a connection may still have to open. */
+    /** Records that a request is about to be sent: a connection may still have to be opened. */
     void begins() {
         leaving++;
     }
 
-    /** It has left. */
+    /** Records that the request was sent. */
     void leaves(Instant now) {
         leaving--;
         left.add(now);
     }
 
-    /** It will not leave. */
+    /** Records that the request will not be sent. */
     void calledOff() {
         leaving--;
     }
 
-    /** Counts those of so long; what left before that is forgotten. */
+    /**
+     * Returns the number of requests about to be sent or sent within this time; removes older ones.
+     */
     int count(Duration length, Instant now) {
         Instant from = now.minus(length);
         while (!left.isEmpty() && !left.peek().isAfter(from)) {
@@ -34,7 +36,7 @@
         return leaving + left.size();
     }
 
-    /** Forgets those that have left. */
+    /** Removes the requests that were sent. */
     void clear() {
         left.clear();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How much is sent to upstreams that bear little, from all routers together: those that have just
- * started, or may have, and those that name how many requests a second they take.
+ * Limits the requests that all routers together send to upstreams of low capacity: those that have
+ * just started, or may have, and those that declare how many requests per second they take.
  */
 package io.damaskyoke.control.cold;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/cold/ColdGateTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/cold/ColdGateTest.java
@@ -38,7 +38,8 @@
         assertEquals(SHARE, taken());
     }
 
-    // Guards against a burst at an upstream that is back before the list has said so.
+    // Guards against a burst of requests to an upstream that is back before the list reports it
+    // cold.
     @Test
     void oneThatWasLostIsColdUntilItsTimeAfterItsFirstAnswer() {
         gate.lost(now);
@@ -51,7 +52,7 @@
         assertFalse(gate.cold(now));
     }
 
-    // Guards against seconds of less for an upstream whose one connection broke by chance.
+    // Guards against seconds of reduced rate for an upstream with a single broken connection.
     @Test
     void theListsWordEndsTheDoubtIfItIsNewEnough() {
         gate.lost(now);
@@ -63,7 +64,7 @@
         assertFalse(gate.cold(now));
     }
 
-    // Guards against a word that was written before the upstream became cold.
+    // Guards against an entry that was written before the upstream became cold.
     @Test
     void aWordOfWarmthBesideOneOfColdEndsNothing() {
         gate.says(LASTS, now);
@@ -72,7 +73,7 @@
         assertTrue(gate.cold(now));
     }
 
-    // Guards against trusting an entry that is older than the router's own life.
+    // Guards against trusting an entry that is older than the router's own process.
     @Test
     void aRouterThatHasStartedDoubtsWhatItFinds() {
         gate.unknown(now);
@@ -81,7 +82,8 @@
         assertFalse(gate.cold(now));
     }
 
-    // Guards against a burst at one that has ended and started while this router did not use it.
+    // Guards against a burst of requests to an upstream that has restarted while this router did
+    // not use it.
     @Test
     void oneThatWasNotUsedGetsMoreByDegrees() {
         assertEquals(SHARE, taken());
@@ -104,7 +106,7 @@
         assertTrue(most > 20, "got " + most + " at the most");
     }
 
-    // Guards against a bound on what is remembered that holds back an upstream in heavy use.
+    // Guards against a bound on remembered answers that throttles an upstream in heavy use.
     @Test
     void oneInHeavyUseIsNotHeldBack() {
         int most = 0;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/cold/EvenShareTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/cold/EvenShareTest.java
@@ -15,7 +15,7 @@
     private static final double ALL = 48.5;
     private static final UpstreamId UPSTREAM = UpstreamId.of("i-1");
 
-    // Guards against parts that add up to more than the upstream bears, in fleets of any size.
+    // Guards against shares that add up to more than the upstream can take, in fleets of any size.
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 22, 33, 48, 49, 300, 380})
     void partsNeverAddUpToMoreThanAll(int count) {
@@ -38,7 +38,7 @@
         }
     }
 
-    // Guards against routers that start together, find the list empty and each take all for itself.
+    // Guards against routers that start together, find the list empty and each take all requests.
     @Test
     void aRouterThatIsNotListedYetHasOneRequest() {
         assertEquals(1, share(VmId.of("new"), fleet(4)));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/cold/LimitGateTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/cold/LimitGateTest.java
@@ -29,8 +29,8 @@
         assertEquals(requests, sent);
     }
 
-    // Guards against an answer without a limit, to a request from before it was named, that comes
-    // after the word of it.
+    // Guards against lifting a limit by an answer to a request that was sent before the limit was
+    // declared, and that arrives after it is known.
     @Test
     void anAnswerToAnEarlierRequestEndsNoLimit() {
         gate.heard(RequestLimit.named(1), start.plusMillis(50), start.plusMillis(50));
@@ -40,7 +40,7 @@
         assertFalse(gate.limited(start.plusMillis(90)));
     }
 
-    // Guards against a word that was long on its way and brings back a limit that has ended.
+    // Guards against a delayed announcement that restores a lifted limit.
     @Test
     void anOldWordDoesNotBringALimitBack() {
         gate.heard(RequestLimit.named(1), start, start);
@@ -56,7 +56,8 @@
         assertTrue(gate.heard(RequestLimit.named(2), start.plusMillis(2), start.plusMillis(2)));
     }
 
-    // Guards against an upstream that nobody uses any more, as nobody hears that its limit is over.
+    // Guards against an upstream that stays unused because no answer can report that its limit is
+    // lifted.
     @Test
     void aLimitOfWhichNothingIsHeardLapses() {
         gate.heard(RequestLimit.named(0), start, start);
