--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/DirectConfiguration.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/DirectConfiguration.java
@@ -7,11 +7,11 @@
 import java.util.Optional;
 
 /**
- * Everything that operators have set, as one version.
+ * One version of the complete configuration that operators have set.
  *
- * @param version the operators' own number, which only grows
- * @param revision where it stands in the store
- * @param workspaces by id
+ * @param version the operators' version number, which only grows
+ * @param revision store revision of the configuration
+ * @param workspaces the workspaces by id
  * @param keys the workspace of each caller key
  */
 public record DirectConfiguration(
@@ -22,12 +22,12 @@
         Map<WorkspaceId, WorkspaceSpec> workspaces,
         Map<String, WorkspaceId> keys,
         HttpLimits limits) {
-    /** The workspace that holds the key. */
+    /** Returns the workspace that the caller key belongs to. */
     public Optional<WorkspaceSpec> workspaceOf(String key) {
         return Optional.ofNullable(keys.get(key)).map(workspaces::get);
     }
 
-    /** The model services. */
+    /** Returns the model services. */
     public List<ServiceSpec> engines() {
         return services.values().stream().filter(each -> each.engine().isPresent()).toList();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/EngineSpec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/EngineSpec.java
@@ -3,14 +3,14 @@
 import java.util.Map;
 
 /**
- * What the upstreams of a model service have room for.
+ * The capacity of the upstreams of a model service.
  *
- * @param slots requests that one of them runs at once
- * @param kvTokens memory for running requests and kept prompts, in tokens
+ * @param slots maximum number of requests that one upstream runs at once
+ * @param kvTokens memory for running requests and cached prompts, in tokens
  * @param weightsMb memory for weights and adapters, in MB
- * @param adapterSlots adapters that one of them holds
- * @param loadsPerSecond loads that the weight store allows over all upstreams
- * @param models by name
+ * @param adapterSlots maximum number of adapters that one upstream holds
+ * @param loadsPerSecond maximum rate of loads from the weight store, over all upstreams
+ * @param models the models by name
  */
 public record EngineSpec(
         int slots,
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/Homes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/Homes.java
@@ -8,21 +8,21 @@
 /**
  * The regions in which a request may be served: {@code route.homes().and(workspace.homes())}.
  *
- * <p>Where a route and a workspace both name regions, both bind. A zone whose region is not known
- * is nobody's home.
+ * <p>Where a route and a workspace both name regions, both apply. A zone whose region is not known
+ * may serve only requests without such a restriction.
  *
- * @param regions the regions; empty if it may be served anywhere
+ * @param regions the allowed regions; empty if the request may be served anywhere
  */
 public record Homes(Optional<Set<String>> regions) {
-    /** Served anywhere. */
+    /** Allows any region. */
     public static final Homes ANYWHERE = new Homes(Optional.empty());
 
-    /** Served in these regions only; anywhere, if none are named. */
+    /** Allows only these regions; any region, if none are named. */
     public static Homes of(Collection<String> regions) {
         return regions.isEmpty() ? ANYWHERE : new Homes(Optional.of(Set.copyOf(regions)));
     }
 
-    /** Served only where both allow it, which may be nowhere. */
+    /** Returns the regions that both allow, which may be none. */
     public Homes and(Homes other) {
         if (anywhere() || other.anywhere()) {
             return anywhere() ? other : this;
@@ -32,12 +32,15 @@
         return new Homes(Optional.of(Set.copyOf(both)));
     }
 
-    /** True if a request may be served in the region; an empty name is a region not known. */
+    /**
+     * Returns true if a request may be served in the region; the empty name stands for an unknown
+     * region.
+     */
     public boolean allow(String region) {
         return anywhere() || regions.get().contains(region);
     }
 
-    /** True if it may be served anywhere. */
+    /** Returns true if a request may be served anywhere. */
     public boolean anywhere() {
         return regions.isEmpty();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/ModelSpec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/ModelSpec.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * A model and what it takes to have it ready.
+ * A model, its memory and its load times.
  *
- * @param weightsMb memory of its weights, in MB
- * @param fromStore a load from the weight store
- * @param fromMemory a load from the upstream's own main memory
- * @param fromDisk a load from the upstream's own disk
- * @param adapterMb memory of one adapter, in MB
+ * @param weightsMb memory for its weights, in MB
+ * @param fromStore time to load it from the weight store
+ * @param fromMemory time to load it from the upstream's own main memory
+ * @param fromDisk time to load it from the upstream's own disk
+ * @param adapterMb memory for one adapter, in MB
  */
 public record ModelSpec(
         String name,
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/Route.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/Route.java
@@ -5,18 +5,18 @@
 import java.util.Optional;
 
 /**
- * Where the requests for a host and the paths below a prefix go.
+ * A route: which services get the requests for a host and the paths below a prefix, and how.
  *
- * @param pathPrefix begins and ends with a slash
- * @param timeout how long a caller may be kept waiting for the whole answer
- * @param objective within which an answer, or a stream's first event, is in time
- * @param gapObjective the longest pause between two events that is in time; empty if none is named
- * @param priority 0 goes first
- * @param attempts how many upstreams may run one request
- * @param anonymous whether no caller key is asked for
- * @param resumable whether a stream may go on at another upstream
+ * @param pathPrefix the prefix, which begins and ends with a slash
+ * @param timeout maximum time until a caller has the whole answer
+ * @param objective time within which an answer, or the first event of a stream, is on time
+ * @param gapObjective longest pause between two events that is on time; empty if not set
+ * @param priority priority of the requests; 0 is the highest
+ * @param attempts maximum number of upstreams that may run one request
+ * @param anonymous whether requests need no caller key
+ * @param resumable whether a stream may be continued by another upstream
  * @param homes the regions in which its requests may be served
- * @param targets the services, one or more, with their weights
+ * @param targets the services with their weights, at least one
  */
 public record Route(
         String name,
@@ -32,15 +32,22 @@
         boolean resumable,
         Homes homes,
         List<Target> targets) {
-    /** A service and its part of the route's requests, against the other parts. */
+    /** A service and its weight; the service gets the weight's share of the sum of all weights. */
     public record Target(String service, double weight) {}
 
-    /** True if a request may run a second time, or go on where its stream broke off. */
+    /**
+     * Returns true if a request may run a second time, or may be continued where its stream broke
+     * off.
+     */
     public boolean repeatable() {
         return kind == RouteKind.IDEMPOTENT || kind == RouteKind.STREAMING && resumable;
     }
 
-    /** The service for a request whose place on the line from 0 to 1 is given. */
+    /**
+     * Returns the service for a request.
+     *
+     * @param place a number from 0 to 1, uniformly distributed over the requests
+     */
     public String service(double place) {
         double sum = targets.stream().mapToDouble(Target::weight).sum();
         double left = place * sum;
@@ -53,7 +60,10 @@
         return targets.get(targets.size() - 1).service();
     }
 
-    /** How long a caller waits for an event of a stream, the first one too, before it leaves. */
+    /**
+     * Returns how long a caller waits for an event of a stream, the first one included, before it
+     * disconnects.
+     */
     public Duration patience() {
         Duration longest = LEAST_PATIENCE;
         Duration byObjective = objective.multipliedBy(OBJECTIVES_OF_PATIENCE);
@@ -62,7 +72,7 @@
         return longest.compareTo(byGap) < 0 ? byGap : longest;
     }
 
-    /** The three figures are the callers', as published to all services. */
+    /** The callers' own figures, as published to all services, as are the next two. */
     private static final Duration LEAST_PATIENCE = Duration.ofSeconds(2);
 
     private static final int OBJECTIVES_OF_PATIENCE = 4;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/RouteKind.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/RouteKind.java
@@ -1,11 +1,14 @@
 package io.damaskyoke.control.direct;
 
-/** What may be done again with the requests of a route. */
+/** How often the requests of a route may run. */
 public enum RouteKind {
-    /** May run more than once. */
+    /** A request may run more than once. */
     IDEMPOTENT,
-    /** Runs once at most for each request of a caller. */
+    /** A request runs at most once. */
     NON_IDEMPOTENT,
-    /** Answered by a series of events; runs once at most unless the route is resumable. */
+    /**
+     * A request is answered by a stream of events, and runs at most once unless the route is
+     * resumable.
+     */
     STREAMING
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/RouteTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/RouteTable.java
@@ -10,7 +10,7 @@
 public final class RouteTable {
     private final Map<String, Map<String, Route>> byHost = new HashMap<>();
 
-    /** A table of these routes. */
+    /** Creates a table of these routes. */
     public RouteTable(List<Route> routes) {
         for (Route route : routes) {
             byHost.computeIfAbsent(hostOnly(route.host()), host -> new HashMap<>())
@@ -18,7 +18,10 @@
         }
     }
 
-    /** The route with the longest prefix among those of the host; the query doesn't count. */
+    /**
+     * Returns the route of the host with the longest matching prefix; the query of the target is
+     * ignored.
+     */
     public Optional<Route> find(String host, String target) {
         Map<String, Route> routes = byHost.get(hostOnly(host));
         if (routes == null) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/ServiceSpec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/ServiceSpec.java
@@ -6,10 +6,11 @@
 /**
  * A service that upstreams belong to.
  *
- * @param maxConnections that one upstream takes from all routers together
- * @param coldTime how long one of its upstreams is cold after a start; zero if it never is
- * @param coldPerSecond requests a second for which a cold one is made
- * @param engine set for a model service, empty for a plain one
+ * @param maxConnections maximum number of connections that one upstream takes from all routers
+ *     together
+ * @param coldTime how long an upstream is cold after its start; zero if it never is
+ * @param coldPerSecond requests per second that a cold upstream is built for
+ * @param engine capacity of a model service; empty for any other service
  */
 public record ServiceSpec(
         String name,
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/WorkspaceSpec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/WorkspaceSpec.java
@@ -4,15 +4,15 @@
 import java.util.OptionalInt;
 
 /**
- * A workspace as routers that reach upstreams themselves need it.
+ * The settings of a workspace for routers that reach upstreams themselves.
  *
- * @param rated its rate and burst in tokens; a rate of 0 means that there is no limit
- * @param priority goes before a route's own, if it is set
- * @param plainTokens what a request that names no tokens counts as
+ * @param rated the rate limit and burst in tokens; a rate of 0 means no limit
+ * @param priority overrides the priority of a route, if set
+ * @param plainTokens number of tokens for which a request counts that does not state any
  * @param homes the regions in which its requests may be served
  */
 public record WorkspaceSpec(Workspace rated, OptionalInt priority, long plainTokens, Homes homes) {
-    /** True if the workspace has a rate to keep within. */
+    /** Returns true if the workspace has a rate limit. */
     public boolean limited() {
         return rated.rate() > 0;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What operators have set for routers that reach upstreams themselves: routes, services, models and
- * workspaces, as immutable values.
+ * The operators' configuration for routers that reach upstreams themselves: routes, services,
+ * models and workspaces, as immutable values.
  */
 package io.damaskyoke.control.direct;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/direct/HomesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/direct/HomesTest.java
@@ -30,7 +30,7 @@
         assertEquals(route, Homes.ANYWHERE.and(route));
     }
 
-    // Guards against an empty intersection that reads as no homes at all.
+    // Guards against an empty intersection that is taken for no restriction.
     @Test
     void homesWithoutACommonRegionAllowNothing() {
         Homes none = Homes.of(List.of("kerala")).and(Homes.of(List.of("java")));
