--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/RecentAnswers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/AnswerWindow.java
@@ -8,7 +8,7 @@
  * Counts the answers that one upstream gave this router between two seconds and one second ago. The
  * count restarts after a gap in which the upstream may have crashed and restarted.
  */
-final class RecentAnswers {
+final class AnswerWindow {
     /**
      * A crashed upstream is rarely back in less time. Answers to requests that are sent once a
      * second, when a share is free again, must not count as a gap.
@@ -21,12 +21,12 @@
     private final ArrayDeque<Instant> answered = new ArrayDeque<>();
 
     void add(Instant now) {
-        forgetOld(now);
+        removeExpired(now);
         answered.add(now);
     }
 
     int count(Instant now) {
-        forgetOld(now);
+        removeExpired(now);
         Instant to = now.minus(TO);
         int count = 0;
         for (Instant each : answered) {
@@ -42,7 +42,7 @@
         answered.clear();
     }
 
-    private void forgetOld(Instant now) {
+    private void removeExpired(Instant now) {
         if (!answered.isEmpty() && answered.peekLast().plus(GAP).isBefore(now)) {
             answered.clear();
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdGate.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdGate.java
@@ -37,7 +37,7 @@
     private static final Duration SECOND = Duration.ofMillis(1_050);
 
     private final SendWindow window = new SendWindow();
-    private final RecentAnswers answers = new RecentAnswers();
+    private final AnswerWindow answers = new AnswerWindow();
     private ColdLimit limit = ColdLimit.NONE;
     private State state = State.KNOWN;
     private Instant doubtedAt = Instant.MIN;
@@ -53,7 +53,7 @@
     }
 
     /** Sets the limit for cold upstreams of its service. */
-    public void limit(ColdLimit given) {
+    public void setLimit(ColdLimit given) {
         limit = given;
     }
 
@@ -67,9 +67,9 @@
      *
      * @param coldLeft how much longer it is cold; zero if it is warm
      */
-    public void says(Duration coldLeft, Instant now) {
+    public void upstreamReported(Duration coldLeft, Instant now) {
         if (!coldLeft.isZero()) {
-            coldFor(coldLeft, now);
+            extendColdTime(coldLeft, now);
         } else if (!doubtedAt.equals(Instant.MIN) && !now.isBefore(doubtedAt.plus(NEWS))) {
             state = State.KNOWN;
             doubtedAt = Instant.MIN;
@@ -78,15 +78,15 @@
     }
 
     /** Records that the upstream may have become cold now, without a report. */
-    public void mayBeCold(Instant now) {
+    public void markPossiblyCold(Instant now) {
         doubtedAt = now;
-        coldFor(limit.lasts(), now);
+        extendColdTime(limit.duration(), now);
     }
 
     /**
      * Records that only an entry is known of the upstream, which may be of an earlier incarnation.
      */
-    public void unknown(Instant now) {
+    public void markUnverified(Instant now) {
         state = State.UNKNOWN;
         doubtedAt = now;
     }
@@ -97,8 +97,8 @@
      *
      * @return true if this is new and is to be announced to other routers
      */
-    public boolean lost(Instant now) {
-        boolean news = state != State.LOST && !limit.none();
+    public boolean connectionLost(Instant now) {
+        boolean news = state != State.LOST && !limit.isNone();
         state = State.LOST;
         doubtedAt = now;
         answers.clear();
@@ -106,22 +106,22 @@
     }
 
     /** Records an answer; an upstream that was lost may have started just now. */
-    public void answers(Instant now) {
-        if (limit.none()) {
+    public void answerReceived(Instant now) {
+        if (limit.isNone()) {
             return;
         }
         answers.add(now);
         if (state != State.KNOWN) {
             state = State.KNOWN;
-            mayBeCold(now);
+            markPossiblyCold(now);
         }
     }
 
     /** Returns true if the upstream counts as cold. */
-    public boolean cold(Instant now) {
+    public boolean isCold(Instant now) {
         return switch (state) {
             case LOST -> true;
-            case UNKNOWN -> now.isBefore(doubtedAt.plus(NEWS).plus(limit.lasts()));
+            case UNKNOWN -> now.isBefore(doubtedAt.plus(NEWS).plus(limit.duration()));
             case KNOWN -> now.isBefore(coldUntil);
         };
     }
@@ -133,36 +133,36 @@
      *
      * @param share supplies this router's share, in requests per second
      */
-    public boolean room(IntSupplier share, Instant now) {
-        if (limit.none()) {
+    public boolean hasCapacity(IntSupplier share, Instant now) {
+        if (limit.isNone()) {
             return true;
         }
         int sent = window.count(SECOND, now);
-        return !cold(now) && sent < warmRoom(now) || sent < share.getAsInt();
+        return !isCold(now) && sent < maxWarmRequests(now) || sent < share.getAsInt();
     }
 
-    private double warmRoom(Instant now) {
+    private double maxWarmRequests(Instant now) {
         int answered = answers.count(now);
         return answered == 0 ? UNUSED : SPARE + GROWTH * answered;
     }
 
     /** Records that a request is about to be sent. */
-    public void begins() {
-        window.begins();
+    public void sendStarted() {
+        window.sendStarted();
     }
 
     /** Records that the request was sent. */
-    public void leaves(Instant now) {
-        window.leaves(now);
+    public void requestSent(Instant now) {
+        window.requestSent(now);
         window.count(SECOND, now);
     }
 
     /** Records that the request will not be sent. */
-    public void calledOff() {
-        window.calledOff();
+    public void sendCanceled() {
+        window.sendCanceled();
     }
 
-    private void coldFor(Duration time, Instant now) {
+    private void extendColdTime(Duration time, Instant now) {
         Instant until = now.plus(time);
         if (until.isAfter(coldUntil)) {
             coldUntil = until;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/EvenShare.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/EvenShare.java
@@ -44,17 +44,17 @@
     }
 
     private int rank(UpstreamId upstream, Collection<VmId> fleet) {
-        long own = place(upstream, self);
+        long own = hash(upstream, self);
         int before = 0;
         for (VmId each : fleet) {
-            if (!each.equals(self) && place(upstream, each) < own) {
+            if (!each.equals(self) && hash(upstream, each) < own) {
                 before++;
             }
         }
         return before;
     }
 
-    private static long place(UpstreamId upstream, VmId router) {
+    private static long hash(UpstreamId upstream, VmId router) {
         CRC32 hash = new CRC32();
         hash.update((upstream.value() + '/' + router.value()).getBytes(StandardCharsets.UTF_8));
         return hash.getValue();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/LimitGate.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/LimitGate.java
@@ -44,11 +44,11 @@
      *     sent whose answer declared no limit
      * @return true if this changes the known limit and is to be announced to other routers
      */
-    public boolean heard(RequestLimit given, Instant at, Instant now) {
-        if (given.isNamed()) {
-            return named(given, at, now);
+    public boolean limitReceived(RequestLimit given, Instant at, Instant now) {
+        if (given.isDeclared()) {
+            return applyDeclared(given, at, now);
         }
-        if (given.kind() != RequestLimit.Kind.NO_LIMIT || !limited(now) || !at.isAfter(namedAt)) {
+        if (given.kind() != RequestLimit.Kind.NO_LIMIT || !isLimited(now) || !at.isAfter(namedAt)) {
             return false;
         }
         endedAt = at;
@@ -56,31 +56,31 @@
         return true;
     }
 
-    private boolean named(RequestLimit given, Instant at, Instant now) {
+    private boolean applyDeclared(RequestLimit given, Instant at, Instant now) {
         if (!at.isAfter(endedAt) || at.isBefore(namedAt)) {
             return false;
         }
-        boolean news = !limited(now) || !given.equals(limit);
+        boolean news = !isLimited(now) || !given.equals(limit);
         limit = given;
         namedAt = at;
         return news;
     }
 
     /** Records that the upstream declared an invalid limit; returns true the first time. */
-    public boolean firstUnreadable() {
+    public boolean markUnreadable() {
         boolean first = !unreadable;
         unreadable = true;
         return first;
     }
 
     /** Discards the limit, as a new incarnation of the upstream has started. */
-    public void forget() {
+    public void reset() {
         limit = RequestLimit.NO_LIMIT;
     }
 
     /** Returns true if a limit applies. */
-    public boolean limited(Instant now) {
-        return limit.isNamed() && now.isBefore(namedAt.plus(LAPSE));
+    public boolean isLimited(Instant now) {
+        return limit.isDeclared() && now.isBefore(namedAt.plus(LAPSE));
     }
 
     /** Returns the last limit, which may have expired. */
@@ -89,23 +89,23 @@
     }
 
     /** Returns when the limit was last received. */
-    public Instant namedAt() {
+    public Instant declaredAt() {
         return namedAt;
     }
 
     /** Returns when the request was sent whose answer lifted the last limit. */
-    public Instant endedAt() {
+    public Instant liftedAt() {
         return endedAt;
     }
 
     /** Returns how often a request was held back by the limit. */
-    public long heldBack() {
+    public long heldBackCount() {
         return heldBack;
     }
 
     /** Returns true if this router may send one more request to the upstream now. */
-    public boolean room(UpstreamId upstream, UpstreamShare share, Instant now) {
-        if (!limited(now)) {
+    public boolean hasCapacity(UpstreamId upstream, UpstreamShare share, Instant now) {
+        if (!isLimited(now)) {
             return true;
         }
         Duration window = window();
@@ -125,20 +125,20 @@
     }
 
     /** Records that a request is about to be sent. */
-    public void begins() {
-        sent.begins();
+    public void sendStarted() {
+        sent.sendStarted();
     }
 
     /** Records that the request was sent. */
-    public void leaves(Instant now) {
-        sent.leaves(now);
-        if (!limited(now)) {
+    public void requestSent(Instant now) {
+        sent.requestSent(now);
+        if (!isLimited(now)) {
             sent.clear();
         }
     }
 
     /** Records that the request will not be sent. */
-    public void calledOff() {
-        sent.calledOff();
+    public void sendCanceled() {
+        sent.sendCanceled();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/RequestLimit.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/RequestLimit.java
@@ -32,13 +32,13 @@
      * Returns a limit in requests per second; {@link #UNREADABLE} if it is negative or not a finite
      * number.
      */
-    public static RequestLimit named(double perSecond) {
+    public static RequestLimit declared(double perSecond) {
         boolean readable = Double.isFinite(perSecond) && perSecond >= 0;
         return readable ? new RequestLimit(Kind.NAMED, perSecond) : UNREADABLE;
     }
 
     /** Returns true if a limit is declared. */
-    public boolean isNamed() {
+    public boolean isDeclared() {
         return kind == Kind.NAMED;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/SendWindow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/SendWindow.java
@@ -10,18 +10,18 @@
     private int leaving;
 
     /** Records that a request is about to be sent: a connection may still have to be opened. */
-    void begins() {
+    void sendStarted() {
         leaving++;
     }
 
     /** Records that the request was sent. */
-    void leaves(Instant now) {
+    void requestSent(Instant now) {
         leaving--;
         left.add(now);
     }
 
     /** Records that the request will not be sent. */
-    void calledOff() {
+    void sendCanceled() {
         leaving--;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Quarantine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Quarantine.java
@@ -35,9 +35,9 @@
      *
      * @param until when the request may get its next trial
      * @param trials number of trials so far
-     * @param lastEnd time of the last counted crash
+     * @param lastCrashAt time of the last counted crash
      */
-    public record Entry(RequestDigest request, Instant until, int trials, Instant lastEnd) {}
+    public record Entry(RequestDigest request, Instant until, int trials, Instant lastCrashAt) {}
 
     /** Creates an empty quarantine. */
     public Quarantine(CrashSettings settings) {
@@ -54,23 +54,23 @@
     public Optional<Entry> add(RequestDigest request, Instant lastEnd, Instant now) {
         Entry known = entries.get(request);
         int trials = known == null ? 0 : known.trials();
-        Entry entry = new Entry(request, now.plus(time(trials)), trials, lastEnd);
-        return told(entry) ? Optional.of(entry) : Optional.empty();
+        Entry entry = new Entry(request, now.plus(quarantineTime(trials)), trials, lastEnd);
+        return merge(entry) ? Optional.of(entry) : Optional.empty();
     }
 
-    private Duration time(int trials) {
-        return trials >= settings.trials()
+    private Duration quarantineTime(int trials) {
+        return trials >= settings.maxTrials()
                 ? FOR_GOOD
-                : settings.quarantine().multipliedBy((long) Math.pow(LONGER, trials));
+                : settings.firstQuarantine().multipliedBy((long) Math.pow(LONGER, trials));
     }
 
     /**
      * Merges an entry that another router announced; the later end of the two quarantines applies.
      * Returns true if this changed the quarantine.
      */
-    public boolean told(Entry entry) {
+    public boolean merge(Entry entry) {
         Entry known = entries.get(entry.request());
-        if (known == null && entries.size() >= settings.mostQuarantined()) {
+        if (known == null && entries.size() >= settings.maxQuarantined()) {
             return false;
         }
         if (known != null && !known.until().isBefore(entry.until())) {
@@ -87,9 +87,9 @@
      * @param sentAt when the successful run was sent
      * @return true if the request is not quarantined any more
      */
-    public boolean cleared(RequestDigest request, Instant sentAt) {
+    public boolean recordSuccess(RequestDigest request, Instant sentAt) {
         Entry known = entries.get(request);
-        boolean stays = known != null && !sentAt.isAfter(known.lastEnd());
+        boolean stays = known != null && !sentAt.isAfter(known.lastCrashAt());
         if (!stays) {
             entries.remove(request);
         }
@@ -103,7 +103,7 @@
      *     that the request is let through once and not once by each
      * @return how long the request stays quarantined, or empty if it may be sent
      */
-    public Optional<Duration> left(RequestDigest request, boolean tries, Instant now) {
+    public Optional<Duration> tryAdmit(RequestDigest request, boolean tries, Instant now) {
         Entry known = entries.get(request);
         if (known == null) {
             return Optional.empty();
@@ -114,19 +114,19 @@
         if (!tries) {
             return Optional.of(TRIAL);
         }
-        if (known.trials() >= settings.trials()) {
+        if (known.trials() >= settings.maxTrials()) {
             return Optional.of(FOR_GOOD);
         }
-        entries.put(request, trial(known, now));
+        entries.put(request, entryOnTrial(known, now));
         return Optional.empty();
     }
 
-    private static Entry trial(Entry known, Instant now) {
-        return new Entry(known.request(), now.plus(TRIAL), known.trials() + 1, known.lastEnd());
+    private static Entry entryOnTrial(Entry known, Instant now) {
+        return new Entry(known.request(), now.plus(TRIAL), known.trials() + 1, known.lastCrashAt());
     }
 
     /** Returns true if the request is quarantined or on trial. */
-    public boolean knows(RequestDigest request) {
+    public boolean contains(RequestDigest request) {
         return entries.containsKey(request);
     }
 
@@ -136,8 +136,8 @@
     }
 
     /** Returns true if the request must not be sent to an upstream now. */
-    public boolean keepsOut(RequestDigest request, Instant now) {
-        return knows(request) && now.isBefore(entries.get(request).until());
+    public boolean isQuarantined(RequestDigest request, Instant now) {
+        return contains(request) && now.isBefore(entries.get(request).until());
     }
 
     /** Returns true if no request is quarantined, so that no digest need be computed. */
@@ -151,7 +151,7 @@
     }
 
     /** Returns all entries, for a router that has just joined. */
-    public List<Entry> all() {
+    public List<Entry> entries() {
         return new ArrayList<>(entries.values());
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Suspects.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/SuspectRequests.java
@@ -16,18 +16,18 @@
  * have in common, and is cleared by one success. An unsuccessful answer clears nothing, as an
  * upstream may give one without running the request; it only counts as a survived run.
  */
-public final class Suspects {
+public final class SuspectRequests {
     /** Crashes that are remembered, to tell simultaneous ones from others. */
     private static final int MOST_ENDS = 1_024;
 
     private final CrashSettings settings;
-    private final Map<RequestDigest, Evidence> evidence;
-    private final Map<UpstreamEnd, Instant> ends = new RecentlyUsed<>(MOST_ENDS);
+    private final Map<RequestDigest, CrashEvidence> evidence;
+    private final Map<UpstreamCrash, Instant> ends = new RecentlyUsed<>(MOST_ENDS);
 
     /** Creates a counter without suspects. */
-    public Suspects(CrashSettings settings) {
+    public SuspectRequests(CrashSettings settings) {
         this.settings = settings;
-        this.evidence = new RecentlyUsed<>(settings.mostSuspects());
+        this.evidence = new RecentlyUsed<>(settings.maxSuspects());
     }
 
     /**
@@ -37,14 +37,14 @@
      * @param at when the upstream crashed
      * @return those of them that are poison requests by now
      */
-    public List<RequestDigest> ended(
-            UpstreamEnd end, Map<RequestDigest, Duration> ran, Instant at, Instant now) {
+    public List<RequestDigest> recordCrash(
+            UpstreamCrash end, Map<RequestDigest, Duration> ran, Instant at, Instant now) {
         ends.putIfAbsent(end, at);
         ran.forEach(
                 (request, time) ->
-                        evidence.computeIfAbsent(request, any -> new Evidence())
-                                .seen(end, at.minus(time), at));
-        return ran.keySet().stream().filter(each -> convicts(each, now)).toList();
+                        evidence.computeIfAbsent(request, any -> new CrashEvidence())
+                                .addCrash(end, at.minus(time), at));
+        return ran.keySet().stream().filter(each -> isPoisonRequest(each, now)).toList();
     }
 
     /**
@@ -52,31 +52,31 @@
      * at least as many as have survived it. A request that is sent again and again and always fails
      * is survived many times as often as upstreams crash.
      */
-    public boolean convicts(RequestDigest request, Instant now) {
-        int count = count(request, now);
-        return count >= settings.ends() && count >= evidence.get(request).timesBorne();
+    public boolean isPoisonRequest(RequestDigest request, Instant now) {
+        int count = countedCrashes(request, now);
+        return count >= settings.crashThreshold() && count >= evidence.get(request).survivedRuns();
     }
 
     /**
      * Returns when the request reached the number of crashes, if each crash is counted by itself,
      * or empty if it has not.
      */
-    public Optional<Instant> enoughAt(RequestDigest request) {
+    public Optional<Instant> thresholdReachedAt(RequestDigest request) {
         return Optional.ofNullable(evidence.get(request))
-                .flatMap(known -> known.end(settings.ends()));
+                .flatMap(known -> known.crashTime(settings.crashThreshold()));
     }
 
     /** Returns the time of the last counted crash, or {@link Instant#MIN} if there is none. */
-    public Instant lastEnd(RequestDigest request) {
-        Evidence known = evidence.get(request);
-        return known == null ? Instant.MIN : known.lastEnd();
+    public Instant lastCrashAt(RequestDigest request) {
+        CrashEvidence known = evidence.get(request);
+        return known == null ? Instant.MIN : known.lastCrashAt();
     }
 
     /** Records that upstreams survived this many runs of the request, none of which succeeded. */
-    public void borne(RequestDigest request, int times) {
-        Evidence known = evidence.get(request);
+    public void addSurvivedRuns(RequestDigest request, int times) {
+        CrashEvidence known = evidence.get(request);
         if (known != null) {
-            known.borne(times);
+            known.addSurvivedRuns(times);
         }
     }
 
@@ -84,24 +84,24 @@
      * Returns the number of recent crashes that count against the request; those of one rack count
      * as one.
      */
-    public int count(RequestDigest request, Instant now) {
-        Evidence known = evidence.get(request);
+    public int countedCrashes(RequestDigest request, Instant now) {
+        CrashEvidence known = evidence.get(request);
         if (known == null) {
             return 0;
         }
-        known.forgetBefore(now.minus(settings.remembered()));
-        return known.weight(this::endsBetween);
+        known.removeBefore(now.minus(settings.crashRetention()));
+        return known.countedCrashes(this::crashesBetween);
     }
 
-    private long endsBetween(Instant from, Instant to) {
+    private long crashesBetween(Instant from, Instant to) {
         return ends.values().stream().filter(at -> !at.isBefore(from) && !at.isAfter(to)).count();
     }
 
     /** Records that the request succeeded: it is not the cause of crashes up to that time. */
-    public void cleared(RequestDigest request, Instant at) {
-        Evidence known = evidence.get(request);
+    public void recordSuccess(RequestDigest request, Instant at) {
+        CrashEvidence known = evidence.get(request);
         if (known != null) {
-            known.cleared(at);
+            known.recordSuccess(at);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/UpstreamEnd.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/UpstreamCrash.java
@@ -8,4 +8,4 @@
  *
  * @param startedAt start of the incarnation that crashed, in Unix milliseconds
  */
-public record UpstreamEnd(UpstreamId upstream, long startedAt) {}
+public record UpstreamCrash(UpstreamId upstream, long startedAt) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/WatchedRequests.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/WatchedRequests.java
@@ -31,7 +31,7 @@
      * request is not added when the set is full.
      */
     public boolean add(RequestDigest request, Instant now) {
-        forgetOld(now);
+        removeExpired(now);
         boolean news = !contains(request);
         if (!news || until.size() < most) {
             until.put(request, now.plus(time));
@@ -40,7 +40,7 @@
     }
 
     /** Removes the requests whose time is over. */
-    public void forgetOld(Instant now) {
+    public void removeExpired(Instant now) {
         until.values().removeIf(each -> each.isBefore(now));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/Homes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/AllowedRegions.java
@@ -13,35 +13,35 @@
  *
  * @param regions the allowed regions; empty if the request may be served anywhere
  */
-public record Homes(Optional<Set<String>> regions) {
+public record AllowedRegions(Optional<Set<String>> regions) {
     /** Allows any region. */
-    public static final Homes ANYWHERE = new Homes(Optional.empty());
+    public static final AllowedRegions ANYWHERE = new AllowedRegions(Optional.empty());
 
     /** Allows only these regions; any region, if none are named. */
-    public static Homes of(Collection<String> regions) {
-        return regions.isEmpty() ? ANYWHERE : new Homes(Optional.of(Set.copyOf(regions)));
+    public static AllowedRegions of(Collection<String> regions) {
+        return regions.isEmpty() ? ANYWHERE : new AllowedRegions(Optional.of(Set.copyOf(regions)));
     }
 
     /** Returns the regions that both allow, which may be none. */
-    public Homes and(Homes other) {
-        if (anywhere() || other.anywhere()) {
-            return anywhere() ? other : this;
+    public AllowedRegions intersect(AllowedRegions other) {
+        if (isUnrestricted() || other.isUnrestricted()) {
+            return isUnrestricted() ? other : this;
         }
         Set<String> both = new HashSet<>(regions.get());
         both.retainAll(other.regions.get());
-        return new Homes(Optional.of(Set.copyOf(both)));
+        return new AllowedRegions(Optional.of(Set.copyOf(both)));
     }
 
     /**
      * Returns true if a request may be served in the region; the empty name stands for an unknown
      * region.
      */
-    public boolean allow(String region) {
-        return anywhere() || regions.get().contains(region);
+    public boolean allows(String region) {
+        return isUnrestricted() || regions.get().contains(region);
     }
 
     /** Returns true if a request may be served anywhere. */
-    public boolean anywhere() {
+    public boolean isUnrestricted() {
         return regions.isEmpty();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/DirectConfiguration.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/DirectConfiguration.java
@@ -23,12 +23,12 @@
         Map<String, WorkspaceId> keys,
         HttpLimits limits) {
     /** Returns the workspace that the caller key belongs to. */
-    public Optional<WorkspaceSpec> workspaceOf(String key) {
+    public Optional<WorkspaceSpec> workspaceForKey(String key) {
         return Optional.ofNullable(keys.get(key)).map(workspaces::get);
     }
 
     /** Returns the model services. */
-    public List<ServiceSpec> engines() {
+    public List<ServiceSpec> modelServices() {
         return services.values().stream().filter(each -> each.engine().isPresent()).toList();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/Route.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/Route.java
@@ -15,7 +15,7 @@
  * @param attempts maximum number of upstreams that may run one request
  * @param anonymous whether requests need no caller key
  * @param resumable whether a stream may be continued by another upstream
- * @param homes the regions in which its requests may be served
+ * @param allowedRegions the regions in which its requests may be served
  * @param targets the services with their weights, at least one
  */
 public record Route(
@@ -30,7 +30,7 @@
         int attempts,
         boolean anonymous,
         boolean resumable,
-        Homes homes,
+        AllowedRegions allowedRegions,
         List<Target> targets) {
     /** A service and its weight; the service gets the weight's share of the sum of all weights. */
     public record Target(String service, double weight) {}
@@ -39,7 +39,7 @@
      * Returns true if a request may run a second time, or may be continued where its stream broke
      * off.
      */
-    public boolean repeatable() {
+    public boolean isRepeatable() {
         return kind == RouteKind.IDEMPOTENT || kind == RouteKind.STREAMING && resumable;
     }
 
@@ -48,7 +48,7 @@
      *
      * @param place a number from 0 to 1, uniformly distributed over the requests
      */
-    public String service(double place) {
+    public String chooseService(double place) {
         double sum = targets.stream().mapToDouble(Target::weight).sum();
         double left = place * sum;
         for (Target target : targets) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
@@ -37,7 +37,7 @@
         List<Step> steps = new ArrayList<>();
         Set<Engine> taken = new HashSet<>();
         for (LoadInput.Want want : demand.waiting()) {
-            if (want.model().adapted() && !isComing(engines, want.model())) {
+            if (want.model().hasAdapter() && !isComing(engines, want.model())) {
                 Step step = step(engines, taken, want.model(), now);
                 if (step != null) {
                     steps.add(step);
@@ -55,7 +55,7 @@
             if (ordered || engine.coming().containsKey(adapter)) {
                 return true;
             }
-            if (usable && engine.held().has(adapter)) {
+            if (usable && engine.held().contains(adapter)) {
                 return true;
             }
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/DemandBook.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/DemandBook.java
@@ -225,7 +225,7 @@
         if (want.waiting() > 0) {
             oldest.merge(want.model().model(), want.oldest().plus(age), DemandBook::longer);
         }
-        if (want.model().adapted()) {
+        if (want.model().hasAdapter()) {
             adaptersPerSecond.merge(want.model().model(), want.perSecond(), Double::sum);
         }
         LoadInput.Want aged =
@@ -237,7 +237,7 @@
                         want.perSecond(),
                         want.inTime());
         if (wants.put(want.model(), both(wants.get(want.model()), aged)) == null
-                && want.model().adapted()) {
+                && want.model().hasAdapter()) {
             adaptersAsked.merge(want.model().model(), 1, Integer::sum);
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Engine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/Engine.java
@@ -57,7 +57,7 @@
             boolean accepted,
             Instant dueAt) {
         boolean loadsFromStore() {
-            return verb == Verb.LOAD && source == LoadSource.STORE && !model.adapted();
+            return verb == Verb.LOAD && source == LoadSource.STORE && !model.hasAdapter();
         }
 
         Pending acceptedUntil(Instant due) {
@@ -237,7 +237,7 @@
         known = true;
         HeldModels said = report.held();
         held = new HeldModels(life, said.sequence(), said.adapters());
-        coming.keySet().removeIf(held::has);
+        coming.keySet().removeIf(held::contains);
         return true;
     }
 
@@ -266,7 +266,7 @@
         held = held.with(model, held.sequence());
         coming.remove(model);
         usedAt.put(model, now);
-        if (!model.adapted()) {
+        if (!model.hasAdapter()) {
             loadedAt.put(model.model(), now);
             inMemory.add(model.model());
             onDisk.add(model.model());
@@ -330,7 +330,7 @@
         for (ModelRef adapter : coming.keySet()) {
             used += adapterMb(adapter.model());
         }
-        if (pending != null && pending.verb() == Verb.LOAD && !held.has(pending.model())) {
+        if (pending != null && pending.verb() == Verb.LOAD && !held.contains(pending.model())) {
             used += megabytes(pending.model());
         }
         return spec.weightsMb() - used - reserve.megabytes();
@@ -341,7 +341,7 @@
     }
 
     double megabytes(ModelRef model) {
-        return model.adapted() ? adapterMb(model.model()) : weight(model.model());
+        return model.hasAdapter() ? adapterMb(model.model()) : weight(model.model());
     }
 
     double weight(String model) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
@@ -53,7 +53,9 @@
         Engine.Pending pending = engine.pending();
         if (engine.intent() != null) {
             count(engine.intent().model(), pending, now);
-        } else if (pending != null && pending.verb() == Verb.LOAD && !pending.model().adapted()) {
+        } else if (pending != null
+                && pending.verb() == Verb.LOAD
+                && !pending.model().hasAdapter()) {
             count(pending.model().model(), pending, now);
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
@@ -105,7 +105,8 @@
         int models = 0;
         Duration oldest = Duration.ZERO;
         for (LoadInput.Want want : demand.waiting()) {
-            if (engines.values().stream().noneMatch(engine -> engine.held().has(want.model()))) {
+            if (engines.values().stream()
+                    .noneMatch(engine -> engine.held().contains(want.model()))) {
                 models++;
                 oldest = want.oldest().compareTo(oldest) > 0 ? want.oldest() : oldest;
             }
@@ -252,7 +253,7 @@
             return;
         }
         boolean loading = pending.verb() == Verb.LOAD;
-        boolean shows = seen.has(pending.model()) == loading;
+        boolean shows = seen.contains(pending.model()) == loading;
         // A report from just before the load began shows neither the model nor that it is busy.
         if (!shows && loading && now.isBefore(pending.dueAt().plus(REPORT_LIMIT))) {
             return;
@@ -267,7 +268,7 @@
     }
 
     private void noteStoreLoad(Engine engine, Engine.Pending load, Instant now) {
-        Duration alone = engine.spec().models().get(load.model().model()).fromStore();
+        Duration alone = engine.spec().models().get(load.model().model()).storeLoadTime();
         storeLoads.look(StoreLoads.running(engines.values()), now);
         storeLoads.ended(load.number(), alone, Duration.between(load.sentAt(), now));
     }
@@ -318,7 +319,7 @@
             actions.add(new LoadAction.Tell(engine.id(), engine.held()));
             return;
         }
-        if (model.adapted()) {
+        if (model.hasAdapter()) {
             engine.accepted(now);
             engine.comes(model, now.plus(engine.adapterTime(model.model())));
             engine.over();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadSource.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadSource.java
@@ -8,19 +8,19 @@
     MEMORY {
         @Override
         Duration time(ModelSpec model) {
-            return model.fromMemory();
+            return model.memoryLoadTime();
         }
     },
     DISK {
         @Override
         Duration time(ModelSpec model) {
-            return model.fromDisk();
+            return model.diskLoadTime();
         }
     },
     STORE {
         @Override
         Duration time(ModelSpec model) {
-            return model.fromStore();
+            return model.storeLoadTime();
         }
     };
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/OpenLoads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/OpenLoads.java
@@ -86,7 +86,7 @@
             OpenLoad load = entry.load();
             if (mayCome(load, engine)) {
                 megabytes.merge(load.sequence(), engine.megabytes(load.model()), Math::max);
-                places.merge(load.sequence(), load.model().adapted() ? 1 : 0, Math::max);
+                places.merge(load.sequence(), load.model().hasAdapter() ? 1 : 0, Math::max);
             }
         }
         return new Reserve(
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Placer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/Placer.java
@@ -140,7 +140,8 @@
                 if (!spec.models().containsKey(model) || fleet.comingSoon(model) > 0) {
                     continue;
                 }
-                boolean crowded = !want.model().adapted() && want.oldest().compareTo(CROWDED) > 0;
+                boolean crowded =
+                        !want.model().hasAdapter() && want.oldest().compareTo(CROWDED) > 0;
                 if (fleet.replicas(model) == 0 || crowded) {
                     models.add(model);
                 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Room.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/Room.java
@@ -166,7 +166,7 @@
     private Victim victim(Engine engine, String model, LoadSource source) {
         double reload = 1.0;
         if (engine.spec().models().containsKey(model)) {
-            reload = engine.spec().models().get(model).fromDisk().toMillis() / 1000.0;
+            reload = engine.spec().models().get(model).diskLoadTime().toMillis() / 1000.0;
         }
         double cost = IDLE_COST + demand.perSecond(model) * reload;
         if (fleet.replicas(model) > 1) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/DrainedZones.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/DrainedZones.java
@@ -61,12 +61,12 @@
     }
 
     /** Returns true if the zone is drained, whether requests may still go there or not. */
-    public boolean drained(String zone) {
+    public boolean isDrained(String zone) {
         return !notBefore.isEmpty() && notBefore.containsKey(zone);
     }
 
     /** Returns true if no request may be sent to the zone. */
-    public boolean closed(String zone, Instant now) {
+    public boolean isClosed(String zone, Instant now) {
         Instant asked = notBefore.isEmpty() ? null : notBefore.get(zone);
         if (asked == null) {
             return false;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/HeldModels.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/HeldModels.java
@@ -34,16 +34,16 @@
     }
 
     /** Returns true if a request for the model or adapter can run. */
-    public boolean has(ModelRef wanted) {
+    public boolean contains(ModelRef wanted) {
         Set<String> names = adapters.get(wanted.model());
-        return names != null && (!wanted.adapted() || names.contains(wanted.adapter()));
+        return names != null && (!wanted.hasAdapter() || names.contains(wanted.adapter()));
     }
 
     /** Returns a copy with one more model or adapter, after the order that loaded it. */
     public HeldModels with(ModelRef loaded, long newSequence) {
         Map<String, Set<String>> next = new TreeMap<>(adapters);
         Set<String> names = new HashSet<>(next.getOrDefault(loaded.model(), Set.of()));
-        if (loaded.adapted()) {
+        if (loaded.hasAdapter()) {
             names.add(loaded.adapter());
         }
         next.put(loaded.model(), names);
@@ -53,7 +53,7 @@
     /** Returns a copy without this model or adapter, after the order that unloaded it. */
     public HeldModels without(ModelRef unloaded, long newSequence) {
         Map<String, Set<String>> next = new TreeMap<>(adapters);
-        if (!unloaded.adapted()) {
+        if (!unloaded.hasAdapter()) {
             next.remove(unloaded.model());
         } else if (next.containsKey(unloaded.model())) {
             Set<String> names = new HashSet<>(next.get(unloaded.model()));
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/ModelRef.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/ModelRef.java
@@ -15,13 +15,13 @@
     }
 
     /** Returns true if an adapter is named. */
-    public boolean adapted() {
+    public boolean hasAdapter() {
         return !adapter.isEmpty();
     }
 
     /** Returns the model without its adapter. */
     public ModelRef base() {
-        return adapted() ? new ModelRef(model, "") : this;
+        return hasAdapter() ? new ModelRef(model, "") : this;
     }
 
     @Override
@@ -32,6 +32,6 @@
 
     @Override
     public String toString() {
-        return adapted() ? model + "/" + adapter : model;
+        return hasAdapter() ? model + "/" + adapter : model;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Upstream.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Upstream.java
@@ -26,7 +26,7 @@
     /** A heartbeat and the list's delay: how late an upstream's entry may reach this router. */
     private static final Duration OWN_WORD_LAGS = Duration.ofMillis(2_500);
 
-    private final Health health = new Health();
+    private final UpstreamHealth health = new UpstreamHealth();
     private final DrainedZones zones;
     private final ColdGate cold;
     private final LimitGate limit;
@@ -40,13 +40,13 @@
     private double usualMillis;
     private Instant fullUntil = Instant.MIN;
 
-    Upstream(UpstreamFacts facts, DrainedZones zones, Gates gates, Instant now) {
+    Upstream(UpstreamFacts facts, DrainedZones zones, UpstreamGates gates, Instant now) {
         this.zones = zones;
         this.cold = gates.cold();
         this.limit = gates.limit();
         this.facts = facts;
         this.held = facts.held();
-        cold.says(facts.coldLeft(), now);
+        cold.upstreamReported(facts.remainingColdTime(), now);
     }
 
     /** Returns the newest entry of the upstream in the platform's list. */
@@ -63,22 +63,22 @@
     }
 
     /** Returns true if new requests may go there: it is open, and not ejected. */
-    public boolean takes(Instant now) {
-        return open(now) && health.takes(now);
+    public boolean accepts(Instant now) {
+        return isOpen(now) && health.accepts(now);
     }
 
     /** Returns true unless it drains or its zone is closed, whatever its health. */
-    public boolean open(Instant now) {
-        return !facts.draining() && !closed(now);
+    public boolean isOpen(Instant now) {
+        return !facts.draining() && !isZoneClosed(now);
     }
 
     /**
      * Returns true unless this router has sent its share of the requests that the upstream allows,
      * or can serve while cold.
      */
-    public boolean hasRoom(UpstreamShare share, Instant now) {
-        return limit.room(facts.id(), share, now)
-                && cold.room(() -> share.of(facts.id(), cold.limit().perSecond()), now);
+    public boolean hasCapacity(UpstreamShare share, Instant now) {
+        return limit.hasCapacity(facts.id(), share, now)
+                && cold.hasCapacity(() -> share.of(facts.id(), cold.limit().perSecond()), now);
     }
 
     /** Returns the limit on requests that the upstream itself has declared. */
@@ -87,44 +87,44 @@
     }
 
     /** Returns true if it has recently started, or may have, and is slow. */
-    public boolean cold(Instant now) {
-        boolean mayBe = !cold.limit().none() && cold.cold(now);
-        return mayBe || !facts.coldLeft().isZero();
+    public boolean isCold(Instant now) {
+        boolean mayBe = !cold.limit().isNone() && cold.isCold(now);
+        return mayBe || !facts.remainingColdTime().isZero();
     }
 
     /** Records that it may have become cold just now, without a report. */
-    void mayBeCold(Instant now) {
-        cold.mayBeCold(now);
+    void markPossiblyCold(Instant now) {
+        cold.markPossiblyCold(now);
     }
 
     /** Returns true if its zone is drained and closed to new requests. */
-    public boolean closed(Instant now) {
-        return zones.closed(facts.zone(), now);
+    public boolean isZoneClosed(Instant now) {
+        return zones.isClosed(facts.zone(), now);
     }
 
     /** Returns true if its zone is drained, so that upstreams elsewhere are preferred. */
-    public boolean zoneDrained() {
-        return zones.drained(facts.zone());
+    public boolean isZoneDrained() {
+        return zones.isDrained(facts.zone());
     }
 
     /**
      * Returns true if the upstream is ejected or being probed, as this router's requests failed
      * there.
      */
-    public boolean suspect() {
-        return health.suspect();
+    public boolean isEjected() {
+        return health.isEjected();
     }
 
     /** Returns the moving average of the failure rate of this router's requests, from 0 to 1. */
-    public double failing() {
-        return health.failing();
+    public double failureRate() {
+        return health.failureRate();
     }
 
     /**
      * Returns the number of this router's requests there by model; requests without a model are not
      * included.
      */
-    public Map<ModelRef, Integer> running() {
+    public Map<ModelRef, Integer> runningByModel() {
         return running;
     }
 
@@ -132,7 +132,7 @@
      * Returns the moving average of the time to the first byte of an answer, in milliseconds; 0 if
      * none has come yet.
      */
-    public double usualMillis() {
+    public double averageMillis() {
         return usualMillis;
     }
 
@@ -149,16 +149,16 @@
     }
 
     /** Returns true if it has rejected a request a moment ago because it was full. */
-    public boolean full(Instant now) {
+    public boolean isFull(Instant now) {
         return now.isBefore(fullUntil);
     }
 
     /** Records that a request was assigned to the upstream and is about to be sent. */
-    public void sent(ModelRef model, Instant now) {
+    public void requestAssigned(ModelRef model, Instant now) {
         inFlight++;
-        cold.begins();
-        limit.begins();
-        health.sent(now);
+        cold.sendStarted();
+        limit.sendStarted();
+        health.requestSent(now);
         if (model != null) {
             running.merge(model, 1, Integer::sum);
         }
@@ -167,20 +167,20 @@
     /**
      * Records that this router has just started and knows only the entry, which may be out of date.
      */
-    public void unknown(Instant now) {
-        cold.unknown(now);
+    public void markUnverified(Instant now) {
+        cold.markUnverified(now);
     }
 
     /** Records that the bytes of a request were sent. */
-    public void left(Instant now) {
-        cold.leaves(now);
-        limit.leaves(now);
+    public void requestSent(Instant now) {
+        cold.requestSent(now);
+        limit.requestSent(now);
     }
 
     /** Records that a request will not be sent. */
-    public void neverLeft() {
-        cold.calledOff();
-        limit.calledOff();
+    public void requestNotSent() {
+        cold.sendCanceled();
+        limit.sendCanceled();
     }
 
     /**
@@ -189,12 +189,12 @@
      *
      * @return true if this is new and is to be announced to other routers
      */
-    public boolean lost(Instant now) {
-        return cold.lost(now);
+    public boolean connectionLost(Instant now) {
+        return cold.connectionLost(now);
     }
 
     /** Records that a request there is finished, whatever its outcome. */
-    public void over(ModelRef model) {
+    public void requestFinished(ModelRef model) {
         inFlight--;
         if (model != null) {
             running.computeIfPresent(model, (any, count) -> count == 1 ? null : count - 1);
@@ -206,21 +206,21 @@
      *
      * @param took time from sending the request to the first byte
      */
-    public void answered(Duration took, Instant now) {
-        health.answered();
-        cold.answers(now);
+    public void requestAnswered(Duration took, Instant now) {
+        health.requestAnswered();
+        cold.answerReceived(now);
         double millis = took.toNanos() / NANOS_PER_MILLI;
         usualMillis = usualMillis == 0 ? millis : usualMillis + NEWEST * (millis - usualMillis);
     }
 
     /** Records that it failed a request: no connection, no answer, or none that can be used. */
-    public void failed(Instant now) {
-        health.failed(now);
+    public void requestFailed(Instant now) {
+        health.requestFailed(now);
     }
 
     /** Records that a request was canceled before its outcome was known. */
-    public void calledOff() {
-        health.calledOff();
+    public void requestCanceled() {
+        health.requestCanceled();
     }
 
     /**
@@ -228,9 +228,9 @@
      *
      * @param pause for about how long it expects to be full
      */
-    public void turnedAway(Instant now, Duration pause) {
-        health.answered();
-        cold.answers(now);
+    public void requestRejected(Instant now, Duration pause) {
+        health.requestAnswered();
+        cold.answerReceived(now);
         fullUntil = now.plus(pause);
     }
 
@@ -240,13 +240,13 @@
      * @param runningThere number of requests running there, from all routers
      * @param waitingThere number of requests queued there, from all routers
      */
-    public void reported(int runningThere, int waitingThere, Instant now) {
+    public void loadReported(int runningThere, int waitingThere, Instant now) {
         othersThen = Math.max(0, runningThere + waitingThere - inFlight);
         loadAt = now;
     }
 
     /** Takes the leader's announcement of the models that it holds. */
-    public void told(HeldModels given, Instant now) {
+    public void leaderAnnounced(HeldModels given, Instant now) {
         held = given;
         toldAt = now;
     }
@@ -255,7 +255,7 @@
      * Drops the leader's announcement, as the upstream refused a request for something that it
      * names.
      */
-    public void contradicted() {
+    public void leaderContradicted() {
         held = facts.held();
     }
 
@@ -269,11 +269,11 @@
         }
         boolean reborn = given.held().startedAt() != facts.held().startedAt();
         facts = given;
-        cold.says(given.coldLeft(), now);
+        cold.upstreamReported(given.remainingColdTime(), now);
         boolean toldOfLate =
                 !toldAt.equals(Instant.MIN) && now.isBefore(toldAt.plus(OWN_WORD_LAGS));
         if (reborn) {
-            limit.forget();
+            limit.reset();
         }
         if (reborn || !toldOfLate) {
             held = given.held();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamFacts.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamFacts.java
@@ -11,7 +11,7 @@
  * @param zone availability zone of the upstream
  * @param slots maximum number of requests that it runs at once
  * @param draining whether it is about to leave and takes no new requests
- * @param coldLeft how much longer it is slow after its start; zero if it is warm
+ * @param remainingColdTime how much longer it is slow after its start; zero if it is warm
  * @param held the models and adapters that it holds
  * @param inMemory models with a copy in its main memory, from which they are loaded fast
  * @param onDisk models with a copy on its disk
@@ -24,13 +24,23 @@
         String zone,
         int slots,
         boolean draining,
-        Duration coldLeft,
+        Duration remainingColdTime,
         HeldModels held,
         Set<String> inMemory,
         Set<String> onDisk) {
     /** Returns a copy that is draining as of this store revision. */
-    public UpstreamFacts leavingAt(long since) {
+    public UpstreamFacts drainingSince(long since) {
         return new UpstreamFacts(
-                id, since, service, endpoint, zone, slots, true, coldLeft, held, inMemory, onDisk);
+                id,
+                since,
+                service,
+                endpoint,
+                zone,
+                slots,
+                true,
+                remainingColdTime,
+                held,
+                inMemory,
+                onDisk);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Gates.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamGates.java
@@ -6,9 +6,9 @@
 /**
  * The limits on requests to one upstream. They are kept when its entry is removed from the list.
  */
-record Gates(ColdGate cold, LimitGate limit) {
+record UpstreamGates(ColdGate cold, LimitGate limit) {
     /** Creates gates that let every request pass. */
-    Gates() {
+    UpstreamGates() {
         this(new ColdGate(), new LimitGate());
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Health.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamHealth.java
@@ -10,7 +10,7 @@
  * failures the upstream is ejected for a time that doubles with each ejection. Then it gets a
  * single request as a probe; if that is answered, the upstream gets requests again.
  */
-final class Health {
+final class UpstreamHealth {
     /**
      * Two consecutive failures may be chance where some requests fail by themselves; three rarely
      * are.
@@ -37,7 +37,7 @@
     }
 
     /** Returns true if a request may be sent now. */
-    boolean takes(Instant now) {
+    boolean accepts(Instant now) {
         return switch (state) {
             case SERVING -> true;
             case EJECTED -> !now.isBefore(until);
@@ -49,22 +49,22 @@
      * Returns true unless the upstream is known to serve, so that models that only it holds are
      * better loaded elsewhere too.
      */
-    boolean suspect() {
+    boolean isEjected() {
         return state != State.SERVING;
     }
 
     /** Returns the moving average of the failure rate, from 0 to 1. */
-    double failing() {
+    double failureRate() {
         return failing;
     }
 
-    void sent(Instant now) {
+    void requestSent(Instant now) {
         if (state == State.EJECTED && !now.isBefore(until)) {
             state = State.TRYING;
         }
     }
 
-    void answered() {
+    void requestAnswered() {
         failing *= 1 - NEWEST;
         onEnd = 0;
         if (state != State.SERVING) {
@@ -74,13 +74,13 @@
     }
 
     /** Records that a request was canceled, which shows nothing either way. */
-    void calledOff() {
+    void requestCanceled() {
         if (state == State.TRYING) {
             state = State.EJECTED;
         }
     }
 
-    void failed(Instant now) {
+    void requestFailed(Instant now) {
         failing = failing * (1 - NEWEST) + NEWEST;
         onEnd++;
         if (state == State.TRYING || onEnd >= FAILURES_TO_EJECT) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamChoice.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamSelector.java
@@ -15,7 +15,7 @@
  * A failing upstream thus gets fewer requests long before it is ejected, and an upstream in a
  * drained zone gets requests only if no other can serve them.
  */
-public final class UpstreamChoice {
+public final class UpstreamSelector {
     /** Estimated cost of a failed request to its caller: the wait and the second attempt. */
     private static final double FAILURE_MILLIS = 1_500;
 
@@ -46,7 +46,7 @@
      * @param share this router's share of the requests that a limited upstream can take from all
      *     routers
      */
-    public UpstreamChoice(String zone, double queueing, UpstreamShare share) {
+    public UpstreamSelector(String zone, double queueing, UpstreamShare share) {
         this.zone = zone;
         this.queueing = queueing;
         this.share = share;
@@ -61,10 +61,10 @@
         Upstream best = null;
         double least = Double.MAX_VALUE;
         for (Upstream upstream : all) {
-            if (!suits(upstream, model, now) || tried.contains(upstream.facts().id())) {
+            if (!isCandidate(upstream, model, now) || tried.contains(upstream.facts().id())) {
                 continue;
             }
-            double millis = predicted(upstream, now);
+            double millis = predictedMillis(upstream, now);
             if (millis < least) {
                 least = millis;
                 best = upstream;
@@ -77,38 +77,38 @@
      * Returns true if any upstream that accepts requests holds the model, whether it has capacity
      * or not.
      */
-    public static boolean held(List<Upstream> all, ModelRef model, Instant now) {
-        return all.stream().anyMatch(each -> each.takes(now) && holds(each, model));
+    public static boolean anyHolds(List<Upstream> all, ModelRef model, Instant now) {
+        return all.stream().anyMatch(each -> each.accepts(now) && holds(each, model));
     }
 
-    private boolean suits(Upstream upstream, ModelRef model, Instant now) {
-        return upstream.takes(now)
-                && !upstream.full(now)
-                && upstream.load(now) < limit(upstream)
+    private boolean isCandidate(Upstream upstream, ModelRef model, Instant now) {
+        return upstream.accepts(now)
+                && !upstream.isFull(now)
+                && upstream.load(now) < maxLoad(upstream)
                 && holds(upstream, model)
-                && upstream.hasRoom(share, now);
+                && upstream.hasCapacity(share, now);
     }
 
     private static boolean holds(Upstream upstream, ModelRef model) {
-        return model == null || upstream.held().has(model);
+        return model == null || upstream.held().contains(model);
     }
 
-    private double limit(Upstream upstream) {
+    private double maxLoad(Upstream upstream) {
         return upstream.facts().slots() * queueing;
     }
 
-    private double predicted(Upstream upstream, Instant now) {
-        double usual = upstream.usualMillis() == 0 ? UNKNOWN_MILLIS : upstream.usualMillis();
+    private double predictedMillis(Upstream upstream, Instant now) {
+        double usual = upstream.averageMillis() == 0 ? UNKNOWN_MILLIS : upstream.averageMillis();
         double load = upstream.load(now);
         int slots = Math.max(1, upstream.facts().slots());
         double queued = Math.max(0, load + 1 - slots) * usual / slots;
-        double cold = upstream.cold(now) ? COLD_MILLIS : 0;
+        double cold = upstream.isCold(now) ? COLD_MILLIS : 0;
         double far = upstream.facts().zone().equals(zone) ? 0 : OTHER_ZONE_MILLIS;
-        double drained = upstream.zoneDrained() ? DRAINED_ZONE_MILLIS : 0;
+        double drained = upstream.isZoneDrained() ? DRAINED_ZONE_MILLIS : 0;
         return usual
                 + queued
                 + load * SHARE_MILLIS
-                + upstream.failing() * FAILURE_MILLIS
+                + upstream.failureRate() * FAILURE_MILLIS
                 + cold
                 + far
                 + drained;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamTable.java
@@ -22,7 +22,7 @@
     private final Map<String, List<Upstream>> byService = new HashMap<>();
     private final Map<UpstreamId, Long> removedAt = new HashMap<>();
     private final DrainedZones zones;
-    private final Map<UpstreamId, Gates> gates = new HashMap<>();
+    private final Map<UpstreamId, UpstreamGates> gates = new HashMap<>();
     private Map<String, ColdLimit> coldLimits = Map.of();
     private long revision;
 
@@ -78,49 +78,49 @@
     }
 
     /** Returns the upstreams that drain or were removed since this store revision. */
-    public List<Departure> departures(long since) {
-        List<Departure> found = new ArrayList<>();
+    public List<UpstreamDeparture> departures(long since) {
+        List<UpstreamDeparture> found = new ArrayList<>();
         removedAt.forEach(
                 (id, at) -> {
                     if (at > since && !byId.containsKey(id)) {
-                        found.add(new Departure(id, at, true));
+                        found.add(new UpstreamDeparture(id, at, true));
                     }
                 });
         for (Upstream upstream : byId.values()) {
             UpstreamFacts facts = upstream.facts();
             if (facts.draining() && facts.revision() > since) {
-                found.add(new Departure(facts.id(), facts.revision(), false));
+                found.add(new UpstreamDeparture(facts.id(), facts.revision(), false));
             }
         }
         return found;
     }
 
     /** Sets the limits for cold upstreams, by service. */
-    public void coldLimits(Map<String, ColdLimit> given) {
+    public void setColdLimits(Map<String, ColdLimit> given) {
         coldLimits = Map.copyOf(given);
         byId.values().forEach(each -> gates(each.facts()));
     }
 
     /** Records that the upstreams of the zone may have become cold just now, without a report. */
-    public void mayBeCold(String zone, Instant now) {
+    public void markPossiblyCold(String zone, Instant now) {
         byId.values().stream()
                 .filter(each -> each.facts().zone().equals(zone))
-                .forEach(each -> each.mayBeCold(now));
+                .forEach(each -> each.markPossiblyCold(now));
     }
 
     // Gates are kept when an upstream is removed from the list: otherwise one that returns under
     // its name a moment later would get another share within the same second.
-    private Gates gates(UpstreamFacts facts) {
+    private UpstreamGates gates(UpstreamFacts facts) {
         if (gates.size() > 2 * byId.size() + MOST_GATES_KEPT) {
             gates.keySet().retainAll(byId.keySet());
         }
-        Gates found = gates.computeIfAbsent(facts.id(), any -> new Gates());
-        found.cold().limit(coldLimits.getOrDefault(facts.service(), ColdLimit.NONE));
+        UpstreamGates found = gates.computeIfAbsent(facts.id(), any -> new UpstreamGates());
+        found.cold().setLimit(coldLimits.getOrDefault(facts.service(), ColdLimit.NONE));
         return found;
     }
 
     /** Returns the upstreams of a service. */
-    public List<Upstream> of(String service) {
+    public List<Upstream> ofService(String service) {
         return byService.getOrDefault(service, List.of());
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
@@ -53,7 +53,7 @@
     }
 
     void start() {
-        upstream.sent(flow.model().orElse(null), sentAt);
+        upstream.requestAssigned(flow.model().orElse(null), sentAt);
         String attempt = flow.request().attempt();
         ClientRequest request =
                 new ClientRequest(
@@ -62,7 +62,7 @@
                         new DefaultHttpHeaders(),
                         flow.body(),
                         got -> flows.dialect().answers(attempt, got),
-                        flow.route().repeatable() ? KEPT : FRESH);
+                        flow.route().isRepeatable() ? KEPT : FRESH);
         call = flows.client().send(upstream.facts().endpoint(), request, this);
     }
 
@@ -103,7 +103,7 @@
             flow.tooLate();
             return false;
         }
-        if (!upstream.open(now)) {
+        if (!upstream.isOpen(now)) {
             callOff();
             flow.notSent("the upstream leaves");
             return false;
@@ -114,7 +114,7 @@
             return false;
         }
         left = true;
-        upstream.left(now);
+        upstream.requestSent(now);
         headers.set(
                 flows.dialect()
                         .toUpstream(
@@ -124,7 +124,7 @@
     }
 
     private void callOff() {
-        upstream.calledOff();
+        upstream.requestCanceled();
         finish();
     }
 
@@ -136,7 +136,8 @@
         heardAt = flows.now();
         headers = fromUpstream;
         answer = flows.dialect().answer(status, fromUpstream, upstream.facts().id());
-        answer.load().ifPresent(load -> upstream.reported(load.running(), load.waiting(), heardAt));
+        answer.load()
+                .ifPresent(load -> upstream.loadReported(load.running(), load.waiting(), heardAt));
         flows.limits().heard(upstream, answer.limit(), sentAt);
         flows.crashes().answers(upstream, sentAt);
     }
@@ -177,7 +178,7 @@
         if (over) {
             return;
         }
-        upstream.failed(flows.now());
+        upstream.requestFailed(flows.now());
         releaseBody();
         finish();
         boolean broke = failure == Failure.BROKEN || failure == Failure.CUT_SHORT;
@@ -211,9 +212,9 @@
         heard = true;
         boolean failing = answer.status() >= SERVER_ERRORS && answer.status() != GATEWAY_TIMEOUT;
         if (failing) {
-            upstream.failed(heardAt);
+            upstream.requestFailed(heardAt);
         } else {
-            upstream.answered(Duration.between(sentAt, heardAt), heardAt);
+            upstream.requestAnswered(Duration.between(sentAt, heardAt), heardAt);
         }
     }
 
@@ -292,7 +293,7 @@
     }
 
     private void spoiled(String why) {
-        upstream.failed(flows.now());
+        upstream.requestFailed(flows.now());
         cut(Cut.GARBLED);
         releaseBody();
         finish();
@@ -311,9 +312,9 @@
         over = true;
         events.clear();
         if (!left) {
-            upstream.neverLeft();
+            upstream.requestNotSent();
         }
-        upstream.over(flow.model().orElse(null));
+        upstream.requestFinished(flow.model().orElse(null));
         flows.roomAt(flow.service());
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashNews.java
@@ -2,20 +2,20 @@
 
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import java.time.Duration;
 import java.util.Map;
 
 /** What routers tell each other of requests under which upstreams end. */
 interface CrashNews {
     /** Tells those that count that an upstream ended so long ago, and how long these had run. */
-    void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran);
+    void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
     /** Tells all others that an upstream has ended, through those that pass it on. */
-    void found(UpstreamEnd end);
+    void found(UpstreamCrash end);
 
     /** Tells all others so, if this router is one of those that pass it on. */
-    void passEndOn(UpstreamEnd end);
+    void passEndOn(UpstreamCrash end);
 
     /** Tells all others that one more end is enough, and that a success would clear it. */
     void watched(RequestDigest request);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
@@ -4,10 +4,10 @@
 import io.damaskyoke.control.RecentlyUsed;
 import io.damaskyoke.control.crashes.CrashSettings;
 import io.damaskyoke.control.crashes.Quarantine;
-import io.damaskyoke.control.crashes.RecentAnswers;
+import io.damaskyoke.control.crashes.RecentOutcomes;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.Suspects;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.SuspectRequests;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import io.damaskyoke.control.crashes.WatchedRequests;
 import io.damaskyoke.control.upstreams.Upstream;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -62,12 +62,12 @@
     private final CrashNews news;
     private final BooleanSupplier counts;
     private final BooleanSupplier tries;
-    private final CrashSettings settings = CrashSettings.usual();
-    private final Suspects suspects = new Suspects(settings);
+    private final CrashSettings settings = CrashSettings.defaults();
+    private final SuspectRequests suspects = new SuspectRequests(settings);
     private final Quarantine quarantine = new Quarantine(settings);
     private final WatchedRequests watched = new WatchedRequests(MOST_WATCHED, WATCH);
     private final UpstreamEnds ends;
-    private final RecentAnswers recent = new RecentAnswers(MOST_ANSWERED);
+    private final RecentOutcomes recent = new RecentOutcomes(MOST_ANSWERED);
     private final Map<RequestDigest, Instant> reminded = new RecentlyUsed<>(MOST_WATCHED);
     private Instant alertUntil = Instant.MIN;
     private final Map<RequestDigest, Control.Cancellable> held = new HashMap<>();
@@ -98,7 +98,7 @@
 
     /** How long the request is kept from all upstreams; empty if it may go, perhaps as a trial. */
     Optional<Duration> refused(RequestDigest request) {
-        Optional<Duration> left = quarantine.left(request, tries.getAsBoolean(), now());
+        Optional<Duration> left = quarantine.tryAdmit(request, tries.getAsBoolean(), now());
         if (left.isPresent()) {
             remind(request);
         }
@@ -123,12 +123,12 @@
 
     /** True if it is kept from all upstreams; a request that waited may be so by now. */
     boolean keepsOut(RequestDigest request) {
-        return quarantine.keepsOut(request, now());
+        return quarantine.isQuarantined(request, now());
     }
 
     /** True if it has ended upstreams before, so that letting it go is a trial. */
     boolean knows(RequestDigest request) {
-        return quarantine.knows(request);
+        return quarantine.contains(request);
     }
 
     /** True if an answer to some request would be news. */
@@ -138,9 +138,9 @@
 
     /** The request, sent at that time, was answered in full with this status. */
     void answered(RequestDigest request, Instant sentAt, int status) {
-        watched.forgetOld(now());
+        watched.removeExpired(now());
         if (success(status)) {
-            recent.succeeded(request, sentAt, now());
+            recent.recordSuccess(request, sentAt, now());
             succeeded(request, sentAt, status);
         } else {
             borne(request, Integer.toString(status));
@@ -149,7 +149,7 @@
 
     private void succeeded(RequestDigest request, Instant sentAt, int status) {
         Duration ago = Duration.between(sentAt, now());
-        boolean keptOut = quarantine.knows(request);
+        boolean keptOut = quarantine.contains(request);
         if (matters(request) && toldCleared(request, ago)) {
             metrics.count("requests_cleared", "status", Integer.toString(status));
             LOG.info("request {} is cleared, answered with {}", request, status);
@@ -161,7 +161,7 @@
     }
 
     private void borne(RequestDigest request, String status) {
-        recent.borne(request);
+        recent.recordSurvivedRun(request);
         if (matters(request)) {
             metrics.count("requests_borne", "status", status);
             toldBorne(request, 1);
@@ -170,7 +170,7 @@
     }
 
     private boolean matters(RequestDigest request) {
-        return watched.contains(request) || quarantine.knows(request);
+        return watched.contains(request) || quarantine.contains(request);
     }
 
     // Only a success proves that the request has run; an upstream may fail it before it does.
@@ -204,7 +204,7 @@
     }
 
     /** Another router has found out that an upstream has ended; {@code passOn} if others wait. */
-    void toldEnd(UpstreamEnd end, boolean passOn) {
+    void toldEnd(UpstreamCrash end, boolean passOn) {
         if (ends.told(end)) {
             alert();
             if (passOn) {
@@ -217,7 +217,7 @@
         alertUntil = now().plus(ALERT);
     }
 
-    private void tell(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran) {
+    private void tell(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         alert();
         if (counts.getAsBoolean()) {
             told(end, ago, ran);
@@ -226,13 +226,13 @@
     }
 
     /** A router tells of an upstream's end, to this one that counts. */
-    void told(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran) {
+    void told(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         Instant now = now();
         int before = known(ran, now);
-        suspects.ended(end, ran, now.minus(ago), now).forEach(this::suspect);
+        suspects.recordCrash(end, ran, now.minus(ago), now).forEach(this::suspect);
         notCounted("together_with_others", ran.size() - (known(ran, now) - before));
         for (RequestDigest each : ran.keySet()) {
-            boolean nearly = suspects.count(each, now) >= settings.ends() - 1;
+            boolean nearly = suspects.countedCrashes(each, now) >= settings.crashThreshold() - 1;
             if (nearly && !watched.contains(each)) {
                 watch(each);
             }
@@ -240,7 +240,7 @@
     }
 
     private int known(Map<RequestDigest, Duration> ran, Instant now) {
-        return ran.keySet().stream().mapToInt(each -> suspects.count(each, now)).sum();
+        return ran.keySet().stream().mapToInt(each -> suspects.countedCrashes(each, now)).sum();
     }
 
     private void notCounted(String why, int runs) {
@@ -257,7 +257,7 @@
     // A request that is asked again and again may run at several upstreams that end for one reason.
     // Then it runs at others too, and one of them answers it in this time.
     private void suspect(RequestDigest request) {
-        if (quarantine.knows(request)) {
+        if (quarantine.contains(request)) {
             keepOut(request);
         } else if (!held.containsKey(request)) {
             watch(request);
@@ -269,7 +269,7 @@
     private Duration hold(RequestDigest request) {
         Instant now = now();
         Duration left =
-                suspects.enoughAt(request)
+                suspects.thresholdReachedAt(request)
                         .map(at -> Duration.between(now, at.plus(HOLD)))
                         .orElse(HOLD);
         return left.compareTo(SHORTEST_HOLD) > 0 ? left : SHORTEST_HOLD;
@@ -277,20 +277,20 @@
 
     private void decide(RequestDigest request) {
         held.remove(request);
-        if (suspects.convicts(request, now())) {
+        if (suspects.isPoisonRequest(request, now())) {
             keepOut(request);
         }
     }
 
     private void keepOut(RequestDigest request) {
-        quarantine.add(request, suspects.lastEnd(request), now()).ifPresent(this::keepOut);
+        quarantine.add(request, suspects.lastCrashAt(request), now()).ifPresent(this::keepOut);
     }
 
     private void keepOut(Quarantine.Entry entry) {
         LOG.warn(
                 "request {} is kept from all upstreams: {} have ended under it",
                 entry.request(),
-                suspects.count(entry.request(), now()));
+                suspects.countedCrashes(entry.request(), now()));
         news.keptOut(entry);
     }
 
@@ -306,7 +306,7 @@
     }
 
     private void take(Quarantine.Entry entry) {
-        if (quarantine.told(entry)) {
+        if (quarantine.merge(entry)) {
             LOG.warn("request {} is kept from all upstreams, as is told", entry.request());
         }
     }
@@ -314,20 +314,20 @@
     // When the run was sent whose success the other router does not know of. What is kept out here
     // is so in spite of earlier successes.
     private Optional<Instant> successAfter(Quarantine.Entry entry) {
-        if (quarantine.knows(entry.request())) {
+        if (quarantine.contains(entry.request())) {
             return Optional.empty();
         }
-        return recent.of(entry.request())
-                .success()
-                .map(RecentAnswers.Success::sentAt)
-                .filter(sentAt -> sentAt.isAfter(entry.lastEnd()));
+        return recent.outcomeOf(entry.request())
+                .lastSuccess()
+                .map(RecentOutcomes.Success::sentAt)
+                .filter(sentAt -> sentAt.isAfter(entry.lastCrashAt()));
     }
 
     /** The store holds that the request is kept out; when that began, it does not tell. */
     void toldByStore(RequestDigest request, int trials) {
-        Instant until = now().plus(settings.quarantine());
+        Instant until = now().plus(settings.firstQuarantine());
         Quarantine.Entry entry = new Quarantine.Entry(request, until, trials, Instant.EPOCH);
-        if (!quarantine.knows(request) && successAfter(entry).isEmpty()) {
+        if (!quarantine.contains(request) && successAfter(entry).isEmpty()) {
             take(entry);
         }
     }
@@ -340,14 +340,14 @@
     }
 
     private void tellRecent(RequestDigest request) {
-        RecentAnswers.Answers answers = recent.of(request);
+        RecentOutcomes.Outcome answers = recent.outcomeOf(request);
         Instant now = now();
-        answers.success()
+        answers.lastSuccess()
                 .map(success -> Duration.between(success.answeredAt(), now))
                 .ifPresent(ago -> tellSucceededBefore(request, ago));
-        if (answers.borne() > 0) {
-            toldBorne(request, answers.borne());
-            news.borne(request, answers.borne());
+        if (answers.survivedRuns() > 0) {
+            toldBorne(request, answers.survivedRuns());
+            news.borne(request, answers.survivedRuns());
         }
     }
 
@@ -362,31 +362,31 @@
      * @return true unless it stays kept out
      */
     boolean toldCleared(RequestDigest request, Duration sentAgo) {
-        if (!quarantine.cleared(request, now().minus(sentAgo))) {
+        if (!quarantine.recordSuccess(request, now().minus(sentAgo))) {
             return false;
         }
         watched.remove(request);
-        recent.succeeded(request, now().minus(sentAgo), now());
+        recent.recordSuccess(request, now().minus(sentAgo), now());
         toldSucceededBefore(request, Duration.ZERO);
         return true;
     }
 
     /** The request was answered with a success so long ago, somewhere, before it was watched. */
     void toldSucceededBefore(RequestDigest request, Duration ago) {
-        suspects.cleared(request, now().minus(ago));
-        if (!suspects.convicts(request, now())) {
+        suspects.recordSuccess(request, now().minus(ago));
+        if (!suspects.isPoisonRequest(request, now())) {
             Optional.ofNullable(held.remove(request)).ifPresent(Control.Cancellable::cancel);
         }
     }
 
     /** Upstreams took the request so often and did not end, somewhere. */
     void toldBorne(RequestDigest request, int times) {
-        suspects.borne(request, times);
+        suspects.addSurvivedRuns(request, times);
     }
 
     /** Tells all that is kept out, to routers that have just come. */
     void tellAll() {
-        quarantine.all().forEach(news::keptOut);
+        quarantine.entries().forEach(news::keptOut);
     }
 
     private Instant now() {
@@ -396,12 +396,12 @@
     /** Passes on what is known of ends. */
     private final class EndListener implements UpstreamEnds.Listener {
         @Override
-        public void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran) {
+        public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
             tell(end, ago, ran);
         }
 
         @Override
-        public void found(UpstreamEnd end) {
+        public void found(UpstreamCrash end) {
             alert();
             news.found(end);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -444,13 +444,13 @@
 
     private void configured(DirectConfiguration now) {
         callers.limits(now.limits());
-        dispatch.configured(now.engines());
-        upstreams.coldLimits(ColdLimits.of(now, settings.cold()));
+        dispatch.configured(now.modelServices());
+        upstreams.setColdLimits(ColdLimits.of(now, settings.cold()));
         leader.configured(now);
         Map<WorkspaceId, Workspace> limited = new HashMap<>();
         for (WorkspaceSpec workspace : now.workspaces().values()) {
-            if (workspace.limited()) {
-                limited.put(workspace.rated().id(), workspace.rated());
+            if (workspace.hasRateLimit()) {
+                limited.put(workspace.workspace().id(), workspace.workspace());
             }
         }
         rates.configured(limited);
@@ -481,7 +481,7 @@
 
         // A zone's upstreams may be cold when operators drain it, and when they take that back.
         private void changed(String zone) {
-            upstreams.mayBeCold(zone, clock.instant());
+            upstreams.markPossiblyCold(zone, clock.instant());
             leader.zonesDrained(upstreams.zones().all().keySet());
             dispatch.tick();
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Dispatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Dispatch.java
@@ -1,13 +1,13 @@
 package io.damaskyoke.direct;
 
 import io.damaskyoke.control.cold.UpstreamShare;
-import io.damaskyoke.control.direct.Homes;
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.direct.ServiceSpec;
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.Upstream;
-import io.damaskyoke.control.upstreams.UpstreamChoice;
 import io.damaskyoke.control.upstreams.UpstreamId;
+import io.damaskyoke.control.upstreams.UpstreamSelector;
 import io.damaskyoke.control.upstreams.UpstreamTable;
 import io.damaskyoke.id.VmId;
 import java.time.Duration;
@@ -46,8 +46,8 @@
     private final UpstreamTable upstreams;
     private final InstantSource clock;
     private final Consumer<Runnable> whenRead;
-    private final UpstreamChoice plain;
-    private final UpstreamChoice engines;
+    private final UpstreamSelector plain;
+    private final UpstreamSelector engines;
     private final ArrivalRates rates = new ArrivalRates();
     private final Map<String, String> regions;
     private final Map<String, Map<Group, TreeSet<Place>>> queues = new HashMap<>();
@@ -57,7 +57,7 @@
     private long counter;
 
     /** What the requests of one queue have in common. */
-    private record Group(Optional<ModelRef> model, Homes homes) {
+    private record Group(Optional<ModelRef> model, AllowedRegions homes) {
         static Group of(Waiter waiter) {
             return new Group(waiter.model(), waiter.homes());
         }
@@ -90,8 +90,8 @@
         this.clock = clock;
         this.whenRead = whenRead;
         this.regions = Map.copyOf(regions);
-        this.plain = new UpstreamChoice(zone, PLAIN_QUEUEING, share);
-        this.engines = new UpstreamChoice(zone, ENGINE_QUEUEING, share);
+        this.plain = new UpstreamSelector(zone, PLAIN_QUEUEING, share);
+        this.engines = new UpstreamSelector(zone, ENGINE_QUEUEING, share);
     }
 
     /** {@code starved} runs when a request waits for a model that no upstream holds. */
@@ -204,10 +204,10 @@
         Map<UpstreamId, Map<ModelRef, Integer>> running = new TreeMap<>();
         Set<UpstreamId> suspects = new HashSet<>();
         for (Upstream upstream : upstreams.all()) {
-            if (!upstream.running().isEmpty()) {
-                running.put(upstream.facts().id(), new TreeMap<>(upstream.running()));
+            if (!upstream.runningByModel().isEmpty()) {
+                running.put(upstream.facts().id(), new TreeMap<>(upstream.runningByModel()));
             }
-            if (upstream.suspect()) {
+            if (upstream.isEjected()) {
                 suspects.add(upstream.facts().id());
             }
         }
@@ -249,7 +249,7 @@
     }
 
     private void drain(String service, TreeSet<Place> queue) {
-        UpstreamChoice choice = engineServices.contains(service) ? engines : plain;
+        UpstreamSelector choice = engineServices.contains(service) ? engines : plain;
         while (!queue.isEmpty()) {
             Place first = queue.first();
             Waiter waiter = first.waiter();
@@ -269,15 +269,15 @@
 
     // Drained zones are not back within a caller's time, and no upstream moves to another region.
     private boolean closed(Waiter waiter, Instant now) {
-        boolean any = !upstreams.of(waiter.service()).isEmpty();
-        return any && candidates(waiter).stream().allMatch(each -> each.closed(now));
+        boolean any = !upstreams.ofService(waiter.service()).isEmpty();
+        return any && candidates(waiter).stream().allMatch(each -> each.isZoneClosed(now));
     }
 
     private List<Upstream> candidates(Waiter waiter) {
-        List<Upstream> all = upstreams.of(waiter.service());
-        return waiter.homes().anywhere()
+        List<Upstream> all = upstreams.ofService(waiter.service());
+        return waiter.homes().isUnrestricted()
                 ? all
-                : all.stream().filter(each -> waiter.homes().allow(region(each))).toList();
+                : all.stream().filter(each -> waiter.homes().allows(region(each))).toList();
     }
 
     private String region(Upstream upstream) {
@@ -285,7 +285,7 @@
     }
 
     private boolean held(Waiter waiter, Instant now) {
-        return UpstreamChoice.held(candidates(waiter), waiter.model().orElse(null), now);
+        return UpstreamSelector.anyHolds(candidates(waiter), waiter.model().orElse(null), now);
     }
 
     private boolean contains(Waiter waiter) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DrainProgress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DrainProgress.java
@@ -27,7 +27,7 @@
     /** This router's requests that still run in drained zones. */
     long requestsThere() {
         return upstreams.all().stream()
-                .filter(Upstream::zoneDrained)
+                .filter(Upstream::isZoneDrained)
                 .mapToLong(Upstream::inFlight)
                 .sum();
     }
@@ -37,7 +37,7 @@
         Set<String> there = new HashSet<>();
         Set<String> elsewhere = new HashSet<>();
         for (Upstream upstream : upstreams.all()) {
-            boolean leaves = upstream.zoneDrained() || upstream.facts().draining();
+            boolean leaves = upstream.isZoneDrained() || upstream.facts().draining();
             (leaves ? there : elsewhere).addAll(upstream.held().adapters().keySet());
         }
         there.removeAll(elsewhere);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.direct;
 
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.direct.Homes;
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.direct.Route;
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.Upstream;
@@ -71,7 +71,7 @@
      */
     record Admitted(
             Optional<WorkspaceId> workspace,
-            Homes homes,
+            AllowedRegions homes,
             int urgency,
             Instant began,
             Duration after,
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public Homes homes() {
+    public AllowedRegions homes() {
         return admitted.homes();
     }
 
@@ -287,7 +287,7 @@
         if (!now.isBefore(end)) {
             timeUp();
         } else if (attempt != null && attempt.silent(now, longestSilence())) {
-            attempt.upstream().failed(now);
+            attempt.upstream().requestFailed(now);
             flows.lost().lost(attempt.upstream());
             attempt.cancel(Cut.SILENT);
             attemptFailed("no answer", true);
@@ -341,10 +341,10 @@
         Upstream upstream = attempt.upstream();
         attempt = null;
         if (answer.misdirected()) {
-            upstream.contradicted();
+            upstream.leaderContradicted();
             contradicted.put(upstream.facts().id(), flows.now().plus(CONTRADICTED_PAUSE));
         } else {
-            upstream.turnedAway(flows.now(), FULL_PAUSE);
+            upstream.requestRejected(flows.now(), FULL_PAUSE);
         }
         why = "turned away with " + answer.status();
         again(true);
@@ -364,7 +364,7 @@
             tried.add(attempt.upstream().facts().id());
         }
         attempt = null;
-        if (mayTryElsewhere && route.repeatable() && runs < Math.max(1, route.attempts())) {
+        if (mayTryElsewhere && route.isRepeatable() && runs < Math.max(1, route.attempts())) {
             again(false);
         } else if (started) {
             breakOff(reason);
@@ -375,7 +375,7 @@
 
     /** True if a failed answer may be thrown away for a second try. */
     boolean mayRunAgain() {
-        return route.repeatable() && runs < route.attempts() && flows.retryLeft(service);
+        return route.isRepeatable() && runs < route.attempts() && flows.retryLeft(service);
     }
 
     private void again(boolean notRun) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.direct;
 
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.direct.DirectConfiguration;
-import io.damaskyoke.control.direct.Homes;
 import io.damaskyoke.control.direct.Route;
 import io.damaskyoke.control.direct.WorkspaceSpec;
 import io.damaskyoke.exchange.Refusal;
@@ -130,7 +130,7 @@
         if (route.get().anonymous() || current.workspaces().isEmpty()) {
             return new Verdict(route, Optional.empty(), Optional.empty());
         }
-        Optional<WorkspaceSpec> workspace = request.key().flatMap(current::workspaceOf);
+        Optional<WorkspaceSpec> workspace = request.key().flatMap(current::workspaceForKey);
         if (workspace.isEmpty()) {
             RefusalCode code =
                     request.key().isEmpty() ? RefusalCode.KEY_MISSING : RefusalCode.KEY_UNKNOWN;
@@ -148,15 +148,15 @@
         Instant now = clock.instant();
         Duration read = Duration.ofNanos(System.nanoTime() - call.arrivedNanos());
         Instant began = now.minus(read);
-        if (workspace.isEmpty() || !workspace.get().limited()) {
+        if (workspace.isEmpty() || !workspace.get().hasRateLimit()) {
             begin(call, request, route, workspace, began, 0);
             return;
         }
-        long tokens = request.tokens().orElse(workspace.get().plainTokens());
+        long tokens = request.tokens().orElse(workspace.get().defaultTokens());
         ExchangeId id = new ExchangeId(self, ++counter);
         rates.admit(
                 id,
-                workspace.get().rated().id(),
+                workspace.get().workspace().id(),
                 tokens,
                 new TimeBudget(route, request.deadline()).forTokens(read),
                 refusal -> {
@@ -183,7 +183,7 @@
                 () ->
                         workspace
                                 .filter(any -> charged > 0)
-                                .ifPresent(each -> rates.settle(each.rated().id(), charged, 0));
+                                .ifPresent(each -> rates.settle(each.workspace().id(), charged, 0));
         if (call.over()) {
             giveBack.run();
             return;
@@ -191,19 +191,22 @@
         request.model().ifPresent(flows.dispatch()::arrived);
         Flow.Admitted admitted =
                 new Flow.Admitted(
-                        workspace.map(each -> each.rated().id()),
+                        workspace.map(each -> each.workspace().id()),
                         homes(route, workspace),
                         urgency(route, workspace),
                         began,
                         Duration.between(began, clock.instant()),
                         charged,
                         giveBack);
-        String service = route.service(random.nextDouble());
+        String service = route.chooseService(random.nextDouble());
         flows.begin(new Flow(flows, call, request, route, service, admitted));
     }
 
-    private static Homes homes(Route route, Optional<WorkspaceSpec> workspace) {
-        return workspace.map(WorkspaceSpec::homes).orElse(Homes.ANYWHERE).and(route.homes());
+    private static AllowedRegions homes(Route route, Optional<WorkspaceSpec> workspace) {
+        return workspace
+                .map(WorkspaceSpec::allowedRegions)
+                .orElse(AllowedRegions.ANYWHERE)
+                .intersect(route.allowedRegions());
     }
 
     private static int urgency(Route route, Optional<WorkspaceSpec> workspace) {
@@ -220,7 +223,7 @@
     }
 
     private String inputs(Route route, WorkspaceSpec workspace, long tokens) {
-        WorkspaceId id = workspace.rated().id();
+        WorkspaceId id = workspace.workspace().id();
         return "route="
                 + route.name()
                 + " workspace="
@@ -232,9 +235,9 @@
                 + " part="
                 + rates.part(id)
                 + " rate="
-                + (long) workspace.rated().rate()
+                + (long) workspace.workspace().rate()
                 + " burst="
-                + (long) workspace.rated().burst();
+                + (long) workspace.workspace().burst();
     }
 
     private void refuse(HttpCall call, CallerRequest request, Refusal refusal, String inputs) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LimitedUpstreams.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LimitedUpstreams.java
@@ -54,13 +54,13 @@
     /** An answer to a request that left at that time says this. */
     void heard(Upstream upstream, RequestLimit limit, Instant sentAt) {
         if (limit.kind() == RequestLimit.Kind.UNREADABLE) {
-            if (upstream.limitGate().firstUnreadable()) {
+            if (upstream.limitGate().markUnreadable()) {
                 LOG.warn("upstream {} names a limit that is none", upstream.facts().id());
             }
             return;
         }
         Instant now = clock.instant();
-        if (upstream.limitGate().heard(limit, limit.isNamed() ? now : sentAt, now)) {
+        if (upstream.limitGate().limitReceived(limit, limit.isDeclared() ? now : sentAt, now)) {
             log(upstream, "it says");
             wire.tellLimit(news(upstream, now));
         }
@@ -75,7 +75,7 @@
                 .filter(
                         upstream ->
                                 upstream.limitGate()
-                                        .heard(news.limit(), now.minus(news.age()), now))
+                                        .limitReceived(news.limit(), now.minus(news.age()), now))
                 .ifPresent(
                         upstream -> {
                             log(upstream, "another router says");
@@ -90,9 +90,9 @@
         Instant now = clock.instant();
         for (Upstream upstream : upstreams.all()) {
             LimitGate gate = upstream.limitGate();
-            boolean ended = !gate.endedAt().equals(Instant.MIN);
-            boolean endedOfLate = ended && now.isBefore(gate.endedAt().plus(END_TOLD));
-            if (gate.limited(now) || endedOfLate) {
+            boolean ended = !gate.liftedAt().equals(Instant.MIN);
+            boolean endedOfLate = ended && now.isBefore(gate.liftedAt().plus(END_TOLD));
+            if (gate.isLimited(now) || endedOfLate) {
                 wire.tellLimit(news(upstream, now));
             }
         }
@@ -106,16 +106,16 @@
 
     private long limited() {
         Instant now = clock.instant();
-        return upstreams.all().stream().filter(each -> each.limitGate().limited(now)).count();
+        return upstreams.all().stream().filter(each -> each.limitGate().isLimited(now)).count();
     }
 
     private long heldBack() {
-        return upstreams.all().stream().mapToLong(each -> each.limitGate().heldBack()).sum();
+        return upstreams.all().stream().mapToLong(each -> each.limitGate().heldBackCount()).sum();
     }
 
     private static News news(Upstream upstream, Instant now) {
         LimitGate gate = upstream.limitGate();
-        Instant at = gate.limit().isNamed() ? gate.namedAt() : gate.endedAt();
+        Instant at = gate.limit().isDeclared() ? gate.declaredAt() : gate.liftedAt();
         return new News(
                 upstream.facts().id(),
                 upstream.facts().held().startedAt(),
@@ -125,7 +125,7 @@
 
     private static void log(Upstream upstream, String source) {
         RequestLimit limit = upstream.limitGate().limit();
-        if (limit.isNamed()) {
+        if (limit.isDeclared()) {
             LOG.info(
                     "upstream {} takes {} requests a second from all routers, as {}",
                     upstream.facts().id(),
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LostUpstreams.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LostUpstreams.java
@@ -32,7 +32,7 @@
 
     /** This router can't reach the upstream, or a connection to it broke. */
     void lost(Upstream upstream) {
-        if (upstream.lost(clock.instant())) {
+        if (upstream.connectionLost(clock.instant())) {
             wire.tellLost(upstream.facts().id(), upstream.facts().held().startedAt());
         }
     }
@@ -42,7 +42,7 @@
         upstreams
                 .find(id)
                 .filter(upstream -> upstream.facts().held().startedAt() == startedAt)
-                .filter(upstream -> upstream.lost(clock.instant()))
+                .filter(upstream -> upstream.connectionLost(clock.instant()))
                 .filter(any -> passOn)
                 .ifPresent(any -> wire.passLostOn(id, startedAt));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourCrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourCrashNews.java
@@ -2,7 +2,7 @@
 
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import io.damaskyoke.peer.wire.Frame;
 import io.damaskyoke.peer.wire.SuspectRequest;
 import java.time.Duration;
@@ -39,17 +39,17 @@
     }
 
     @Override
-    public void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran) {
+    public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         wire.toWatchers(NeighbourFrames.ended(end, ago, ran));
     }
 
     @Override
-    public void found(UpstreamEnd end) {
+    public void found(UpstreamCrash end) {
         wire.throughWatchers(passOn -> NeighbourFrames.found(end, passOn));
     }
 
     @Override
-    public void passEndOn(UpstreamEnd end) {
+    public void passEndOn(UpstreamCrash end) {
         if (wire.passesOn()) {
             wire.toAll(NeighbourFrames.found(end, false));
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
@@ -4,12 +4,12 @@
 import io.damaskyoke.control.cold.RequestLimit;
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.loads.OpenLoad;
-import io.damaskyoke.control.upstreams.Departure;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.ModelRef;
+import io.damaskyoke.control.upstreams.UpstreamDeparture;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.peer.wire.ChangesFetch;
@@ -121,7 +121,7 @@
                 now.minusMillis(line.getAgeMs()));
     }
 
-    static Frame ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran) {
+    static Frame ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         UpstreamEnded.Builder ended =
                 UpstreamEnded.newBuilder()
                         .setUpstream(end.upstream().value())
@@ -136,8 +136,8 @@
         return Frame.newBuilder().setUpstreamEnded(ended).build();
     }
 
-    static UpstreamEnd end(UpstreamEnded ended) {
-        return new UpstreamEnd(UpstreamId.of(ended.getUpstream()), ended.getStartedAt());
+    static UpstreamCrash end(UpstreamEnded ended) {
+        return new UpstreamCrash(UpstreamId.of(ended.getUpstream()), ended.getStartedAt());
     }
 
     static Map<RequestDigest, Duration> ran(UpstreamEnded ended) {
@@ -153,7 +153,7 @@
                 UpstreamLimit.newBuilder()
                         .setUpstream(news.upstream().value())
                         .setStartedAt(news.startedAt())
-                        .setNamed(news.limit().isNamed())
+                        .setNamed(news.limit().isDeclared())
                         .setPerSecond(news.limit().perSecond())
                         .setAgeMs((int) news.age().toMillis())
                         .setPassOn(passOn)
@@ -165,19 +165,21 @@
         return new LimitedUpstreams.News(
                 UpstreamId.of(limit.getUpstream()),
                 limit.getStartedAt(),
-                limit.getNamed() ? RequestLimit.named(limit.getPerSecond()) : RequestLimit.NO_LIMIT,
+                limit.getNamed()
+                        ? RequestLimit.declared(limit.getPerSecond())
+                        : RequestLimit.NO_LIMIT,
                 Duration.ofMillis(limit.getAgeMs()));
     }
 
     static Frame lost(UpstreamId upstream, long startedAt, boolean passOn) {
-        return lost(new UpstreamEnd(upstream, startedAt), passOn, false);
+        return lost(new UpstreamCrash(upstream, startedAt), passOn, false);
     }
 
-    static Frame found(UpstreamEnd end, boolean passOn) {
+    static Frame found(UpstreamCrash end, boolean passOn) {
         return lost(end, passOn, true);
     }
 
-    private static Frame lost(UpstreamEnd end, boolean passOn, boolean ended) {
+    private static Frame lost(UpstreamCrash end, boolean passOn, boolean ended) {
         LostUpstream lost =
                 LostUpstream.newBuilder()
                         .setUpstream(end.upstream().value())
@@ -223,7 +225,7 @@
                         .setState(SuspectRequest.State.KEPT_OUT)
                         .setLeftMs(millisBetween(now, entry.until()))
                         .setTrials(entry.trials())
-                        .setEndedMsAgo(millisBetween(entry.lastEnd(), now)));
+                        .setEndedMsAgo(millisBetween(entry.lastCrashAt(), now)));
     }
 
     static Quarantine.Entry keptOut(SuspectRequest line, Instant now) {
@@ -242,14 +244,14 @@
         return Frame.newBuilder().setSuspectRequest(line).build();
     }
 
-    static Frame departures(List<Departure> departures) {
+    static Frame departures(List<UpstreamDeparture> departures) {
         Departures.Builder all = Departures.newBuilder();
-        for (Departure each : departures) {
+        for (UpstreamDeparture each : departures) {
             all.addDepartures(
                     io.damaskyoke.peer.wire.Departure.newBuilder()
                             .setUpstream(each.upstream().value())
                             .setRevision(each.revision())
-                            .setGone(each.gone()));
+                            .setGone(each.removed()));
         }
         return Frame.newBuilder().setDepartures(all).build();
     }
@@ -371,11 +373,11 @@
         return new LoadInput.Demanded(from, wants, running, suspects);
     }
 
-    static List<Departure> departures(Departures all) {
+    static List<UpstreamDeparture> departures(Departures all) {
         return all.getDeparturesList().stream()
                 .map(
                         each ->
-                                new Departure(
+                                new UpstreamDeparture(
                                         UpstreamId.of(each.getUpstream()),
                                         each.getRevision(),
                                         each.getGone()))
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
@@ -2,11 +2,11 @@
 
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.loads.OpenLoad;
-import io.damaskyoke.control.upstreams.Departure;
 import io.damaskyoke.control.upstreams.HeldModels;
+import io.damaskyoke.control.upstreams.UpstreamDeparture;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.control.upstreams.UpstreamTable;
 import io.damaskyoke.follow.Follower;
@@ -63,14 +63,14 @@
 
     @Override
     public void askedDepartures(VmId from, long newerThan) {
-        List<Departure> departures = parts.upstreams().departures(newerThan);
+        List<UpstreamDeparture> departures = parts.upstreams().departures(newerThan);
         if (!departures.isEmpty()) {
             parts.neighbours().sendDepartures(from, departures);
         }
     }
 
     @Override
-    public void departures(List<Departure> departures) {
+    public void departures(List<UpstreamDeparture> departures) {
         parts.upstreamFollower().told(departures);
     }
 
@@ -81,12 +81,12 @@
     }
 
     @Override
-    public void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran) {
+    public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         parts.crashes().told(end, ago, ran);
     }
 
     @Override
-    public void found(UpstreamEnd end, boolean passOn) {
+    public void found(UpstreamCrash end, boolean passOn) {
         parts.crashes().toldEnd(end, passOn);
     }
 
@@ -141,7 +141,10 @@
                 (id, models) ->
                         parts.upstreams()
                                 .find(id)
-                                .ifPresent(each -> each.told(models, parts.clock().instant())));
+                                .ifPresent(
+                                        each ->
+                                                each.leaderAnnounced(
+                                                        models, parts.clock().instant())));
         replicasChanged.run();
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
@@ -4,11 +4,11 @@
 import io.damaskyoke.control.Control;
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.loads.OpenLoad;
-import io.damaskyoke.control.upstreams.Departure;
 import io.damaskyoke.control.upstreams.HeldModels;
+import io.damaskyoke.control.upstreams.UpstreamDeparture;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.peer.PeerAddress;
@@ -84,10 +84,10 @@
         void unanswered(OpenLoad load);
 
         /** An upstream ended so long ago, and these had run there for so long. */
-        void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran);
+        void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
         /** A router has found out that an upstream has ended; others are to be told or are. */
-        void found(UpstreamEnd end, boolean passOn);
+        void found(UpstreamCrash end, boolean passOn);
 
         /** A router holds that one more end under the request would be enough. */
         void watched(RequestDigest request);
@@ -123,7 +123,7 @@
         void askedDepartures(VmId from, long newerThan);
 
         /** A router says which upstreams leave. */
-        void departures(List<Departure> departures);
+        void departures(List<UpstreamDeparture> departures);
     }
 
     Neighbours(Control control, Membership members) {
@@ -291,7 +291,7 @@
         send(from, Frame.newBuilder().setDepartureFetch(fetch).build());
     }
 
-    void sendDepartures(VmId to, List<Departure> departures) {
+    void sendDepartures(VmId to, List<UpstreamDeparture> departures) {
         send(to, NeighbourFrames.departures(departures));
     }
 
@@ -380,7 +380,7 @@
     private void takeLost(LostUpstream lost) {
         UpstreamId upstream = UpstreamId.of(lost.getUpstream());
         if (lost.getEnded()) {
-            listener.found(new UpstreamEnd(upstream, lost.getStartedAt()), lost.getPassOn());
+            listener.found(new UpstreamCrash(upstream, lost.getStartedAt()), lost.getPassOn());
         } else {
             listener.lost(upstream, lost.getStartedAt(), lost.getPassOn());
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
@@ -100,7 +100,7 @@
 
     void configured(DirectConfiguration configuration) {
         Map<String, EngineSpec> engines = new HashMap<>();
-        for (ServiceSpec service : configuration.engines()) {
+        for (ServiceSpec service : configuration.modelServices()) {
             engines.put(service.name(), service.engine().orElseThrow());
         }
         feed(new LoadInput.Configured(engines));
@@ -249,7 +249,7 @@
     private void tell(LoadAction.Tell tell) {
         upstreams
                 .find(tell.upstream())
-                .ifPresent(each -> each.told(tell.held(), control.clock().instant()));
+                .ifPresent(each -> each.leaderAnnounced(tell.held(), control.clock().instant()));
         changed.put(tell.upstream(), tell.held());
         if (!flushing) {
             flushing = true;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StoredCrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StoredCrashNews.java
@@ -2,7 +2,7 @@
 
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import java.time.Duration;
 import java.util.Map;
 
@@ -17,17 +17,17 @@
     }
 
     @Override
-    public void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran) {
+    public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         routers.ended(end, ago, ran);
     }
 
     @Override
-    public void found(UpstreamEnd end) {
+    public void found(UpstreamCrash end) {
         routers.found(end);
     }
 
     @Override
-    public void passEndOn(UpstreamEnd end) {
+    public void passEndOn(UpstreamCrash end) {
         routers.passEndOn(end);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
@@ -100,10 +100,10 @@
      * before; {@code second} tells whether another one may be tried.
      */
     Duration betweenBytes(boolean begun, boolean second) {
-        if (route.kind() == RouteKind.STREAMING && route.repeatable()) {
+        if (route.kind() == RouteKind.STREAMING && route.isRepeatable()) {
             return begun ? SILENT_STREAM : SILENT_STREAM.plus(route.objective());
         }
-        return route.repeatable() && second ? part(whole, SILENT_PART) : whole;
+        return route.isRepeatable() && second ? part(whole, SILENT_PART) : whole;
     }
 
     private static Duration part(Duration time, double part) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
@@ -3,7 +3,7 @@
 import io.damaskyoke.control.Control;
 import io.damaskyoke.control.RecentlyUsed;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import io.damaskyoke.control.upstreams.Upstream;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -66,10 +66,10 @@
     private final Metrics metrics;
     private final Prober prober;
     private final Listener listener;
-    private final Map<UpstreamEnd, Life> lives = new HashMap<>();
-    private final Map<UpstreamEnd, Instant> known = new RecentlyUsed<>(MOST_ENDS);
-    private final Set<UpstreamEnd> looks = new HashSet<>();
-    private final Set<UpstreamEnd> laterLooks = new HashSet<>();
+    private final Map<UpstreamCrash, Life> lives = new HashMap<>();
+    private final Map<UpstreamCrash, Instant> known = new RecentlyUsed<>(MOST_ENDS);
+    private final Set<UpstreamCrash> looks = new HashSet<>();
+    private final Set<UpstreamCrash> laterLooks = new HashSet<>();
 
     /** What a look at an upstream shows. */
     enum Sign {
@@ -90,10 +90,10 @@
     /** Takes what ran at upstreams that have ended. */
     interface Listener {
         /** These had run there for so long when it ended, so long ago. */
-        void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran);
+        void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
         /** This router has found out that the upstream has ended, and others may not know. */
-        void found(UpstreamEnd end);
+        void found(UpstreamCrash end);
 
         /** The upstream has answered since, so that it bore the run that was called off. */
         void survived(RequestDigest request);
@@ -112,13 +112,13 @@
 
     /** One life of an upstream, and what came to no whole answer in it. */
     private static final class Life {
-        private final UpstreamEnd end;
+        private final UpstreamCrash end;
         private final Map<RequestDigest, Run> runs = new TreeMap<>();
         private Instant lastCut;
         private Instant lastBreak;
         private boolean telling;
 
-        Life(UpstreamEnd end) {
+        Life(UpstreamCrash end) {
             this.end = end;
         }
     }
@@ -150,11 +150,11 @@
         }
     }
 
-    private static UpstreamEnd lifeOf(UpstreamFacts facts) {
-        return new UpstreamEnd(facts.id(), facts.held().startedAt());
+    private static UpstreamCrash lifeOf(UpstreamFacts facts) {
+        return new UpstreamCrash(facts.id(), facts.held().startedAt());
     }
 
-    private Life begin(UpstreamEnd end) {
+    private Life begin(UpstreamCrash end) {
         Life life = new Life(end);
         control.after(REMEMBERED, () -> forget(life));
         return life;
@@ -169,26 +169,26 @@
         }
     }
 
-    private void lookSoon(Upstream upstream, UpstreamEnd end) {
+    private void lookSoon(Upstream upstream, UpstreamCrash end) {
         if (looks.add(end)) {
             control.after(GATHER, () -> look(upstream, end, 0));
         }
     }
 
-    private void lookLater(Upstream upstream, UpstreamEnd end) {
+    private void lookLater(Upstream upstream, UpstreamCrash end) {
         if (laterLooks.add(end)) {
             control.after(AFTER_CLOSING, () -> lookNow(upstream, end));
         }
     }
 
-    private void lookNow(Upstream upstream, UpstreamEnd end) {
+    private void lookNow(Upstream upstream, UpstreamCrash end) {
         laterLooks.remove(end);
         if (looks.add(end)) {
             look(upstream, end, 0);
         }
     }
 
-    private void look(Upstream upstream, UpstreamEnd end, int before) {
+    private void look(Upstream upstream, UpstreamCrash end, int before) {
         if (known.containsKey(end)) {
             looks.remove(end);
             return;
@@ -196,7 +196,7 @@
         prober.look(upstream, before == 0, sign -> looked(upstream, end, sign, before));
     }
 
-    private void looked(Upstream upstream, UpstreamEnd end, Sign sign, int before) {
+    private void looked(Upstream upstream, UpstreamCrash end, Sign sign, int before) {
         if (sign == Sign.ENDED) {
             looks.remove(end);
             if (ended(end, "refuses connections")) {
@@ -209,7 +209,7 @@
         }
     }
 
-    private boolean brokeOf(UpstreamEnd end) {
+    private boolean brokeOf(UpstreamCrash end) {
         Life life = lives.get(end);
         return life != null && life.lastBreak != null;
     }
@@ -219,7 +219,7 @@
         if (lives.isEmpty() && known.isEmpty()) {
             return;
         }
-        UpstreamEnd end = lifeOf(upstream.facts());
+        UpstreamCrash end = lifeOf(upstream.facts());
         Life life = lives.get(end);
         if (life != null) {
             survived(life, sentAt);
@@ -246,14 +246,14 @@
 
     /** No connection to the upstream could be made. */
     void unreachable(Upstream upstream) {
-        UpstreamEnd end = lifeOf(upstream.facts());
+        UpstreamCrash end = lifeOf(upstream.facts());
         if (!known.containsKey(end)) {
             lookSoon(upstream, end);
         }
     }
 
     /** Another router has found out that the upstream has ended; true if that is news. */
-    boolean told(UpstreamEnd end) {
+    boolean told(UpstreamCrash end) {
         return ended(end, "is gone for another router");
     }
 
@@ -264,7 +264,7 @@
 
     /** The list says something of the upstream, perhaps of its next life. */
     void listed(UpstreamFacts facts) {
-        UpstreamEnd now = lifeOf(facts);
+        UpstreamCrash now = lifeOf(facts);
         livesOf(facts.id()).stream()
                 .filter(life -> !life.end.equals(now))
                 .forEach(life -> ended(life.end, "has started again"));
@@ -276,7 +276,7 @@
                 .toList();
     }
 
-    private boolean ended(UpstreamEnd end, String how) {
+    private boolean ended(UpstreamCrash end, String how) {
         if (known.putIfAbsent(end, now()) != null) {
             return false;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.direct;
 
 import io.damaskyoke.control.Control;
-import io.damaskyoke.control.upstreams.Departure;
+import io.damaskyoke.control.upstreams.UpstreamDeparture;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.control.upstreams.UpstreamTable;
@@ -108,15 +108,15 @@
     }
 
     /** Another router says who leaves. */
-    void told(List<Departure> departures) {
-        for (Departure each : departures) {
-            if (each.gone()) {
+    void told(List<UpstreamDeparture> departures) {
+        for (UpstreamDeparture each : departures) {
+            if (each.removed()) {
                 awaited.computeIfPresent(
                         each.upstream(), (id, at) -> at > each.revision() ? at : null);
                 removeNow(each.upstream(), each.revision());
             } else {
                 table.find(each.upstream())
-                        .map(known -> known.facts().leavingAt(each.revision()))
+                        .map(known -> known.facts().drainingSince(each.revision()))
                         .filter(facts -> table.put(facts, control.clock().instant()))
                         .ifPresent(this::leaves);
             }
@@ -154,7 +154,7 @@
         }
         if (first) {
             Instant now = control.clock().instant();
-            table.all().forEach(each -> each.unknown(now));
+            table.all().forEach(each -> each.markUnverified(now));
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Waiter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Waiter.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.direct.Homes;
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.Upstream;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -17,7 +17,7 @@
     Optional<ModelRef> model();
 
     /** Where it may be served. */
-    Homes homes();
+    AllowedRegions homes();
 
     /** 0 goes first. */
     int urgency();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/cold/ColdGateTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/cold/ColdGateTest.java
@@ -18,19 +18,19 @@
 
     @BeforeEach
     void limit() {
-        gate.limit(new ColdLimit(LASTS, 48.5));
+        gate.setLimit(new ColdLimit(LASTS, 48.5));
     }
 
     @Test
     void oneThatIsNeverColdTakesAnything() {
-        gate.limit(ColdLimit.NONE);
-        gate.lost(now);
+        gate.setLimit(ColdLimit.NONE);
+        gate.connectionLost(now);
         assertEquals(100, taken());
     }
 
     @Test
     void oneThatSaysItIsColdGetsTheShareOfEachSecond() {
-        gate.says(LASTS, now);
+        gate.upstreamReported(LASTS, now);
         assertEquals(SHARE, taken());
         pass(900);
         assertEquals(0, taken());
@@ -42,44 +42,44 @@
     // cold.
     @Test
     void oneThatWasLostIsColdUntilItsTimeAfterItsFirstAnswer() {
-        gate.lost(now);
+        gate.connectionLost(now);
         pass(60_000);
-        assertTrue(gate.cold(now));
-        gate.answers(now);
+        assertTrue(gate.isCold(now));
+        gate.answerReceived(now);
         pass(2_900);
-        assertTrue(gate.cold(now));
+        assertTrue(gate.isCold(now));
         pass(200);
-        assertFalse(gate.cold(now));
+        assertFalse(gate.isCold(now));
     }
 
     // Guards against seconds of reduced rate for an upstream with a single broken connection.
     @Test
     void theListsWordEndsTheDoubtIfItIsNewEnough() {
-        gate.lost(now);
+        gate.connectionLost(now);
         pass(1_900);
-        gate.says(Duration.ZERO, now);
-        assertTrue(gate.cold(now));
+        gate.upstreamReported(Duration.ZERO, now);
+        assertTrue(gate.isCold(now));
         pass(200);
-        gate.says(Duration.ZERO, now);
-        assertFalse(gate.cold(now));
+        gate.upstreamReported(Duration.ZERO, now);
+        assertFalse(gate.isCold(now));
     }
 
     // Guards against an entry that was written before the upstream became cold.
     @Test
     void aWordOfWarmthBesideOneOfColdEndsNothing() {
-        gate.says(LASTS, now);
+        gate.upstreamReported(LASTS, now);
         pass(100);
-        gate.says(Duration.ZERO, now);
-        assertTrue(gate.cold(now));
+        gate.upstreamReported(Duration.ZERO, now);
+        assertTrue(gate.isCold(now));
     }
 
     // Guards against trusting an entry that is older than the router's own process.
     @Test
     void aRouterThatHasStartedDoubtsWhatItFinds() {
-        gate.unknown(now);
-        assertTrue(gate.cold(now));
+        gate.markUnverified(now);
+        assertTrue(gate.isCold(now));
         pass(5_100);
-        assertFalse(gate.cold(now));
+        assertFalse(gate.isCold(now));
     }
 
     // Guards against a burst of requests to an upstream that has restarted while this router did
@@ -95,7 +95,7 @@
                 pass(110);
                 int taken = taken();
                 for (int each = 0; each < taken; each++) {
-                    gate.answers(now);
+                    gate.answerReceived(now);
                 }
                 got += taken;
             }
@@ -116,7 +116,7 @@
                 pass(11);
                 int taken = taken(4);
                 for (int each = 0; each < taken; each++) {
-                    gate.answers(now);
+                    gate.answerReceived(now);
                 }
                 got += taken;
             }
@@ -127,12 +127,12 @@
 
     @Test
     void whatNeverLeavesTakesNoPlace() {
-        gate.says(LASTS, now);
-        gate.begins();
-        gate.begins();
-        assertFalse(gate.room(() -> SHARE, now));
-        gate.calledOff();
-        assertTrue(gate.room(() -> SHARE, now));
+        gate.upstreamReported(LASTS, now);
+        gate.sendStarted();
+        gate.sendStarted();
+        assertFalse(gate.hasCapacity(() -> SHARE, now));
+        gate.sendCanceled();
+        assertTrue(gate.hasCapacity(() -> SHARE, now));
     }
 
     private int taken() {
@@ -141,9 +141,9 @@
 
     private int taken(int most) {
         int count = 0;
-        while (count < most && gate.room(() -> SHARE, now)) {
-            gate.begins();
-            gate.leaves(now);
+        while (count < most && gate.hasCapacity(() -> SHARE, now)) {
+            gate.sendStarted();
+            gate.requestSent(now);
             count++;
         }
         return count;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/cold/LimitGateTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/cold/LimitGateTest.java
@@ -19,11 +19,11 @@
     @ParameterizedTest
     @CsvSource({"0, 0", "0.1, 1", "0.3, 1", "1.6, 6", "10000, 40000"})
     void aLoneRouterHasAllOfALimitInFourSeconds(double perSecond, int requests) {
-        gate.heard(RequestLimit.named(perSecond), start, start);
+        gate.limitReceived(RequestLimit.declared(perSecond), start, start);
         int sent = 0;
-        while (gate.room(UPSTREAM, (id, all) -> (int) all, start)) {
-            gate.begins();
-            gate.leaves(start);
+        while (gate.hasCapacity(UPSTREAM, (id, all) -> (int) all, start)) {
+            gate.sendStarted();
+            gate.requestSent(start);
             sent++;
         }
         assertEquals(requests, sent);
@@ -33,44 +33,53 @@
     // declared, and that arrives after it is known.
     @Test
     void anAnswerToAnEarlierRequestEndsNoLimit() {
-        gate.heard(RequestLimit.named(1), start.plusMillis(50), start.plusMillis(50));
-        assertFalse(gate.heard(RequestLimit.NO_LIMIT, start, start.plusMillis(60)));
-        assertTrue(gate.limited(start.plusMillis(60)));
-        assertTrue(gate.heard(RequestLimit.NO_LIMIT, start.plusMillis(70), start.plusMillis(90)));
-        assertFalse(gate.limited(start.plusMillis(90)));
+        gate.limitReceived(RequestLimit.declared(1), start.plusMillis(50), start.plusMillis(50));
+        assertFalse(gate.limitReceived(RequestLimit.NO_LIMIT, start, start.plusMillis(60)));
+        assertTrue(gate.isLimited(start.plusMillis(60)));
+        assertTrue(
+                gate.limitReceived(
+                        RequestLimit.NO_LIMIT, start.plusMillis(70), start.plusMillis(90)));
+        assertFalse(gate.isLimited(start.plusMillis(90)));
     }
 
     // Guards against a delayed announcement that restores a lifted limit.
     @Test
     void anOldWordDoesNotBringALimitBack() {
-        gate.heard(RequestLimit.named(1), start, start);
-        gate.heard(RequestLimit.NO_LIMIT, start.plusMillis(70), start.plusMillis(90));
-        assertFalse(gate.heard(RequestLimit.named(1), start.plusMillis(60), start.plusMillis(200)));
-        assertFalse(gate.limited(start.plusMillis(200)));
+        gate.limitReceived(RequestLimit.declared(1), start, start);
+        gate.limitReceived(RequestLimit.NO_LIMIT, start.plusMillis(70), start.plusMillis(90));
+        assertFalse(
+                gate.limitReceived(
+                        RequestLimit.declared(1), start.plusMillis(60), start.plusMillis(200)));
+        assertFalse(gate.isLimited(start.plusMillis(200)));
     }
 
     @Test
     void theSameWordIsNoNews() {
-        assertTrue(gate.heard(RequestLimit.named(1), start, start));
-        assertFalse(gate.heard(RequestLimit.named(1), start.plusMillis(1), start.plusMillis(1)));
-        assertTrue(gate.heard(RequestLimit.named(2), start.plusMillis(2), start.plusMillis(2)));
+        assertTrue(gate.limitReceived(RequestLimit.declared(1), start, start));
+        assertFalse(
+                gate.limitReceived(
+                        RequestLimit.declared(1), start.plusMillis(1), start.plusMillis(1)));
+        assertTrue(
+                gate.limitReceived(
+                        RequestLimit.declared(2), start.plusMillis(2), start.plusMillis(2)));
     }
 
     // Guards against an upstream that stays unused because no answer can report that its limit is
     // lifted.
     @Test
     void aLimitOfWhichNothingIsHeardLapses() {
-        gate.heard(RequestLimit.named(0), start, start);
-        assertFalse(gate.room(UPSTREAM, (id, all) -> (int) all, start.plusSeconds(29)));
-        assertTrue(gate.room(UPSTREAM, (id, all) -> (int) all, start.plusSeconds(31)));
+        gate.limitReceived(RequestLimit.declared(0), start, start);
+        assertFalse(gate.hasCapacity(UPSTREAM, (id, all) -> (int) all, start.plusSeconds(29)));
+        assertTrue(gate.hasCapacity(UPSTREAM, (id, all) -> (int) all, start.plusSeconds(31)));
     }
 
     @Test
     void whatCannotBeReadChangesNothing() {
-        gate.heard(RequestLimit.named(3), start, start);
+        gate.limitReceived(RequestLimit.declared(3), start, start);
         for (double bad : new double[] {-1, Double.NaN, Double.POSITIVE_INFINITY}) {
-            assertFalse(gate.heard(RequestLimit.named(bad), start.plusSeconds(1), start));
+            assertFalse(
+                    gate.limitReceived(RequestLimit.declared(bad), start.plusSeconds(1), start));
         }
-        assertEquals(RequestLimit.named(3), gate.limit());
+        assertEquals(RequestLimit.declared(3), gate.limit());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/crashes/QuarantineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/QuarantineTest.java
@@ -12,24 +12,24 @@
 class QuarantineTest {
     private static final RequestDigest ONE = new RequestDigest("01");
 
-    private final Quarantine quarantine = new Quarantine(CrashSettings.usual());
+    private final Quarantine quarantine = new Quarantine(CrashSettings.defaults());
     private Instant now = Instant.ofEpochSecond(100);
 
     @Test
     void itKeepsARequestOutForAWhile() {
         quarantine.add(ONE, now, now);
         now = now.plus(Duration.ofMinutes(4));
-        assertEquals(Optional.of(Duration.ofMinutes(6)), quarantine.left(ONE, true, now));
-        assertTrue(quarantine.keepsOut(ONE, now));
+        assertEquals(Optional.of(Duration.ofMinutes(6)), quarantine.tryAdmit(ONE, true, now));
+        assertTrue(quarantine.isQuarantined(ONE, now));
     }
 
     @Test
     void thenOneRouterLetsItThroughOnce() {
         quarantine.add(ONE, now, now);
         now = now.plus(Duration.ofMinutes(10));
-        assertTrue(quarantine.left(ONE, false, now).isPresent());
-        assertTrue(quarantine.left(ONE, true, now).isEmpty());
-        assertTrue(quarantine.left(ONE, true, now).isPresent());
+        assertTrue(quarantine.tryAdmit(ONE, false, now).isPresent());
+        assertTrue(quarantine.tryAdmit(ONE, true, now).isEmpty());
+        assertTrue(quarantine.tryAdmit(ONE, true, now).isPresent());
     }
 
     // Guards against trials without a limit: after the third crash a request is sent three times at
@@ -40,7 +40,7 @@
         int trials = 0;
         for (int minute = 0; minute < 10_000; minute++) {
             now = now.plus(Duration.ofMinutes(1));
-            if (quarantine.left(ONE, true, now).isEmpty()) {
+            if (quarantine.tryAdmit(ONE, true, now).isEmpty()) {
                 trials++;
                 quarantine.add(ONE, now, now.plusSeconds(1));
             }
@@ -51,23 +51,23 @@
     @Test
     void aSuccessLetsItGo() {
         quarantine.add(ONE, now, now);
-        assertTrue(quarantine.cleared(ONE, now.plusMillis(1)));
+        assertTrue(quarantine.recordSuccess(ONE, now.plusMillis(1)));
         assertTrue(quarantine.isEmpty());
-        assertTrue(quarantine.left(ONE, true, now).isEmpty());
+        assertTrue(quarantine.tryAdmit(ONE, true, now).isEmpty());
     }
 
     // Guards against clearing a request by a run that was under way at the last crash.
     @Test
     void aSuccessOfARunFromBeforeTheLastEndDoesNot() {
         quarantine.add(ONE, now, now.plusSeconds(2));
-        assertFalse(quarantine.cleared(ONE, now));
-        assertTrue(quarantine.keepsOut(ONE, now));
+        assertFalse(quarantine.recordSuccess(ONE, now));
+        assertTrue(quarantine.isQuarantined(ONE, now));
     }
 
     @Test
     void whatIsToldTwiceIsNoNews() {
         Quarantine.Entry entry = quarantine.add(ONE, now, now).orElseThrow();
-        assertFalse(quarantine.told(entry));
+        assertFalse(quarantine.merge(entry));
         assertTrue(quarantine.add(ONE, now, now).isEmpty());
     }
 
@@ -79,7 +79,7 @@
         int trials = 0;
         for (int minute = 0; minute < 1_000; minute++) {
             now = now.plus(Duration.ofMinutes(1));
-            trials += quarantine.left(ONE, true, now).isEmpty() ? 1 : 0;
+            trials += quarantine.tryAdmit(ONE, true, now).isEmpty() ? 1 : 0;
         }
         assertEquals(2, trials);
     }
@@ -90,6 +90,6 @@
         for (int each = 0; each < 1_000; each++) {
             quarantine.add(new RequestDigest("r" + each), now, now);
         }
-        assertEquals(CrashSettings.usual().mostQuarantined(), quarantine.all().size());
+        assertEquals(CrashSettings.defaults().maxQuarantined(), quarantine.entries().size());
     }
 }
--- /dev/null
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/RecentOutcomesTest.java
@@ -0,0 +1,40 @@
+package io.damaskyoke.control.crashes;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.time.Instant;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+
+class RecentOutcomesTest {
+    private static final RequestDigest ONE = new RequestDigest("01");
+    private static final Instant SENT = Instant.ofEpochSecond(100);
+
+    private final RecentOutcomes recent = new RecentOutcomes(2);
+
+    @Test
+    void aSuccessIsRememberedWithItsTimes() {
+        recent.recordSuccess(ONE, SENT, SENT.plusSeconds(1));
+        assertEquals(
+                Optional.of(new RecentOutcomes.Success(SENT, SENT.plusSeconds(1))),
+                recent.outcomeOf(ONE).lastSuccess());
+    }
+
+    @Test
+    void failuresCountSinceTheLastSuccess() {
+        recent.recordSurvivedRun(ONE);
+        recent.recordSuccess(ONE, SENT, SENT.plusSeconds(1));
+        recent.recordSurvivedRun(ONE);
+        recent.recordSurvivedRun(ONE);
+        assertEquals(2, recent.outcomeOf(ONE).survivedRuns());
+    }
+
+    // Guards against memory use that grows with each answer.
+    @Test
+    void whatWasSeenLongestAgoIsForgotten() {
+        recent.recordSurvivedRun(ONE);
+        recent.recordSurvivedRun(new RequestDigest("02"));
+        recent.recordSurvivedRun(new RequestDigest("03"));
+        assertEquals(0, recent.outcomeOf(ONE).survivedRuns());
+    }
+}
--- a/damaskyoke/src/test/java/io/damaskyoke/control/crashes/SuspectsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/SuspectRequestsTest.java
@@ -11,11 +11,11 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class SuspectsTest {
+class SuspectRequestsTest {
     private static final RequestDigest ONE = new RequestDigest("01");
     private static final RequestDigest OTHER = new RequestDigest("02");
 
-    private final Suspects suspects = new Suspects(CrashSettings.usual());
+    private final SuspectRequests suspects = new SuspectRequests(CrashSettings.defaults());
     private Instant now = Instant.ofEpochSecond(100);
 
     @Test
@@ -23,7 +23,7 @@
         assertEquals(List.of(), ended("a", ONE, OTHER));
         assertEquals(List.of(), ended("b", ONE));
         assertEquals(List.of(ONE), ended("c", ONE, OTHER));
-        assertEquals(2, suspects.count(OTHER, now));
+        assertEquals(2, suspects.countedCrashes(OTHER, now));
     }
 
     @Test
@@ -31,7 +31,7 @@
         ended("a", ONE);
         ended("a", ONE);
         ended("a", ONE);
-        assertEquals(1, suspects.count(ONE, now));
+        assertEquals(1, suspects.countedCrashes(ONE, now));
     }
 
     // Guards against blaming an innocent request that is sent again and again and ran at a few
@@ -40,25 +40,25 @@
     void aSuccessClearsARequest() {
         ended("a", ONE);
         ended("b", ONE);
-        suspects.cleared(ONE, now);
+        suspects.recordSuccess(ONE, now);
         assertEquals(List.of(), ended("c", ONE));
     }
 
     // Guards against a report of a crash that arrives after the report of a later success.
     @Test
     void endsFromBeforeASuccessDoNotCountHoweverLateTheyAreTold() {
-        suspects.ended(end("a"), Map.of(ONE, Duration.ofMillis(500)), now, now);
-        suspects.cleared(ONE, now.plusMillis(300));
+        suspects.recordCrash(end("a"), Map.of(ONE, Duration.ofMillis(500)), now, now);
+        suspects.recordSuccess(ONE, now.plusMillis(300));
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(500));
-        suspects.ended(end("b"), ran, now.plusMillis(100), now.plusMillis(400));
-        assertEquals(0, suspects.count(ONE, now));
+        suspects.recordCrash(end("b"), ran, now.plusMillis(100), now.plusMillis(400));
+        assertEquals(0, suspects.countedCrashes(ONE, now));
     }
 
     // Guards against clearing a poison request by an unsuccessful answer.
     @Test
     void aRequestThatIsBorneNowAndThenStaysTheCause() {
         ended("a", ONE);
-        suspects.borne(ONE, 1);
+        suspects.addSurvivedRuns(ONE, 1);
         ended("b", ONE);
         assertEquals(List.of(ONE), ended("c", ONE));
     }
@@ -69,7 +69,7 @@
     void aRequestThatIsBorneMoreOftenThanUpstreamsEndIsNotTheCause() {
         ended("a", ONE);
         ended("b", ONE);
-        IntStream.range(0, 4).forEach(each -> suspects.borne(ONE, 1));
+        IntStream.range(0, 4).forEach(each -> suspects.addSurvivedRuns(ONE, 1));
         assertEquals(List.of(), ended("c", ONE));
     }
 
@@ -87,7 +87,7 @@
         for (int each = 0; each < 10_000; each++) {
             ended("a", new RequestDigest("r" + each));
         }
-        assertEquals(CrashSettings.usual().mostSuspects(), suspects.size());
+        assertEquals(CrashSettings.defaults().maxSuspects(), suspects.size());
     }
 
     // Guards against blaming a request with many concurrent copies, some of which ran in a rack
@@ -96,30 +96,31 @@
     void upstreamsThatEndTogetherWithOthersCountAsOne() {
         ended("a", ONE);
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(700));
-        suspects.ended(end("b"), ran, now.plusMillis(40), now);
-        suspects.ended(end("c"), ran, now.plusMillis(90), now);
-        suspects.ended(end("d"), Map.of(OTHER, Duration.ofMillis(700)), now.plusMillis(20), now);
-        assertEquals(1, suspects.count(ONE, now));
+        suspects.recordCrash(end("b"), ran, now.plusMillis(40), now);
+        suspects.recordCrash(end("c"), ran, now.plusMillis(90), now);
+        suspects.recordCrash(
+                end("d"), Map.of(OTHER, Duration.ofMillis(700)), now.plusMillis(20), now);
+        assertEquals(1, suspects.countedCrashes(ONE, now));
     }
 
     // Guards against counting several copies of a poison request that run side by side as one.
     @Test
     void copiesThatEndAllUpstreamsThatEndTogetherCountEach() {
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(100));
-        suspects.ended(end("a"), ran, now, now);
-        suspects.ended(end("b"), ran, now.plusMillis(5), now);
-        suspects.ended(end("c"), ran, now.plusMillis(90), now);
-        assertEquals(3, suspects.count(ONE, now));
+        suspects.recordCrash(end("a"), ran, now, now);
+        suspects.recordCrash(end("b"), ran, now.plusMillis(5), now);
+        suspects.recordCrash(end("c"), ran, now.plusMillis(90), now);
+        assertEquals(3, suspects.countedCrashes(ONE, now));
     }
 
     // Guards against ignoring long runs that were under way when the previous upstream crashed.
     @Test
     void copiesThatEndUpstreamsAtDifferentTimesCountEach() {
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofSeconds(2));
-        suspects.ended(end("a"), ran, now, now);
-        suspects.ended(end("b"), ran, now.plusMillis(400), now);
-        suspects.ended(end("c"), ran, now.plusMillis(900), now);
-        assertEquals(3, suspects.count(ONE, now));
+        suspects.recordCrash(end("a"), ran, now, now);
+        suspects.recordCrash(end("b"), ran, now.plusMillis(400), now);
+        suspects.recordCrash(end("c"), ran, now.plusMillis(900), now);
+        assertEquals(3, suspects.countedCrashes(ONE, now));
     }
 
     // Guards against merging the crashes of a poison request that is retried as soon as its
@@ -128,9 +129,9 @@
     void upstreamsThatEndOneAfterTheOtherCountHoweverFast() {
         ended("a", ONE);
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(5));
-        suspects.ended(end("b"), ran, now.plusMillis(8), now);
-        suspects.ended(end("c"), ran, now.plusMillis(16), now);
-        assertEquals(3, suspects.count(ONE, now));
+        suspects.recordCrash(end("b"), ran, now.plusMillis(8), now);
+        suspects.recordCrash(end("c"), ran, now.plusMillis(16), now);
+        assertEquals(3, suspects.countedCrashes(ONE, now));
     }
 
     private List<RequestDigest> ended(String upstream, RequestDigest... running) {
@@ -139,10 +140,10 @@
         for (RequestDigest each : running) {
             ran.put(each, Duration.ofMillis(500));
         }
-        return suspects.ended(end(upstream), ran, now, now);
+        return suspects.recordCrash(end(upstream), ran, now, now);
     }
 
-    private static UpstreamEnd end(String upstream) {
-        return new UpstreamEnd(UpstreamId.of(upstream), 1);
+    private static UpstreamCrash end(String upstream) {
+        return new UpstreamCrash(UpstreamId.of(upstream), 1);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/direct/RouteTableTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/direct/RouteTableTest.java
@@ -45,10 +45,10 @@
     void aSplitRouteSendsEachServiceItsPart() {
         Route split =
                 route("split", List.of(new Route.Target("old", 90), new Route.Target("new", 10)));
-        assertEquals("old", split.service(0.0));
-        assertEquals("old", split.service(0.899));
-        assertEquals("new", split.service(0.901));
-        assertEquals("new", split.service(0.9999));
+        assertEquals("old", split.chooseService(0.0));
+        assertEquals("old", split.chooseService(0.899));
+        assertEquals("new", split.chooseService(0.901));
+        assertEquals("new", split.chooseService(0.9999));
     }
 
     private String find(String host, String target) {
@@ -68,7 +68,7 @@
                 1,
                 false,
                 false,
-                Homes.ANYWHERE,
+                AllowedRegions.ANYWHERE,
                 List.of(new Route.Target("service", 1)));
     }
 
@@ -86,7 +86,7 @@
                 plain.attempts(),
                 plain.anonymous(),
                 plain.resumable(),
-                plain.homes(),
+                plain.allowedRegions(),
                 targets);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/DrainedZonesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/DrainedZonesTest.java
@@ -16,17 +16,17 @@
     @Test
     void aDrainedZoneIsSentToForAWhileAndThenClosed() {
         zones.drain("a", ASKED);
-        assertTrue(zones.drained("a"));
-        assertFalse(zones.closed("a", ASKED.plusMillis(3_900)));
-        assertTrue(zones.closed("a", ASKED.plusMillis(4_000)));
-        assertFalse(zones.closed("b", ASKED.plusSeconds(60)));
+        assertTrue(zones.isDrained("a"));
+        assertFalse(zones.isClosed("a", ASKED.plusMillis(3_900)));
+        assertTrue(zones.isClosed("a", ASKED.plusMillis(4_000)));
+        assertFalse(zones.isClosed("b", ASKED.plusSeconds(60)));
     }
 
     // Guards against a router that has just started and gives an old drain its full time again.
     @Test
     void aDrainOfUnknownAgeClosesAtOnce() {
         zones.drain("a", Instant.MIN);
-        assertTrue(zones.closed("a", ASKED));
+        assertTrue(zones.isClosed("a", ASKED));
     }
 
     // Guards against a later report of the same drain, which would keep the zone open for longer.
@@ -34,9 +34,9 @@
     void theEarlierOfTwoWordsCounts() {
         zones.drain("a", ASKED);
         zones.drain("a", ASKED.plusSeconds(3));
-        assertTrue(zones.closed("a", ASKED.plusSeconds(4)));
+        assertTrue(zones.isClosed("a", ASKED.plusSeconds(4)));
         zones.drain("a", ASKED.minusSeconds(3));
-        assertTrue(zones.closed("a", ASKED.plusSeconds(1)));
+        assertTrue(zones.isClosed("a", ASKED.plusSeconds(1)));
     }
 
     @Test
@@ -44,9 +44,9 @@
         zones.drain("a", ASKED);
         assertTrue(zones.restore("a"));
         assertFalse(zones.restore("a"));
-        assertFalse(zones.closed("a", ASKED.plusSeconds(60)));
+        assertFalse(zones.isClosed("a", ASKED.plusSeconds(60)));
         zones.drain("a", ASKED.plusSeconds(60));
-        assertFalse(zones.closed("a", ASKED.plusSeconds(61)));
+        assertFalse(zones.isClosed("a", ASKED.plusSeconds(61)));
     }
 
     @Test
--- a/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/UpstreamChoiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/UpstreamSelectorTest.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class UpstreamChoiceTest {
+class UpstreamSelectorTest {
     private static final ModelRef CUT_SHEET = ModelRef.parse("cut-sheet");
     private static final ModelRef ADAPTED = ModelRef.parse("cut-sheet/a3");
     private static final int SLOTS = 4;
 
     private final UpstreamTable table = new UpstreamTable();
-    private final UpstreamChoice choice =
-            new UpstreamChoice("a", 1.0, (upstream, all) -> (int) all);
+    private final UpstreamSelector choice =
+            new UpstreamSelector("a", 1.0, (upstream, all) -> (int) all);
     private Instant now = Instant.ofEpochSecond(100);
     private long revision;
 
@@ -43,7 +43,7 @@
         put("one", "a", false, Map.of());
         put("two", "b", false, Map.of());
         for (int i = 0; i < SLOTS; i++) {
-            find("one").sent(null, now);
+            find("one").requestAssigned(null, now);
         }
         assertEquals("two", pick(null));
     }
@@ -58,7 +58,7 @@
     @Test
     void whatOthersSendThereCountsAndFades() {
         put("one", "a", false, Map.of());
-        find("one").reported(SLOTS, 0, now);
+        find("one").loadReported(SLOTS, 0, now);
         assertEquals("nobody", pick(null));
         now = now.plusMillis(900);
         assertEquals("one", pick(null));
@@ -71,16 +71,16 @@
         // is back.
         put("one", "a", false, Map.of());
         for (int i = 0; i < 3; i++) {
-            find("one").failed(now);
+            find("one").requestFailed(now);
         }
-        assertTrue(find("one").suspect());
+        assertTrue(find("one").isEjected());
         assertEquals("nobody", pick(null));
         now = now.plusMillis(800);
         assertEquals("one", pick(null));
-        find("one").sent(null, now);
+        find("one").requestAssigned(null, now);
         assertEquals("nobody", pick(null));
-        find("one").answered(Duration.ofMillis(5), now);
-        assertFalse(find("one").suspect());
+        find("one").requestAnswered(Duration.ofMillis(5), now);
+        assertFalse(find("one").isEjected());
         assertEquals("one", pick(null));
     }
 
@@ -88,9 +88,9 @@
     void anUpstreamThatFailsSomeRequestsGetsFewer() {
         put("grey", "a", false, Map.of());
         put("sound", "b", false, Map.of());
-        find("grey").failed(now);
-        find("grey").answered(Duration.ofMillis(1), now);
-        find("sound").answered(Duration.ofMillis(20), now);
+        find("grey").requestFailed(now);
+        find("grey").requestAnswered(Duration.ofMillis(1), now);
+        find("sound").requestAnswered(Duration.ofMillis(20), now);
         assertEquals("sound", pick(null));
     }
 
@@ -99,7 +99,7 @@
         // Guards against requests for a model that the leader has just unloaded, but that the
         // upstream's entry, which lags by a second or two, still names.
         put("one", "a", false, Map.of("cut-sheet", Set.of()));
-        find("one").told(new HeldModels(1, 5, Map.of()), now);
+        find("one").leaderAnnounced(new HeldModels(1, 5, Map.of()), now);
         now = now.plusMillis(1_000);
         put("one", "a", false, Map.of("cut-sheet", Set.of()));
         assertEquals("nobody", pick(CUT_SHEET));
@@ -125,7 +125,7 @@
     }
 
     private String pick(ModelRef model) {
-        Optional<Upstream> picked = choice.pick(table.of("service"), model, Set.of(), now);
+        Optional<Upstream> picked = choice.pick(table.ofService("service"), model, Set.of(), now);
         return picked.map(upstream -> upstream.facts().id().value()).orElse("nobody");
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdRouter.java
@@ -65,7 +65,7 @@
     void begin() {
         int own = ++life;
         upstreams = new UpstreamTable();
-        upstreams.coldLimits(Map.of(ColdWorld.SERVICE, world.limit()));
+        upstreams.setColdLimits(Map.of(ColdWorld.SERVICE, world.limit()));
         dispatch = new Dispatch(upstreams, "zone-0", Map.of(), world::now, Runnable::run, share);
         Map<String, UpstreamFacts> read = Map.copyOf(world.list());
         world.time.after(
@@ -81,7 +81,7 @@
     private void takeFirst(UpstreamFacts facts) {
         upstreams.put(facts, world.now());
         if (world.rules().doubting() && life > 1) {
-            upstreams.find(facts.id()).ifPresent(each -> each.unknown(world.now()));
+            upstreams.find(facts.id()).ifPresent(each -> each.markUnverified(world.now()));
         }
     }
 
@@ -149,7 +149,7 @@
     }
 
     private void lost(Upstream upstream) {
-        if (world.rules().doubting() && upstream.lost(world.now())) {
+        if (world.rules().doubting() && upstream.connectionLost(world.now())) {
             world.tellLost(this, upstream.facts().id());
         }
     }
@@ -157,7 +157,7 @@
     /** Another router has lost an upstream. */
     void hearLost(UpstreamId upstream) {
         if (!world.now().isBefore(cutUntil)) {
-            upstreams.find(upstream).ifPresent(each -> each.lost(world.now()));
+            upstreams.find(upstream).ifPresent(each -> each.connectionLost(world.now()));
         }
     }
 
@@ -173,7 +173,7 @@
         @Override
         public void sendTo(Upstream upstream) {
             sent = true;
-            upstream.sent(null, world.now());
+            upstream.requestAssigned(null, world.now());
             world.time.after(WAY, () -> leave(upstream));
         }
 
@@ -188,7 +188,7 @@
                 return;
             }
             long engineLife = engine.life();
-            upstream.left(world.now());
+            upstream.requestSent(world.now());
             world.time.after(WAY, engine::arrives);
             long takes = 30 + world.random.nextInt(60);
             world.time.after(Duration.ofMillis(takes), () -> ends(upstream, engine, engineLife));
@@ -198,10 +198,10 @@
             if (ownLife != life) {
                 return;
             }
-            upstream.failed(world.now());
+            upstream.requestFailed(world.now());
             lost(upstream);
-            upstream.neverLeft();
-            upstream.over(null);
+            upstream.requestNotSent();
+            upstream.requestFinished(null);
             dispatch.enqueue(this);
         }
 
@@ -210,13 +210,13 @@
                 return;
             }
             if (engine.up() && engine.life() == engineLife) {
-                upstream.answered(Duration.ofMillis(40), world.now());
+                upstream.requestAnswered(Duration.ofMillis(40), world.now());
             } else {
-                upstream.failed(world.now());
+                upstream.requestFailed(world.now());
                 lost(upstream);
                 world.noteRefused();
             }
-            upstream.over(null);
+            upstream.requestFinished(null);
             dispatch.drain(ColdWorld.SERVICE);
         }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
@@ -3,7 +3,7 @@
 import io.damaskyoke.control.SameThreadControl;
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.Upstream;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -376,17 +376,17 @@
     private CrashNews newsOf(int from) {
         return new CrashNews() {
             @Override
-            public void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran) {
+            public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
                 tell(from, MOST_COUNTING, router -> router.told(end, ago, ran));
             }
 
             @Override
-            public void found(UpstreamEnd end) {
+            public void found(UpstreamCrash end) {
                 tell(from, routers.size(), router -> router.toldEnd(end, false));
             }
 
             @Override
-            public void passEndOn(UpstreamEnd end) {
+            public void passEndOn(UpstreamCrash end) {
                 throw new IllegalStateException("each router tells all in this world");
             }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
@@ -25,7 +25,9 @@
     void whatIsLeftInADrainedZoneIsCounted() {
         list("one", "a", "m", "n");
         list("two", "b", "n");
-        upstreams.find(UpstreamId.of("one")).ifPresent(each -> each.sent(ModelRef.parse("m"), NOW));
+        upstreams
+                .find(UpstreamId.of("one"))
+                .ifPresent(each -> each.requestAssigned(ModelRef.parse("m"), NOW));
         assertEquals(0, progress.requestsThere());
         assertEquals(0, progress.modelsOnlyThere());
         upstreams.zones().drain("a", NOW);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.damaskyoke.control.direct.Homes;
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.upstreams.DrainedZones;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -78,7 +78,7 @@
     }
 
     private NotedRequest request() {
-        return new NotedRequest(now, Homes.ANYWHERE, outcomes);
+        return new NotedRequest(now, AllowedRegions.ANYWHERE, outcomes);
     }
 
     private void list(String id, String zone) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -83,7 +83,7 @@
     boolean uses(String upstream) {
         return upstreams
                 .find(UpstreamId.of(upstream))
-                .filter((Upstream each) -> each.takes(world.clock().instant()))
+                .filter((Upstream each) -> each.accepts(world.clock().instant()))
                 .isPresent();
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
@@ -4,7 +4,7 @@
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.damaskyoke.control.direct.Homes;
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.direct.Route;
 import io.damaskyoke.control.direct.RouteKind;
 import io.damaskyoke.control.upstreams.HeldModels;
@@ -198,12 +198,12 @@
                         1,
                         true,
                         false,
-                        Homes.ANYWHERE,
+                        AllowedRegions.ANYWHERE,
                         List.of(new Route.Target(SERVICE, 1)));
         Flow.Admitted admitted =
                 new Flow.Admitted(
                         Optional.empty(),
-                        Homes.ANYWHERE,
+                        AllowedRegions.ANYWHERE,
                         1,
                         Instant.now(),
                         Duration.ZERO,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HomesDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HomesDispatchTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.damaskyoke.control.direct.Homes;
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -39,8 +39,8 @@
     void aRequestIsServedInItsHomesThoughOthersAreNearer() {
         list("near", "kochi-a");
         list("far", "jatim-a");
-        ask(Homes.of(List.of("java")));
-        ask(Homes.ANYWHERE);
+        ask(AllowedRegions.of(List.of("java")));
+        ask(AllowedRegions.ANYWHERE);
         assertEquals(List.of("to far", "to near"), outcomes);
     }
 
@@ -49,8 +49,8 @@
     void aRequestWhoseHomesHaveNoUpstreamIsRefusedAtOnce() {
         list("near", "kochi-a");
         list("nowhere", "a zone without a region");
-        ask(Homes.of(List.of("java")));
-        ask(Homes.of(List.of("kerala")).and(Homes.of(List.of("goa"))));
+        ask(AllowedRegions.of(List.of("java")));
+        ask(AllowedRegions.of(List.of("kerala")).intersect(AllowedRegions.of(List.of("goa"))));
         assertEquals(List.of("in vain", "in vain"), outcomes);
     }
 
@@ -60,14 +60,14 @@
         list("far", "jatim-a");
         list("near", "kochi-a");
         for (int each = 0; each < SLOTS * 2; each++) {
-            ask(Homes.of(List.of("java")));
+            ask(AllowedRegions.of(List.of("java")));
         }
         int sent = outcomes.size();
-        ask(Homes.of(List.of("kerala")));
+        ask(AllowedRegions.of(List.of("kerala")));
         assertEquals("to near", outcomes.get(sent));
     }
 
-    private void ask(Homes homes) {
+    private void ask(AllowedRegions homes) {
         dispatch.enqueue(new NotedRequest(now, homes, outcomes));
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitRouter.java
@@ -103,8 +103,8 @@
             int own = life;
             Instant sentAt = world.now();
             LimitWorld.Engine engine = world.engine(upstream.facts().id());
-            upstream.sent(null, sentAt);
-            upstream.left(sentAt);
+            upstream.requestAssigned(null, sentAt);
+            upstream.requestSent(sentAt);
             world.time.after(Duration.ofMillis(1), () -> engine.arrives(name));
             Duration takes = Duration.ofMillis(20 + world.random.nextInt(300));
             world.time.after(
@@ -118,8 +118,8 @@
 
         private void answered(
                 Upstream upstream, LimitWorld.Engine engine, Instant sentAt, Duration took) {
-            upstream.answered(took, world.now());
-            upstream.over(null);
+            upstream.requestAnswered(took, world.now());
+            upstream.requestFinished(null);
             engine.passedOn(name);
             limits.heard(upstream, engine.limit(), sentAt);
             world.noteServed();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
@@ -80,7 +80,7 @@
         }
 
         void names(double given) {
-            limit = RequestLimit.named(given);
+            limit = RequestLimit.declared(given);
             limitedAt = limitedAt.equals(Instant.MAX) ? now() : limitedAt;
             highest = Math.max(highest, given);
         }
@@ -103,7 +103,7 @@
         }
 
         void passedOn(VmId router) {
-            if (limit.isNamed()) {
+            if (limit.isDeclared()) {
                 passedOn.putIfAbsent(router, now());
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/NeighbourFramesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/NeighbourFramesTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.damaskyoke.control.loads.LoadInput;
-import io.damaskyoke.control.upstreams.Departure;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.ModelRef;
+import io.damaskyoke.control.upstreams.UpstreamDeparture;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.peer.wire.Frame;
@@ -24,7 +24,8 @@
 
     @Test
     void departuresArriveAsTheyWereSent() {
-        List<Departure> sent = List.of(new Departure(ONE, 7, true), new Departure(TWO, 9, false));
+        List<UpstreamDeparture> sent =
+                List.of(new UpstreamDeparture(ONE, 7, true), new UpstreamDeparture(TWO, 9, false));
         Frame frame = NeighbourFrames.departures(sent);
         assertEquals(sent, NeighbourFrames.departures(frame.getDepartures()));
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/NotedRequest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/NotedRequest.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.direct.Homes;
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.upstreams.Upstream;
 import java.time.Duration;
 import java.time.Instant;
@@ -11,24 +11,24 @@
     static final String SERVICE = "service";
     private static final Duration CALLER_WAITS = Duration.ofSeconds(10);
 
-    private final Homes homes;
+    private final AllowedRegions homes;
     private final List<String> outcomes;
 
     /** One that comes now, may be served there, and adds what becomes of it to the list. */
-    NotedRequest(Instant now, Homes homes, List<String> outcomes) {
+    NotedRequest(Instant now, AllowedRegions homes, List<String> outcomes) {
         super(SERVICE, now, CALLER_WAITS);
         this.homes = homes;
         this.outcomes = outcomes;
     }
 
     @Override
-    public Homes homes() {
+    public AllowedRegions homes() {
         return homes;
     }
 
     @Override
     public void sendTo(Upstream upstream) {
-        upstream.sent(null, since());
+        upstream.requestAssigned(null, since());
         outcomes.add("to " + upstream.facts().id());
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/PlainRequest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/PlainRequest.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.direct.Homes;
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import java.time.Duration;
@@ -34,8 +34,8 @@
     }
 
     @Override
-    public Homes homes() {
-        return Homes.ANYWHERE;
+    public AllowedRegions homes() {
+        return AllowedRegions.ANYWHERE;
     }
 
     @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
@@ -91,9 +91,9 @@
         loading = model;
         ModelSpec known = spec.models().get(model);
         if (disk.contains(model)) {
-            loadedAt = now.plus(known.fromDisk());
+            loadedAt = now.plus(known.diskLoadTime());
         } else {
-            store.begin(known.fromStore(), () -> loadedAt = Instant.MIN);
+            store.begin(known.storeLoadTime(), () -> loadedAt = Instant.MIN);
         }
         return OrderOutcome.ACCEPTED;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -247,7 +247,9 @@
             time.after(
                     Duration.ofMillis(3), () -> answer(by, engines.get(ask.upstream()).report()));
         } else if (action instanceof LoadAction.Tell tell) {
-            upstreams.find(tell.upstream()).ifPresent(each -> each.told(tell.held(), now()));
+            upstreams
+                    .find(tell.upstream())
+                    .ifPresent(each -> each.leaderAnnounced(tell.held(), now()));
             dispatch.tick();
         }
     }
@@ -342,13 +344,13 @@
         public void sendTo(Upstream upstream) {
             RareModelEngine engine = engines.get(upstream.facts().id());
             if (!engine.serves(model.model())) {
-                upstream.contradicted();
+                upstream.leaderContradicted();
                 tried.put(engine.id(), now().plus(ASK_AGAIN));
                 dispatch.enqueue(this);
                 return;
             }
-            upstream.sent(model, now());
-            upstream.left(now());
+            upstream.requestAssigned(model, now());
+            upstream.requestSent(now());
             engine.begins(model.model());
             counts.get(model.model()).served++;
             served++;
@@ -356,7 +358,7 @@
                     Duration.ofMillis(200 + random.nextInt(LONGEST_RUN_MILLIS)),
                     () -> {
                         engine.ends(model.model());
-                        upstream.over(model);
+                        upstream.requestFinished(model);
                         dispatch.drain(SERVICE);
                     });
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashNews.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashNews.java
@@ -2,20 +2,20 @@
 
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import java.time.Duration;
 import java.util.Map;
 
 /** Tells nobody. */
 final class SilentCrashNews implements CrashNews {
     @Override
-    public void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran) {}
+    public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {}
 
     @Override
-    public void found(UpstreamEnd end) {}
+    public void found(UpstreamCrash end) {}
 
     @Override
-    public void passEndOn(UpstreamEnd end) {}
+    public void passEndOn(UpstreamCrash end) {}
 
     @Override
     public void watched(RequestDigest request) {}
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
@@ -124,7 +124,7 @@
         if (load == has(order.model())) {
             return Optional.of(OrderOutcome.DONE);
         }
-        if (order.model().adapted() && !held.containsKey(order.model().model())) {
+        if (order.model().hasAdapter() && !held.containsKey(order.model().model())) {
             return Optional.of(OrderOutcome.REFUSED);
         }
         sequence++;
@@ -176,7 +176,7 @@
         if (coming.containsKey(model) || loading.filter(model::equals).isPresent()) {
             return true;
         }
-        return new HeldModels(0, 0, held).has(model);
+        return new HeldModels(0, 0, held).contains(model);
     }
 
     private OrderOutcome load(ModelRef model) {
@@ -185,7 +185,7 @@
             restart(Duration.ofSeconds(1));
             return OrderOutcome.ACCEPTED;
         }
-        if (model.adapted()) {
+        if (model.hasAdapter()) {
             coming.put(model, true);
             soon(LONGEST_ADAPTER_MILLIS, () -> arrived(model));
             return OrderOutcome.ACCEPTED;
@@ -194,14 +194,14 @@
         busy = true;
         Duration time =
                 disk.contains(model.model())
-                        ? spec.models().get(model.model()).fromDisk()
-                        : spec.models().get(model.model()).fromStore();
+                        ? spec.models().get(model.model()).diskLoadTime()
+                        : spec.models().get(model.model()).storeLoadTime();
         inThisLife(time, () -> loaded(model));
         return OrderOutcome.ACCEPTED;
     }
 
     private OrderOutcome unload(ModelRef model) {
-        if (!model.adapted()) {
+        if (!model.hasAdapter()) {
             busy = true;
             soon(LONGEST_RUN_MILLIS, () -> unloaded(model));
             return OrderOutcome.ACCEPTED;
@@ -215,7 +215,7 @@
     }
 
     private boolean fits(ModelRef model) {
-        if (model.adapted() && adapters() >= spec.adapterSlots()) {
+        if (model.hasAdapter() && adapters() >= spec.adapterSlots()) {
             return false;
         }
         return used() + weight(model) <= spec.weightsMb();
@@ -239,7 +239,7 @@
 
     private double weight(ModelRef model) {
         var known = spec.models().get(model.model());
-        return model.adapted() ? known.adapterMb() : known.weightsMb();
+        return model.hasAdapter() ? known.adapterMb() : known.weightsMb();
     }
 
     private void arrived(ModelRef adapter) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
@@ -4,7 +4,7 @@
 
 import io.damaskyoke.control.SameThreadControl;
 import io.damaskyoke.control.crashes.RequestDigest;
-import io.damaskyoke.control.crashes.UpstreamEnd;
+import io.damaskyoke.control.crashes.UpstreamCrash;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.Upstream;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -34,7 +34,7 @@
     private final Deque<Sign> signs = new ArrayDeque<>();
     private final List<RequestDigest> ran = new ArrayList<>();
     private final List<RequestDigest> survived = new ArrayList<>();
-    private final List<UpstreamEnd> found = new ArrayList<>();
+    private final List<UpstreamCrash> found = new ArrayList<>();
     private final UpstreamEnds ends =
             new UpstreamEnds(control, this::look, new Noting(), new Metrics());
     private final Upstream upstream = list(1);
@@ -92,7 +92,7 @@
     // Guards against upstreams that end without a word, under requests that wait for their time.
     @Test
     void aRunThatComesToItsEndAfterTheUpstreamIsTold() {
-        ends.told(new UpstreamEnd(upstream.facts().id(), 1));
+        ends.told(new UpstreamCrash(upstream.facts().id(), 1));
         ends.cut(upstream, ONE, now(), Cut.TIME_UP);
         assertEquals(List.of(ONE), ran);
     }
@@ -100,7 +100,7 @@
     // Guards against an upstream whose connections are all in use, and that refuses more.
     @Test
     void anUpstreamThatRefusesAndAnswersLaterHasNotEnded() {
-        ends.told(new UpstreamEnd(upstream.facts().id(), 1));
+        ends.told(new UpstreamCrash(upstream.facts().id(), 1));
         pass(Duration.ofSeconds(1));
         ends.answered(upstream, now());
         ends.cut(upstream, ONE, now(), Cut.CALLER_GONE);
@@ -157,12 +157,12 @@
 
     private final class Noting implements UpstreamEnds.Listener {
         @Override
-        public void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> all) {
+        public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> all) {
             ran.addAll(all.keySet());
         }
 
         @Override
-        public void found(UpstreamEnd end) {
+        public void found(UpstreamCrash end) {
             found.add(end);
         }
 
