--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/AnswerWindow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/AnswerWindow.java
@@ -13,23 +13,23 @@
      * A crashed upstream is rarely back in less time. Answers to requests that are sent once a
      * second, when a share is free again, must not count as a gap.
      */
-    private static final Duration GAP = Duration.ofMillis(1_200);
+    private static final Duration MAX_GAP = Duration.ofMillis(1_200);
 
-    private static final Duration FROM = Duration.ofSeconds(2);
-    private static final Duration TO = Duration.ofSeconds(1);
+    private static final Duration OLDEST_AGE = Duration.ofSeconds(2);
+    private static final Duration NEWEST_AGE = Duration.ofSeconds(1);
 
-    private final ArrayDeque<Instant> answered = new ArrayDeque<>();
+    private final ArrayDeque<Instant> answers = new ArrayDeque<>();
 
     void add(Instant now) {
         removeExpired(now);
-        answered.add(now);
+        answers.add(now);
     }
 
     int count(Instant now) {
         removeExpired(now);
-        Instant to = now.minus(TO);
+        Instant to = now.minus(NEWEST_AGE);
         int count = 0;
-        for (Instant each : answered) {
+        for (Instant each : answers) {
             if (each.isAfter(to)) {
                 break;
             }
@@ -39,16 +39,16 @@
     }
 
     void clear() {
-        answered.clear();
+        answers.clear();
     }
 
     private void removeExpired(Instant now) {
-        if (!answered.isEmpty() && answered.peekLast().plus(GAP).isBefore(now)) {
-            answered.clear();
+        if (!answers.isEmpty() && answers.peekLast().plus(MAX_GAP).isBefore(now)) {
+            answers.clear();
         }
-        Instant from = now.minus(FROM);
-        while (!answered.isEmpty() && answered.peek().isBefore(from)) {
-            answered.remove();
+        Instant from = now.minus(OLDEST_AGE);
+        while (!answers.isEmpty() && answers.peek().isBefore(from)) {
+            answers.remove();
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdGate.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdGate.java
@@ -6,7 +6,7 @@
 
 /**
  * Decides whether one upstream, which may be cold, may get another request now: {@code
- * gate.room(share, now)}.
+ * gate.hasCapacity(share, now)}.
  *
  * <p>An upstream's own report that it is cold arrives late, by a heartbeat and the list's delay.
  * Upstreams that restart together after a power failure would get the requests queued for them at
@@ -22,34 +22,34 @@
     /**
      * Maximum age of an entry: a heartbeat, and the delay of the list at a router behind a relay.
      */
-    private static final Duration NEWS = Duration.ofSeconds(2);
+    private static final Duration MAX_ENTRY_AGE = Duration.ofSeconds(2);
 
     /** Requests per second to an upstream that was not used recently. */
-    private static final int UNUSED = 2;
+    private static final int UNUSED_PER_SECOND = 2;
 
     /** Requests per second to an upstream that answers, on top of its growth. */
-    private static final int SPARE = 3;
+    private static final int EXTRA_PER_SECOND = 3;
 
     /** Maximum ratio of the requests in a second to the answers in the second before. */
-    private static final double GROWTH = 1.5;
+    private static final double MAX_GROWTH = 1.5;
 
     /** A second, with an allowance for requests that get closer to each other on their way. */
     private static final Duration SECOND = Duration.ofMillis(1_050);
 
-    private final SendWindow window = new SendWindow();
+    private final SendWindow sends = new SendWindow();
     private final AnswerWindow answers = new AnswerWindow();
     private ColdLimit limit = ColdLimit.NONE;
-    private State state = State.KNOWN;
-    private Instant doubtedAt = Instant.MIN;
+    private State state = State.VERIFIED;
+    private Instant unverifiedSince = Instant.MIN;
     private Instant coldUntil = Instant.MIN;
 
     private enum State {
         /** The known state can be relied on. */
-        KNOWN,
+        VERIFIED,
         /** This router has just started and knows only an entry that may be out of date. */
-        UNKNOWN,
+        UNVERIFIED,
         /** The upstream can't be reached or broke a connection, and has answered nothing since. */
-        LOST
+        CONNECTION_LOST
     }
 
     /** Sets the limit for cold upstreams of its service. */
@@ -65,21 +65,22 @@
     /**
      * Takes the upstream's own report.
      *
-     * @param coldLeft how much longer it is cold; zero if it is warm
+     * @param remainingColdTime how much longer it is cold; zero if it is warm
      */
-    public void upstreamReported(Duration coldLeft, Instant now) {
-        if (!coldLeft.isZero()) {
-            extendColdTime(coldLeft, now);
-        } else if (!doubtedAt.equals(Instant.MIN) && !now.isBefore(doubtedAt.plus(NEWS))) {
-            state = State.KNOWN;
-            doubtedAt = Instant.MIN;
+    public void upstreamReported(Duration remainingColdTime, Instant now) {
+        if (!remainingColdTime.isZero()) {
+            extendColdTime(remainingColdTime, now);
+        } else if (!unverifiedSince.equals(Instant.MIN)
+                && !now.isBefore(unverifiedSince.plus(MAX_ENTRY_AGE))) {
+            state = State.VERIFIED;
+            unverifiedSince = Instant.MIN;
             coldUntil = now;
         }
     }
 
     /** Records that the upstream may have become cold now, without a report. */
     public void markPossiblyCold(Instant now) {
-        doubtedAt = now;
+        unverifiedSince = now;
         extendColdTime(limit.duration(), now);
     }
 
@@ -87,8 +88,8 @@
      * Records that only an entry is known of the upstream, which may be of an earlier incarnation.
      */
     public void markUnverified(Instant now) {
-        state = State.UNKNOWN;
-        doubtedAt = now;
+        state = State.UNVERIFIED;
+        unverifiedSince = now;
     }
 
     /**
@@ -98,11 +99,11 @@
      * @return true if this is new and is to be announced to other routers
      */
     public boolean connectionLost(Instant now) {
-        boolean news = state != State.LOST && !limit.isNone();
-        state = State.LOST;
-        doubtedAt = now;
+        boolean newlyLost = state != State.CONNECTION_LOST && !limit.isNone();
+        state = State.CONNECTION_LOST;
+        unverifiedSince = now;
         answers.clear();
-        return news;
+        return newlyLost;
     }
 
     /** Records an answer; an upstream that was lost may have started just now. */
@@ -111,8 +112,8 @@
             return;
         }
         answers.add(now);
-        if (state != State.KNOWN) {
-            state = State.KNOWN;
+        if (state != State.VERIFIED) {
+            state = State.VERIFIED;
             markPossiblyCold(now);
         }
     }
@@ -120,9 +121,10 @@
     /** Returns true if the upstream counts as cold. */
     public boolean isCold(Instant now) {
         return switch (state) {
-            case LOST -> true;
-            case UNKNOWN -> now.isBefore(doubtedAt.plus(NEWS).plus(limit.duration()));
-            case KNOWN -> now.isBefore(coldUntil);
+            case CONNECTION_LOST -> true;
+            case UNVERIFIED ->
+                    now.isBefore(unverifiedSince.plus(MAX_ENTRY_AGE).plus(limit.duration()));
+            case VERIFIED -> now.isBefore(coldUntil);
         };
     }
 
@@ -137,29 +139,29 @@
         if (limit.isNone()) {
             return true;
         }
-        int sent = window.count(SECOND, now);
+        int sent = sends.count(SECOND, now);
         return !isCold(now) && sent < maxWarmRequests(now) || sent < share.getAsInt();
     }
 
     private double maxWarmRequests(Instant now) {
         int answered = answers.count(now);
-        return answered == 0 ? UNUSED : SPARE + GROWTH * answered;
+        return answered == 0 ? UNUSED_PER_SECOND : EXTRA_PER_SECOND + MAX_GROWTH * answered;
     }
 
     /** Records that a request is about to be sent. */
     public void sendStarted() {
-        window.sendStarted();
+        sends.sendStarted();
     }
 
     /** Records that the request was sent. */
     public void requestSent(Instant now) {
-        window.requestSent(now);
-        window.count(SECOND, now);
+        sends.requestSent(now);
+        sends.count(SECOND, now);
     }
 
     /** Records that the request will not be sent. */
     public void sendCanceled() {
-        window.sendCanceled();
+        sends.sendCanceled();
     }
 
     private void extendColdTime(Duration time, Instant now) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/EvenShare.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/EvenShare.java
@@ -37,17 +37,17 @@
         if (!fleet.contains(self)) {
             return all < 1 ? 0 : 1;
         }
-        int whole = (int) all;
-        int left = whole % fleet.size();
-        int more = left > 0 && rank(upstream, fleet) < left ? 1 : 0;
-        return whole / fleet.size() + more;
+        int total = (int) all;
+        int remainder = total % fleet.size();
+        int extra = remainder > 0 && rank(upstream, fleet) < remainder ? 1 : 0;
+        return total / fleet.size() + extra;
     }
 
     private int rank(UpstreamId upstream, Collection<VmId> fleet) {
-        long own = hash(upstream, self);
+        long ownHash = hash(upstream, self);
         int before = 0;
         for (VmId each : fleet) {
-            if (!each.equals(self) && hash(upstream, each) < own) {
+            if (!each.equals(self) && hash(upstream, each) < ownHash) {
                 before++;
             }
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/LimitGate.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/LimitGate.java
@@ -6,7 +6,7 @@
 
 /**
  * Decides whether an upstream that declares how many requests per second it takes may get one more:
- * {@code gate.room(upstream, share, now)}.
+ * {@code gate.hasCapacity(upstream, share, now)}.
  *
  * <p>A limit is often below one request per second and router, so shares are counted over several
  * seconds: all routers together send no more in any such window than the limit allows, whatever
@@ -18,24 +18,24 @@
  */
 public final class LimitGate {
     /** Minimum length of the window in which requests are counted. */
-    private static final Duration LEAST_WINDOW = Duration.ofSeconds(4);
+    private static final Duration MIN_WINDOW = Duration.ofSeconds(4);
 
     /** Requests that are sent this much further apart may still arrive within the window. */
-    private static final Duration LATENESS = Duration.ofMillis(150);
+    private static final Duration MAX_DELAY_SPREAD = Duration.ofMillis(150);
 
     /**
      * A limit expires if it is not declared again within this time: its upstream answers nobody.
      */
-    private static final Duration LAPSE = Duration.ofSeconds(30);
+    private static final Duration LIMIT_EXPIRY = Duration.ofSeconds(30);
 
-    private static final double MILLIS = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final SendWindow sent = new SendWindow();
+    private final SendWindow sends = new SendWindow();
     private RequestLimit limit = RequestLimit.NO_LIMIT;
-    private Instant namedAt = Instant.MIN;
-    private Instant endedAt = Instant.MIN;
-    private long heldBack;
-    private boolean unreadable;
+    private Instant declaredAt = Instant.MIN;
+    private Instant liftedAt = Instant.MIN;
+    private long heldBackCount;
+    private boolean invalidSeen;
 
     /**
      * Takes what an answer, here or at another router, says of the limit.
@@ -48,29 +48,31 @@
         if (given.isDeclared()) {
             return applyDeclared(given, at, now);
         }
-        if (given.kind() != RequestLimit.Kind.NO_LIMIT || !isLimited(now) || !at.isAfter(namedAt)) {
+        if (given.kind() != RequestLimit.Kind.NO_LIMIT
+                || !isLimited(now)
+                || !at.isAfter(declaredAt)) {
             return false;
         }
-        endedAt = at;
+        liftedAt = at;
         limit = RequestLimit.NO_LIMIT;
         return true;
     }
 
     private boolean applyDeclared(RequestLimit given, Instant at, Instant now) {
-        if (!at.isAfter(endedAt) || at.isBefore(namedAt)) {
+        if (!at.isAfter(liftedAt) || at.isBefore(declaredAt)) {
             return false;
         }
-        boolean news = !isLimited(now) || !given.equals(limit);
+        boolean changed = !isLimited(now) || !given.equals(limit);
         limit = given;
-        namedAt = at;
-        return news;
+        declaredAt = at;
+        return changed;
     }
 
     /** Records that the upstream declared an invalid limit; returns true the first time. */
-    public boolean markUnreadable() {
-        boolean first = !unreadable;
-        unreadable = true;
-        return first;
+    public boolean markInvalid() {
+        boolean firstTime = !invalidSeen;
+        invalidSeen = true;
+        return firstTime;
     }
 
     /** Discards the limit, as a new incarnation of the upstream has started. */
@@ -80,7 +82,7 @@
 
     /** Returns true if a limit applies. */
     public boolean isLimited(Instant now) {
-        return limit.isDeclared() && now.isBefore(namedAt.plus(LAPSE));
+        return limit.isDeclared() && now.isBefore(declaredAt.plus(LIMIT_EXPIRY));
     }
 
     /** Returns the last limit, which may have expired. */
@@ -90,17 +92,17 @@
 
     /** Returns when the limit was last received. */
     public Instant declaredAt() {
-        return namedAt;
+        return declaredAt;
     }
 
     /** Returns when the request was sent whose answer lifted the last limit. */
     public Instant liftedAt() {
-        return endedAt;
+        return liftedAt;
     }
 
     /** Returns how often a request was held back by the limit. */
     public long heldBackCount() {
-        return heldBack;
+        return heldBackCount;
     }
 
     /** Returns true if this router may send one more request to the upstream now. */
@@ -109,36 +111,37 @@
             return true;
         }
         Duration window = window();
-        double all = Math.floor(limit.perSecond() * window.toMillis() / MILLIS);
-        boolean room = sent.count(window.plus(LATENESS), now) < share.of(upstream, all);
-        heldBack += room ? 0 : 1;
-        return room;
+        double all = Math.floor(limit.perSecond() * window.toMillis() / MILLIS_PER_SECOND);
+        boolean admitted =
+                sends.count(window.plus(MAX_DELAY_SPREAD), now) < share.of(upstream, all);
+        heldBackCount += admitted ? 0 : 1;
+        return admitted;
     }
 
     // The window allows at least one request, so that the smallest limit can be used.
     private Duration window() {
         if (limit.perSecond() == 0) {
-            return LEAST_WINDOW;
+            return MIN_WINDOW;
         }
-        Duration one = Duration.ofMillis((long) Math.ceil(MILLIS / limit.perSecond()));
-        return one.compareTo(LEAST_WINDOW) > 0 ? one : LEAST_WINDOW;
+        Duration one = Duration.ofMillis((long) Math.ceil(MILLIS_PER_SECOND / limit.perSecond()));
+        return one.compareTo(MIN_WINDOW) > 0 ? one : MIN_WINDOW;
     }
 
     /** Records that a request is about to be sent. */
     public void sendStarted() {
-        sent.sendStarted();
+        sends.sendStarted();
     }
 
     /** Records that the request was sent. */
     public void requestSent(Instant now) {
-        sent.requestSent(now);
+        sends.requestSent(now);
         if (!isLimited(now)) {
-            sent.clear();
+            sends.clear();
         }
     }
 
     /** Records that the request will not be sent. */
     public void sendCanceled() {
-        sent.sendCanceled();
+        sends.sendCanceled();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/RequestLimit.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/RequestLimit.java
@@ -2,7 +2,7 @@
 
 /**
  * What an answer says about the number of requests that its upstream takes: {@code
- * RequestLimit.named(1.6)}.
+ * RequestLimit.declared(1.6)}.
  *
  * @param perSecond requests per second from all routers together; without meaning unless declared
  */
@@ -10,35 +10,35 @@
     /** The kinds of statement that an answer can make. */
     public enum Kind {
         /** The answer says nothing, or is not known to come from the upstream itself. */
-        NOTHING,
+        UNSPECIFIED,
         /** The upstream has no limit. */
         NO_LIMIT,
         /** The upstream declares a limit. */
-        NAMED,
+        DECLARED,
         /** The upstream declares an invalid limit. */
-        UNREADABLE
+        INVALID
     }
 
     /** No statement about a limit. */
-    public static final RequestLimit NOTHING = new RequestLimit(Kind.NOTHING, 0);
+    public static final RequestLimit UNSPECIFIED = new RequestLimit(Kind.UNSPECIFIED, 0);
 
     /** The upstream has no limit. */
     public static final RequestLimit NO_LIMIT = new RequestLimit(Kind.NO_LIMIT, 0);
 
     /** An invalid limit. */
-    public static final RequestLimit UNREADABLE = new RequestLimit(Kind.UNREADABLE, 0);
+    public static final RequestLimit INVALID = new RequestLimit(Kind.INVALID, 0);
 
     /**
-     * Returns a limit in requests per second; {@link #UNREADABLE} if it is negative or not a finite
+     * Returns a limit in requests per second; {@link #INVALID} if it is negative or not a finite
      * number.
      */
     public static RequestLimit declared(double perSecond) {
-        boolean readable = Double.isFinite(perSecond) && perSecond >= 0;
-        return readable ? new RequestLimit(Kind.NAMED, perSecond) : UNREADABLE;
+        boolean valid = Double.isFinite(perSecond) && perSecond >= 0;
+        return valid ? new RequestLimit(Kind.DECLARED, perSecond) : INVALID;
     }
 
     /** Returns true if a limit is declared. */
     public boolean isDeclared() {
-        return kind == Kind.NAMED;
+        return kind == Kind.DECLARED;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/SendWindow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/SendWindow.java
@@ -6,23 +6,23 @@
 
 /** Counts the requests that were sent within a recent period or are about to be sent. */
 final class SendWindow {
-    private final ArrayDeque<Instant> left = new ArrayDeque<>();
-    private int leaving;
+    private final ArrayDeque<Instant> sentAt = new ArrayDeque<>();
+    private int pending;
 
     /** Records that a request is about to be sent: a connection may still have to be opened. */
     void sendStarted() {
-        leaving++;
+        pending++;
     }
 
     /** Records that the request was sent. */
     void requestSent(Instant now) {
-        leaving--;
-        left.add(now);
+        pending--;
+        sentAt.add(now);
     }
 
     /** Records that the request will not be sent. */
     void sendCanceled() {
-        leaving--;
+        pending--;
     }
 
     /**
@@ -30,14 +30,14 @@
      */
     int count(Duration length, Instant now) {
         Instant from = now.minus(length);
-        while (!left.isEmpty() && !left.peek().isAfter(from)) {
-            left.remove();
+        while (!sentAt.isEmpty() && !sentAt.peek().isAfter(from)) {
+            sentAt.remove();
         }
-        return leaving + left.size();
+        return pending + sentAt.size();
     }
 
     /** Removes the requests that were sent. */
     void clear() {
-        left.clear();
+        sentAt.clear();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/CrashEvidence.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/CrashEvidence.java
@@ -14,19 +14,20 @@
  */
 final class CrashEvidence {
     /** Crashes of the upstreams of one rack are seen within this time, by several routers. */
-    private static final Duration TOGETHER = Duration.ofMillis(150);
+    private static final Duration SIMULTANEOUS_WITHIN = Duration.ofMillis(150);
 
     /** Maximum difference between the times that several routers give for the same event. */
-    private static final Duration INEXACT = Duration.ofMillis(50);
+    private static final Duration CLOCK_TOLERANCE = Duration.ofMillis(50);
 
-    private final Map<UpstreamCrash, CrashedRun> sightings = new HashMap<>();
-    private int borne;
+    private final Map<UpstreamCrash, CrashedRun> runs = new HashMap<>();
+    private int survivedRuns;
     private Instant clearedAt = Instant.MIN;
 
     /**
-     * A crash of an upstream while a run of the request, which began at {@code began}, was there.
+     * A crash of an upstream while a run of the request, which began at {@code startedAt}, was
+     * there.
      */
-    private record CrashedRun(Instant began, Instant at) {}
+    private record CrashedRun(Instant startedAt, Instant crashedAt) {}
 
     /** Counts the crashes of upstreams in a period, whichever requests ran there. */
     @FunctionalInterface
@@ -39,33 +40,33 @@
      * Records that the request was running at a crash. Several routers may report the same crash,
      * and a report may arrive after that of a later success, which clears it.
      */
-    void addCrash(UpstreamCrash end, Instant began, Instant at) {
-        if (at.isAfter(clearedAt)) {
-            sightings.putIfAbsent(end, new CrashedRun(began, at));
+    void addCrash(UpstreamCrash crash, Instant startedAt, Instant crashedAt) {
+        if (crashedAt.isAfter(clearedAt)) {
+            runs.putIfAbsent(crash, new CrashedRun(startedAt, crashedAt));
         }
     }
 
     /** Records runs of the request that did not crash the upstream. */
     void addSurvivedRuns(int times) {
-        borne += times;
+        survivedRuns += times;
     }
 
     /** Records that the request succeeded: it did not cause the crashes up to that time. */
     void recordSuccess(Instant at) {
         if (at.isAfter(clearedAt)) {
             clearedAt = at;
-            borne = 0;
-            sightings.values().removeIf(each -> !each.at.isAfter(at));
+            survivedRuns = 0;
+            runs.values().removeIf(each -> !each.crashedAt.isAfter(at));
         }
     }
 
     int survivedRuns() {
-        return borne;
+        return survivedRuns;
     }
 
     /** Removes the crashes before the given time. */
     void removeBefore(Instant oldest) {
-        sightings.values().removeIf(each -> each.at.isBefore(oldest));
+        runs.values().removeIf(each -> each.crashedAt.isBefore(oldest));
     }
 
     /**
@@ -73,8 +74,8 @@
      * there are fewer. The crashes of a rack are not merged here.
      */
     Optional<Instant> crashTime(int number) {
-        return sightings.values().stream()
-                .map(CrashedRun::at)
+        return runs.values().stream()
+                .map(CrashedRun::crashedAt)
                 .sorted()
                 .skip(number - 1)
                 .findFirst();
@@ -85,8 +86,8 @@
      * is none.
      */
     Instant lastCrashAt() {
-        return sightings.values().stream()
-                .map(CrashedRun::at)
+        return runs.values().stream()
+                .map(CrashedRun::crashedAt)
                 .max(Comparator.naturalOrder())
                 .orElse(Instant.MIN);
     }
@@ -97,48 +98,48 @@
      * side by side. If it ran at some of them only, they have another common cause and count as
      * one.
      *
-     * @param ends all crashes, whichever requests ran there
+     * @param crashes all crashes, whichever requests ran there
      */
-    int countedCrashes(CrashHistory ends) {
+    int countedCrashes(CrashHistory crashes) {
         // Nearly all requests that run at a crash run at a single one, and there may be hundreds.
-        if (sightings.size() <= 1) {
-            return sightings.size();
+        if (runs.size() <= 1) {
+            return runs.size();
         }
         List<CrashedRun> ordered =
-                sightings.values().stream().sorted(Comparator.comparing(CrashedRun::at)).toList();
-        int weight = 0;
+                runs.values().stream().sorted(Comparator.comparing(CrashedRun::crashedAt)).toList();
+        int count = 0;
         for (int first = 0, next; first < ordered.size(); first = next) {
             next = first + 1;
             while (next < ordered.size()
                     && simultaneous(ordered.get(next - 1), ordered.get(next))) {
                 next++;
             }
-            weight += countedCrashes(ordered.subList(first, next), ends);
+            count += countedCrashes(ordered.subList(first, next), crashes);
         }
-        return weight;
+        return count;
     }
 
     private static boolean simultaneous(CrashedRun one, CrashedRun next) {
-        return !next.at.isAfter(one.at.plus(TOGETHER));
+        return !next.crashedAt.isAfter(one.crashedAt.plus(SIMULTANEOUS_WITHIN));
     }
 
-    private static int countedCrashes(List<CrashedRun> moment, CrashHistory ends) {
-        Instant from = moment.get(0).at.minus(TOGETHER);
-        Instant to = moment.get(moment.size() - 1).at.plus(TOGETHER);
-        return ends.countBetween(from, to) > moment.size()
-                ? countSequential(moment)
-                : moment.size();
+    private static int countedCrashes(List<CrashedRun> group, CrashHistory crashes) {
+        Instant from = group.get(0).crashedAt.minus(SIMULTANEOUS_WITHIN);
+        Instant to = group.get(group.size() - 1).crashedAt.plus(SIMULTANEOUS_WITHIN);
+        return crashes.countBetween(from, to) > group.size()
+                ? countSequential(group)
+                : group.size();
     }
 
     // Counts a crash only if the run began after the previous counted crash: a request that is
     // retried at once is sent after the crash before.
-    private static int countSequential(List<CrashedRun> moment) {
+    private static int countSequential(List<CrashedRun> group) {
         int count = 0;
         Instant last = Instant.MIN;
-        for (CrashedRun each : moment) {
-            if (!each.began.plus(INEXACT).isBefore(last)) {
+        for (CrashedRun each : group) {
+            if (!each.startedAt.plus(CLOCK_TOLERANCE).isBefore(last)) {
                 count++;
-                last = each.at;
+                last = each.crashedAt;
             }
         }
         return count;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Quarantine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Quarantine.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 
 /**
- * Keeps poison requests away from all upstreams: {@code quarantine.left(digest, tries, now)}.
+ * Keeps poison requests away from all upstreams: {@code quarantine.tryAdmit(digest, mayTry, now)}.
  *
  * <p>When its quarantine is over, a request gets a trial, since a newer release of the upstreams
  * may survive it. Each failed trial is followed by a longer quarantine, and after the last one the
@@ -17,15 +17,16 @@
  */
 public final class Quarantine {
     /** Longer than any router process runs. */
-    private static final Duration FOR_GOOD = Duration.ofDays(30);
+    private static final Duration PERMANENT = Duration.ofDays(30);
 
     /**
      * Time within which a trial shows its result; also the delay for routers that may not make the
      * trial.
      */
-    private static final Duration TRIAL = Duration.ofMinutes(1);
+    private static final Duration TRIAL_TIME = Duration.ofMinutes(1);
 
-    private static final int LONGER = 3;
+    /** Factor by which each failed trial lengthens the next quarantine. */
+    private static final int QUARANTINE_GROWTH = 3;
 
     private final CrashSettings settings;
     private final Map<RequestDigest, Entry> entries = new TreeMap<>();
@@ -47,21 +48,22 @@
     /**
      * Quarantines a request that has reached the number of crashes.
      *
-     * @param lastEnd time of the last counted crash
+     * @param lastCrashAt time of the last counted crash
      * @return the new entry to announce, or empty if the request is already quarantined for as
      *     long, or the quarantine is full
      */
-    public Optional<Entry> add(RequestDigest request, Instant lastEnd, Instant now) {
+    public Optional<Entry> add(RequestDigest request, Instant lastCrashAt, Instant now) {
         Entry known = entries.get(request);
         int trials = known == null ? 0 : known.trials();
-        Entry entry = new Entry(request, now.plus(quarantineTime(trials)), trials, lastEnd);
+        Entry entry = new Entry(request, now.plus(quarantineTime(trials)), trials, lastCrashAt);
         return merge(entry) ? Optional.of(entry) : Optional.empty();
     }
 
     private Duration quarantineTime(int trials) {
         return trials >= settings.maxTrials()
-                ? FOR_GOOD
-                : settings.firstQuarantine().multipliedBy((long) Math.pow(LONGER, trials));
+                ? PERMANENT
+                : settings.firstQuarantine()
+                        .multipliedBy((long) Math.pow(QUARANTINE_GROWTH, trials));
     }
 
     /**
@@ -99,11 +101,11 @@
     /**
      * Decides whether a request may be sent to an upstream, and starts a trial if one is due.
      *
-     * @param tries whether this router makes the trials of the request; one router of all does, so
+     * @param mayTry whether this router makes the trials of the request; one router of all does, so
      *     that the request is let through once and not once by each
      * @return how long the request stays quarantined, or empty if it may be sent
      */
-    public Optional<Duration> tryAdmit(RequestDigest request, boolean tries, Instant now) {
+    public Optional<Duration> tryAdmit(RequestDigest request, boolean mayTry, Instant now) {
         Entry known = entries.get(request);
         if (known == null) {
             return Optional.empty();
@@ -111,18 +113,19 @@
         if (now.isBefore(known.until())) {
             return Optional.of(Duration.between(now, known.until()));
         }
-        if (!tries) {
-            return Optional.of(TRIAL);
+        if (!mayTry) {
+            return Optional.of(TRIAL_TIME);
         }
         if (known.trials() >= settings.maxTrials()) {
-            return Optional.of(FOR_GOOD);
+            return Optional.of(PERMANENT);
         }
         entries.put(request, entryOnTrial(known, now));
         return Optional.empty();
     }
 
     private static Entry entryOnTrial(Entry known, Instant now) {
-        return new Entry(known.request(), now.plus(TRIAL), known.trials() + 1, known.lastCrashAt());
+        return new Entry(
+                known.request(), now.plus(TRIAL_TIME), known.trials() + 1, known.lastCrashAt());
     }
 
     /** Returns true if the request is quarantined or on trial. */
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RecentOutcomes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RecentOutcomes.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * Remembers the outcomes of recent requests: {@code recent.succeeded(digest, sentAt, now)}.
+ * Remembers the outcomes of recent requests: {@code recent.recordSuccess(digest, sentAt, now)}.
  *
  * <p>Which request is suspect shows at the second crash only. An innocent request that is sent
  * again and again has succeeded in between, and a router that saw the success can then report it.
  */
 public final class RecentOutcomes {
-    private final Map<RequestDigest, Outcome> answers;
+    private final Map<RequestDigest, Outcome> outcomes;
 
     /**
      * The outcome of the runs of one request.
@@ -26,23 +26,23 @@
     public record Success(Instant sentAt, Instant answeredAt) {}
 
     /** Creates a memory of at most this many requests; the least recently seen ones are evicted. */
-    public RecentOutcomes(int most) {
-        this.answers = new RecentlyUsed<>(most);
+    public RecentOutcomes(int maxRequests) {
+        this.outcomes = new RecentlyUsed<>(maxRequests);
     }
 
     /** Records that a run that was sent at {@code sentAt} has succeeded now. */
     public void recordSuccess(RequestDigest request, Instant sentAt, Instant now) {
-        answers.put(request, new Outcome(Optional.of(new Success(sentAt, now)), 0));
+        outcomes.put(request, new Outcome(Optional.of(new Success(sentAt, now)), 0));
     }
 
     /** Records that the upstream survived a run of the request. */
     public void recordSurvivedRun(RequestDigest request) {
         Outcome known = outcomeOf(request);
-        answers.put(request, new Outcome(known.lastSuccess(), known.survivedRuns() + 1));
+        outcomes.put(request, new Outcome(known.lastSuccess(), known.survivedRuns() + 1));
     }
 
     /** Returns the known outcome of the request; an unknown request has no success and no runs. */
     public Outcome outcomeOf(RequestDigest request) {
-        return answers.getOrDefault(request, new Outcome(Optional.empty(), 0));
+        return outcomes.getOrDefault(request, new Outcome(Optional.empty(), 0));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/SuspectRequests.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/SuspectRequests.java
@@ -8,7 +8,8 @@
 import java.util.Optional;
 
 /**
- * Counts the upstreams that crashed under each request: {@code suspects.ended(end, ran, at, now)}.
+ * Counts the upstreams that crashed under each request: {@code suspects.recordCrash(crash, ran, at,
+ * now)}.
  *
  * <p>The pattern: an upstream crashes with a dozen requests, of which one may be the cause and the
  * rest are innocent. The poison request is retried and runs at the next crash too; the others are
@@ -18,11 +19,11 @@
  */
 public final class SuspectRequests {
     /** Crashes that are remembered, to tell simultaneous ones from others. */
-    private static final int MOST_ENDS = 1_024;
+    private static final int MAX_CRASHES = 1_024;
 
     private final CrashSettings settings;
     private final Map<RequestDigest, CrashEvidence> evidence;
-    private final Map<UpstreamCrash, Instant> ends = new RecentlyUsed<>(MOST_ENDS);
+    private final Map<UpstreamCrash, Instant> crashes = new RecentlyUsed<>(MAX_CRASHES);
 
     /** Creates a counter without suspects. */
     public SuspectRequests(CrashSettings settings) {
@@ -38,12 +39,12 @@
      * @return those of them that are poison requests by now
      */
     public List<RequestDigest> recordCrash(
-            UpstreamCrash end, Map<RequestDigest, Duration> ran, Instant at, Instant now) {
-        ends.putIfAbsent(end, at);
+            UpstreamCrash crash, Map<RequestDigest, Duration> ran, Instant at, Instant now) {
+        crashes.putIfAbsent(crash, at);
         ran.forEach(
                 (request, time) ->
                         evidence.computeIfAbsent(request, any -> new CrashEvidence())
-                                .addCrash(end, at.minus(time), at));
+                                .addCrash(crash, at.minus(time), at));
         return ran.keySet().stream().filter(each -> isPoisonRequest(each, now)).toList();
     }
 
@@ -73,10 +74,10 @@
     }
 
     /** Records that upstreams survived this many runs of the request, none of which succeeded. */
-    public void addSurvivedRuns(RequestDigest request, int times) {
+    public void addSurvivedRuns(RequestDigest request, int runs) {
         CrashEvidence known = evidence.get(request);
         if (known != null) {
-            known.addSurvivedRuns(times);
+            known.addSurvivedRuns(runs);
         }
     }
 
@@ -94,7 +95,9 @@
     }
 
     private long crashesBetween(Instant from, Instant to) {
-        return ends.values().stream().filter(at -> !at.isBefore(from) && !at.isAfter(to)).count();
+        return crashes.values().stream()
+                .filter(at -> !at.isBefore(from) && !at.isAfter(to))
+                .count();
     }
 
     /** Records that the request succeeded: it is not the cause of crashes up to that time. */
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/WatchedRequests.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/WatchedRequests.java
@@ -11,19 +11,19 @@
  * some time.
  */
 public final class WatchedRequests {
-    private final int most;
-    private final Duration time;
-    private final Map<RequestDigest, Instant> until = new HashMap<>();
+    private final int maxWatched;
+    private final Duration watchTime;
+    private final Map<RequestDigest, Instant> watchedUntil = new HashMap<>();
 
     /**
      * Creates an empty set.
      *
-     * @param most maximum number of watched requests
-     * @param time how long a request is watched after it was last added
+     * @param maxWatched maximum number of watched requests
+     * @param watchTime how long a request is watched after it was last added
      */
-    public WatchedRequests(int most, Duration time) {
-        this.most = most;
-        this.time = time;
+    public WatchedRequests(int maxWatched, Duration watchTime) {
+        this.maxWatched = maxWatched;
+        this.watchTime = watchTime;
     }
 
     /**
@@ -32,35 +32,35 @@
      */
     public boolean add(RequestDigest request, Instant now) {
         removeExpired(now);
-        boolean news = !contains(request);
-        if (!news || until.size() < most) {
-            until.put(request, now.plus(time));
+        boolean added = !contains(request);
+        if (!added || watchedUntil.size() < maxWatched) {
+            watchedUntil.put(request, now.plus(watchTime));
         }
-        return news;
+        return added;
     }
 
     /** Removes the requests whose time is over. */
     public void removeExpired(Instant now) {
-        until.values().removeIf(each -> each.isBefore(now));
+        watchedUntil.values().removeIf(each -> each.isBefore(now));
     }
 
     /** Stops watching the request. */
     public void remove(RequestDigest request) {
-        until.remove(request);
+        watchedUntil.remove(request);
     }
 
     /** Returns true if the request is watched. */
     public boolean contains(RequestDigest request) {
-        return until.containsKey(request);
+        return watchedUntil.containsKey(request);
     }
 
     /** Returns true if no request is watched. */
     public boolean isEmpty() {
-        return until.isEmpty();
+        return watchedUntil.isEmpty();
     }
 
     /** Returns the number of watched requests. */
     public int size() {
-        return until.size();
+        return watchedUntil.size();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/AllowedRegions.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/AllowedRegions.java
@@ -6,7 +6,8 @@
 import java.util.Set;
 
 /**
- * The regions in which a request may be served: {@code route.homes().and(workspace.homes())}.
+ * The regions in which a request may be served: {@code
+ * route.allowedRegions().intersect(workspace.allowedRegions())}.
  *
  * <p>Where a route and a workspace both name regions, both apply. A zone whose region is not known
  * may serve only requests without such a restriction.
--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/Route.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/Route.java
@@ -46,14 +46,14 @@
     /**
      * Returns the service for a request.
      *
-     * @param place a number from 0 to 1, uniformly distributed over the requests
+     * @param position a number from 0 to 1, uniformly distributed over the requests
      */
-    public String chooseService(double place) {
+    public String chooseService(double position) {
         double sum = targets.stream().mapToDouble(Target::weight).sum();
-        double left = place * sum;
+        double remaining = position * sum;
         for (Target target : targets) {
-            left -= target.weight();
-            if (left < 0) {
+            remaining -= target.weight();
+            if (remaining < 0) {
                 return target.service();
             }
         }
@@ -65,16 +65,17 @@
      * disconnects.
      */
     public Duration patience() {
-        Duration longest = LEAST_PATIENCE;
-        Duration byObjective = objective.multipliedBy(OBJECTIVES_OF_PATIENCE);
-        Duration byGap = gapObjective.orElse(Duration.ZERO).multipliedBy(GAPS_OF_PATIENCE);
-        longest = longest.compareTo(byObjective) < 0 ? byObjective : longest;
-        return longest.compareTo(byGap) < 0 ? byGap : longest;
+        Duration patience = MIN_PATIENCE;
+        Duration byObjective = objective.multipliedBy(OBJECTIVES_PER_PATIENCE);
+        Duration byGap =
+                gapObjective.orElse(Duration.ZERO).multipliedBy(GAP_OBJECTIVES_PER_PATIENCE);
+        patience = patience.compareTo(byObjective) < 0 ? byObjective : patience;
+        return patience.compareTo(byGap) < 0 ? byGap : patience;
     }
 
     /** The callers' own figures, as published to all services, as are the next two. */
-    private static final Duration LEAST_PATIENCE = Duration.ofSeconds(2);
+    private static final Duration MIN_PATIENCE = Duration.ofSeconds(2);
 
-    private static final int OBJECTIVES_OF_PATIENCE = 4;
-    private static final int GAPS_OF_PATIENCE = 8;
+    private static final int OBJECTIVES_PER_PATIENCE = 4;
+    private static final int GAP_OBJECTIVES_PER_PATIENCE = 8;
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Engine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/Engine.java
@@ -212,7 +212,7 @@
 
     // Not every source tells the start.
     private boolean isOtherLife(long startedAt) {
-        return startedAt != HeldModels.NO_START && startedAt != life;
+        return startedAt != HeldModels.UNKNOWN_START && startedAt != life;
     }
 
     private void reborn(HeldModels now) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/DrainedZones.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/DrainedZones.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * The availability zones that operators have drained: {@code zones.drain("b", notBefore)}.
+ * The availability zones that operators have drained: {@code zones.drain("b", notYetAt)}.
  *
  * <p>A zone is drained in two phases. While its upstreams may still receive requests, models that
  * only they hold are loaded elsewhere, and requests that other upstreams can serve go there. Then
@@ -15,13 +15,13 @@
  */
 public final class DrainedZones {
     /** Default of the time after an accepted drain during which requests may reach the zone. */
-    public static final Duration USUAL_LIMIT = Duration.ofSeconds(5);
+    public static final Duration DEFAULT_LIMIT = Duration.ofSeconds(5);
 
     /** Allowance for the delivery of a request: a link with a queue, and a delayed thread. */
-    private static final Duration ON_THE_WAY = Duration.ofSeconds(1);
+    private static final Duration DELIVERY_ALLOWANCE = Duration.ofSeconds(1);
 
     private final Duration limit;
-    private final Map<String, Instant> notBefore = new HashMap<>();
+    private final Map<String, Instant> notYetAtByZone = new HashMap<>();
 
     /**
      * Creates an object without drained zones.
@@ -44,9 +44,9 @@
      * @return true if the zone was not drained before
      */
     public boolean drain(String zone, Instant notYetAt) {
-        Instant known = notBefore.get(zone);
+        Instant known = notYetAtByZone.get(zone);
         if (known == null || notYetAt.isBefore(known)) {
-            notBefore.put(zone, notYetAt);
+            notYetAtByZone.put(zone, notYetAt);
         }
         return known == null;
     }
@@ -57,27 +57,28 @@
      * @return true if the zone was drained before
      */
     public boolean restore(String zone) {
-        return notBefore.remove(zone) != null;
+        return notYetAtByZone.remove(zone) != null;
     }
 
     /** Returns true if the zone is drained, whether requests may still go there or not. */
     public boolean isDrained(String zone) {
-        return !notBefore.isEmpty() && notBefore.containsKey(zone);
+        return !notYetAtByZone.isEmpty() && notYetAtByZone.containsKey(zone);
     }
 
     /** Returns true if no request may be sent to the zone. */
     public boolean isClosed(String zone, Instant now) {
-        Instant asked = notBefore.isEmpty() ? null : notBefore.get(zone);
-        if (asked == null) {
+        Instant notYetAt = notYetAtByZone.isEmpty() ? null : notYetAtByZone.get(zone);
+        if (notYetAt == null) {
             return false;
         }
-        return asked.equals(Instant.MIN) || !now.isBefore(asked.plus(limit).minus(ON_THE_WAY));
+        return notYetAt.equals(Instant.MIN)
+                || !now.isBefore(notYetAt.plus(limit).minus(DELIVERY_ALLOWANCE));
     }
 
     /**
      * Returns all drained zones, each with a moment at which its drain had not been requested yet.
      */
     public Map<String, Instant> all() {
-        return Map.copyOf(notBefore);
+        return Map.copyOf(notYetAtByZone);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/HeldModels.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/HeldModels.java
@@ -6,20 +6,19 @@
 import java.util.TreeMap;
 
 /**
- * The models and adapters that an upstream holds in working memory, at one moment of one
- * incarnation.
+ * The models and adapters that an upstream holds ready to serve, at one moment of one incarnation.
  *
  * @param startedAt start of the upstream's incarnation, in Unix milliseconds
- * @param sequence number of orders that this incarnation has accepted; {@link #UNCOUNTED} where the
- *     source does not give it
+ * @param sequence number of orders that this incarnation has accepted; {@link #UNKNOWN_SEQUENCE}
+ *     where the source does not give it
  * @param adapters names of the adapters of each model that it holds
  */
 public record HeldModels(long startedAt, long sequence, Map<String, Set<String>> adapters) {
     /** Sequence of the platform's list, which does not count orders. */
-    public static final long UNCOUNTED = -1;
+    public static final long UNKNOWN_SEQUENCE = -1;
 
     /** Start of an incarnation whose source does not give it. */
-    public static final long NO_START = 0;
+    public static final long UNKNOWN_START = 0;
 
     /** Copies the given adapters. */
     public HeldModels {
@@ -34,9 +33,9 @@
     }
 
     /** Returns true if a request for the model or adapter can run. */
-    public boolean contains(ModelRef wanted) {
-        Set<String> names = adapters.get(wanted.model());
-        return names != null && (!wanted.hasAdapter() || names.contains(wanted.adapter()));
+    public boolean contains(ModelRef ref) {
+        Set<String> names = adapters.get(ref.model());
+        return names != null && (!ref.hasAdapter() || names.contains(ref.adapter()));
     }
 
     /** Returns a copy with one more model or adapter, after the order that loaded it. */
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Upstream.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Upstream.java
@@ -18,26 +18,26 @@
     /**
      * The load that an answer reported loses weight linearly and no longer counts after this time.
      */
-    private static final double LOAD_FADES_MILLIS = 1_000;
+    private static final double LOAD_VALID_MILLIS = 1_000;
 
     /** Weight of the newest answer in the moving average: about the last eight count. */
-    private static final double NEWEST = 0.12;
+    private static final double NEWEST_WEIGHT = 0.12;
 
     /** A heartbeat and the list's delay: how late an upstream's entry may reach this router. */
-    private static final Duration OWN_WORD_LAGS = Duration.ofMillis(2_500);
+    private static final Duration MAX_ENTRY_DELAY = Duration.ofMillis(2_500);
 
     private final UpstreamHealth health = new UpstreamHealth();
     private final DrainedZones zones;
     private final ColdGate cold;
     private final LimitGate limit;
-    private final Map<ModelRef, Integer> running = new TreeMap<>();
+    private final Map<ModelRef, Integer> runningByModel = new TreeMap<>();
     private UpstreamFacts facts;
     private HeldModels held;
-    private Instant toldAt = Instant.MIN;
+    private Instant leaderAnnouncedAt = Instant.MIN;
     private int inFlight;
-    private double othersThen;
-    private Instant loadAt = Instant.MIN;
-    private double usualMillis;
+    private double othersReported;
+    private Instant loadReportedAt = Instant.MIN;
+    private double averageMillis;
     private Instant fullUntil = Instant.MIN;
 
     Upstream(UpstreamFacts facts, DrainedZones zones, UpstreamGates gates, Instant now) {
@@ -125,7 +125,7 @@
      * included.
      */
     public Map<ModelRef, Integer> runningByModel() {
-        return running;
+        return runningByModel;
     }
 
     /**
@@ -133,14 +133,17 @@
      * none has come yet.
      */
     public double averageMillis() {
-        return usualMillis;
+        return averageMillis;
     }
 
     /** Returns the estimated number of requests there now, from this router and the others. */
     public double load(Instant now) {
-        double age = loadAt.equals(Instant.MIN) ? LOAD_FADES_MILLIS : millis(loadAt, now);
-        double fresh = Math.max(0, 1 - age / LOAD_FADES_MILLIS);
-        return inFlight + othersThen * fresh;
+        double age =
+                loadReportedAt.equals(Instant.MIN)
+                        ? LOAD_VALID_MILLIS
+                        : millis(loadReportedAt, now);
+        double fresh = Math.max(0, 1 - age / LOAD_VALID_MILLIS);
+        return inFlight + othersReported * fresh;
     }
 
     /** Returns the number of this router's requests there now. */
@@ -160,7 +163,7 @@
         limit.sendStarted();
         health.requestSent(now);
         if (model != null) {
-            running.merge(model, 1, Integer::sum);
+            runningByModel.merge(model, 1, Integer::sum);
         }
     }
 
@@ -197,7 +200,7 @@
     public void requestFinished(ModelRef model) {
         inFlight--;
         if (model != null) {
-            running.computeIfPresent(model, (any, count) -> count == 1 ? null : count - 1);
+            runningByModel.computeIfPresent(model, (any, count) -> count == 1 ? null : count - 1);
         }
     }
 
@@ -210,7 +213,10 @@
         health.requestAnswered();
         cold.answerReceived(now);
         double millis = took.toNanos() / NANOS_PER_MILLI;
-        usualMillis = usualMillis == 0 ? millis : usualMillis + NEWEST * (millis - usualMillis);
+        averageMillis =
+                averageMillis == 0
+                        ? millis
+                        : averageMillis + NEWEST_WEIGHT * (millis - averageMillis);
     }
 
     /** Records that it failed a request: no connection, no answer, or none that can be used. */
@@ -241,14 +247,14 @@
      * @param waitingThere number of requests queued there, from all routers
      */
     public void loadReported(int runningThere, int waitingThere, Instant now) {
-        othersThen = Math.max(0, runningThere + waitingThere - inFlight);
-        loadAt = now;
+        othersReported = Math.max(0, runningThere + waitingThere - inFlight);
+        loadReportedAt = now;
     }
 
     /** Takes the leader's announcement of the models that it holds. */
     public void leaderAnnounced(HeldModels given, Instant now) {
         held = given;
-        toldAt = now;
+        leaderAnnouncedAt = now;
     }
 
     /**
@@ -267,15 +273,16 @@
         if (given.revision() < facts.revision()) {
             return false;
         }
-        boolean reborn = given.held().startedAt() != facts.held().startedAt();
+        boolean newIncarnation = given.held().startedAt() != facts.held().startedAt();
         facts = given;
         cold.upstreamReported(given.remainingColdTime(), now);
-        boolean toldOfLate =
-                !toldAt.equals(Instant.MIN) && now.isBefore(toldAt.plus(OWN_WORD_LAGS));
-        if (reborn) {
+        boolean announcedRecently =
+                !leaderAnnouncedAt.equals(Instant.MIN)
+                        && now.isBefore(leaderAnnouncedAt.plus(MAX_ENTRY_DELAY));
+        if (newIncarnation) {
             limit.reset();
         }
-        if (reborn || !toldOfLate) {
+        if (newIncarnation || !announcedRecently) {
             held = given.held();
         }
         return true;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamFacts.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamFacts.java
@@ -29,10 +29,10 @@
         Set<String> inMemory,
         Set<String> onDisk) {
     /** Returns a copy that is draining as of this store revision. */
-    public UpstreamFacts drainingSince(long since) {
+    public UpstreamFacts drainingSince(long atRevision) {
         return new UpstreamFacts(
                 id,
-                since,
+                atRevision,
                 service,
                 endpoint,
                 zone,
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamHealth.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamHealth.java
@@ -18,30 +18,30 @@
     private static final int FAILURES_TO_EJECT = 3;
 
     private static final Duration FIRST_EJECTION = Duration.ofMillis(700);
-    private static final Duration LONGEST_EJECTION = Duration.ofSeconds(5);
+    private static final Duration MAX_EJECTION = Duration.ofSeconds(5);
 
     /** Weight of the newest outcome in the moving average of failures: about the last ten count. */
-    private static final double NEWEST = 0.1;
+    private static final double NEWEST_WEIGHT = 0.1;
 
     private State state = State.SERVING;
-    private int onEnd;
-    private double failing;
+    private int consecutiveFailures;
+    private double failureRate;
     private Duration ejection = FIRST_EJECTION;
-    private Instant until = Instant.MIN;
+    private Instant ejectedUntil = Instant.MIN;
 
     private enum State {
         SERVING,
         EJECTED,
         /** One request is under way as a probe. */
-        TRYING
+        PROBING
     }
 
     /** Returns true if a request may be sent now. */
     boolean accepts(Instant now) {
         return switch (state) {
             case SERVING -> true;
-            case EJECTED -> !now.isBefore(until);
-            case TRYING -> false;
+            case EJECTED -> !now.isBefore(ejectedUntil);
+            case PROBING -> false;
         };
     }
 
@@ -55,18 +55,18 @@
 
     /** Returns the moving average of the failure rate, from 0 to 1. */
     double failureRate() {
-        return failing;
+        return failureRate;
     }
 
     void requestSent(Instant now) {
-        if (state == State.EJECTED && !now.isBefore(until)) {
-            state = State.TRYING;
+        if (state == State.EJECTED && !now.isBefore(ejectedUntil)) {
+            state = State.PROBING;
         }
     }
 
     void requestAnswered() {
-        failing *= 1 - NEWEST;
-        onEnd = 0;
+        failureRate *= 1 - NEWEST_WEIGHT;
+        consecutiveFailures = 0;
         if (state != State.SERVING) {
             state = State.SERVING;
             ejection = FIRST_EJECTION;
@@ -75,19 +75,19 @@
 
     /** Records that a request was canceled, which shows nothing either way. */
     void requestCanceled() {
-        if (state == State.TRYING) {
+        if (state == State.PROBING) {
             state = State.EJECTED;
         }
     }
 
     void requestFailed(Instant now) {
-        failing = failing * (1 - NEWEST) + NEWEST;
-        onEnd++;
-        if (state == State.TRYING || onEnd >= FAILURES_TO_EJECT) {
+        failureRate = failureRate * (1 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
+        consecutiveFailures++;
+        if (state == State.PROBING || consecutiveFailures >= FAILURES_TO_EJECT) {
             state = State.EJECTED;
-            until = now.plus(ejection);
+            ejectedUntil = now.plus(ejection);
             Duration doubled = ejection.multipliedBy(2);
-            ejection = doubled.compareTo(LONGEST_EJECTION) > 0 ? LONGEST_EJECTION : doubled;
+            ejection = doubled.compareTo(MAX_EJECTION) > 0 ? MAX_EJECTION : doubled;
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamSelector.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamSelector.java
@@ -17,38 +17,38 @@
  */
 public final class UpstreamSelector {
     /** Estimated cost of a failed request to its caller: the wait and the second attempt. */
-    private static final double FAILURE_MILLIS = 1_500;
+    private static final double FAILURE_COST_MILLIS = 1_500;
 
     /** Round trip between zones; also makes the router prefer its own zone among equals. */
-    private static final double OTHER_ZONE_MILLIS = 2;
+    private static final double OTHER_ZONE_ROUND_TRIP_MILLIS = 2;
 
     /** Estimated delay of an answer by a cold upstream. */
-    private static final double COLD_MILLIS = 100;
+    private static final double COLD_DELAY_MILLIS = 100;
 
     /** Estimated delay of a batch for each request in it. */
-    private static final double SHARE_MILLIS = 0.5;
+    private static final double BATCH_MILLIS_PER_REQUEST = 0.5;
 
     /** Longer than any wait that a caller accepts, so that any other upstream is preferred. */
-    private static final double DRAINED_ZONE_MILLIS = 60_000;
+    private static final double DRAINED_ZONE_PENALTY_MILLIS = 60_000;
 
     /** Assumed time to answer of an upstream that has not answered yet. */
-    private static final double UNKNOWN_MILLIS = 20;
+    private static final double ASSUMED_ANSWER_MILLIS = 20;
 
     private final String zone;
-    private final double queueing;
+    private final double slotFactor;
     private final UpstreamShare share;
 
     /**
-     * Creates a choice for a router.
+     * Creates a selector for a router.
      *
      * @param zone availability zone of this router
-     * @param queueing an upstream counts as full from this many times its slots on
+     * @param slotFactor an upstream counts as full from this many times its slots on
      * @param share this router's share of the requests that a limited upstream can take from all
      *     routers
      */
-    public UpstreamSelector(String zone, double queueing, UpstreamShare share) {
+    public UpstreamSelector(String zone, double slotFactor, UpstreamShare share) {
         this.zone = zone;
-        this.queueing = queueing;
+        this.slotFactor = slotFactor;
         this.share = share;
     }
 
@@ -94,23 +94,24 @@
     }
 
     private double maxLoad(Upstream upstream) {
-        return upstream.facts().slots() * queueing;
+        return upstream.facts().slots() * slotFactor;
     }
 
     private double predictedMillis(Upstream upstream, Instant now) {
-        double usual = upstream.averageMillis() == 0 ? UNKNOWN_MILLIS : upstream.averageMillis();
+        double average =
+                upstream.averageMillis() == 0 ? ASSUMED_ANSWER_MILLIS : upstream.averageMillis();
         double load = upstream.load(now);
         int slots = Math.max(1, upstream.facts().slots());
-        double queued = Math.max(0, load + 1 - slots) * usual / slots;
-        double cold = upstream.isCold(now) ? COLD_MILLIS : 0;
-        double far = upstream.facts().zone().equals(zone) ? 0 : OTHER_ZONE_MILLIS;
-        double drained = upstream.isZoneDrained() ? DRAINED_ZONE_MILLIS : 0;
-        return usual
+        double queued = Math.max(0, load + 1 - slots) * average / slots;
+        double cold = upstream.isCold(now) ? COLD_DELAY_MILLIS : 0;
+        double otherZone = upstream.facts().zone().equals(zone) ? 0 : OTHER_ZONE_ROUND_TRIP_MILLIS;
+        double drained = upstream.isZoneDrained() ? DRAINED_ZONE_PENALTY_MILLIS : 0;
+        return average
                 + queued
-                + load * SHARE_MILLIS
-                + upstream.failureRate() * FAILURE_MILLIS
+                + load * BATCH_MILLIS_PER_REQUEST
+                + upstream.failureRate() * FAILURE_COST_MILLIS
                 + cold
-                + far
+                + otherZone
                 + drained;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamTable.java
@@ -16,7 +16,7 @@
      * Bounds the gates kept for removed upstreams, as upstreams come and go for as long as the
      * process runs.
      */
-    private static final int MOST_GATES_KEPT = 64;
+    private static final int MAX_SPARE_GATES = 64;
 
     private final Map<UpstreamId, Upstream> byId = new TreeMap<>();
     private final Map<String, List<Upstream>> byService = new HashMap<>();
@@ -33,7 +33,7 @@
 
     /** Creates a table with no drained zone. */
     public UpstreamTable() {
-        this(new DrainedZones(DrainedZones.USUAL_LIMIT));
+        this(new DrainedZones(DrainedZones.DEFAULT_LIMIT));
     }
 
     /** Returns the drained zones. */
@@ -54,11 +54,11 @@
             return true;
         }
         String service = known.facts().service();
-        boolean taken = known.update(facts, now);
+        boolean updated = known.update(facts, now);
         if (!service.equals(facts.service())) {
             index();
         }
-        return taken;
+        return updated;
     }
 
     /**
@@ -111,7 +111,7 @@
     // Gates are kept when an upstream is removed from the list: otherwise one that returns under
     // its name a moment later would get another share within the same second.
     private UpstreamGates gates(UpstreamFacts facts) {
-        if (gates.size() > 2 * byId.size() + MOST_GATES_KEPT) {
+        if (gates.size() > 2 * byId.size() + MAX_SPARE_GATES) {
             gates.keySet().retainAll(byId.keySet());
         }
         UpstreamGates found = gates.computeIfAbsent(facts.id(), any -> new UpstreamGates());
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LimitedUpstreams.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LimitedUpstreams.java
@@ -53,8 +53,8 @@
 
     /** An answer to a request that left at that time says this. */
     void heard(Upstream upstream, RequestLimit limit, Instant sentAt) {
-        if (limit.kind() == RequestLimit.Kind.UNREADABLE) {
-            if (upstream.limitGate().markUnreadable()) {
+        if (limit.kind() == RequestLimit.Kind.INVALID) {
+            if (upstream.limitGate().markInvalid()) {
                 LOG.warn("upstream {} names a limit that is none", upstream.facts().id());
             }
             return;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/cold/ColdGateTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/cold/ColdGateTest.java
@@ -11,89 +11,89 @@
 
 class ColdGateTest {
     private static final int SHARE = 2;
-    private static final Duration LASTS = Duration.ofSeconds(3);
+    private static final Duration COLD_TIME = Duration.ofSeconds(3);
 
     private final ColdGate gate = new ColdGate();
     private Instant now = Instant.ofEpochSecond(100);
 
     @BeforeEach
     void limit() {
-        gate.setLimit(new ColdLimit(LASTS, 48.5));
+        gate.setLimit(new ColdLimit(COLD_TIME, 48.5));
     }
 
     @Test
-    void oneThatIsNeverColdTakesAnything() {
+    void anUpstreamThatIsNeverColdIsNotLimited() {
         gate.setLimit(ColdLimit.NONE);
         gate.connectionLost(now);
-        assertEquals(100, taken());
+        assertEquals(100, sendAll());
     }
 
     @Test
-    void oneThatSaysItIsColdGetsTheShareOfEachSecond() {
-        gate.upstreamReported(LASTS, now);
-        assertEquals(SHARE, taken());
-        pass(900);
-        assertEquals(0, taken());
-        pass(200);
-        assertEquals(SHARE, taken());
+    void aColdUpstreamGetsTheShareInEachSecond() {
+        gate.upstreamReported(COLD_TIME, now);
+        assertEquals(SHARE, sendAll());
+        advance(900);
+        assertEquals(0, sendAll());
+        advance(200);
+        assertEquals(SHARE, sendAll());
     }
 
     // Guards against a burst of requests to an upstream that is back before the list reports it
     // cold.
     @Test
-    void oneThatWasLostIsColdUntilItsTimeAfterItsFirstAnswer() {
+    void aLostUpstreamIsColdUntilTheColdTimeAfterItsFirstAnswer() {
         gate.connectionLost(now);
-        pass(60_000);
+        advance(60_000);
         assertTrue(gate.isCold(now));
         gate.answerReceived(now);
-        pass(2_900);
+        advance(2_900);
         assertTrue(gate.isCold(now));
-        pass(200);
+        advance(200);
         assertFalse(gate.isCold(now));
     }
 
     // Guards against seconds of reduced rate for an upstream with a single broken connection.
     @Test
-    void theListsWordEndsTheDoubtIfItIsNewEnough() {
+    void aRecentEntryEndsTheColdStateOfALostUpstream() {
         gate.connectionLost(now);
-        pass(1_900);
+        advance(1_900);
         gate.upstreamReported(Duration.ZERO, now);
         assertTrue(gate.isCold(now));
-        pass(200);
+        advance(200);
         gate.upstreamReported(Duration.ZERO, now);
         assertFalse(gate.isCold(now));
     }
 
     // Guards against an entry that was written before the upstream became cold.
     @Test
-    void aWordOfWarmthBesideOneOfColdEndsNothing() {
-        gate.upstreamReported(LASTS, now);
-        pass(100);
+    void aWarmReportRightAfterAColdOneChangesNothing() {
+        gate.upstreamReported(COLD_TIME, now);
+        advance(100);
         gate.upstreamReported(Duration.ZERO, now);
         assertTrue(gate.isCold(now));
     }
 
     // Guards against trusting an entry that is older than the router's own process.
     @Test
-    void aRouterThatHasStartedDoubtsWhatItFinds() {
+    void aStartedRouterTreatsUnverifiedUpstreamsAsCold() {
         gate.markUnverified(now);
         assertTrue(gate.isCold(now));
-        pass(5_100);
+        advance(5_100);
         assertFalse(gate.isCold(now));
     }
 
     // Guards against a burst of requests to an upstream that has restarted while this router did
     // not use it.
     @Test
-    void oneThatWasNotUsedGetsMoreByDegrees() {
-        assertEquals(SHARE, taken());
+    void theRateToAnUnusedUpstreamGrowsGradually() {
+        assertEquals(SHARE, sendAll());
         int before = 0;
         int most = 0;
         for (int second = 0; second < 6; second++) {
             int got = 0;
             for (int step = 0; step < 10; step++) {
-                pass(110);
-                int taken = taken();
+                advance(110);
+                int taken = sendAll();
                 for (int each = 0; each < taken; each++) {
                     gate.answerReceived(now);
                 }
@@ -108,13 +108,13 @@
 
     // Guards against a bound on remembered answers that throttles an upstream in heavy use.
     @Test
-    void oneInHeavyUseIsNotHeldBack() {
+    void anUpstreamInHeavyUseIsNotThrottled() {
         int most = 0;
         for (int second = 0; second < 20; second++) {
             int got = 0;
             for (int step = 0; step < 100; step++) {
-                pass(11);
-                int taken = taken(4);
+                advance(11);
+                int taken = sendAll(4);
                 for (int each = 0; each < taken; each++) {
                     gate.answerReceived(now);
                 }
@@ -126,8 +126,8 @@
     }
 
     @Test
-    void whatNeverLeavesTakesNoPlace() {
-        gate.upstreamReported(LASTS, now);
+    void aCanceledSendDoesNotCount() {
+        gate.upstreamReported(COLD_TIME, now);
         gate.sendStarted();
         gate.sendStarted();
         assertFalse(gate.hasCapacity(() -> SHARE, now));
@@ -135,11 +135,11 @@
         assertTrue(gate.hasCapacity(() -> SHARE, now));
     }
 
-    private int taken() {
-        return taken(100);
+    private int sendAll() {
+        return sendAll(100);
     }
 
-    private int taken(int most) {
+    private int sendAll(int most) {
         int count = 0;
         while (count < most && gate.hasCapacity(() -> SHARE, now)) {
             gate.sendStarted();
@@ -149,7 +149,7 @@
         return count;
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         now = now.plusMillis(millis);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/cold/EvenShareTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/cold/EvenShareTest.java
@@ -18,7 +18,7 @@
     // Guards against shares that add up to more than the upstream can take, in fleets of any size.
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 22, 33, 48, 49, 300, 380})
-    void partsNeverAddUpToMoreThanAll(int count) {
+    void sharesNeverAddUpToMoreThanAll(int count) {
         List<VmId> fleet = fleet(count);
         int sum = fleet.stream().mapToInt(each -> share(each, fleet)).sum();
         assertTrue(sum <= ALL, sum + " of " + ALL);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void inALargeFleetEachRouterHasSomeUpstreams() {
+    void inALargeFleetEachRouterCanUseSomeUpstreams() {
         List<VmId> fleet = fleet(300);
         for (VmId router : fleet) {
             UpstreamShare share = new EvenShare(router, () -> fleet);
@@ -40,7 +40,7 @@
 
     // Guards against routers that start together, find the list empty and each take all requests.
     @Test
-    void aRouterThatIsNotListedYetHasOneRequest() {
+    void aRouterThatIsNotListedYetGetsOneRequest() {
         assertEquals(1, share(VmId.of("new"), fleet(4)));
         assertEquals(1, share(VmId.of("new"), fleet(0)));
         assertEquals(12, share(VmId.of("edge-1"), fleet(4)));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/cold/LimitGateTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/cold/LimitGateTest.java
@@ -18,7 +18,7 @@
 
     @ParameterizedTest
     @CsvSource({"0, 0", "0.1, 1", "0.3, 1", "1.6, 6", "10000, 40000"})
-    void aLoneRouterHasAllOfALimitInFourSeconds(double perSecond, int requests) {
+    void aSingleRouterGetsTheWholeLimit(double perSecond, int requests) {
         gate.limitReceived(RequestLimit.declared(perSecond), start, start);
         int sent = 0;
         while (gate.hasCapacity(UPSTREAM, (id, all) -> (int) all, start)) {
@@ -32,7 +32,7 @@
     // Guards against lifting a limit by an answer to a request that was sent before the limit was
     // declared, and that arrives after it is known.
     @Test
-    void anAnswerToAnEarlierRequestEndsNoLimit() {
+    void anAnswerToAnEarlierRequestDoesNotLiftTheLimit() {
         gate.limitReceived(RequestLimit.declared(1), start.plusMillis(50), start.plusMillis(50));
         assertFalse(gate.limitReceived(RequestLimit.NO_LIMIT, start, start.plusMillis(60)));
         assertTrue(gate.isLimited(start.plusMillis(60)));
@@ -44,7 +44,7 @@
 
     // Guards against a delayed announcement that restores a lifted limit.
     @Test
-    void anOldWordDoesNotBringALimitBack() {
+    void aDelayedAnnouncementDoesNotRestoreALiftedLimit() {
         gate.limitReceived(RequestLimit.declared(1), start, start);
         gate.limitReceived(RequestLimit.NO_LIMIT, start.plusMillis(70), start.plusMillis(90));
         assertFalse(
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void theSameWordIsNoNews() {
+    void anUnchangedLimitIsNotAnnouncedAgain() {
         assertTrue(gate.limitReceived(RequestLimit.declared(1), start, start));
         assertFalse(
                 gate.limitReceived(
@@ -67,14 +67,14 @@
     // Guards against an upstream that stays unused because no answer can report that its limit is
     // lifted.
     @Test
-    void aLimitOfWhichNothingIsHeardLapses() {
+    void aLimitThatIsNotDeclaredAgainExpires() {
         gate.limitReceived(RequestLimit.declared(0), start, start);
         assertFalse(gate.hasCapacity(UPSTREAM, (id, all) -> (int) all, start.plusSeconds(29)));
         assertTrue(gate.hasCapacity(UPSTREAM, (id, all) -> (int) all, start.plusSeconds(31)));
     }
 
     @Test
-    void whatCannotBeReadChangesNothing() {
+    void anInvalidLimitChangesNothing() {
         gate.limitReceived(RequestLimit.declared(3), start, start);
         for (double bad : new double[] {-1, Double.NaN, Double.POSITIVE_INFINITY}) {
             assertFalse(
--- a/damaskyoke/src/test/java/io/damaskyoke/control/crashes/QuarantineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/QuarantineTest.java
@@ -16,7 +16,7 @@
     private Instant now = Instant.ofEpochSecond(100);
 
     @Test
-    void itKeepsARequestOutForAWhile() {
+    void aRequestIsQuarantinedForTheConfiguredTime() {
         quarantine.add(ONE, now, now);
         now = now.plus(Duration.ofMinutes(4));
         assertEquals(Optional.of(Duration.ofMinutes(6)), quarantine.tryAdmit(ONE, true, now));
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void thenOneRouterLetsItThroughOnce() {
+    void afterTheQuarantineOneRouterMakesOneTrial() {
         quarantine.add(ONE, now, now);
         now = now.plus(Duration.ofMinutes(10));
         assertTrue(quarantine.tryAdmit(ONE, false, now).isPresent());
@@ -35,7 +35,7 @@
     // Guards against trials without a limit: after the third crash a request is sent three times at
     // most.
     @Test
-    void afterTwoTrialsItIsKeptOutForGood() {
+    void afterTwoFailedTrialsTheQuarantineIsPermanent() {
         quarantine.add(ONE, now, now);
         int trials = 0;
         for (int minute = 0; minute < 10_000; minute++) {
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aSuccessLetsItGo() {
+    void aSuccessEndsTheQuarantine() {
         quarantine.add(ONE, now, now);
         assertTrue(quarantine.recordSuccess(ONE, now.plusMillis(1)));
         assertTrue(quarantine.isEmpty());
@@ -58,14 +58,14 @@
 
     // Guards against clearing a request by a run that was under way at the last crash.
     @Test
-    void aSuccessOfARunFromBeforeTheLastEndDoesNot() {
+    void aSuccessOfARunSentBeforeTheLastCrashDoesNotEndIt() {
         quarantine.add(ONE, now, now.plusSeconds(2));
         assertFalse(quarantine.recordSuccess(ONE, now));
         assertTrue(quarantine.isQuarantined(ONE, now));
     }
 
     @Test
-    void whatIsToldTwiceIsNoNews() {
+    void aRepeatedEntryChangesNothing() {
         Quarantine.Entry entry = quarantine.add(ONE, now, now).orElseThrow();
         assertFalse(quarantine.merge(entry));
         assertTrue(quarantine.add(ONE, now, now).isEmpty());
@@ -74,7 +74,7 @@
     // Guards against a trial that is repeated each minute because its upstream fails it and it
     // shows nothing.
     @Test
-    void trialsThatShowNothingAreMadeTwiceAtTheMost() {
+    void trialsWithoutAResultAreMadeAtMostTwice() {
         quarantine.add(ONE, now, now);
         int trials = 0;
         for (int minute = 0; minute < 1_000; minute++) {
@@ -86,7 +86,7 @@
 
     // Guards against a faulty release of the upstreams, which crashes under any request.
     @Test
-    void whereSoManySeemToBeTheCauseNoMoreAreKeptOut() {
+    void theNumberOfQuarantinedRequestsIsBounded() {
         for (int each = 0; each < 1_000; each++) {
             quarantine.add(new RequestDigest("r" + each), now, now);
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/crashes/RecentOutcomesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/RecentOutcomesTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void failuresCountSinceTheLastSuccess() {
+    void survivedRunsAreCountedSinceTheLastSuccess() {
         recent.recordSurvivedRun(ONE);
         recent.recordSuccess(ONE, SENT, SENT.plusSeconds(1));
         recent.recordSurvivedRun(ONE);
@@ -31,7 +31,7 @@
 
     // Guards against memory use that grows with each answer.
     @Test
-    void whatWasSeenLongestAgoIsForgotten() {
+    void theLeastRecentlySeenRequestIsEvicted() {
         recent.recordSurvivedRun(ONE);
         recent.recordSurvivedRun(new RequestDigest("02"));
         recent.recordSurvivedRun(new RequestDigest("03"));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/crashes/SuspectRequestsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/SuspectRequestsTest.java
@@ -19,18 +19,18 @@
     private Instant now = Instant.ofEpochSecond(100);
 
     @Test
-    void whatRanAtThreeEndsIsTheCause() {
-        assertEquals(List.of(), ended("a", ONE, OTHER));
-        assertEquals(List.of(), ended("b", ONE));
-        assertEquals(List.of(ONE), ended("c", ONE, OTHER));
+    void aRequestThatRanAtThreeCrashesIsAPoisonRequest() {
+        assertEquals(List.of(), recordCrash("a", ONE, OTHER));
+        assertEquals(List.of(), recordCrash("b", ONE));
+        assertEquals(List.of(ONE), recordCrash("c", ONE, OTHER));
         assertEquals(2, suspects.countedCrashes(OTHER, now));
     }
 
     @Test
-    void anEndThatSeveralRoutersTellOfCountsOnce() {
-        ended("a", ONE);
-        ended("a", ONE);
-        ended("a", ONE);
+    void aCrashThatSeveralRoutersReportCountsOnce() {
+        recordCrash("a", ONE);
+        recordCrash("a", ONE);
+        recordCrash("a", ONE);
         assertEquals(1, suspects.countedCrashes(ONE, now));
     }
 
@@ -38,54 +38,54 @@
     // crashes.
     @Test
     void aSuccessClearsARequest() {
-        ended("a", ONE);
-        ended("b", ONE);
+        recordCrash("a", ONE);
+        recordCrash("b", ONE);
         suspects.recordSuccess(ONE, now);
-        assertEquals(List.of(), ended("c", ONE));
+        assertEquals(List.of(), recordCrash("c", ONE));
     }
 
     // Guards against a report of a crash that arrives after the report of a later success.
     @Test
-    void endsFromBeforeASuccessDoNotCountHoweverLateTheyAreTold() {
-        suspects.recordCrash(end("a"), Map.of(ONE, Duration.ofMillis(500)), now, now);
+    void crashesBeforeASuccessDoNotCountHoweverLateTheyAreReported() {
+        suspects.recordCrash(crashOf("a"), Map.of(ONE, Duration.ofMillis(500)), now, now);
         suspects.recordSuccess(ONE, now.plusMillis(300));
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(500));
-        suspects.recordCrash(end("b"), ran, now.plusMillis(100), now.plusMillis(400));
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(100), now.plusMillis(400));
         assertEquals(0, suspects.countedCrashes(ONE, now));
     }
 
     // Guards against clearing a poison request by an unsuccessful answer.
     @Test
-    void aRequestThatIsBorneNowAndThenStaysTheCause() {
-        ended("a", ONE);
+    void anOccasionalSurvivedRunDoesNotClearAPoisonRequest() {
+        recordCrash("a", ONE);
         suspects.addSurvivedRuns(ONE, 1);
-        ended("b", ONE);
-        assertEquals(List.of(ONE), ended("c", ONE));
+        recordCrash("b", ONE);
+        assertEquals(List.of(ONE), recordCrash("c", ONE));
     }
 
     // Guards against blaming a request that always fails, is sent again and again, and crashes
     // nothing.
     @Test
-    void aRequestThatIsBorneMoreOftenThanUpstreamsEndIsNotTheCause() {
-        ended("a", ONE);
-        ended("b", ONE);
+    void aRequestWithMoreSurvivedRunsThanCrashesIsNoPoisonRequest() {
+        recordCrash("a", ONE);
+        recordCrash("b", ONE);
         IntStream.range(0, 4).forEach(each -> suspects.addSurvivedRuns(ONE, 1));
-        assertEquals(List.of(), ended("c", ONE));
+        assertEquals(List.of(), recordCrash("c", ONE));
     }
 
     @Test
-    void endsOfLongAgoDoNotCount() {
-        ended("a", ONE);
-        ended("b", ONE);
+    void oldCrashesDoNotCount() {
+        recordCrash("a", ONE);
+        recordCrash("b", ONE);
         now = now.plus(Duration.ofMinutes(11));
-        assertEquals(List.of(), ended("c", ONE));
+        assertEquals(List.of(), recordCrash("c", ONE));
     }
 
     // Guards against memory use that grows with each crash.
     @Test
-    void onlySoManyAreRemembered() {
+    void theNumberOfTrackedRequestsIsBounded() {
         for (int each = 0; each < 10_000; each++) {
-            ended("a", new RequestDigest("r" + each));
+            recordCrash("a", new RequestDigest("r" + each));
         }
         assertEquals(CrashSettings.defaults().maxSuspects(), suspects.size());
     }
@@ -93,57 +93,57 @@
     // Guards against blaming a request with many concurrent copies, some of which ran in a rack
     // that failed as a whole.
     @Test
-    void upstreamsThatEndTogetherWithOthersCountAsOne() {
-        ended("a", ONE);
+    void crashesTogetherWithThoseOfOtherUpstreamsCountAsOne() {
+        recordCrash("a", ONE);
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(700));
-        suspects.recordCrash(end("b"), ran, now.plusMillis(40), now);
-        suspects.recordCrash(end("c"), ran, now.plusMillis(90), now);
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(40), now);
+        suspects.recordCrash(crashOf("c"), ran, now.plusMillis(90), now);
         suspects.recordCrash(
-                end("d"), Map.of(OTHER, Duration.ofMillis(700)), now.plusMillis(20), now);
+                crashOf("d"), Map.of(OTHER, Duration.ofMillis(700)), now.plusMillis(20), now);
         assertEquals(1, suspects.countedCrashes(ONE, now));
     }
 
     // Guards against counting several copies of a poison request that run side by side as one.
     @Test
-    void copiesThatEndAllUpstreamsThatEndTogetherCountEach() {
+    void simultaneousCrashesUnderCopiesOfARequestCountEach() {
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(100));
-        suspects.recordCrash(end("a"), ran, now, now);
-        suspects.recordCrash(end("b"), ran, now.plusMillis(5), now);
-        suspects.recordCrash(end("c"), ran, now.plusMillis(90), now);
+        suspects.recordCrash(crashOf("a"), ran, now, now);
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(5), now);
+        suspects.recordCrash(crashOf("c"), ran, now.plusMillis(90), now);
         assertEquals(3, suspects.countedCrashes(ONE, now));
     }
 
     // Guards against ignoring long runs that were under way when the previous upstream crashed.
     @Test
-    void copiesThatEndUpstreamsAtDifferentTimesCountEach() {
+    void crashesUnderCopiesAtDifferentTimesCountEach() {
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofSeconds(2));
-        suspects.recordCrash(end("a"), ran, now, now);
-        suspects.recordCrash(end("b"), ran, now.plusMillis(400), now);
-        suspects.recordCrash(end("c"), ran, now.plusMillis(900), now);
+        suspects.recordCrash(crashOf("a"), ran, now, now);
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(400), now);
+        suspects.recordCrash(crashOf("c"), ran, now.plusMillis(900), now);
         assertEquals(3, suspects.countedCrashes(ONE, now));
     }
 
     // Guards against merging the crashes of a poison request that is retried as soon as its
     // upstream has crashed.
     @Test
-    void upstreamsThatEndOneAfterTheOtherCountHoweverFast() {
-        ended("a", ONE);
+    void crashesOneAfterTheOtherCountHoweverFastTheyFollow() {
+        recordCrash("a", ONE);
         Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(5));
-        suspects.recordCrash(end("b"), ran, now.plusMillis(8), now);
-        suspects.recordCrash(end("c"), ran, now.plusMillis(16), now);
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(8), now);
+        suspects.recordCrash(crashOf("c"), ran, now.plusMillis(16), now);
         assertEquals(3, suspects.countedCrashes(ONE, now));
     }
 
-    private List<RequestDigest> ended(String upstream, RequestDigest... running) {
+    private List<RequestDigest> recordCrash(String upstream, RequestDigest... running) {
         now = now.plusSeconds(1);
         Map<RequestDigest, Duration> ran = new HashMap<>();
         for (RequestDigest each : running) {
             ran.put(each, Duration.ofMillis(500));
         }
-        return suspects.recordCrash(end(upstream), ran, now, now);
+        return suspects.recordCrash(crashOf(upstream), ran, now, now);
     }
 
-    private static UpstreamCrash end(String upstream) {
+    private static UpstreamCrash crashOf(String upstream) {
         return new UpstreamCrash(UpstreamId.of(upstream), 1);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/direct/AllowedRegionsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/direct/AllowedRegionsTest.java
@@ -10,19 +10,19 @@
 class AllowedRegionsTest {
     @Test
     void noRegionsMeanAnywhere() {
-        AllowedRegions homes = AllowedRegions.of(List.of());
-        assertTrue(homes.isUnrestricted());
-        assertTrue(homes.allows("kerala"));
-        assertTrue(homes.allows(""));
+        AllowedRegions regions = AllowedRegions.of(List.of());
+        assertTrue(regions.isUnrestricted());
+        assertTrue(regions.allows("kerala"));
+        assertTrue(regions.allows(""));
     }
 
     @Test
-    void aRegionThatIsNotKnownIsNobodysHome() {
+    void anUnknownRegionIsNotAllowed() {
         assertFalse(AllowedRegions.of(List.of("kerala")).allows(""));
     }
 
     @Test
-    void bothBindWhereBothNameRegions() {
+    void theIntersectionHoldsTheCommonRegions() {
         AllowedRegions route = AllowedRegions.of(List.of("kerala", "goa"));
         AllowedRegions workspace = AllowedRegions.of(List.of("goa", "java"));
         assertEquals(AllowedRegions.of(List.of("goa")), route.intersect(workspace));
@@ -32,7 +32,7 @@
 
     // Guards against an empty intersection that is taken for no restriction.
     @Test
-    void homesWithoutACommonRegionAllowNothing() {
+    void regionsWithoutACommonOneAllowNothing() {
         AllowedRegions none =
                 AllowedRegions.of(List.of("kerala")).intersect(AllowedRegions.of(List.of("java")));
         assertFalse(none.isUnrestricted());
--- a/damaskyoke/src/test/java/io/damaskyoke/control/direct/RouteTableTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/direct/RouteTableTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theQueryAndThePortDontCount() {
+    void theQueryAndThePortAreIgnored() {
         assertEquals("orders", find("Shop.Example:8080", "/orders/7?next=/orders/late/"));
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/LoadPlannerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/LoadPlannerTest.java
@@ -458,7 +458,7 @@
                 32,
                 false,
                 Duration.ZERO,
-                new HeldModels(1, HeldModels.UNCOUNTED, held.adapters()),
+                new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, held.adapters()),
                 Set.of(),
                 onDisk);
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/UpstreamSelectorTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/UpstreamSelectorTest.java
@@ -18,13 +18,13 @@
     private static final int SLOTS = 4;
 
     private final UpstreamTable table = new UpstreamTable();
-    private final UpstreamSelector choice =
+    private final UpstreamSelector selector =
             new UpstreamSelector("a", 1.0, (upstream, all) -> (int) all);
     private Instant now = Instant.ofEpochSecond(100);
     private long revision;
 
     @Test
-    void anUpstreamInTheSameZoneGoesFirst() {
+    void anUpstreamInTheSameZoneIsPreferred() {
         put("far", "b", false, Map.of());
         put("near", "a", false, Map.of());
         assertEquals("near", pick(null));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aFullUpstreamIsLeftOut() {
+    void aFullUpstreamIsNotPicked() {
         put("one", "a", false, Map.of());
         put("two", "b", false, Map.of());
         for (int i = 0; i < SLOTS; i++) {
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void anUpstreamThatLeavesGetsNothingNew() {
+    void aDrainingUpstreamIsNotPicked() {
         put("one", "a", false, Map.of());
         put("one", "a", true, Map.of());
         assertEquals("nobody", pick(null));
     }
 
     @Test
-    void whatOthersSendThereCountsAndFades() {
+    void theReportedLoadOfOtherRoutersCountsAndFades() {
         put("one", "a", false, Map.of());
         find("one").loadReported(SLOTS, 0, now);
         assertEquals("nobody", pick(null));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void anUpstreamThatFailsThreeTimesOnEndIsTriedOnceLater() {
+    void anUpstreamIsEjectedAfterThreeFailuresAndProbedLater() {
         // Guards against an upstream that fails every request while its health check passes. After
         // three failures it is ejected, then probed by a single request; when that is answered, it
         // is back.
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void theOrderLeadersWordGoesBeforeAnOlderOneOfTheUpstream() {
+    void theLeadersAnnouncementOverridesAnOlderEntry() {
         // Guards against requests for a model that the leader has just unloaded, but that the
         // upstream's entry, which lags by a second or two, still names.
         put("one", "a", false, Map.of("cut-sheet", Set.of()));
@@ -125,7 +125,7 @@
     }
 
     private String pick(ModelRef model) {
-        Optional<Upstream> picked = choice.pick(table.ofService("service"), model, Set.of(), now);
+        Optional<Upstream> picked = selector.pick(table.ofService("service"), model, Set.of(), now);
         return picked.map(upstream -> upstream.facts().id().value()).orElse("nobody");
     }
 
@@ -136,7 +136,7 @@
     // Guards against ignoring a slow start where a cold upstream may get as many requests as a warm
     // one.
     @Test
-    void anUpstreamThatSaysItIsColdGoesAfterOthersThoughItBearsAsMuch() {
+    void aWarmUpstreamIsPreferredToAColdOne() {
         UpstreamFacts cold = facts("cold", "a", false, Map.of(), ++revision);
         table.put(
                 new UpstreamFacts(
@@ -175,7 +175,7 @@
                 SLOTS,
                 draining,
                 Duration.ZERO,
-                new HeldModels(1, HeldModels.UNCOUNTED, models),
+                new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, models),
                 Set.of(),
                 Set.of());
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdEngine.java
@@ -101,7 +101,7 @@
                         SLOTS,
                         false,
                         cold ? left : Duration.ZERO,
-                        new HeldModels(life, HeldModels.UNCOUNTED, Map.of()),
+                        new HeldModels(life, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of()));
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
@@ -357,7 +357,7 @@
                         16,
                         draining,
                         Duration.ZERO,
-                        new HeldModels(worker.life, HeldModels.UNCOUNTED, Map.of()),
+                        new HeldModels(worker.life, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of());
         table.put(facts, now());
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
@@ -50,7 +50,7 @@
                         4,
                         false,
                         Duration.ZERO,
-                        new HeldModels(1, HeldModels.UNCOUNTED, held),
+                        new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, held),
                         Set.of(),
                         Set.of()),
                 NOW);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
@@ -92,7 +92,7 @@
                         4,
                         false,
                         Duration.ZERO,
-                        new HeldModels(1, HeldModels.UNCOUNTED, Map.of()),
+                        new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of()),
                 now);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
@@ -178,7 +178,7 @@
                         1,
                         false,
                         Duration.ZERO,
-                        new HeldModels(1, HeldModels.UNCOUNTED, Map.of()),
+                        new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of());
         loop.events().submit(() -> upstreams.put(facts, Instant.now())).syncUninterruptibly();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HomesDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HomesDispatchTest.java
@@ -82,7 +82,7 @@
                         SLOTS,
                         false,
                         Duration.ZERO,
-                        new HeldModels(1, HeldModels.UNCOUNTED, Map.of()),
+                        new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of()),
                 now);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
@@ -139,7 +139,7 @@
                     SLOTS,
                     false,
                     Duration.ZERO,
-                    new HeldModels(1, HeldModels.UNCOUNTED, Map.of()),
+                    new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                     Set.of(),
                     Set.of());
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
@@ -127,7 +127,7 @@
                 spec.slots(),
                 false,
                 Duration.ZERO,
-                new HeldModels(1, HeldModels.UNCOUNTED, models()),
+                new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, models()),
                 Set.of(),
                 Set.copyOf(disk));
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
@@ -103,7 +103,7 @@
                 4,
                 false,
                 Duration.ZERO,
-                new HeldModels(startedAt, HeldModels.UNCOUNTED, held),
+                new HeldModels(startedAt, HeldModels.UNKNOWN_SEQUENCE, held),
                 Set.of(),
                 Set.copyOf(disk));
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -301,7 +301,7 @@
                 });
         zonesDrained.forEach(
                 (zone, at) -> {
-                    Instant due = later(at.plus(DrainedZones.USUAL_LIMIT), calm.plus(BOUND));
+                    Instant due = later(at.plus(DrainedZones.DEFAULT_LIMIT), calm.plus(BOUND));
                     if (!now.isBefore(due)) {
                         in(zone).filter(router::uses)
                                 .forEach(
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
@@ -76,7 +76,7 @@
                         4,
                         state.equals("draining"),
                         Duration.ZERO,
-                        new HeldModels(1, HeldModels.UNCOUNTED, Map.of()),
+                        new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of()));
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
@@ -148,7 +148,7 @@
                         16,
                         false,
                         Duration.ZERO,
-                        new HeldModels(life, HeldModels.UNCOUNTED, Map.of()),
+                        new HeldModels(life, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of());
         table.put(facts, now());
