--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdGate.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/ColdGate.java
@@ -5,151 +5,166 @@
 import java.util.function.IntSupplier;
 
 /**
- * Decides whether one upstream may get another request now, as it may be cold: {@code
- * gate.room(share, now)}.
+ * Decides whether one upstream, which may be cold, may get another request now: {@code
+ * gate.hasCapacity(share, now)}.
  *
- * <p>An upstream's own word that it is cold comes a heartbeat and the list's lag late. Those that
- * come back together after a loss of power get what has waited for them at all routers, before that
- * word is there. So an upstream counts as cold from the first failed connection on, here or at
- * another router, until, after its first answer, the time has passed in which one that has just
- * started is cold; or until the list says that it is warm, later than the list may lag.
+ * <p>An upstream's own report that it is cold arrives late, by a heartbeat and the list's delay.
+ * Upstreams that restart together after a power failure would get the requests queued for them at
+ * all routers before that report arrives. So an upstream counts as cold from the first failed
+ * connection on, here or at another router. It counts as warm again when, after its first answer,
+ * the time has passed for which a started upstream is cold, or when the list reports it warm later
+ * than the list may lag.
  *
- * <p>One that this router has not used of late may have ended and started again unnoticed. It is
- * used more by degrees, in step with what it answers.
+ * <p>An upstream that this router has not used recently may have crashed and restarted unnoticed.
+ * Its rate is raised gradually, in step with its answers.
  */
 public final class ColdGate {
-    /** A heartbeat, and the way of the list's words to a router behind a relay. */
-    private static final Duration NEWS = Duration.ofSeconds(2);
+    /**
+     * Maximum age of an entry: a heartbeat, and the delay of the list at a router behind a relay.
+     */
+    private static final Duration MAX_ENTRY_AGE = Duration.ofSeconds(2);
 
-    /** What an upstream that was not used of late may get in a second. */
-    private static final int UNUSED = 2;
+    /** Requests per second to an upstream that was not used recently. */
+    private static final int UNUSED_PER_SECOND = 2;
 
-    /** What one that answers may get in a second beyond its growth. */
-    private static final int SPARE = 3;
+    /** Requests per second to an upstream that answers, on top of its growth. */
+    private static final int EXTRA_PER_SECOND = 3;
 
-    /** How much more than it answered in the second before it may get in one. */
-    private static final double GROWTH = 1.5;
+    /** Maximum ratio of the requests in a second to the answers in the second before. */
+    private static final double MAX_GROWTH = 1.5;
 
-    /** Two requests a second apart may come closer to each other on their way. */
+    /** A second, with an allowance for requests that get closer to each other on their way. */
     private static final Duration SECOND = Duration.ofMillis(1_050);
 
-    private final SendWindow window = new SendWindow();
-    private final RecentAnswers answers = new RecentAnswers();
+    private final SendWindow sends = new SendWindow();
+    private final AnswerWindow answers = new AnswerWindow();
     private ColdLimit limit = ColdLimit.NONE;
-    private State state = State.KNOWN;
-    private Instant doubtedAt = Instant.MIN;
+    private State state = State.VERIFIED;
+    private Instant unverifiedSince = Instant.MIN;
     private Instant coldUntil = Instant.MIN;
 
     private enum State {
-        /** What is known of it holds. */
-        KNOWN,
-        /** This router has just started and goes by an entry that may be out of date. */
-        UNKNOWN,
-        /** It can't be reached, or broke off, and has answered nothing since. */
-        LOST
+        /** The known state can be relied on. */
+        VERIFIED,
+        /** This router has just started and knows only an entry that may be out of date. */
+        UNVERIFIED,
+        /** The upstream can't be reached or broke a connection, and has answered nothing since. */
+        CONNECTION_LOST
     }
 
-    /** What cold upstreams of its service bear. */
-    public void limit(ColdLimit given) {
+    /** Sets the limit for cold upstreams of its service. */
+    public void setLimit(ColdLimit given) {
         limit = given;
     }
 
-    /** What cold upstreams of its service bear. */
+    /** Returns the limit for cold upstreams of its service. */
     public ColdLimit limit() {
         return limit;
     }
 
-    /** It says itself that it stays cold for this long, or, by zero, that it is warm. */
-    public void says(Duration coldLeft, Instant now) {
-        if (!coldLeft.isZero()) {
-            coldFor(coldLeft, now);
-        } else if (!doubtedAt.equals(Instant.MIN) && !now.isBefore(doubtedAt.plus(NEWS))) {
-            state = State.KNOWN;
-            doubtedAt = Instant.MIN;
+    /**
+     * Takes the upstream's own report.
+     *
+     * @param remainingColdTime how much longer it is cold; zero if it is warm
+     */
+    public void upstreamReported(Duration remainingColdTime, Instant now) {
+        if (!remainingColdTime.isZero()) {
+            extendColdTime(remainingColdTime, now);
+        } else if (!unverifiedSince.equals(Instant.MIN)
+                && !now.isBefore(unverifiedSince.plus(MAX_ENTRY_AGE))) {
+            state = State.VERIFIED;
+            unverifiedSince = Instant.MIN;
             coldUntil = now;
         }
     }
 
-    /** It may have become cold now, without a word. */
-    public void mayBeCold(Instant now) {
-        doubtedAt = now;
-        coldFor(limit.lasts(), now);
+    /** Records that the upstream may have become cold now, without a report. */
+    public void markPossiblyCold(Instant now) {
+        unverifiedSince = now;
+        extendColdTime(limit.duration(), now);
     }
 
-    /** Nothing is known of it but an entry that may be of a life that is over. */
-    public void unknown(Instant now) {
-        state = State.UNKNOWN;
-        doubtedAt = now;
+    /**
+     * Records that only an entry is known of the upstream, which may be of an earlier incarnation.
+     */
+    public void markUnverified(Instant now) {
+        state = State.UNVERIFIED;
+        unverifiedSince = now;
     }
 
     /**
-     * It can't be reached, or broke off, here or at another router: it may have ended.
+     * Records that the upstream can't be reached or broke a connection, here or at another router:
+     * it may have crashed.
      *
-     * @return true if that is news, which others should be told
+     * @return true if this is new and is to be announced to other routers
      */
-    public boolean lost(Instant now) {
-        boolean news = state != State.LOST && !limit.none();
-        state = State.LOST;
-        doubtedAt = now;
+    public boolean connectionLost(Instant now) {
+        boolean newlyLost = state != State.CONNECTION_LOST && !limit.isNone();
+        state = State.CONNECTION_LOST;
+        unverifiedSince = now;
         answers.clear();
-        return news;
+        return newlyLost;
     }
 
-    /** It answers; if it was lost, it may have started just now. */
-    public void answers(Instant now) {
-        if (limit.none()) {
+    /** Records an answer; an upstream that was lost may have started just now. */
+    public void answerReceived(Instant now) {
+        if (limit.isNone()) {
             return;
         }
         answers.add(now);
-        if (state != State.KNOWN) {
-            state = State.KNOWN;
-            mayBeCold(now);
+        if (state != State.VERIFIED) {
+            state = State.VERIFIED;
+            markPossiblyCold(now);
         }
     }
 
-    /** True if it counts as cold. */
-    public boolean cold(Instant now) {
+    /** Returns true if the upstream counts as cold. */
+    public boolean isCold(Instant now) {
         return switch (state) {
-            case LOST -> true;
-            case UNKNOWN -> now.isBefore(doubtedAt.plus(NEWS).plus(limit.lasts()));
-            case KNOWN -> now.isBefore(coldUntil);
+            case CONNECTION_LOST -> true;
+            case UNVERIFIED ->
+                    now.isBefore(unverifiedSince.plus(MAX_ENTRY_AGE).plus(limit.duration()));
+            case VERIFIED -> now.isBefore(coldUntil);
         };
     }
 
     /**
-     * True if it may get one more request. This router's share of a cold one is always free, and
-     * only asked for if it matters: in a large fleet it takes a look at all routers' names.
+     * Returns true if the upstream may get one more request. This router's share for a cold
+     * upstream may always be used. The share is computed only where it matters: in a large fleet
+     * that reads the names of all routers.
+     *
+     * @param share supplies this router's share, in requests per second
      */
-    public boolean room(IntSupplier share, Instant now) {
-        if (limit.none()) {
+    public boolean hasCapacity(IntSupplier share, Instant now) {
+        if (limit.isNone()) {
             return true;
         }
-        int sent = window.count(SECOND, now);
-        return !cold(now) && sent < warmRoom(now) || sent < share.getAsInt();
+        int sent = sends.count(SECOND, now);
+        return !isCold(now) && sent < maxWarmRequests(now) || sent < share.getAsInt();
     }
 
-    private double warmRoom(Instant now) {
+    private double maxWarmRequests(Instant now) {
         int answered = answers.count(now);
-        return answered == 0 ? UNUSED : SPARE + GROWTH * answered;
+        return answered == 0 ? UNUSED_PER_SECOND : EXTRA_PER_SECOND + MAX_GROWTH * answered;
     }
 
-    /** A request is about to leave for it. */
-    public void begins() {
-        window.begins();
+    /** Records that a request is about to be sent. */
+    public void sendStarted() {
+        sends.sendStarted();
     }
 
-    /** The request has left. */
-    public void leaves(Instant now) {
-        window.leaves(now);
-        window.count(SECOND, now);
+    /** Records that the request was sent. */
+    public void requestSent(Instant now) {
+        sends.requestSent(now);
+        sends.count(SECOND, now);
     }
 
-    /** The request will not leave. */
-    public void calledOff() {
-        window.calledOff();
+    /** Records that the request will not be sent. */
+    public void sendCanceled() {
+        sends.sendCanceled();
     }
 
-    private void coldFor(Duration time, Instant now) {
+    private void extendColdTime(Duration time, Instant now) {
         Instant until = now.plus(time);
         if (until.isAfter(coldUntil)) {
             coldUntil = until;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/EvenShare.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/EvenShare.java
@@ -8,18 +8,24 @@
 import java.util.zip.CRC32;
 
 /**
- * An even part for each router, and one request more for as many routers as there are requests left
- * over; in large fleets most have none.
+ * Divides the requests evenly among the routers, and the remainder one by one among as many
+ * routers; in large fleets most routers get none.
  *
- * <p>Which have one more is agreed upon without a word: those whose names, hashed with the
- * upstream's, come first. Other upstreams have others, so that each router can use some. A router
- * that is not listed itself can't know how many there are, and has one request.
+ * <p>The routers agree on who gets the remainder without communication: those whose names, hashed
+ * with the name of the upstream, come first. The order differs between upstreams, so that each
+ * router can use some. A router that is not listed itself can't know how many there are, and gets
+ * one request.
  */
 public final class EvenShare implements UpstreamShare {
     private final VmId self;
     private final Supplier<Collection<VmId>> routers;
 
-    /** For this router among these, once the list holds it too. */
+    /**
+     * Creates the shares of a router.
+     *
+     * @param self this router
+     * @param routers supplies all listed routers; contains this one once it is listed too
+     */
     public EvenShare(VmId self, Supplier<Collection<VmId>> routers) {
         this.self = self;
         this.routers = routers;
@@ -31,24 +37,24 @@
         if (!fleet.contains(self)) {
             return all < 1 ? 0 : 1;
         }
-        int whole = (int) all;
-        int left = whole % fleet.size();
-        int more = left > 0 && rank(upstream, fleet) < left ? 1 : 0;
-        return whole / fleet.size() + more;
+        int total = (int) all;
+        int remainder = total % fleet.size();
+        int extra = remainder > 0 && rank(upstream, fleet) < remainder ? 1 : 0;
+        return total / fleet.size() + extra;
     }
 
     private int rank(UpstreamId upstream, Collection<VmId> fleet) {
-        long own = place(upstream, self);
+        long ownHash = hash(upstream, self);
         int before = 0;
         for (VmId each : fleet) {
-            if (!each.equals(self) && place(upstream, each) < own) {
+            if (!each.equals(self) && hash(upstream, each) < ownHash) {
                 before++;
             }
         }
         return before;
     }
 
-    private static long place(UpstreamId upstream, VmId router) {
+    private static long hash(UpstreamId upstream, VmId router) {
         CRC32 hash = new CRC32();
         hash.update((upstream.value() + '/' + router.value()).getBytes(StandardCharsets.UTF_8));
         return hash.getValue();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/LimitGate.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/LimitGate.java
@@ -5,137 +5,143 @@
 import java.time.Instant;
 
 /**
- * Decides whether an upstream that names how many requests a second it takes may get one more:
- * {@code gate.room(upstream, share, now)}.
+ * Decides whether an upstream that declares how many requests per second it takes may get one more:
+ * {@code gate.hasCapacity(upstream, share, now)}.
  *
- * <p>A limit is often below one request a second and router, so parts are counted over some
- * seconds: all routers together send no more in any such time than the limit allows, whatever each
- * of them knows of the others.
+ * <p>A limit is often below one request per second and router, so shares are counted over several
+ * seconds: all routers together send no more in any such window than the limit allows, whatever
+ * each of them knows of the others.
  *
- * <p>Answers overtake each other, and those to requests from before the limit was named come after
- * it is known. So a limit ends only by an answer to a request that left after it was last named.
+ * <p>Answers overtake each other, and answers to requests sent before the limit was declared arrive
+ * after it is known. So a limit is lifted only by an answer to a request that was sent after the
+ * limit was last declared.
  */
 public final class LimitGate {
-    /** Parts are counted over this time at least. */
-    private static final Duration LEAST_WINDOW = Duration.ofSeconds(4);
+    /** Minimum length of the window in which requests are counted. */
+    private static final Duration MIN_WINDOW = Duration.ofSeconds(4);
 
-    /** Requests that leave so far apart may arrive within the window. */
-    private static final Duration LATENESS = Duration.ofMillis(150);
+    /** Requests that are sent this much further apart may still arrive within the window. */
+    private static final Duration MAX_DELAY_SPREAD = Duration.ofMillis(150);
 
-    /** A limit of which nothing is heard for so long is over: its upstream answers nobody. */
-    private static final Duration LAPSE = Duration.ofSeconds(30);
+    /**
+     * A limit expires if it is not declared again within this time: its upstream answers nobody.
+     */
+    private static final Duration LIMIT_EXPIRY = Duration.ofSeconds(30);
 
-    private static final double MILLIS = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final SendWindow sent = new SendWindow();
+    private final SendWindow sends = new SendWindow();
     private RequestLimit limit = RequestLimit.NO_LIMIT;
-    private Instant namedAt = Instant.MIN;
-    private Instant endedAt = Instant.MIN;
-    private long heldBack;
-    private boolean unreadable;
+    private Instant declaredAt = Instant.MIN;
+    private Instant liftedAt = Instant.MIN;
+    private long heldBackCount;
+    private boolean invalidSeen;
 
     /**
-     * Takes in what an answer, here or at another router, says of the limit.
+     * Takes what an answer, here or at another router, says of the limit.
      *
-     * @param at for a limit that is named when that was heard, for the end of one when the request
-     *     left whose answer lacked it
-     * @return true if it changes what is known, so that others should be told
+     * @param at for a declared limit, when it was received; for a lifted one, when the request was
+     *     sent whose answer declared no limit
+     * @return true if this changes the known limit and is to be announced to other routers
      */
-    public boolean heard(RequestLimit given, Instant at, Instant now) {
-        if (given.isNamed()) {
-            return named(given, at, now);
+    public boolean limitReceived(RequestLimit given, Instant at, Instant now) {
+        if (given.isDeclared()) {
+            return applyDeclared(given, at, now);
         }
-        if (given.kind() != RequestLimit.Kind.NO_LIMIT || !limited(now) || !at.isAfter(namedAt)) {
+        if (given.kind() != RequestLimit.Kind.NO_LIMIT
+                || !isLimited(now)
+                || !at.isAfter(declaredAt)) {
             return false;
         }
-        endedAt = at;
+        liftedAt = at;
         limit = RequestLimit.NO_LIMIT;
         return true;
     }
 
-    private boolean named(RequestLimit given, Instant at, Instant now) {
-        if (!at.isAfter(endedAt) || at.isBefore(namedAt)) {
+    private boolean applyDeclared(RequestLimit given, Instant at, Instant now) {
+        if (!at.isAfter(liftedAt) || at.isBefore(declaredAt)) {
             return false;
         }
-        boolean news = !limited(now) || !given.equals(limit);
+        boolean changed = !isLimited(now) || !given.equals(limit);
         limit = given;
-        namedAt = at;
-        return news;
+        declaredAt = at;
+        return changed;
     }
 
-    /** It has named something that is no limit; true the first time. */
-    public boolean firstUnreadable() {
-        boolean first = !unreadable;
-        unreadable = true;
-        return first;
+    /** Records that the upstream declared an invalid limit; returns true the first time. */
+    public boolean markInvalid() {
+        boolean firstTime = !invalidSeen;
+        invalidSeen = true;
+        return firstTime;
     }
 
-    /** The upstream has begun another life, of which nothing is known. */
-    public void forget() {
+    /** Discards the limit, as a new incarnation of the upstream has started. */
+    public void reset() {
         limit = RequestLimit.NO_LIMIT;
     }
 
-    /** True if it takes only so many. */
-    public boolean limited(Instant now) {
-        return limit.isNamed() && now.isBefore(namedAt.plus(LAPSE));
+    /** Returns true if a limit applies. */
+    public boolean isLimited(Instant now) {
+        return limit.isDeclared() && now.isBefore(declaredAt.plus(LIMIT_EXPIRY));
     }
 
-    /** What it last said. */
+    /** Returns the last limit, which may have expired. */
     public RequestLimit limit() {
         return limit;
     }
 
-    /** When it was last heard to name its limit. */
-    public Instant namedAt() {
-        return namedAt;
+    /** Returns when the limit was last received. */
+    public Instant declaredAt() {
+        return declaredAt;
     }
 
-    /** When the request left whose answer ended its last limit. */
-    public Instant endedAt() {
-        return endedAt;
+    /** Returns when the request was sent whose answer lifted the last limit. */
+    public Instant liftedAt() {
+        return liftedAt;
     }
 
-    /** How often a request was kept from it. */
-    public long heldBack() {
-        return heldBack;
+    /** Returns how often a request was held back by the limit. */
+    public long heldBackCount() {
+        return heldBackCount;
     }
 
-    /** True if this router may send one more request there now. */
-    public boolean room(UpstreamId upstream, UpstreamShare share, Instant now) {
-        if (!limited(now)) {
+    /** Returns true if this router may send one more request to the upstream now. */
+    public boolean hasCapacity(UpstreamId upstream, UpstreamShare share, Instant now) {
+        if (!isLimited(now)) {
             return true;
         }
         Duration window = window();
-        double all = Math.floor(limit.perSecond() * window.toMillis() / MILLIS);
-        boolean room = sent.count(window.plus(LATENESS), now) < share.of(upstream, all);
-        heldBack += room ? 0 : 1;
-        return room;
+        double all = Math.floor(limit.perSecond() * window.toMillis() / MILLIS_PER_SECOND);
+        boolean admitted =
+                sends.count(window.plus(MAX_DELAY_SPREAD), now) < share.of(upstream, all);
+        heldBackCount += admitted ? 0 : 1;
+        return admitted;
     }
 
-    // Long enough for one request at least, so that the smallest limit is used.
+    // The window allows at least one request, so that the smallest limit can be used.
     private Duration window() {
         if (limit.perSecond() == 0) {
-            return LEAST_WINDOW;
+            return MIN_WINDOW;
         }
-        Duration one = Duration.ofMillis((long) Math.ceil(MILLIS / limit.perSecond()));
-        return one.compareTo(LEAST_WINDOW) > 0 ? one : LEAST_WINDOW;
+        Duration one = Duration.ofMillis((long) Math.ceil(MILLIS_PER_SECOND / limit.perSecond()));
+        return one.compareTo(MIN_WINDOW) > 0 ? one : MIN_WINDOW;
     }
 
-    /** A request is about to leave for it. */
-    public void begins() {
-        sent.begins();
+    /** Records that a request is about to be sent. */
+    public void sendStarted() {
+        sends.sendStarted();
     }
 
-    /** The request has left. */
-    public void leaves(Instant now) {
-        sent.leaves(now);
-        if (!limited(now)) {
-            sent.clear();
+    /** Records that the request was sent. */
+    public void requestSent(Instant now) {
+        sends.requestSent(now);
+        if (!isLimited(now)) {
+            sends.clear();
         }
     }
 
-    /** The request will not leave. */
-    public void calledOff() {
-        sent.calledOff();
+    /** Records that the request will not be sent. */
+    public void sendCanceled() {
+        sends.sendCanceled();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/cold/SendWindow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/cold/SendWindow.java
@@ -4,38 +4,40 @@
 import java.time.Instant;
 import java.util.ArrayDeque;
 
-/** How many requests have left, or are about to leave, within a time up to now. */
+/** Counts the requests that were sent within a recent period or are about to be sent. */
 final class SendWindow {
-    private final ArrayDeque<Instant> left = new ArrayDeque<>();
-    private int leaving;
+    private final ArrayDeque<Instant> sentAt = new ArrayDeque<>();
+    private int pending;
 
-    /** A request is about to leave: a connection may still have to open. */
-    void begins() {
-        leaving++;
+    /** Records that a request is about to be sent: a connection may still have to be opened. */
+    void sendStarted() {
+        pending++;
     }
 
-    /** It has left. */
-    void leaves(Instant now) {
-        leaving--;
-        left.add(now);
+    /** Records that the request was sent. */
+    void requestSent(Instant now) {
+        pending--;
+        sentAt.add(now);
     }
 
-    /** It will not leave. */
-    void calledOff() {
-        leaving--;
+    /** Records that the request will not be sent. */
+    void sendCanceled() {
+        pending--;
     }
 
-    /** Counts those of so long; what left before that is forgotten. */
+    /**
+     * Returns the number of requests about to be sent or sent within this time; removes older ones.
+     */
     int count(Duration length, Instant now) {
         Instant from = now.minus(length);
-        while (!left.isEmpty() && !left.peek().isAfter(from)) {
-            left.remove();
+        while (!sentAt.isEmpty() && !sentAt.peek().isAfter(from)) {
+            sentAt.remove();
         }
-        return leaving + left.size();
+        return pending + sentAt.size();
     }
 
-    /** Forgets those that have left. */
+    /** Removes the requests that were sent. */
     void clear() {
-        left.clear();
+        sentAt.clear();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Upstream.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/Upstream.java
@@ -9,236 +9,280 @@
 import java.util.TreeMap;
 
 /**
- * One upstream as this router sees it: what it says of itself, what others say of it, and what this
- * router's own requests show. Belongs to the traffic thread.
+ * One upstream as this router sees it: what its entry says, what other routers announce, and what
+ * this router's own requests show. Belongs to the traffic thread.
  */
 public final class Upstream {
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** What an answer said of the load counts less and less, and nothing after this. */
-    private static final double LOAD_FADES_MILLIS = 1_000;
+    /**
+     * The load that an answer reported loses weight linearly and no longer counts after this time.
+     */
+    private static final double LOAD_VALID_MILLIS = 1_000;
 
-    /** Weight of the newest answer in the usual time: about the last eight count. */
-    private static final double NEWEST = 0.12;
+    /** Weight of the newest answer in the moving average: about the last eight count. */
+    private static final double NEWEST_WEIGHT = 0.12;
 
-    /** What it says of itself reaches this router a heartbeat and the list's lag later. */
-    private static final Duration OWN_WORD_LAGS = Duration.ofMillis(2_500);
+    /** A heartbeat and the list's delay: how late an upstream's entry may reach this router. */
+    private static final Duration MAX_ENTRY_DELAY = Duration.ofMillis(2_500);
 
-    private final Health health = new Health();
+    private final UpstreamHealth health = new UpstreamHealth();
     private final DrainedZones zones;
     private final ColdGate cold;
     private final LimitGate limit;
-    private final Map<ModelRef, Integer> running = new TreeMap<>();
+    private final Map<ModelRef, Integer> runningByModel = new TreeMap<>();
     private UpstreamFacts facts;
     private HeldModels held;
-    private Instant toldAt = Instant.MIN;
+    private Instant leaderAnnouncedAt = Instant.MIN;
     private int inFlight;
-    private double othersThen;
-    private Instant loadAt = Instant.MIN;
-    private double usualMillis;
+    private double othersReported;
+    private Instant loadReportedAt = Instant.MIN;
+    private double averageMillis;
     private Instant fullUntil = Instant.MIN;
 
-    Upstream(UpstreamFacts facts, DrainedZones zones, Gates gates, Instant now) {
+    Upstream(UpstreamFacts facts, DrainedZones zones, UpstreamGates gates, Instant now) {
         this.zones = zones;
         this.cold = gates.cold();
         this.limit = gates.limit();
         this.facts = facts;
         this.held = facts.held();
-        cold.says(facts.coldLeft(), now);
+        cold.upstreamReported(facts.remainingColdTime(), now);
     }
 
-    /** What it says of itself. */
+    /** Returns the newest entry of the upstream in the platform's list. */
     public UpstreamFacts facts() {
         return facts;
     }
 
-    /** What it holds: by the leader's word where that is newer than its own. */
+    /**
+     * Returns the models that it holds: by the leader's announcement where that is newer than the
+     * entry.
+     */
     public HeldModels held() {
         return held;
     }
 
-    /** True if new requests may go there: it is open, and not given up on. */
-    public boolean takes(Instant now) {
-        return open(now) && health.takes(now);
+    /** Returns true if new requests may go there: it is open, and not ejected. */
+    public boolean accepts(Instant now) {
+        return isOpen(now) && health.accepts(now);
     }
 
-    /** True unless it leaves or its zone is closed, whatever its health. */
-    public boolean open(Instant now) {
-        return !facts.draining() && !closed(now);
+    /** Returns true unless it drains or its zone is closed, whatever its health. */
+    public boolean isOpen(Instant now) {
+        return !facts.draining() && !isZoneClosed(now);
     }
 
-    /** True unless this router has sent its share of what it bears while cold, or of its limit. */
-    public boolean hasRoom(UpstreamShare share, Instant now) {
-        return limit.room(facts.id(), share, now)
-                && cold.room(() -> share.of(facts.id(), cold.limit().perSecond()), now);
+    /**
+     * Returns true unless this router has sent its share of the requests that the upstream allows,
+     * or can serve while cold.
+     */
+    public boolean hasCapacity(UpstreamShare share, Instant now) {
+        return limit.hasCapacity(facts.id(), share, now)
+                && cold.hasCapacity(() -> share.of(facts.id(), cold.limit().perSecond()), now);
     }
 
-    /** How many requests it says it takes. */
+    /** Returns the limit on requests that the upstream itself has declared. */
     public LimitGate limitGate() {
         return limit;
     }
 
-    /** True if it has started of late, or may have, and is slow. */
-    public boolean cold(Instant now) {
-        boolean mayBe = !cold.limit().none() && cold.cold(now);
-        return mayBe || !facts.coldLeft().isZero();
+    /** Returns true if it has recently started, or may have, and is slow. */
+    public boolean isCold(Instant now) {
+        boolean mayBe = !cold.limit().isNone() && cold.isCold(now);
+        return mayBe || !facts.remainingColdTime().isZero();
     }
 
-    /** It may have become cold just now, without a word. */
-    void mayBeCold(Instant now) {
-        cold.mayBeCold(now);
+    /** Records that it may have become cold just now, without a report. */
+    void markPossiblyCold(Instant now) {
+        cold.markPossiblyCold(now);
     }
 
-    /** True if operators let nothing more be sent to its zone. */
-    public boolean closed(Instant now) {
-        return zones.closed(facts.zone(), now);
+    /** Returns true if its zone is drained and closed to new requests. */
+    public boolean isZoneClosed(Instant now) {
+        return zones.isClosed(facts.zone(), now);
     }
 
-    /** True if its zone is drained, so that others are better sent to. */
-    public boolean zoneDrained() {
-        return zones.drained(facts.zone());
+    /** Returns true if its zone is drained, so that upstreams elsewhere are preferred. */
+    public boolean isZoneDrained() {
+        return zones.isDrained(facts.zone());
     }
 
-    /** True if this router's requests fail there. */
-    public boolean suspect() {
-        return health.suspect();
+    /**
+     * Returns true if the upstream is ejected or being probed, as this router's requests failed
+     * there.
+     */
+    public boolean isEjected() {
+        return health.isEjected();
     }
 
-    /** The share of this router's requests that it failed of late. */
-    public double failing() {
-        return health.failing();
+    /** Returns the moving average of the failure rate of this router's requests, from 0 to 1. */
+    public double failureRate() {
+        return health.failureRate();
     }
 
     /**
-     * This router's own requests there, by what they ask for; those without a model are left out.
+     * Returns the number of this router's requests there by model; requests without a model are not
+     * included.
      */
-    public Map<ModelRef, Integer> running() {
-        return running;
+    public Map<ModelRef, Integer> runningByModel() {
+        return runningByModel;
     }
 
-    /** The usual time to the first byte of an answer, in milliseconds; 0 if none has come yet. */
-    public double usualMillis() {
-        return usualMillis;
+    /**
+     * Returns the moving average of the time to the first byte of an answer, in milliseconds; 0 if
+     * none has come yet.
+     */
+    public double averageMillis() {
+        return averageMillis;
     }
 
-    /** Requests that are likely to be there now, this router's and the others'. */
+    /** Returns the estimated number of requests there now, from this router and the others. */
     public double load(Instant now) {
-        double age = loadAt.equals(Instant.MIN) ? LOAD_FADES_MILLIS : millis(loadAt, now);
-        double fresh = Math.max(0, 1 - age / LOAD_FADES_MILLIS);
-        return inFlight + othersThen * fresh;
+        double age =
+                loadReportedAt.equals(Instant.MIN)
+                        ? LOAD_VALID_MILLIS
+                        : millis(loadReportedAt, now);
+        double fresh = Math.max(0, 1 - age / LOAD_VALID_MILLIS);
+        return inFlight + othersReported * fresh;
     }
 
-    /** This router's requests that are there now. */
+    /** Returns the number of this router's requests there now. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** True if it has turned a request away a moment ago because it was full. */
-    public boolean full(Instant now) {
+    /** Returns true if it has rejected a request a moment ago because it was full. */
+    public boolean isFull(Instant now) {
         return now.isBefore(fullUntil);
     }
 
-    /** A request goes there now. */
-    public void sent(ModelRef model, Instant now) {
+    /** Records that a request was assigned to the upstream and is about to be sent. */
+    public void requestAssigned(ModelRef model, Instant now) {
         inFlight++;
-        cold.begins();
-        limit.begins();
-        health.sent(now);
+        cold.sendStarted();
+        limit.sendStarted();
+        health.requestSent(now);
         if (model != null) {
-            running.merge(model, 1, Integer::sum);
+            runningByModel.merge(model, 1, Integer::sum);
         }
     }
 
-    /** This router has just started, and knows nothing of it but its entry. */
-    public void unknown(Instant now) {
-        cold.unknown(now);
+    /**
+     * Records that this router has just started and knows only the entry, which may be out of date.
+     */
+    public void markUnverified(Instant now) {
+        cold.markUnverified(now);
     }
 
-    /** The bytes of a request leave for it. */
-    public void left(Instant now) {
-        cold.leaves(now);
-        limit.leaves(now);
+    /** Records that the bytes of a request were sent. */
+    public void requestSent(Instant now) {
+        cold.requestSent(now);
+        limit.requestSent(now);
     }
 
-    /** A request for it will not leave. */
-    public void neverLeft() {
-        cold.calledOff();
-        limit.calledOff();
+    /** Records that a request will not be sent. */
+    public void requestNotSent() {
+        cold.sendCanceled();
+        limit.sendCanceled();
     }
 
     /**
-     * It can't be reached, or has broken off, here or at another router: it may have ended.
+     * Records that the upstream can't be reached or has broken a connection, here or at another
+     * router: it may have crashed.
      *
-     * @return true if that is news, which other routers should be told
+     * @return true if this is new and is to be announced to other routers
      */
-    public boolean lost(Instant now) {
-        return cold.lost(now);
+    public boolean connectionLost(Instant now) {
+        return cold.connectionLost(now);
     }
 
-    /** A request that went there is over, however it ended. */
-    public void over(ModelRef model) {
+    /** Records that a request there is finished, whatever its outcome. */
+    public void requestFinished(ModelRef model) {
         inFlight--;
         if (model != null) {
-            running.computeIfPresent(model, (any, count) -> count == 1 ? null : count - 1);
+            runningByModel.computeIfPresent(model, (any, count) -> count == 1 ? null : count - 1);
         }
     }
 
-    /** The first byte of an answer has come now, after this time. */
-    public void answered(Duration took, Instant now) {
-        health.answered();
-        cold.answers(now);
+    /**
+     * Records that the first byte of an answer has come now.
+     *
+     * @param took time from sending the request to the first byte
+     */
+    public void requestAnswered(Duration took, Instant now) {
+        health.requestAnswered();
+        cold.answerReceived(now);
         double millis = took.toNanos() / NANOS_PER_MILLI;
-        usualMillis = usualMillis == 0 ? millis : usualMillis + NEWEST * (millis - usualMillis);
+        averageMillis =
+                averageMillis == 0
+                        ? millis
+                        : averageMillis + NEWEST_WEIGHT * (millis - averageMillis);
     }
 
-    /** It failed a request: no connection, no answer, or none that can be used. */
-    public void failed(Instant now) {
-        health.failed(now);
+    /** Records that it failed a request: no connection, no answer, or none that can be used. */
+    public void requestFailed(Instant now) {
+        health.requestFailed(now);
     }
 
-    /** A request was called off before anything was known. */
-    public void calledOff() {
-        health.calledOff();
+    /** Records that a request was canceled before its outcome was known. */
+    public void requestCanceled() {
+        health.requestCanceled();
     }
 
-    /** It turned a request away, as it was full, for about this time. */
-    public void turnedAway(Instant now, Duration pause) {
-        health.answered();
-        cold.answers(now);
+    /**
+     * Records that it rejected a request because it was full.
+     *
+     * @param pause for about how long it expects to be full
+     */
+    public void requestRejected(Instant now, Duration pause) {
+        health.requestAnswered();
+        cold.answerReceived(now);
         fullUntil = now.plus(pause);
     }
 
-    /** An answer said how many requests run and wait there. */
-    public void reported(int runningThere, int waitingThere, Instant now) {
-        othersThen = Math.max(0, runningThere + waitingThere - inFlight);
-        loadAt = now;
+    /**
+     * Records the load that an answer reported.
+     *
+     * @param runningThere number of requests running there, from all routers
+     * @param waitingThere number of requests queued there, from all routers
+     */
+    public void loadReported(int runningThere, int waitingThere, Instant now) {
+        othersReported = Math.max(0, runningThere + waitingThere - inFlight);
+        loadReportedAt = now;
     }
 
-    /** The leader says what it holds. */
-    public void told(HeldModels given, Instant now) {
+    /** Takes the leader's announcement of the models that it holds. */
+    public void leaderAnnounced(HeldModels given, Instant now) {
         held = given;
-        toldAt = now;
+        leaderAnnouncedAt = now;
     }
 
-    /** It refused a request for something that the leader says it holds. */
-    public void contradicted() {
+    /**
+     * Drops the leader's announcement, as the upstream refused a request for something that it
+     * names.
+     */
+    public void leaderContradicted() {
         held = facts.held();
     }
 
-    /** It says something new of itself; a new life forgets what the one before showed. */
+    /**
+     * Takes a new entry; one of a new incarnation discards what the one before showed. Returns
+     * false if the entry is older than the known one.
+     */
     boolean update(UpstreamFacts given, Instant now) {
         if (given.revision() < facts.revision()) {
             return false;
         }
-        boolean reborn = given.held().startedAt() != facts.held().startedAt();
+        boolean newIncarnation = given.held().startedAt() != facts.held().startedAt();
         facts = given;
-        cold.says(given.coldLeft(), now);
-        boolean toldOfLate =
-                !toldAt.equals(Instant.MIN) && now.isBefore(toldAt.plus(OWN_WORD_LAGS));
-        if (reborn) {
-            limit.forget();
+        cold.upstreamReported(given.remainingColdTime(), now);
+        boolean announcedRecently =
+                !leaderAnnouncedAt.equals(Instant.MIN)
+                        && now.isBefore(leaderAnnouncedAt.plus(MAX_ENTRY_DELAY));
+        if (newIncarnation) {
+            limit.reset();
         }
-        if (reborn || !toldOfLate) {
+        if (newIncarnation || !announcedRecently) {
             held = given.held();
         }
         return true;
--- /dev/null
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/upstreams/UpstreamGates.java
@@ -0,0 +1,14 @@
+package io.damaskyoke.control.upstreams;
+
+import io.damaskyoke.control.cold.ColdGate;
+import io.damaskyoke.control.cold.LimitGate;
+
+/**
+ * The limits on requests to one upstream. They are kept when its entry is removed from the list.
+ */
+record UpstreamGates(ColdGate cold, LimitGate limit) {
+    /** Creates gates that let every request pass. */
+    UpstreamGates() {
+        this(new ColdGate(), new LimitGate());
+    }
+}
--- a/damaskyoke/src/test/java/io/damaskyoke/control/cold/ColdGateTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/cold/ColdGateTest.java
@@ -11,89 +11,91 @@
 
 class ColdGateTest {
     private static final int SHARE = 2;
-    private static final Duration LASTS = Duration.ofSeconds(3);
+    private static final Duration COLD_TIME = Duration.ofSeconds(3);
 
     private final ColdGate gate = new ColdGate();
     private Instant now = Instant.ofEpochSecond(100);
 
     @BeforeEach
     void limit() {
-        gate.limit(new ColdLimit(LASTS, 48.5));
+        gate.setLimit(new ColdLimit(COLD_TIME, 48.5));
     }
 
     @Test
-    void oneThatIsNeverColdTakesAnything() {
-        gate.limit(ColdLimit.NONE);
-        gate.lost(now);
-        assertEquals(100, taken());
+    void anUpstreamThatIsNeverColdIsNotLimited() {
+        gate.setLimit(ColdLimit.NONE);
+        gate.connectionLost(now);
+        assertEquals(100, sendAll());
     }
 
     @Test
-    void oneThatSaysItIsColdGetsTheShareOfEachSecond() {
-        gate.says(LASTS, now);
-        assertEquals(SHARE, taken());
-        pass(900);
-        assertEquals(0, taken());
-        pass(200);
-        assertEquals(SHARE, taken());
+    void aColdUpstreamGetsTheShareInEachSecond() {
+        gate.upstreamReported(COLD_TIME, now);
+        assertEquals(SHARE, sendAll());
+        advance(900);
+        assertEquals(0, sendAll());
+        advance(200);
+        assertEquals(SHARE, sendAll());
     }
 
-    // Guards against a burst at an upstream that is back before the list has said so.
+    // Guards against a burst of requests to an upstream that is back before the list reports it
+    // cold.
     @Test
-    void oneThatWasLostIsColdUntilItsTimeAfterItsFirstAnswer() {
-        gate.lost(now);
-        pass(60_000);
-        assertTrue(gate.cold(now));
-        gate.answers(now);
-        pass(2_900);
-        assertTrue(gate.cold(now));
-        pass(200);
-        assertFalse(gate.cold(now));
+    void aLostUpstreamIsColdUntilTheColdTimeAfterItsFirstAnswer() {
+        gate.connectionLost(now);
+        advance(60_000);
+        assertTrue(gate.isCold(now));
+        gate.answerReceived(now);
+        advance(2_900);
+        assertTrue(gate.isCold(now));
+        advance(200);
+        assertFalse(gate.isCold(now));
     }
 
-    // Guards against seconds of less for an upstream whose one connection broke by chance.
+    // Guards against seconds of reduced rate for an upstream with a single broken connection.
     @Test
-    void theListsWordEndsTheDoubtIfItIsNewEnough() {
-        gate.lost(now);
-        pass(1_900);
-        gate.says(Duration.ZERO, now);
-        assertTrue(gate.cold(now));
-        pass(200);
-        gate.says(Duration.ZERO, now);
-        assertFalse(gate.cold(now));
+    void aRecentEntryEndsTheColdStateOfALostUpstream() {
+        gate.connectionLost(now);
+        advance(1_900);
+        gate.upstreamReported(Duration.ZERO, now);
+        assertTrue(gate.isCold(now));
+        advance(200);
+        gate.upstreamReported(Duration.ZERO, now);
+        assertFalse(gate.isCold(now));
     }
 
-    // Guards against a word that was written before the upstream became cold.
+    // Guards against an entry that was written before the upstream became cold.
     @Test
-    void aWordOfWarmthBesideOneOfColdEndsNothing() {
-        gate.says(LASTS, now);
-        pass(100);
-        gate.says(Duration.ZERO, now);
-        assertTrue(gate.cold(now));
+    void aWarmReportRightAfterAColdOneChangesNothing() {
+        gate.upstreamReported(COLD_TIME, now);
+        advance(100);
+        gate.upstreamReported(Duration.ZERO, now);
+        assertTrue(gate.isCold(now));
     }
 
-    // Guards against trusting an entry that is older than the router's own life.
+    // Guards against trusting an entry that is older than the router's own process.
     @Test
-    void aRouterThatHasStartedDoubtsWhatItFinds() {
-        gate.unknown(now);
-        assertTrue(gate.cold(now));
-        pass(5_100);
-        assertFalse(gate.cold(now));
+    void aStartedRouterTreatsUnverifiedUpstreamsAsCold() {
+        gate.markUnverified(now);
+        assertTrue(gate.isCold(now));
+        advance(5_100);
+        assertFalse(gate.isCold(now));
     }
 
-    // Guards against a burst at one that has ended and started while this router did not use it.
+    // Guards against a burst of requests to an upstream that has restarted while this router did
+    // not use it.
     @Test
-    void oneThatWasNotUsedGetsMoreByDegrees() {
-        assertEquals(SHARE, taken());
+    void theRateToAnUnusedUpstreamGrowsGradually() {
+        assertEquals(SHARE, sendAll());
         int before = 0;
         int most = 0;
         for (int second = 0; second < 6; second++) {
             int got = 0;
             for (int step = 0; step < 10; step++) {
-                pass(110);
-                int taken = taken();
+                advance(110);
+                int taken = sendAll();
                 for (int each = 0; each < taken; each++) {
-                    gate.answers(now);
+                    gate.answerReceived(now);
                 }
                 got += taken;
             }
@@ -104,17 +106,17 @@
         assertTrue(most > 20, "got " + most + " at the most");
     }
 
-    // Guards against a bound on what is remembered that holds back an upstream in heavy use.
+    // Guards against a bound on remembered answers that throttles an upstream in heavy use.
     @Test
-    void oneInHeavyUseIsNotHeldBack() {
+    void anUpstreamInHeavyUseIsNotThrottled() {
         int most = 0;
         for (int second = 0; second < 20; second++) {
             int got = 0;
             for (int step = 0; step < 100; step++) {
-                pass(11);
-                int taken = taken(4);
+                advance(11);
+                int taken = sendAll(4);
                 for (int each = 0; each < taken; each++) {
-                    gate.answers(now);
+                    gate.answerReceived(now);
                 }
                 got += taken;
             }
@@ -124,30 +126,30 @@
     }
 
     @Test
-    void whatNeverLeavesTakesNoPlace() {
-        gate.says(LASTS, now);
-        gate.begins();
-        gate.begins();
-        assertFalse(gate.room(() -> SHARE, now));
-        gate.calledOff();
-        assertTrue(gate.room(() -> SHARE, now));
+    void aCanceledSendDoesNotCount() {
+        gate.upstreamReported(COLD_TIME, now);
+        gate.sendStarted();
+        gate.sendStarted();
+        assertFalse(gate.hasCapacity(() -> SHARE, now));
+        gate.sendCanceled();
+        assertTrue(gate.hasCapacity(() -> SHARE, now));
     }
 
-    private int taken() {
-        return taken(100);
+    private int sendAll() {
+        return sendAll(100);
     }
 
-    private int taken(int most) {
+    private int sendAll(int most) {
         int count = 0;
-        while (count < most && gate.room(() -> SHARE, now)) {
-            gate.begins();
-            gate.leaves(now);
+        while (count < most && gate.hasCapacity(() -> SHARE, now)) {
+            gate.sendStarted();
+            gate.requestSent(now);
             count++;
         }
         return count;
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         now = now.plusMillis(millis);
     }
 }
--- /dev/null
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/crashes/SuspectRequestsTest.java
@@ -0,0 +1,149 @@
+package io.damaskyoke.control.crashes;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.damaskyoke.control.upstreams.UpstreamId;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+class SuspectRequestsTest {
+    private static final RequestDigest ONE = new RequestDigest("01");
+    private static final RequestDigest OTHER = new RequestDigest("02");
+
+    private final SuspectRequests suspects = new SuspectRequests(CrashSettings.defaults());
+    private Instant now = Instant.ofEpochSecond(100);
+
+    @Test
+    void aRequestThatRanAtThreeCrashesIsAPoisonRequest() {
+        assertEquals(List.of(), recordCrash("a", ONE, OTHER));
+        assertEquals(List.of(), recordCrash("b", ONE));
+        assertEquals(List.of(ONE), recordCrash("c", ONE, OTHER));
+        assertEquals(2, suspects.countedCrashes(OTHER, now));
+    }
+
+    @Test
+    void aCrashThatSeveralRoutersReportCountsOnce() {
+        recordCrash("a", ONE);
+        recordCrash("a", ONE);
+        recordCrash("a", ONE);
+        assertEquals(1, suspects.countedCrashes(ONE, now));
+    }
+
+    // Guards against blaming an innocent request that is sent again and again and ran at a few
+    // crashes.
+    @Test
+    void aSuccessClearsARequest() {
+        recordCrash("a", ONE);
+        recordCrash("b", ONE);
+        suspects.recordSuccess(ONE, now);
+        assertEquals(List.of(), recordCrash("c", ONE));
+    }
+
+    // Guards against a report of a crash that arrives after the report of a later success.
+    @Test
+    void crashesBeforeASuccessDoNotCountHoweverLateTheyAreReported() {
+        suspects.recordCrash(crashOf("a"), Map.of(ONE, Duration.ofMillis(500)), now, now);
+        suspects.recordSuccess(ONE, now.plusMillis(300));
+        Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(500));
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(100), now.plusMillis(400));
+        assertEquals(0, suspects.countedCrashes(ONE, now));
+    }
+
+    // Guards against clearing a poison request by an unsuccessful answer.
+    @Test
+    void anOccasionalSurvivedRunDoesNotClearAPoisonRequest() {
+        recordCrash("a", ONE);
+        suspects.addSurvivedRuns(ONE, 1);
+        recordCrash("b", ONE);
+        assertEquals(List.of(ONE), recordCrash("c", ONE));
+    }
+
+    // Guards against blaming a request that always fails, is sent again and again, and crashes
+    // nothing.
+    @Test
+    void aRequestWithMoreSurvivedRunsThanCrashesIsNoPoisonRequest() {
+        recordCrash("a", ONE);
+        recordCrash("b", ONE);
+        IntStream.range(0, 4).forEach(each -> suspects.addSurvivedRuns(ONE, 1));
+        assertEquals(List.of(), recordCrash("c", ONE));
+    }
+
+    @Test
+    void oldCrashesDoNotCount() {
+        recordCrash("a", ONE);
+        recordCrash("b", ONE);
+        now = now.plus(Duration.ofMinutes(11));
+        assertEquals(List.of(), recordCrash("c", ONE));
+    }
+
+    // Guards against memory use that grows with each crash.
+    @Test
+    void theNumberOfTrackedRequestsIsBounded() {
+        for (int each = 0; each < 10_000; each++) {
+            recordCrash("a", new RequestDigest("r" + each));
+        }
+        assertEquals(CrashSettings.defaults().maxSuspects(), suspects.size());
+    }
+
+    // Guards against blaming a request with many concurrent copies, some of which ran in a rack
+    // that failed as a whole.
+    @Test
+    void crashesTogetherWithThoseOfOtherUpstreamsCountAsOne() {
+        recordCrash("a", ONE);
+        Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(700));
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(40), now);
+        suspects.recordCrash(crashOf("c"), ran, now.plusMillis(90), now);
+        suspects.recordCrash(
+                crashOf("d"), Map.of(OTHER, Duration.ofMillis(700)), now.plusMillis(20), now);
+        assertEquals(1, suspects.countedCrashes(ONE, now));
+    }
+
+    // Guards against counting several copies of a poison request that run side by side as one.
+    @Test
+    void simultaneousCrashesUnderCopiesOfARequestCountEach() {
+        Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(100));
+        suspects.recordCrash(crashOf("a"), ran, now, now);
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(5), now);
+        suspects.recordCrash(crashOf("c"), ran, now.plusMillis(90), now);
+        assertEquals(3, suspects.countedCrashes(ONE, now));
+    }
+
+    // Guards against ignoring long runs that were under way when the previous upstream crashed.
+    @Test
+    void crashesUnderCopiesAtDifferentTimesCountEach() {
+        Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofSeconds(2));
+        suspects.recordCrash(crashOf("a"), ran, now, now);
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(400), now);
+        suspects.recordCrash(crashOf("c"), ran, now.plusMillis(900), now);
+        assertEquals(3, suspects.countedCrashes(ONE, now));
+    }
+
+    // Guards against merging the crashes of a poison request that is retried as soon as its
+    // upstream has crashed.
+    @Test
+    void crashesOneAfterTheOtherCountHoweverFastTheyFollow() {
+        recordCrash("a", ONE);
+        Map<RequestDigest, Duration> ran = Map.of(ONE, Duration.ofMillis(5));
+        suspects.recordCrash(crashOf("b"), ran, now.plusMillis(8), now);
+        suspects.recordCrash(crashOf("c"), ran, now.plusMillis(16), now);
+        assertEquals(3, suspects.countedCrashes(ONE, now));
+    }
+
+    private List<RequestDigest> recordCrash(String upstream, RequestDigest... running) {
+        now = now.plusSeconds(1);
+        Map<RequestDigest, Duration> ran = new HashMap<>();
+        for (RequestDigest each : running) {
+            ran.put(each, Duration.ofMillis(500));
+        }
+        return suspects.recordCrash(crashOf(upstream), ran, now, now);
+    }
+
+    private static UpstreamCrash crashOf(String upstream) {
+        return new UpstreamCrash(UpstreamId.of(upstream), 1);
+    }
+}
--- a/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/UpstreamChoiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/upstreams/UpstreamSelectorTest.java
@@ -12,19 +12,19 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class UpstreamChoiceTest {
+class UpstreamSelectorTest {
     private static final ModelRef CUT_SHEET = ModelRef.parse("cut-sheet");
     private static final ModelRef ADAPTED = ModelRef.parse("cut-sheet/a3");
     private static final int SLOTS = 4;
 
     private final UpstreamTable table = new UpstreamTable();
-    private final UpstreamChoice choice =
-            new UpstreamChoice("a", 1.0, (upstream, all) -> (int) all);
+    private final UpstreamSelector selector =
+            new UpstreamSelector("a", 1.0, (upstream, all) -> (int) all);
     private Instant now = Instant.ofEpochSecond(100);
     private long revision;
 
     @Test
-    void anUpstreamInTheSameZoneGoesFirst() {
+    void anUpstreamInTheSameZoneIsPreferred() {
         put("far", "b", false, Map.of());
         put("near", "a", false, Map.of());
         assertEquals("near", pick(null));
@@ -39,47 +39,48 @@
     }
 
     @Test
-    void aFullUpstreamIsLeftOut() {
+    void aFullUpstreamIsNotPicked() {
         put("one", "a", false, Map.of());
         put("two", "b", false, Map.of());
         for (int i = 0; i < SLOTS; i++) {
-            find("one").sent(null, now);
+            find("one").requestAssigned(null, now);
         }
         assertEquals("two", pick(null));
     }
 
     @Test
-    void anUpstreamThatLeavesGetsNothingNew() {
+    void aDrainingUpstreamIsNotPicked() {
         put("one", "a", false, Map.of());
         put("one", "a", true, Map.of());
         assertEquals("nobody", pick(null));
     }
 
     @Test
-    void whatOthersSendThereCountsAndFades() {
+    void theReportedLoadOfOtherRoutersCountsAndFades() {
         put("one", "a", false, Map.of());
-        find("one").reported(SLOTS, 0, now);
+        find("one").loadReported(SLOTS, 0, now);
         assertEquals("nobody", pick(null));
         now = now.plusMillis(900);
         assertEquals("one", pick(null));
     }
 
     @Test
-    void anUpstreamThatFailsThreeTimesOnEndIsTriedOnceLater() {
-        // An upstream fails every request while its health check is good. After three it gets none
-        // for a while, then a single one; when that is answered, it is back.
+    void anUpstreamIsEjectedAfterThreeFailuresAndProbedLater() {
+        // Guards against an upstream that fails every request while its health check passes. After
+        // three failures it is ejected, then probed by a single request; when that is answered, it
+        // is back.
         put("one", "a", false, Map.of());
         for (int i = 0; i < 3; i++) {
-            find("one").failed(now);
+            find("one").requestFailed(now);
         }
-        assertTrue(find("one").suspect());
+        assertTrue(find("one").isEjected());
         assertEquals("nobody", pick(null));
         now = now.plusMillis(800);
         assertEquals("one", pick(null));
-        find("one").sent(null, now);
+        find("one").requestAssigned(null, now);
         assertEquals("nobody", pick(null));
-        find("one").answered(Duration.ofMillis(5), now);
-        assertFalse(find("one").suspect());
+        find("one").requestAnswered(Duration.ofMillis(5), now);
+        assertFalse(find("one").isEjected());
         assertEquals("one", pick(null));
     }
 
@@ -87,19 +88,18 @@
     void anUpstreamThatFailsSomeRequestsGetsFewer() {
         put("grey", "a", false, Map.of());
         put("sound", "b", false, Map.of());
-        find("grey").failed(now);
-        find("grey").answered(Duration.ofMillis(1), now);
-        find("sound").answered(Duration.ofMillis(20), now);
+        find("grey").requestFailed(now);
+        find("grey").requestAnswered(Duration.ofMillis(1), now);
+        find("sound").requestAnswered(Duration.ofMillis(20), now);
         assertEquals("sound", pick(null));
     }
 
     @Test
-    void theOrderLeadersWordGoesBeforeAnOlderOneOfTheUpstream() {
-        // The leader has just had a model unloaded. The upstream's own entry, which lags by a
-        // second
-        // or two, still names it; requests must not be sent there for it.
+    void theLeadersAnnouncementOverridesAnOlderEntry() {
+        // Guards against requests for a model that the leader has just unloaded, but that the
+        // upstream's entry, which lags by a second or two, still names.
         put("one", "a", false, Map.of("cut-sheet", Set.of()));
-        find("one").told(new HeldModels(1, 5, Map.of()), now);
+        find("one").leaderAnnounced(new HeldModels(1, 5, Map.of()), now);
         now = now.plusMillis(1_000);
         put("one", "a", false, Map.of("cut-sheet", Set.of()));
         assertEquals("nobody", pick(CUT_SHEET));
@@ -125,7 +125,7 @@
     }
 
     private String pick(ModelRef model) {
-        Optional<Upstream> picked = choice.pick(table.of("service"), model, Set.of(), now);
+        Optional<Upstream> picked = selector.pick(table.ofService("service"), model, Set.of(), now);
         return picked.map(upstream -> upstream.facts().id().value()).orElse("nobody");
     }
 
@@ -133,10 +133,10 @@
         return table.find(UpstreamId.of(id)).orElseThrow();
     }
 
-    // Guards against a slow start that is not taken into account where cold upstreams bear
-    // anything.
+    // Guards against ignoring a slow start where a cold upstream may get as many requests as a warm
+    // one.
     @Test
-    void anUpstreamThatSaysItIsColdGoesAfterOthersThoughItBearsAsMuch() {
+    void aWarmUpstreamIsPreferredToAColdOne() {
         UpstreamFacts cold = facts("cold", "a", false, Map.of(), ++revision);
         table.put(
                 new UpstreamFacts(
@@ -175,7 +175,7 @@
                 SLOTS,
                 draining,
                 Duration.ZERO,
-                new HeldModels(1, HeldModels.UNCOUNTED, models),
+                new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, models),
                 Set.of(),
                 Set.of());
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
@@ -25,7 +25,9 @@
     void whatIsLeftInADrainedZoneIsCounted() {
         list("one", "a", "m", "n");
         list("two", "b", "n");
-        upstreams.find(UpstreamId.of("one")).ifPresent(each -> each.sent(ModelRef.parse("m"), NOW));
+        upstreams
+                .find(UpstreamId.of("one"))
+                .ifPresent(each -> each.requestAssigned(ModelRef.parse("m"), NOW));
         assertEquals(0, progress.requestsThere());
         assertEquals(0, progress.modelsOnlyThere());
         upstreams.zones().drain("a", NOW);
@@ -48,7 +50,7 @@
                         4,
                         false,
                         Duration.ZERO,
-                        new HeldModels(1, HeldModels.UNCOUNTED, held),
+                        new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, held),
                         Set.of(),
                         Set.of()),
                 NOW);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.damaskyoke.control.direct.Homes;
+import io.damaskyoke.control.direct.AllowedRegions;
 import io.damaskyoke.control.upstreams.DrainedZones;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -78,7 +78,7 @@
     }
 
     private NotedRequest request() {
-        return new NotedRequest(now, Homes.ANYWHERE, outcomes);
+        return new NotedRequest(now, AllowedRegions.ANYWHERE, outcomes);
     }
 
     private void list(String id, String zone) {
@@ -92,7 +92,7 @@
                         4,
                         false,
                         Duration.ZERO,
-                        new HeldModels(1, HeldModels.UNCOUNTED, Map.of()),
+                        new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of()),
                 now);
