--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
@@ -10,16 +10,19 @@
 import java.util.Set;
 
 /**
- * Brings adapters to engines that hold their model, as requests wait for them.
+ * Decides which adapters to load on engines that hold their base model, when requests wait for
+ * them.
  *
- * <p>The pattern: some hundred adapters of a few busy models, eight places at an engine, each load
- * a few milliseconds. The one used longest ago and not in use makes way.
+ * <p>The expected load is some hundred adapters of a few busy models, eight adapter slots per
+ * engine, and loads of a few milliseconds. The least recently used adapter that is not in use is
+ * unloaded to free a slot.
  */
 final class AdapterPlanner {
     /**
-     * An adapter that came or was in use so lately is kept. Routers hear that it is there and send
-     * those who waited, and their word of that comes back up to 150 ms later. Taken away meanwhile,
-     * it is fetched again at once, in turns with the others that wait, and none of them is ever
+     * How long an adapter is kept after it was loaded or used. Routers learn that the adapter is
+     * ready and send the requests that waited for it, and their reports of those requests arrive up
+     * to 150 ms later. If the adapter were unloaded in the meantime, it would be loaded again at
+     * once, alternating with the other adapters that are waited for, and none of them would ever be
      * used.
      */
     private static final Duration KEPT = Duration.ofMillis(400);
@@ -30,7 +33,7 @@
         this.demand = demand;
     }
 
-    /** One order that brings an adapter nearer. */
+    /** An order that loads an adapter, or unloads another one to make room for it. */
     record Step(Engine engine, Verb verb, ModelRef adapter) {}
 
     List<Step> plan(List<Engine> engines, Instant now) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/DemandBook.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/DemandBook.java
@@ -12,14 +12,21 @@
 import java.util.Map;
 
 /**
- * What all routers together need and see; each one's word counts until it is old. Words are added
- * up when somebody plans by them, and not as they come: {@code book.said(...); book.addUp(now)}.
+ * Aggregates the demand reports of all routers. A report counts until it expires. Reports are
+ * summed when a planning round needs the totals and not as they arrive: {@code book.said(...);
+ * book.addUp(now)}.
  */
 final class DemandBook {
-    /** A router that has nothing new says so every 0.6 s; silent for this long, it is gone. */
+    /**
+     * Lifetime of a report. A router without changes repeats its report every 0.6 s, so one that is
+     * silent for this long is gone.
+     */
     private static final Duration VALID = Duration.ofSeconds(2);
 
-    /** After this, a model that nobody has asked for is not a busy one. */
+    /**
+     * Time after the first request from which arrival rates are meaningful: a model that nobody has
+     * requested by then is not busy.
+     */
     private static final Duration YOUNG = Duration.ofSeconds(4);
 
     private final Map<VmId, Entry> byRouter = new HashMap<>();
@@ -49,36 +56,40 @@
         changed = true;
     }
 
-    /** True until requests have come for long enough to show which models are busy. */
+    /** Returns true until requests have arrived for long enough to show which models are busy. */
     boolean young(Instant now) {
         return firstAt == null || now.isBefore(firstAt.plus(YOUNG));
     }
 
-    /** True as long as no request has come since this leader began to listen. */
+    /**
+     * Returns true while no router has reported a request since this planner started to receive
+     * reports.
+     */
     boolean nobodyAsked() {
         return firstAt == null;
     }
 
-    /** Forgets what is too old. */
+    /** Removes the reports that have expired. */
     void expire(Instant now) {
         changed |= byRouter.values().removeIf(entry -> entry.at().plus(VALID).isBefore(now));
     }
 
-    /** True if some router has said that requests wait. */
+    /** Returns true if any router has reported waiting requests. */
     boolean anyWaits() {
         return !inOrder.isEmpty();
     }
 
     /**
-     * Models and adapters that requests wait for, in the order in which they are to be served.
+     * Returns the models and adapters that requests wait for, in the order in which they are to be
+     * served.
      *
-     * <p>A load for a busy model lets dozens of requests go on, one for a rare model a few. By age
-     * alone, rare models that have waited long for engines that are scarce would keep a busy one
-     * out until all its callers have left, again and again.
+     * <p>Busy models come first: loading one lets dozens of requests proceed, loading a rare one
+     * only a few. Ordered by age alone, rare models that have waited long for scarce engines would
+     * repeatedly delay a busy one until all its callers have given up.
      *
-     * <p>Of rare ones, those go first whose requests can still be answered in time, the most of
-     * them for the memory that the model takes. When more is asked for than can be loaded, going by
-     * age would make every request late by the same seconds.
+     * <p>Among rare models, those come first whose requests can still be answered in time, by the
+     * number of such requests per MB of the model. When more is requested than can be loaded,
+     * ordering by age would make every request late by the same number of seconds.
      */
     List<LoadInput.Want> waiting() {
         return inOrder;
@@ -102,7 +113,7 @@
         return sorted;
     }
 
-    /** Says how much memory models take, in MB. */
+    /** Sets the memory that each model takes, in MB. */
     void weights(Map<String, Double> given) {
         weights.clear();
         weights.putAll(given);
@@ -116,65 +127,75 @@
         return ReplicaGoal.busy(want.model().model(), this);
     }
 
-    /** Requests that wait for the model or one of its adapters. */
+    /** Returns the number of requests that wait for the model or one of its adapters. */
     int waitingFor(String model) {
         return waiting.getOrDefault(model, 0);
     }
 
-    /** Requests that wait for just this model or adapter. */
+    /** Returns the number of requests that wait for exactly this model or adapter. */
     int waitingFor(ModelRef model) {
         LoadInput.Want want = wants.get(model);
         return want == null ? 0 : want.waiting();
     }
 
-    /** How long the first request has waited for the model or one of its adapters. */
+    /** Returns how long the first request has waited for the model or one of its adapters. */
     Duration oldest(String model) {
         return oldest.getOrDefault(model, Duration.ZERO);
     }
 
-    /** How many of the model's adapters were asked for of late. */
+    /** Returns how many of the model's adapters were requested recently. */
     int adaptersAsked(String model) {
         return adaptersAsked.getOrDefault(model, 0);
     }
 
-    /** Arrivals a second for the model with all its adapters. */
+    /** Returns the arrivals per second for the model and all its adapters. */
     double perSecond(String model) {
         return perSecond.getOrDefault(model, 0.0);
     }
 
-    /** Arrivals a second for the model's adapters. */
+    /** Returns the arrivals per second for the model's adapters. */
     double adaptersPerSecond(String model) {
         return adaptersPerSecond.getOrDefault(model, 0.0);
     }
 
-    /** Arrivals a second for just this model or adapter. */
+    /** Returns the arrivals per second for exactly this model or adapter. */
     double perSecond(ModelRef model) {
         LoadInput.Want want = wants.get(model);
         return want == null ? 0 : want.perSecond();
     }
 
-    /** Requests for the model, with any adapter, that run at the upstream. */
+    /**
+     * Returns the number of requests for the model, with or without an adapter, that run on the
+     * upstream.
+     */
     int running(UpstreamId upstream, String model) {
         return runningModels.getOrDefault(upstream, Map.of()).getOrDefault(model, 0);
     }
 
-    /** Requests for just this model or adapter that run at the upstream. */
+    /**
+     * Returns the number of requests for exactly this model or adapter that run on the upstream.
+     */
     int running(UpstreamId upstream, ModelRef model) {
         return runningAt.getOrDefault(upstream, Map.of()).getOrDefault(model, 0);
     }
 
-    /** Requests for the model that run anywhere. */
+    /** Returns the number of requests for the model that run on any upstream. */
     int running(String model) {
         return running.getOrDefault(model, 0);
     }
 
-    /** True if half of the routers or more find that the upstream fails. */
+    /**
+     * Returns true if at least half of the routers report that the upstream fails their requests.
+     */
     boolean suspect(UpstreamId upstream) {
         int finding = suspecting.getOrDefault(upstream, 0);
         return finding > 0 && 2 * finding >= byRouter.size();
     }
 
-    /** Takes in all that was said since the last time; what is told below goes by this. */
+    /**
+     * Recomputes the totals if reports have changed since the last call. The other methods return
+     * the totals of the last call.
+     */
     void addUp(Instant now) {
         if (!changed) {
             return;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Engine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/Engine.java
@@ -15,16 +15,19 @@
 import java.util.TreeMap;
 
 /**
- * One upstream of a model service as the planner sees it: what it holds, what it is ordered to do,
- * and what that leaves room for. Whatever may be held counts as held.
+ * The planner's view of one upstream of a model service: the models that it holds, the order that
+ * it carries out, and the memory that this leaves. Whatever may be in memory counts as held.
  */
 final class Engine {
-    /** An adapter's way from the store, in ms: 5 for the smallest, 9.7 for the largest. */
+    /** Time to load an adapter from the store: 5 ms for the smallest, 9.7 ms for the largest. */
     private static final double ADAPTER_BASE_MILLIS = 4;
 
     private static final double ADAPTER_MILLIS_PER_MB = 0.09;
 
-    /** On top of an adapter's usual way, so that a request doesn't find it still coming. */
+    /**
+     * Added to the expected load time of an adapter, so that a request does not arrive before the
+     * adapter is ready.
+     */
     private static final double ADAPTER_MARGIN_MILLIS = 5;
 
     private final EngineSpec spec;
@@ -47,7 +50,7 @@
     private Instant askedAt = Instant.MIN;
     private OpenLoads.Reserve reserve = OpenLoads.Reserve.NONE;
 
-    /** An order that is under way. */
+    /** An order that was sent and is not finished. */
     record Pending(
             long number,
             Verb verb,
@@ -65,7 +68,10 @@
         }
     }
 
-    /** A model that is to be loaded here once there is room; nothing else is, meanwhile. */
+    /**
+     * A model that is to be loaded on this engine once there is room. Until then no other model is
+     * loaded here.
+     */
     record Intent(String model, Instant until) {}
 
     Engine(EngineSpec spec, UpstreamFacts facts) {
@@ -92,12 +98,12 @@
         return held;
     }
 
-    /** Which life of it is known, by its start. */
+    /** Returns the start of the incarnation that is known, in Unix milliseconds. */
     long life() {
         return life;
     }
 
-    /** Leaves so much room for orders that may yet be carried out. */
+    /** Reserves memory and adapter slots for orders that may still be carried out. */
     void reserve(OpenLoads.Reserve given) {
         reserve = given;
     }
@@ -106,12 +112,15 @@
         return pending;
     }
 
-    /** True if it carries out an order of which only that is known. */
+    /** Records whether the engine carries out an order of which nothing else is known. */
     void busy(boolean unknown) {
         busyUnknown = unknown;
     }
 
-    /** True if it loads a model from the weight store or is about to, as far as is known. */
+    /**
+     * Returns true if the engine loads a model from the weight store or is about to, as far as is
+     * known.
+     */
     boolean mayLoadFromStore() {
         boolean loads = pending == null ? busyUnknown : pending.loadsFromStore();
         return loads || intent != null && source(intent.model()) == LoadSource.STORE;
@@ -121,27 +130,30 @@
         return intent;
     }
 
-    /** True once it has reported since this router gives the orders. */
+    /**
+     * Returns true if what the engine holds is known from a report received since this router
+     * became leader.
+     */
     boolean known() {
         return known;
     }
 
-    /** What it holds must be reported before it gets another order. */
+    /** Requires a new report of what the engine holds before it gets another order. */
     void doubt() {
         known = false;
     }
 
-    /** True if it has reported anything since this router gives the orders. */
+    /** Returns true if any report has been received since this router became leader. */
     boolean reported() {
         return reported;
     }
 
-    /** True if the last report that was asked for has come. */
+    /** Returns true if the last requested report has been received. */
     boolean answered() {
         return answered;
     }
 
-    /** It gave no report. */
+    /** Records that the engine did not answer a request for a report. */
     void silent() {
         answered = false;
     }
@@ -155,24 +167,27 @@
         askedAt = Instant.MIN;
     }
 
-    /** How long its present order will take, as far as that is known. */
+    /** Returns how long the current order will still take, or zero if that is not known. */
     Duration barredFor(Instant now) {
         return pending == null || !pending.dueAt().isAfter(now)
                 ? Duration.ZERO
                 : Duration.between(now, pending.dueAt());
     }
 
-    /** True if something is about to change here: an order, a report, an adapter on its way. */
+    /**
+     * Returns true if the engine's state is about to change: a report, an order, a planned load or
+     * an adapter load is pending.
+     */
     boolean underWay() {
         return !known || pending != null || intent != null || !coming.isEmpty();
     }
 
-    /** True if an order may be given now. */
+    /** Returns true if the engine can take an order now. */
     boolean free(Instant now) {
         return known && pending == null && !now.isBefore(quietUntil) && !leaves();
     }
 
-    /** Operators drain its zone, or no longer do. */
+    /** Records whether operators drain the engine's availability zone. */
     void zoneDrained(boolean given) {
         zoneDrained = given;
         if (given) {
@@ -181,7 +196,8 @@
     }
 
     /**
-     * True if it is about to get no more requests, so that what only it holds is to be elsewhere.
+     * Returns true if the engine is about to stop receiving requests, so that models that only it
+     * holds must be loaded elsewhere.
      */
     boolean leaves() {
         return facts.draining() || zoneDrained;
@@ -191,7 +207,10 @@
         quietUntil = until;
     }
 
-    /** True if a report is due: none is awaited, or the last one asked for was long ago. */
+    /**
+     * Returns true if a report may be requested: none was requested yet, or the last request is at
+     * least {@code gap} old.
+     */
     boolean mayAsk(Instant now, Duration gap) {
         return askedAt.equals(Instant.MIN) || !now.isBefore(askedAt.plus(gap));
     }
@@ -201,7 +220,10 @@
         answered = false;
     }
 
-    /** Takes in what the list says. Only reports count orders, so they go before it. */
+    /**
+     * Applies what the list of upstreams says. Only reports count orders, so what a report said of
+     * the held models takes precedence within an incarnation.
+     */
     void listed(UpstreamFacts given) {
         facts = given;
         copies(given.inMemory(), given.onDisk());
@@ -210,7 +232,7 @@
         }
     }
 
-    // Not every source tells the start.
+    // Not every source states the start time.
     private boolean isOtherLife(long startedAt) {
         return startedAt != HeldModels.NO_START && startedAt != life;
     }
@@ -223,7 +245,7 @@
         held = now;
     }
 
-    /** Takes in a report; false if it is older than what is known. */
+    /** Applies a report. Returns false if the report is older than what is known. */
     boolean reported(LoadInput.Reported report) {
         answered = true;
         reported = true;
@@ -293,7 +315,10 @@
         return usedAt.getOrDefault(model, Instant.MIN);
     }
 
-    /** True if the model came a moment ago, and those who waited for it may not be here yet. */
+    /**
+     * Returns true if the model was loaded less than {@code moment} ago, so that the requests that
+     * waited for it may not have arrived yet.
+     */
     boolean justLoaded(String model, Instant now, Duration moment) {
         Instant at = loadedAt.get(model);
         return at != null && now.isBefore(at.plus(moment));
@@ -307,7 +332,7 @@
         return inMemory.contains(model) || onDisk.contains(model);
     }
 
-    /** Models that it can load without the store. */
+    /** Returns the models that the engine can load without the weight store. */
     Set<String> copies() {
         Set<String> all = new HashSet<>(onDisk);
         all.addAll(inMemory);
@@ -321,7 +346,7 @@
         return onDisk.contains(model) ? LoadSource.DISK : LoadSource.STORE;
     }
 
-    /** Memory that is left, in MB, with everything counted that may be here. */
+    /** Returns the free memory, in MB, counting everything that may be in memory. */
     double freeMb() {
         double used = 0;
         for (Map.Entry<String, Set<String>> entry : held.adapters().entrySet()) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
@@ -7,14 +7,15 @@
 import java.util.Map;
 
 /**
- * What all engines of a service hold and are about to hold, counted once for a round of planning.
- * Counted anew for each question, the planner would take more of a small VM than the traffic.
+ * Counts of the models that all engines of a service hold or are about to hold, computed once per
+ * planning round. Recounting for each question would take more of a small VM's processor time than
+ * the traffic.
  */
 final class FleetView {
-    /** A load from the store that ends within this is as good as one from a disk. */
+    /** A load from the store that ends within this time is as good as one from disk. */
     private static final Duration SOON = Duration.ofMillis(1_500);
 
-    /** An unload that waits for no run shows in a report by then. */
+    /** Time by which a report shows an unload that waits for no running request. */
     private static final Duration UNLOAD_TIME = Duration.ofMillis(600);
 
     private final Map<String, Integer> replicas = new HashMap<>();
@@ -65,8 +66,8 @@
         }
     }
 
-    // A load from the store has seconds to go, and an unload that isn't over by now waits for a
-    // run whose end nobody knows.
+    // A load from the store takes seconds. An unload that is not finished by now waits for a
+    // running request, and nobody knows when that ends.
     private static boolean lasts(Engine.Pending pending, Instant now) {
         if (pending == null) {
             return false;
@@ -76,44 +77,47 @@
                 : now.isAfter(pending.sentAt().plus(UNLOAD_TIME));
     }
 
-    /** True if it stays and answers. */
+    /** Returns true if the engine is not leaving and not suspected of failing. */
     boolean usable(Engine engine) {
         return !engine.leaves() && !demand.suspect(engine.id());
     }
 
-    /** Engines that hold the model ready. */
+    /** Returns the number of engines that hold the model ready. */
     int replicas(String model) {
         return replicas.getOrDefault(model, 0);
     }
 
-    /** Engines that are about to hold it. */
+    /** Returns the number of engines that are about to hold the model. */
     int coming(String model) {
         return coming.getOrDefault(model, 0);
     }
 
-    /** Engines that can load it without the store. */
+    /** Returns the number of engines that can load the model without the store. */
     int copies(String model) {
         return copies.getOrDefault(model, 0);
     }
 
-    /** Engines that are about to hold it soon, as far as is known. */
+    /** Returns the number of engines that are expected to hold the model soon. */
     int comingSoon(String model) {
         return comingSoon.getOrDefault(model, 0);
     }
 
-    /** True if an engine beside this one holds the model, or can load it without the store. */
+    /**
+     * Returns true if an engine other than this one holds the model or can load it without the
+     * store.
+     */
     boolean elsewhere(Engine engine, String model) {
         int own = usable(engine) && engine.hasCopy(model) ? 1 : 0;
         int held = usable(engine) && engine.has(model) ? 1 : 0;
         return copies(model) > own || replicas(model) > held;
     }
 
-    /** Engines that hold it and take orders now. */
+    /** Returns the number of engines that hold the model and can take an order now. */
     int open(String model) {
         return open.getOrDefault(model, 0);
     }
 
-    /** An engine gets an order now, and takes no other for a while. */
+    /** Records that the engine gets an order in this round and can take no other for a while. */
     void barred(Engine engine) {
         engine.held().adapters().keySet().forEach(each -> open.merge(each, -1, Integer::sum));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadAction.java
@@ -4,13 +4,14 @@
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.UpstreamId;
 
-/** What a {@link LoadPlanner} wants done. */
+/** An action that a {@link LoadPlanner} wants carried out. */
 public sealed interface LoadAction {
     /**
-     * Give an order; ends in Answered with the same number.
+     * Sends an order to an upstream; answered by {@link LoadInput.Answered} with the same number.
      *
-     * @param sequence how many orders the upstream must have accepted before, or it refuses
-     * @param freeMb memory that the planner takes to be free before the order
+     * @param sequence number of orders that the upstream must have accepted before; it refuses the
+     *     order otherwise
+     * @param freeMb free memory that the planner assumes before the order, in MB
      */
     record Order(
             UpstreamId upstream,
@@ -21,12 +22,18 @@
             double freeMb)
             implements LoadAction {}
 
-    /** Ask an upstream what it holds; ends in Reported or NotReported. */
+    /**
+     * Requests a report of what an upstream holds; answered by {@link LoadInput.Reported} or {@link
+     * LoadInput.NotReported}.
+     */
     record AskReport(UpstreamId upstream) implements LoadAction {}
 
-    /** Tell all routers, of which one may be the next leader, of an order without an answer. */
+    /**
+     * Announces a load order without an answer to all routers, since any of them may be the next
+     * leader.
+     */
     record TellOpen(OpenLoad load) implements LoadAction {}
 
-    /** Tell all routers what an upstream holds. */
+    /** Announces to all routers what an upstream holds. */
     record Tell(UpstreamId upstream, HeldModels held) implements LoadAction {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadInput.java
@@ -11,25 +11,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What a {@link LoadPlanner} is told. */
+/** An event that a {@link LoadPlanner} handles. */
 public sealed interface LoadInput {
-    /** What the model services have room for, by name. */
+    /**
+     * The configuration of the model services was set.
+     *
+     * @param engines memory, slots and models of the engines of each service, by service name
+     */
     record Configured(Map<String, EngineSpec> engines) implements LoadInput {}
 
-    /** An upstream of a model service says something new of itself. */
+    /** An upstream of a model service appeared in the list or changed there. */
     record Listed(UpstreamFacts facts) implements LoadInput {}
 
-    /** Operators drain just these availability zones. */
+    /** The availability zones that operators drain changed to exactly this set. */
     record Drained(Set<String> zones) implements LoadInput {}
 
-    /** An upstream is gone. */
+    /** An upstream was removed. */
     record Gone(UpstreamId upstream) implements LoadInput {}
 
     /**
-     * What a router needs and sees. It replaces what the same router said before.
+     * A router reported its demand. The report replaces the previous one of the same router.
      *
-     * @param running requests of that router at each upstream
-     * @param suspects upstreams that fail its requests
+     * @param running requests of that router that run on each upstream
+     * @param suspects upstreams that fail the router's requests
      */
     record Demanded(
             VmId router,
@@ -37,19 +41,21 @@
             Map<UpstreamId, Map<ModelRef, Integer>> running,
             Set<UpstreamId> suspects)
             implements LoadInput {
-        /** True if requests wait at that router. */
+        /** Returns true if requests wait at that router. */
         public boolean waits() {
             return wants.stream().anyMatch(want -> want.waiting() > 0);
         }
     }
 
-    /** An answer to the order of that number, or that none came. */
+    /** The order with that number was answered, or its answer did not arrive. */
     record Answered(UpstreamId upstream, long number, OrderOutcome outcome) implements LoadInput {}
 
     /**
-     * An upstream's own report; it may be some hundred milliseconds old.
+     * An upstream's own report was received. It may be some hundred milliseconds old.
      *
-     * @param busy whether an order is under way there
+     * @param busy whether the upstream carries out an order
+     * @param inMemory models with a copy in its main memory
+     * @param onDisk models with a copy on its disk
      */
     record Reported(
             UpstreamId upstream,
@@ -59,29 +65,29 @@
             Set<String> onDisk)
             implements LoadInput {}
 
-    /** Another router, which gave the orders, had no answer to one. */
+    /** Another router that was leader announced a load order that it had no answer to. */
     record Unanswered(OpenLoad load) implements LoadInput {}
 
-    /** An upstream gave no report. */
+    /** An upstream did not answer a request for a report. */
     record NotReported(UpstreamId upstream) implements LoadInput {}
 
-    /** This router gives the orders from now on; what it knew of upstreams may be out of date. */
+    /** This router became leader. What it knows of the upstreams may be out of date. */
     record Elected() implements LoadInput {}
 
-    /** This router gives orders no longer. */
+    /** This router is no longer leader. */
     record Resigned() implements LoadInput {}
 
     /** Time has passed. */
     record Tick() implements LoadInput {}
 
     /**
-     * One model or adapter that a router has requests for.
+     * The demand of one router for one model or adapter.
      *
      * @param waiting requests that no upstream can take now
-     * @param oldest how long the first of them has waited
-     * @param urgency smallest priority number among them
-     * @param perSecond arrivals of late
-     * @param inTime of those that wait, how many are answered in time if the model comes now
+     * @param oldest how long the first of the waiting requests has waited
+     * @param urgency smallest priority number of the waiting requests
+     * @param perSecond recent arrivals per second
+     * @param inTime waiting requests that can be answered in time if the model is loaded now
      */
     record Want(
             ModelRef model,
@@ -90,7 +96,7 @@
             int urgency,
             double perSecond,
             int inTime) {
-        /** One whose requests are late already. */
+        /** Creates a demand whose waiting requests are all late. */
         public Want(ModelRef model, int waiting, Duration oldest, int urgency, double perSecond) {
             this(model, waiting, oldest, urgency, perSecond, 0);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
@@ -19,44 +19,53 @@
 /**
  * Decides which upstream loads and unloads which model: {@code planner.on(input, now)}.
  *
- * <p>The pattern: many rarely used models, more than memory holds, each asked for every few
- * seconds, and a few busy ones that change. The first load of a model at an upstream takes seconds
- * from the weight store; each later one a fraction of a second from the upstream's own memory or
- * disk. So every model is brought to one upstream as early as the weight store allows, and from
- * then on takes turns there with others, at once when a request waits for it. Load times and sizes
- * are those of the configuration.
+ * <p>The expected load is many rarely used models, more than fit in memory, each requested every
+ * few seconds, and a few busy models that change. The first load of a model on an upstream takes
+ * seconds from the weight store; each later one takes a fraction of a second from the upstream's
+ * own memory or disk. So every model is brought to one upstream as early as the weight store
+ * allows. From then on it shares that upstream's memory with other models and is loaded at once
+ * when a request waits for it. Load times and sizes are those of the configuration.
  *
- * <p>One order at a time is under way at an upstream, each with the number of orders it must have
- * accepted before; so an order that was delayed finds another number and is not carried out, and
- * memory never holds more than was counted.
+ * <p>An upstream carries out one order at a time. Each order names the number of orders that the
+ * upstream must have accepted before, so a delayed order finds another number and is not carried
+ * out, and an upstream never holds more than was counted.
  */
 public final class LoadPlanner implements Machine<LoadInput, LoadAction> {
-    /** Reports lag by about a tenth of a second; asking more often tells nothing new. */
+    /**
+     * Minimum time between report requests to an upstream. Reports lag by about a tenth of a
+     * second, so more frequent requests return nothing new.
+     */
     private static final Duration REPORT_GAP = Duration.ofMillis(60);
 
-    /** An upstream that carries out an unknown order, perhaps for seconds, is asked this often. */
+    /**
+     * Time between report requests to an upstream that carries out an unknown order, perhaps for
+     * seconds.
+     */
     private static final Duration DOUBT_GAP = Duration.ofMillis(150);
 
-    /** A report that isn't answered is asked for again after this. */
+    /** Time after which an unanswered report request is repeated. */
     private static final Duration REPORT_LIMIT = Duration.ofSeconds(1);
 
-    /** After a conflict, the order under way there is given this time. */
+    /** Pause after a conflict, in which the upstream can finish the order that it carries out. */
     private static final Duration AFTER_CONFLICT = Duration.ofMillis(80);
 
-    /** An upstream that refused an order is left alone for this. */
+    /** Pause after an upstream has refused an order. */
     private static final Duration AFTER_REFUSAL = Duration.ofMillis(500);
 
-    /** What is loaded ahead of need is looked for this often; what is waited for, at once. */
+    /**
+     * Time between searches for models to load ahead of need. Models that requests wait for are
+     * planned at once.
+     */
     private static final Duration AHEAD_GAP = Duration.ofMillis(200);
 
     /**
-     * Requests that routers say are waiting are planned for at once, so many times between two
-     * ticks. Each of dozens of routers reports several times a second; a round of planning for each
-     * report would keep the leader's VM busy with nothing new.
+     * Limit of planning rounds between two ticks that are started by reports of waiting requests.
+     * Each of dozens of routers reports several times a second; a round for each report would keep
+     * the leader's VM busy with nothing new.
      */
     private static final int MOST_ROUNDS_FOR_DEMAND = 2;
 
-    /** An intent whose way is barred this long is given up. */
+    /** Time after which a planned load that could not start is given up. */
     private static final Duration INTENT_LIMIT = Duration.ofSeconds(3);
 
     private final LoadSettings settings;
@@ -76,7 +85,7 @@
     private boolean demandChanged;
     private long rounds;
 
-    /** A planner that knows nothing yet. */
+    /** Creates a planner without upstreams or demand. */
     public LoadPlanner(LoadSettings settings) {
         this.settings = settings;
         this.storeLoads = new StoreLoads(settings.ceilingWindow());
@@ -94,12 +103,12 @@
         return active ? actions : List.of();
     }
 
-    /** How many rounds of planning there were, for a measurement of what they cost. */
+    /** Returns the number of planning rounds so far, to measure their cost. */
     public long rounds() {
         return rounds;
     }
 
-    /** What requests wait for and no engine holds. */
+    /** Returns the models and adapters that requests wait for and that no engine holds. */
     public UnmetNeed unmet(Instant now) {
         demand.addUp(now);
         int models = 0;
@@ -113,7 +122,7 @@
         return new UnmetNeed(models, oldest);
     }
 
-    /** How much of the weight store is in use. */
+    /** Returns how much of the weight store's capacity is in use. */
     public StoreUse storeUse() {
         return new StoreUse(StoreLoads.running(engines.values()), storeLoads.atFullSpeed());
     }
@@ -148,7 +157,8 @@
         }
     }
 
-    // What is listed and who reports without requests that wait can wait for the next tick.
+    // List changes, announced orders and reports without waiting requests are planned for at the
+    // next tick.
     private boolean due(LoadInput input, Instant now) {
         if (input instanceof LoadInput.Listed || input instanceof LoadInput.Unanswered) {
             return false;
@@ -235,7 +245,7 @@
         }
         engine.busy(report.busy() && engine.pending() == null);
         if (report.busy()) {
-            // An order that we don't know of: what it brings shows in a later report only.
+            // An order that this planner does not know of: only a later report shows its effect.
             if (engine.pending() == null) {
                 engine.doubt();
             }
@@ -245,7 +255,8 @@
         actions.add(new LoadAction.Tell(engine.id(), engine.held()));
     }
 
-    // An order that was accepted is over once the upstream is no longer busy, whatever came of it.
+    // An accepted order is finished once the upstream is no longer busy, whether or not it
+    // succeeded.
     private void finishIfDone(Engine engine, HeldModels seen, Instant now) {
         Engine.Pending pending = engine.pending();
         if (pending == null || !pending.accepted()) {
@@ -253,7 +264,8 @@
         }
         boolean loading = pending.verb() == Verb.LOAD;
         boolean shows = seen.has(pending.model()) == loading;
-        // A report from just before the load began shows neither the model nor that it is busy.
+        // A report from just before the load began shows neither the model nor that the upstream is
+        // busy.
         if (!shows && loading && now.isBefore(pending.dueAt().plus(REPORT_LIMIT))) {
             return;
         }
@@ -272,8 +284,9 @@
         storeLoads.ended(load.number(), alone, Duration.between(load.sentAt(), now));
     }
 
-    // An order without an answer may be carried out seconds later. The next one need not wait for
-    // that: it names the same number of accepted orders, and so the upstream accepts one of them.
+    // An order without an answer may be carried out seconds later. The next order need not wait for
+    // that: it names the same number of accepted orders, so the upstream accepts only one of the
+    // two.
     private void answered(LoadInput.Answered answer, Instant now, List<LoadAction> actions) {
         if (answer.outcome() == OrderOutcome.UNKNOWN) {
             openLoads
@@ -359,7 +372,7 @@
         }
     }
 
-    // Adapters that were on their way are there once their time is over.
+    // Marks adapters as loaded once their load time has passed.
     private static void arrive(Engine engine, Instant now, List<LoadAction> actions) {
         List<ModelRef> here = new ArrayList<>();
         engine.coming()
@@ -375,7 +388,7 @@
         }
     }
 
-    /** Asks for reports that are due, and takes the next step towards what is intended. */
+    /** Requests the reports that are due and takes the next step of a planned load. */
     private void follow(Engine engine, Instant now, List<LoadAction> actions) {
         Engine.Pending pending = engine.pending();
         if (!engine.known()) {
@@ -488,8 +501,9 @@
     }
 
     /**
-     * Why models that requests have waited for so long are still not placed: each engine that has a
-     * copy, and what bars it. Empty if nothing waits.
+     * Explains why models that requests have waited for longer than the given time are not loaded:
+     * one line per model with each engine that holds it or has a copy, and the engine's state.
+     * Empty if no request has waited that long.
      */
     public List<String> barred(Duration longerThan, Instant now) {
         demand.addUp(now);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadSettings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadSettings.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * The limits that a planner keeps.
+ * Time limits of a {@link LoadPlanner}.
  *
- * @param ceilingWindow over which the weight store counts loads
- * @param orderLimit how long an order may go unanswered
+ * @param ceilingWindow window over which the weight store limits the number of loads
+ * @param orderLimit how long an order may stay unanswered
  */
 public record LoadSettings(Duration ceilingWindow, Duration orderLimit) {
-    /** Limits that suit the deployments known so far. */
+    /** Returns limits that suit the deployments known so far. */
     public static LoadSettings usual() {
         return new LoadSettings(Duration.ofSeconds(5), Duration.ofSeconds(1));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadSource.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadSource.java
@@ -3,7 +3,7 @@
 import io.damaskyoke.control.direct.ModelSpec;
 import java.time.Duration;
 
-/** Where an upstream takes a model's weights from; each knows how long that takes. */
+/** Where an upstream loads a model's weights from. */
 enum LoadSource {
     MEMORY {
         @Override
@@ -24,6 +24,6 @@
         }
     };
 
-    /** The usual time of a load. */
+    /** Returns the expected time of a load of the model. */
     abstract Duration time(ModelSpec model);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/OpenLoad.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/OpenLoad.java
@@ -5,10 +5,10 @@
 import java.time.Instant;
 
 /**
- * An order to load that has no answer, and may be carried out yet.
+ * A load order that was not answered and may still be carried out.
  *
- * @param life of the upstream that it was meant for, by its start in Unix milliseconds
- * @param sequence the count of accepted orders at which it is carried out
+ * @param life start of the upstream incarnation that the order was sent to, in Unix milliseconds
+ * @param sequence number of accepted orders at which the upstream carries it out
  * @param at when it was sent
  */
 public record OpenLoad(UpstreamId upstream, long life, long sequence, ModelRef model, Instant at) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/OpenLoads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/OpenLoads.java
@@ -12,40 +12,40 @@
 import java.util.TreeMap;
 
 /**
- * Orders to load that were sent and not answered, which an upstream may carry out seconds later:
+ * Load orders that were sent and not answered, and that an upstream may carry out seconds later:
  * {@code open.sent(number, load)}, {@code open.closed(upstream, number)}.
  *
- * <p>Within one life of an upstream its count of orders makes them harmless: the first order of a
- * count that is carried out ends all others of that count. A restart begins the count anew, and an
- * order from before it may find its count again, at an upstream that holds other models. So may an
- * order that was planned by too high a count. What may still be ordered so takes room, until the
- * count is past it or it is too old.
+ * <p>Within one incarnation of an upstream its count of accepted orders makes them harmless: of all
+ * orders that name the same count, the upstream carries out only the first. A restart resets the
+ * count. An order from before the restart may then match the count again, on an upstream that holds
+ * other models, and so may an order that was planned with too high a count. Memory is reserved for
+ * such orders until the upstream's count is past theirs or they expire.
  */
 final class OpenLoads {
-    /** Orders are carried out up to a dozen seconds late. */
+    /** Expiry of an unanswered order. Orders are carried out up to a dozen seconds late. */
     private static final Duration LATEST = Duration.ofSeconds(15);
 
     private final Map<UpstreamId, List<Entry>> byUpstream = new HashMap<>();
 
-    /** An order of this leader has a number; one that another leader told of has none. */
+    /** An order of this leader has a number; one announced by another leader has none. */
     private record Entry(OptionalLong number, OpenLoad load) {}
 
-    /** Room that must be left: memory in MB, and places for adapters. */
+    /** What must be kept free on an engine: memory in MB, and adapter slots. */
     record Reserve(double megabytes, int places) {
         static final Reserve NONE = new Reserve(0, 0);
     }
 
-    /** This leader gives the order under this number. */
+    /** Records that this leader sends the order with this number. */
     void sent(long number, OpenLoad load) {
         add(new Entry(OptionalLong.of(number), load));
     }
 
-    /** Another leader gave the order and had no answer. */
+    /** Records an order that another leader sent and had no answer to. */
     void told(OpenLoad load) {
         add(new Entry(OptionalLong.empty(), load));
     }
 
-    /** An upstream has answered the order of that number. */
+    /** Removes the order with that number, which the upstream has answered. */
     void closed(UpstreamId upstream, long number) {
         List<Entry> entries = byUpstream.get(upstream);
         if (entries != null) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The order of that number, if it is still open. */
+    /** Returns the order with that number if it is still unanswered. */
     Optional<OpenLoad> find(UpstreamId upstream, long number) {
         return byUpstream.getOrDefault(upstream, List.of()).stream()
                 .filter(each -> each.number().equals(OptionalLong.of(number)))
@@ -65,7 +65,7 @@
         byUpstream.computeIfAbsent(entry.load().upstream(), any -> new ArrayList<>()).add(entry);
     }
 
-    /** Forgets what is too old. */
+    /** Removes the orders that have expired. */
     void expire(Instant now) {
         byUpstream
                 .values()
@@ -73,13 +73,16 @@
         byUpstream.values().removeIf(List::isEmpty);
     }
 
-    /** What may come upon an engine at counts that it was not planned for. */
+    /**
+     * Returns what orders that may still be carried out, at counts that they were not planned for,
+     * can take on the engine.
+     */
     Reserve reserve(Engine engine) {
         List<Entry> entries = byUpstream.get(engine.id());
         if (entries == null) {
             return Reserve.NONE;
         }
-        // Of the orders that name one count, one at the most is carried out.
+        // Of the orders that name one count, at most one is carried out.
         Map<Long, Double> megabytes = new TreeMap<>();
         Map<Long, Integer> places = new TreeMap<>();
         for (Entry entry : entries) {
@@ -94,8 +97,9 @@
                 places.values().stream().mapToInt(each -> each).sum());
     }
 
-    // Of its own life, an order that names a later count was planned by a wrong one: an unload that
-    // was answered as done may have been no news, and is counted here and not there.
+    // Within the current incarnation, an order that names a later count was planned with a wrong
+    // one: an unload that was answered as done may have changed nothing, and is then counted here
+    // but not on the upstream.
     private static boolean mayCome(OpenLoad load, Engine engine) {
         long now = engine.held().sequence();
         return load.sequence() > now || load.sequence() == now && load.life() != engine.life();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/OrderOutcome.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/OrderOutcome.java
@@ -1,17 +1,20 @@
 package io.damaskyoke.control.loads;
 
-/** What an upstream answered to an order. */
+/** An upstream's answer to an order. */
 public enum OrderOutcome {
-    /** It is being carried out. */
+    /** The order is being carried out. */
     ACCEPTED,
-    /** It holds already, or was carried out at once. */
+    /** The requested state held already, or the order was carried out at once. */
     DONE,
-    /** Another order is under way there, or the upstream has accepted orders that we don't know. */
+    /**
+     * The upstream carries out another order, or has accepted orders that this router does not know
+     * of.
+     */
     CONFLICT,
-    /** It has seen a higher fencing token than ours. */
+    /** The upstream has seen a higher fencing token than this router's. */
     FENCED,
-    /** It is another upstream, or can't make sense of the order. */
+    /** The answering process is another upstream, or cannot make sense of the order. */
     REFUSED,
-    /** No answer: it may have been accepted, or may be carried out seconds later. */
+    /** No answer: the order may have been accepted, or may be carried out seconds later. */
     UNKNOWN
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Packing.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/Packing.java
@@ -4,21 +4,26 @@
 import io.damaskyoke.control.direct.ModelSpec;
 
 /**
- * How much of an upstream's memory no model can use: {@code packing.loss(freeBefore, freeAfter)}.
+ * Computes how much of an upstream's memory is fragmented, so that no model fits in it: {@code
+ * packing.loss(freeBefore, freeAfter)}.
  *
- * <p>The pattern: models of a few sizes, two to four of them at an upstream, and nearly as many as
- * all memory can hold. Two small models beside each other leave room for a third, a small one
- * beside a large one leaves a gap for none. Packed as they come, a fifth of all memory is such
- * gaps, and each model that is not held costs a change for every few requests.
+ * <p>The expected load is models of a few sizes, two to four of them on an upstream, and nearly as
+ * many in total as all memory can hold. Two small models together leave room for a third; a small
+ * one with a large one leaves a gap that no model fits in. Without regard to sizes, a fifth of all
+ * memory ends up in such gaps, and each model that is not held costs a swap every few requests.
  */
 final class Packing {
     /**
-     * What a gap as large as a usual model costs, in waiting seconds a second: one model that is
-     * asked for every few seconds is not held, and needs a change of about a second each time.
+     * Cost of a gap of average model size, in seconds of expected waiting per second: one model
+     * that is requested every few seconds is not held, and needs a swap of about a second each
+     * time.
      */
     private static final double MODEL_GAP_COST = 0.3;
 
-    /** Memory is counted in so many steps; finer ones would tell sizes apart that don't differ. */
+    /**
+     * Number of steps in which memory is counted. Smaller steps would distinguish sizes that do not
+     * differ in practice.
+     */
     private static final int STEPS = 400;
 
     private final double step;
@@ -41,12 +46,13 @@
         fill(sizes);
     }
 
-    /** The packing of a service's models. */
+    /** Creates the computation for the models of a service. */
     static Packing of(EngineSpec spec) {
         return new Packing(spec);
     }
 
-    // Step by step, so that hundreds of models of as many sizes cost no more than a few.
+    // Dynamic programming over the steps, so that hundreds of models of as many sizes cost no more
+    // than a few.
     private void fill(int[] sizes) {
         for (int free = 0; free <= STEPS; free++) {
             leastLeft[free] = free;
@@ -59,14 +65,17 @@
     }
 
     /**
-     * What it costs, in expected waiting seconds a second, that the free memory goes from the one
-     * to the other, in MB; negative if more of it can be used than before.
+     * Returns the cost, in seconds of expected waiting per second, of a change of the free memory
+     * from one amount to the other, in MB. Negative if more of the memory can be used than before.
      */
     double loss(double freeBefore, double freeAfter) {
         return (gap(freeAfter) - gap(freeBefore)) / usual * MODEL_GAP_COST;
     }
 
-    /** What is left of so much free memory, in MB, when it is filled with models as well as can. */
+    /**
+     * Returns the memory, in MB, that stays unused when this much free memory is filled with models
+     * as well as possible.
+     */
     double gap(double free) {
         int steps = (int) Math.max(0, Math.min(STEPS, Math.floor(free / step)));
         return leastLeft[steps] * step;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Placer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/Placer.java
@@ -14,50 +14,63 @@
 import java.util.function.Predicate;
 
 /**
- * Picks an engine for each model that needs one: because requests wait for it, because it is busy,
- * or because no engine holds it and there is room.
+ * Picks an engine for each model that needs one: because requests wait for it, because it is busy
+ * and has too few replicas, or because no engine holds it and there is room.
  */
 final class Placer {
     /**
-     * A model with a copy at an engine comes from the store only if that engine was barred so long.
-     * A load from the store bars its engine for many turns of other models, so that more of them
-     * wait, and more would turn to the store in their turn.
+     * How long requests must wait for a model that has a copy on a blocked engine before it is
+     * loaded from the store elsewhere. A load from the store blocks its engine for many loads of
+     * other models, so more of those wait, and more would be loaded from the store in turn.
      */
     private static final Duration LONGEST_FOR_COPY = Duration.ofMillis(3_000);
 
     /**
-     * The same for a busy model, and how long its engines must still be barred to be given up on.
+     * The same for a busy model. Also how long all engines with a copy must still be blocked for it
+     * to be loaded from the store at once.
      */
     private static final Duration LONGEST_IF_BUSY = Duration.ofMillis(1_200);
 
-    /** A model with its only copy at an engine that is barred weighs at least this. */
+    /**
+     * Minimum cost, in requests per second, of blocking an engine that has the only copy of a
+     * model.
+     */
     private static final double SOLE_COPY = 0.05;
 
-    /** Requests that have waited so long though replicas are there ask for one more. */
+    /** Wait after which requests for a model that has replicas justify one more replica. */
     private static final Duration CROWDED = Duration.ofMillis(120);
 
     /**
-     * What one more replica of a busy model saves, in seconds for each of its requests: those that
-     * find a slot or an adapter at once, and those that would be lost with the only replica.
+     * Seconds that one more replica of a busy model saves for each of its requests, counting those
+     * that find a slot or an adapter at once and those that would be lost with the only replica.
      */
     private static final double BUSY_GAIN = 0.3;
 
-    /** Of what a load ahead of need saves, what it may cost: exchanges must not go to and fro. */
+    /**
+     * Part of the saving of a load ahead of need that the load may cost at most. Otherwise models
+     * would replace each other back and forth.
+     */
     private static final double AHEAD_PART = 0.4;
 
-    /** A model that nobody has asked for takes the place of needless replicas, and of no other. */
+    /**
+     * Saving of loading a model that nobody has requested: enough to replace surplus replicas and
+     * nothing else.
+     */
     private static final double LEAST_GAIN = 0.001;
 
     /**
-     * While an engine loads or unloads a model it takes no order for an adapter. Where no other
-     * engine with the adapter's model is open, all requests for adapters that aren't there wait;
-     * else hardly any do. Of each such request a second, this part.
+     * Part of the requests for adapters that wait while an engine loads or unloads a model, as it
+     * takes no order for an adapter meanwhile. If no other engine that holds the base model is
+     * available, most requests for adapters that are not loaded wait; otherwise hardly any do.
      */
     private static final double BLOCKED_ALONE = 0.7;
 
     private static final double BLOCKED_SHARED = 0.05;
 
-    /** Where more of them would wait, the engine isn't barred for the seconds of a store's load. */
+    /**
+     * Blocked adapter requests per second above which an engine does not load from the store, which
+     * would block it for seconds.
+     */
     private static final double MOST_BLOCKED = 0.5;
 
     private final DemandBook demand;
@@ -68,16 +81,16 @@
         this.storeLoads = storeLoads;
     }
 
-    /** A model for an engine. */
+    /** A model and the engine that is to load it. */
     record Choice(Engine engine, String model) {}
 
     private record Offer(
             Engine engine, LoadSource source, double cost, double hurt, boolean losesCopy) {}
 
     /**
-     * What room that has just been made is best used for: the model it was meant for, or a busy one
-     * that has come to wait meanwhile. An unload can take seconds, and a model that becomes busy in
-     * them is asked for dozens of times a second.
+     * Returns the best use of memory that was just freed: the model it was meant for, or a busy one
+     * that requests have begun to wait for since. An unload can take seconds, and a model that
+     * becomes busy in that time gets dozens of requests per second.
      */
     String bestUse(Engine engine, String meantFor, FleetView fleet) {
         if (ReplicaGoal.busy(meantFor, demand)) {
@@ -110,7 +123,7 @@
         return choices;
     }
 
-    /** One look at all engines of a service. */
+    /** One planning round over all engines of a service. */
     private final class Round {
         private final EngineSpec spec;
         private final List<Engine> engines;
@@ -233,7 +246,8 @@
             return blocked;
         }
 
-        // While it loads from the store, an engine can't bring back what only it has a copy of.
+        // While an engine loads from the store, it cannot load the models that only it has a copy
+        // of.
         private double soleCopies(Engine engine) {
             double hurt = 0;
             for (String model : engine.copies()) {
@@ -272,14 +286,16 @@
                     : chosenFromStore == 0 && StoreLoads.running(engines) == 0;
         }
 
-        // The choices of a round become orders after it. Each looked at alone, a dozen models that
-        // wait would all be fetched at once, and each of them take minutes.
+        // The choices of a round become orders only after it, so they are counted here. Otherwise a
+        // dozen models that requests wait for would be loaded from the store at once, and each load
+        // would take minutes.
         private boolean storeAllows(boolean needed) {
             return storeLoads.allows(spec, engines, chosenFromStore, needed, now);
         }
 
-        // The store gives a few loads a minute. Spent on second copies of busy models, they would
-        // never come to those that are asked for now and then and that no engine can load at all.
+        // The store allows a few loads per minute. If they were spent on second copies of busy
+        // models, models that are requested now and then and that no engine can load would never be
+        // loaded.
         private boolean anyLacksCopy() {
             return spec.models().keySet().stream()
                     .anyMatch(
@@ -293,15 +309,15 @@
             return fleet.copies(model) == 0 && fleet.replicas(model) == 0;
         }
 
-        // Before the first request nobody misses what makes room, and it comes back from a disk in
-        // a second. What no engine has a copy of would take its first callers longer than they can
-        // wait.
+        // Before the first request nobody misses an evicted model, and it can be loaded from disk
+        // in a second. A model that no engine has a copy of would take longer than its first
+        // callers can wait.
         private boolean fetchesFirstCopy(String model) {
             return demand.nobodyAsked() && nowhere(model);
         }
 
-        // A busy model whose only copy is where it is held already can have no second replica but
-        // from the store. Its one replica would run out of slots and of places for adapters.
+        // If the only copy of a busy model is on the engine that already holds it, a second replica
+        // can come only from the store. A single replica would run out of slots and adapter slots.
         private boolean spareCopy(String model) {
             return engines.stream()
                     .anyMatch(
@@ -313,8 +329,8 @@
             return LEAST_GAIN + demand.perSecond(model) * seconds * AHEAD_PART;
         }
 
-        // A rare model waits a while for the engine that has it. For a busy one that is dozens of
-        // requests, all refused, before the first has waited that long.
+        // A rare model waits a while for the engine that has a copy. For a busy one, dozens of
+        // requests would be refused before the first has waited that long.
         private boolean barred(String model) {
             boolean busy = ReplicaGoal.busy(model, demand);
             Duration longest = busy ? LONGEST_IF_BUSY : LONGEST_FOR_COPY;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/ReplicaGoal.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/ReplicaGoal.java
@@ -2,18 +2,22 @@
 
 import io.damaskyoke.control.direct.EngineSpec;
 
-/** How many replicas a busy model should have; a model that isn't busy has no goal. */
+/** Computes how many replicas a busy model should have. A model that is not busy has no goal. */
 final class ReplicaGoal {
-    /** Requests a second from which a model is busy: one replica may be lost without a gap. */
+    /**
+     * Requests per second from which a model is busy. A busy model has enough replicas that one can
+     * be lost without an interruption.
+     */
     private static final double BUSY_PER_SECOND = 2.0;
 
-    /** Of a replica's slots, what the usual load may take before there is another replica. */
+    /** Part of a replica's slots that the usual load may take before another replica is added. */
     private static final double USUAL_PART = 0.4;
 
     private static final int LEAST = 2;
 
     /**
-     * More replicas than this for their places alone cost more memory than the places are worth.
+     * Limit of the replicas that are added for adapter slots alone: more cost more memory than the
+     * slots are worth.
      */
     private static final int MOST_FOR_ADAPTERS = 3;
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Room.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/Room.java
@@ -8,51 +8,68 @@
 import java.util.Optional;
 
 /**
- * What would have to go from an engine so that a model fits, and how much that would hurt.
+ * Chooses which models to evict from an engine so that a given model fits, and estimates the cost.
  *
- * <p>The pattern: memory holds about two thirds of the models, a model that went comes back from
- * its engine's own disk in well under a second, and requests for rare models come seconds apart. So
- * what is idle now goes first, by how soon it is likely to be asked for again.
+ * <p>The expected load is models of which memory holds about two thirds, requests for rare models
+ * seconds apart, and reloads from the engine's own disk in well under a second. So models that are
+ * idle now are evicted first, in the order of how soon they are likely to be requested again.
  */
 final class Room {
-    /** Those who waited for a model need this long to reach it once it is ready. */
+    /**
+     * How long a model is protected after its load: the requests that waited for it need this long
+     * to reach it.
+     */
     static final Duration MOMENT = Duration.ofMillis(1_200);
 
-    /** The same where dozens of others wait: the first of them reach it in this time. */
+    /**
+     * The same where dozens of requests wait for another model: the first of the requests for the
+     * loaded one reach it in this time.
+     */
     static final Duration SHORT_MOMENT = Duration.ofMillis(400);
 
-    /** A model with a second replica is missed less. */
+    /** Factor of the cost of evicting a model that has another replica. */
     private static final double REPLICATED = 0.15;
 
     /**
-     * An unload waits for the model's runs, and the upstream takes no other order meanwhile. A
-     * usual run lasts a second and a half, some last five.
+     * Expected wait of an unload for a running request. An unload waits for the model's running
+     * requests, and the upstream takes no other order meanwhile. A typical request runs for 1.5 s,
+     * some for 5 s.
      */
     private static final double RUN_SECONDS = 2.0;
 
     /**
-     * So long a model waits for an engine on which another falls idle. The first run to end gives
-     * its place at once; an unload that was ordered before waits for the one it was ordered for,
-     * and bars its engine for everything else meanwhile.
+     * How long a model waits for an engine on which another model becomes idle. The first model to
+     * become idle can be evicted at once, whereas an unload that was ordered earlier waits for the
+     * model it names and blocks its engine for everything else meanwhile.
      */
     private static final Duration LONGEST_FOR_IDLE = Duration.ofMillis(1_500);
 
-    /** More runs last longer together, and show that more requests are on their way. */
+    /**
+     * Added to the wait for each running request: several together run longer, and show that more
+     * requests are coming.
+     */
     private static final double CROWD_SECONDS = 0.3;
 
-    /** A model without requests is given up in the order of its size; this is next to nothing. */
+    /**
+     * Cost of evicting a model without requests. It is close to zero, so that such models are
+     * evicted by size.
+     */
     private static final double IDLE_COST = 0.002;
 
     /**
-     * What goes before a load from the store, and has no other copy, can't come back for the
-     * seconds that this takes. It may be the model that all ask for next.
+     * Added to the cost of evicting a model without another copy before a load from the store: it
+     * cannot be loaded again for the seconds that this load takes, and it may be the model that is
+     * requested most next.
      */
     private static final double LOST_COPY = 6.0;
 
-    /** So many times as often asked for, a busy model goes before another that is protected. */
+    /**
+     * Ratio of arrival rates above which a busy model may evict another one that is otherwise
+     * protected.
+     */
     private static final double OUTWEIGHS = 5;
 
-    /** Of more models than this, only those cheapest to miss are looked at. */
+    /** Limit of the models that are considered for eviction; the cheapest ones are kept. */
     private static final int MOST_CANDIDATES = 6;
 
     private final DemandBook demand;
@@ -66,18 +83,19 @@
     }
 
     /**
-     * What goes.
+     * Models to evict.
      *
-     * @param cost of missing that, in expected waiting seconds a second
-     * @param seconds until its runs are over, as an unload waits for them
+     * @param cost of not having them, in seconds of expected waiting per second
+     * @param seconds expected time until their running requests are over, as an unload waits for
+     *     them
      */
     record Plan(List<String> victims, double cost, double seconds) {}
 
     private record Victim(String model, double freed, double cost, double seconds) {}
 
     /**
-     * The cheapest way to make room, or empty if there is none now. A second until the room is
-     * there costs {@code perSecond}.
+     * Returns the cheapest way to make room for the model, or empty if there is none now. Each
+     * second until the room is there costs {@code perSecond}.
      */
     Optional<Plan> plan(Engine engine, String model, double perSecond, Instant now) {
         double weight = engine.weight(model);
@@ -98,8 +116,8 @@
         return cheapest(candidates, weight, free, perSecond);
     }
 
-    // An upstream holds a handful of models, so all ways are looked at: a cheap victim that leaves
-    // a gap in which no model fits costs more than it seems.
+    // An upstream holds a handful of models, so all combinations are tried: a cheap victim that
+    // leaves a gap in which no model fits costs more than it seems.
     private Optional<Plan> cheapest(
             List<Victim> candidates, double weight, double free, double perSecond) {
         Plan best = null;
@@ -138,9 +156,9 @@
         return names;
     }
 
-    // A model that is asked for many times as often goes before one that has a request or two, and
-    // before one that was busy a while ago: dozens of its requests would be refused meanwhile.
-    // As long as demand isn't known, the models with several replicas are the ones that were busy.
+    // A model that is requested many times as often may evict one that has a request or two, or one
+    // that was busy a while ago: dozens of its requests would be refused otherwise. While demand is
+    // not known yet, models with several replicas are taken to be the busy ones.
     private boolean evictable(Engine engine, String held, String forModel, Instant now) {
         boolean outweighed =
                 ReplicaGoal.busy(forModel, demand)
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/StoreLoads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/StoreLoads.java
@@ -9,28 +9,42 @@
 import java.util.Map;
 
 /**
- * How much of the weight store is in use: {@code loads.allows(spec, engines, chosen, needed, now)}.
+ * Limits the loads from the weight store: {@code loads.allows(spec, engines, chosen, needed, now)}.
  *
- * <p>The store runs a few loads at once at full speed; more make each other slower, so that all of
- * them come late. How many that are nobody says: it shows in how long loads take. The store also
- * allows only so many to begin within some seconds.
+ * <p>The store runs a few loads at once at full speed. More than that slow each other down, so that
+ * all of them finish late. The number is not configured; it is estimated from how long loads take.
+ * The store also limits how many loads may start within some seconds.
  */
 final class StoreLoads {
-    /** As many are tried at first, and never more; too few would leave half of the store idle. */
+    /**
+     * Initial and highest estimate of the loads at full speed. A lower start would leave half of
+     * the store idle.
+     */
     private static final int MOST_TRIED = 4;
 
     private static final double MILLIS_A_SECOND = 1_000;
 
-    /** A load that takes so many times as long as alone was slowed down by others. */
+    /**
+     * Ratio to the time of an undisturbed load above which a load counts as slowed down by others.
+     */
     private static final double SLOWED = 1.2;
 
-    /** The part of the allowed rate that is used: loads of the leader before this one count too. */
+    /**
+     * Part of the allowed start rate that is used, because loads started by the previous leader
+     * count too.
+     */
     private static final double PART = 0.8;
 
-    /** A new leader has a report of each engine by then, and knows which are loading. */
+    /**
+     * Time after an election by which a new leader has a report of each engine and knows which ones
+     * are loading.
+     */
     private static final Duration REPORTED = Duration.ofMillis(300);
 
-    /** Of a load that runs beside the most that are known to run at full speed. */
+    /**
+     * Tolerance within which a load counts as having run beside as many loads as are known to run
+     * at full speed.
+     */
     private static final double NEARLY_ONE = 0.5;
 
     private final Duration window;
@@ -46,25 +60,32 @@
         this.window = window;
     }
 
-    /** This router gives the orders from now on. */
+    /** Records that this router became leader. */
     void elected(Instant now) {
         reportedAt = now.plus(REPORTED);
     }
 
-    /** True if one more may begin, beside so many that this round of planning has chosen. */
+    /**
+     * Returns true if one more load may start, in addition to those that this planning round has
+     * chosen.
+     *
+     * @param chosen loads from the store that this round has chosen
+     * @param needed whether requests wait for the model
+     */
     boolean allows(
             EngineSpec spec, Collection<Engine> engines, int chosen, boolean needed, Instant now) {
         while (!begun.isEmpty() && begun.peek().plus(window).isBefore(now)) {
             begun.remove();
         }
         double most = Math.max(1, spec.loadsPerSecond() * window.toMillis() / 1000.0 * PART);
-        // Loads ahead of need leave one of those that run at full speed to a request.
+        // Loads ahead of need leave one of the loads at full speed to models that requests wait
+        // for.
         int places = needed ? atFullSpeed : Math.max(1, atFullSpeed - 1);
         boolean reported = !now.isBefore(reportedAt) || engines.stream().allMatch(Engine::reported);
         return reported && begun.size() + chosen + 1 <= most && running(engines) + chosen < places;
     }
 
-    /** So many run now; called at each round of planning. */
+    /** Records the number of running loads; called in each planning round. */
     void look(int runningNow, Instant now) {
         if (!lookedAt.equals(Instant.MIN)) {
             loadSeconds += running * seconds(Duration.between(lookedAt, now));
@@ -73,13 +94,18 @@
         running = runningNow;
     }
 
-    /** The order of that number begins a load. */
+    /** Records that the order with that number starts a load. */
     void begun(long order, Instant now) {
         begun.add(now);
         loadSecondsAtStart.put(order, loadSeconds);
     }
 
-    /** The load of that order, which takes so long alone, is over after this time. */
+    /**
+     * Records that the load of that order is finished, and updates the estimate.
+     *
+     * @param alone time that the load takes undisturbed
+     * @param took time that it took
+     */
     void ended(long order, Duration alone, Duration took) {
         Double atStart = loadSecondsAtStart.remove(order);
         if (atStart == null) {
@@ -94,12 +120,12 @@
         }
     }
 
-    /** The load of that order did not come about. */
+    /** Records that the load of that order did not take place. */
     void calledOff(long order) {
         loadSecondsAtStart.remove(order);
     }
 
-    /** How many run at full speed, as far as is known. */
+    /** Returns the estimated number of loads that run at full speed. */
     int atFullSpeed() {
         return atFullSpeed;
     }
@@ -108,9 +134,9 @@
         return Math.max(1, time.toMillis()) / MILLIS_A_SECOND;
     }
 
-    // An engine that is busy with an order of a leader before may be loading from the store. Not
-    // counted, each change of the leader would put as many loads again beside those under way, and
-    // all of them would come too late for everybody.
+    // An engine that carries out an order of a previous leader may be loading from the store. If it
+    // were not counted, each change of leader would start as many loads again beside those that are
+    // running, and all of them would finish too late.
     static int running(Collection<Engine> engines) {
         return (int) engines.stream().filter(Engine::mayLoadFromStore).count();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/StoreUse.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/StoreUse.java
@@ -1,9 +1,9 @@
 package io.damaskyoke.control.loads;
 
 /**
- * How much of the weight store is in use.
+ * How much of the weight store's capacity is in use.
  *
- * @param running loads under way, as far as is known
- * @param atFullSpeed how many run at once without slowing each other down, as far as is known
+ * @param running loads that are running, as far as is known
+ * @param atFullSpeed estimated number of loads that can run at once without slowing each other down
  */
 public record StoreUse(int running, int atFullSpeed) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Verb.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/Verb.java
@@ -1,9 +1,9 @@
 package io.damaskyoke.control.loads;
 
-/** What an order asks of an upstream. */
+/** What an order tells an upstream to do. */
 public enum Verb {
-    /** Have the model or adapter ready. */
+    /** Load the model or adapter. */
     LOAD,
-    /** Take it out of memory. */
+    /** Remove the model or adapter from memory. */
     UNLOAD
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/WaitReport.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/WaitReport.java
@@ -7,7 +7,10 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Says in a line each, for the log, what models wait for that requests have waited for long. */
+/**
+ * Describes, for the log, why models are not loaded that requests have waited for long: one line
+ * per model.
+ */
 final class WaitReport {
     private final DemandBook demand;
     private final Collection<Engine> engines;
@@ -45,7 +48,7 @@
             }
         }
         if (!anywhere) {
-            line.append(" no copy, loads from the store ").append(store.running());
+            line.append(" no copy on any engine, store loads running ").append(store.running());
             line.append(" of ").append(store.atFullSpeed());
         }
         return line.toString();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/DrainedZoneLoadsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/DrainedZoneLoadsTest.java
@@ -20,7 +20,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is ordered while an availability zone is drained: two engines in it, two elsewhere. */
+/**
+ * Tests the orders given while an availability zone is drained, with two engines in the zone and
+ * two in another.
+ */
 class DrainedZoneLoadsTest {
     private static final VmId ROUTER = VmId.of("router-1");
     private static final UpstreamId LEFT_1 = UpstreamId.of("left-1");
@@ -31,7 +34,7 @@
     private final LoadPlanner planner = new LoadPlanner(LoadSettings.usual());
     private Instant now = Instant.ofEpochSecond(100);
 
-    // Guards against models that only a drained zone holds, and that nobody makes elsewhere until
+    // Guards against models that only a drained zone holds and that are not loaded elsewhere until
     // requests wait for them.
     @Test
     void whatOnlyADrainedZoneHoldsIsLoadedElsewhereTheBusiestFirst() {
@@ -43,7 +46,7 @@
         assertTrue(orders.contains("LOAD rare stays-2"), orders.toString());
     }
 
-    // Guards against a load whose model nobody may be sent to.
+    // Guards against loading a model on an engine that gets no requests.
     @Test
     void anEngineInADrainedZoneGetsNoOrder() {
         begin();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/LoadPlannerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/LoadPlannerTest.java
@@ -21,6 +21,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Tests the planner with two upstreams that hold three of eight models each, all that fits. */
 class LoadPlannerTest {
     private static final VmId ROUTER = VmId.of("router-1");
     private static final UpstreamId ONE = UpstreamId.of("one");
@@ -64,10 +65,9 @@
 
     @Test
     void nothingIsOrderedBeforeTheUpstreamHasReported() {
-        // A new leader knows from the list what upstreams hold, but not which orders of
-        // the
-        // leader before it are under way. Memory counted from the list alone could be
-        // overcommitted.
+        // A new leader knows from the list what upstreams hold, but not which orders of the
+        // previous leader are being carried out. Orders planned from the list alone could exceed an
+        // upstream's memory.
         planner.on(new LoadInput.Configured(Map.of("engines", spec())), now);
         planner.on(new LoadInput.Listed(facts(ONE, held(0, "a"), Set.of("g"))), now);
         List<LoadAction> actions = planner.on(new LoadInput.Elected(), now);
@@ -77,8 +77,8 @@
 
     @Test
     void anUpstreamThatIsBusyWithAnUnknownOrderIsWaitedFor() {
-        // The leader before had ordered a load that is still under way. Its model isn't in the
-        // report yet; once it is, it counts before anything else is ordered.
+        // A load ordered by the previous leader is still running, and its model is not in the
+        // report yet. It must count before anything else is ordered.
         begin(Set.of("g"), Set.of());
         report(ONE, true, held(1, "a", "b"));
         assertEquals(List.of(), want("g", 1));
@@ -89,9 +89,9 @@
 
     @Test
     void anOrderWithoutAnAnswerIsNotTakenAsRefused() {
-        // The answer to an unload is lost. It may be carried out seconds later, so nothing is
+        // The answer to an unload is lost, and it may be carried out seconds later. Nothing is
         // ordered until the upstream has reported; the next order names the same number of accepted
-        // orders, of which the upstream accepts one.
+        // orders, so the upstream accepts only one of the two.
         begin(Set.of("g"), Set.of());
         assertEquals(List.of("UNLOAD a one 0"), want("g", 1));
         answer(OrderOutcome.UNKNOWN);
@@ -103,8 +103,9 @@
 
     @Test
     void memoryIsNeverOrderedOverItsBound() {
-        // Requests for all models keep coming, models load and unload, every fourth answer is lost
-        // and its order carried out or not. What an upstream then holds never exceeds its memory.
+        // Requests for all models keep arriving, models are loaded and unloaded, and every fourth
+        // answer is lost, whether or not its order was carried out. No upstream may ever hold more
+        // than its memory.
         begin(Set.of("d", "e", "f", "g"), Set.of("a", "b", "c", "g"));
         String all = "abcdefg";
         for (int step = 0; step < 600; step++) {
@@ -137,9 +138,9 @@
 
     @Test
     void anAdapterThatJustCameIsNotTakenAwayForTheNext() {
-        // Both places are taken, and requests wait for two more adapters. The first of them comes;
-        // its requests are on their way there. Were it now to make room for the second, and that
-        // for the first again, the two would go to and fro and no request would ever be served.
+        // Both adapter slots are taken and requests wait for two more adapters. When the first is
+        // loaded, its requests are on their way. If it were unloaded for the second, and that one
+        // for the first again, no request would ever be served.
         begin(Set.of(), Set.of());
         report(ONE, false, new HeldModels(1, 0, adaptersOfA("x", "y")));
         List<LoadInput.Want> both = List.of(want("a/v", 1, 1), want("a/w", 1, 1));
@@ -170,9 +171,9 @@
 
     @Test
     void aBusyModelWhoseOnlyCopyIsInUseGetsASecondReplicaFromTheStore() {
-        // All requests for a busy model go to the one upstream that has a copy. Its places for
-        // adapters and its slots run out, and requests are refused while other upstreams idle. What
-        // makes room for seconds is a model that another upstream has a copy of.
+        // All requests for a busy model go to the only upstream with a copy. Its adapter slots and
+        // slots run out, and requests are refused while other upstreams are idle. A model with a
+        // copy on another upstream is evicted for the load, which takes seconds.
         begin(Set.of("e"), Set.of());
         demand(List.of(want("a", 0, 9.0)), Map.of());
         now = now.plusMillis(200);
@@ -189,8 +190,9 @@
 
     @Test
     void aBusyModelGoesBeforeRareOnesThatHaveWaitedLonger() {
-        // One engine is free and has copies of both. The rare model's requests are more urgent and
-        // older; served first each time, they would keep the busy one's fifty callers out for good.
+        // One engine is free and has copies of both models. The requests for the rare model are
+        // more urgent and older; if it were always served first, the fifty callers of the busy
+        // model would never be served.
         begin(Set.of("g", "h"), Set.of());
         LoadInput.Want rare = new LoadInput.Want(ref("g"), 2, Duration.ofSeconds(2), 0, 0.3);
         LoadInput.Want busy = new LoadInput.Want(ref("h"), 50, Duration.ofMillis(900), 2, 15);
@@ -203,9 +205,10 @@
 
     @Test
     void aModelWhoseRequestsCanStillBeInTimeGoesBeforeOneWhoseAreLate() {
-        // One engine is free and has copies of both. The one model's request is late already and as
-        // urgent; loaded first for its age, it would make the other's late as well, and that the
-        // next one's, as long as more is asked for than can be loaded.
+        // One engine is free and has copies of both models, and the requests are equally urgent.
+        // One request is late already. If its model were loaded first because of its age, the other
+        // request would become late too, and then the next, as long as more is requested than can
+        // be loaded.
         begin(Set.of("g", "h"), Set.of());
         LoadInput.Want late = new LoadInput.Want(ref("g"), 1, Duration.ofSeconds(2), 1, 0.1, 0);
         LoadInput.Want inTime = new LoadInput.Want(ref("h"), 1, Duration.ofMillis(300), 1, 0.1, 1);
@@ -218,10 +221,9 @@
 
     @Test
     void anUnloadThatWouldWaitForRunsIsNotOrderedWhileRequestsHaveJustCome() {
-        // All models of the engine with the copy are in use. An unload would wait for the run of
-        // the
-        // one it names and bar the engine meanwhile, though another may fall idle first. Only once
-        // requests have waited for a while is it ordered all the same.
+        // All models on the engine with the copy are in use. An unload would wait for the request
+        // that runs on its model and block the engine meanwhile, although another model may become
+        // idle first. It is ordered only after requests have waited for a while.
         begin(Set.of("g"), Set.of());
         Map<UpstreamId, Map<ModelRef, Integer>> runs =
                 Map.of(ONE, Map.of(ref("a"), 1, ref("b"), 1, ref("c"), 1));
@@ -232,9 +234,9 @@
 
     @Test
     void roomThatWasMadeForARareModelGoesToABusyOneThatHasComeToWait() {
-        // An unload waits two seconds for a run. Meanwhile another model becomes busy, and this
-        // upstream has a copy of it; with the rare one loaded first, its callers would wait for
-        // another second, and for the next unload.
+        // An unload waits two seconds for a running request. Meanwhile another model, of which this
+        // upstream has a copy, becomes busy. If the rare model were loaded first, the busy model's
+        // callers would wait another second and for the next unload.
         begin(Set.of("g", "h"), Set.of());
         want("g", 1);
         answer(OrderOutcome.ACCEPTED);
@@ -246,10 +248,9 @@
 
     @Test
     void beforeTheFirstRequestsAModelWithTwoReplicasKeepsBoth() {
-        // Routers have just started, and no request has come yet. Models with several replicas are
-        // the busy ones; were a replica to go for a model that nobody holds, the first callers
-        // would
-        // find one where they need two.
+        // Routers have just started and no request has arrived yet. Models with several replicas
+        // are the busy ones; if a replica were evicted for a model that no upstream holds, the
+        // first callers would find one replica where they need two.
         planner.on(new LoadInput.Configured(Map.of("engines", spec())), now);
         list(ONE, held(0, "a", "b", "c"), Set.of("h"));
         list(TWO, held(0, "a", "e", "f"), Set.of("h"));
@@ -264,7 +265,8 @@
     @Test
     void aModelThatIsOnItsWayFromTheStoreIsNotFetchedFromThereAgain() {
         // No upstream has a copy of the model. Its load takes six seconds, and requests wait for it
-        // all the while; fetched at each look, it would bar one upstream after the other.
+        // meanwhile; if each planning round started another load, it would block one upstream after
+        // the other.
         begin(Set.of(), Set.of());
         want("h", 1);
         answer(OrderOutcome.ACCEPTED);
@@ -286,15 +288,14 @@
     @Test
     void theStoreIsLeftAloneWhileAnUpstreamHasACopy() {
         // The only upstream with a copy is busy for a moment. A load from the store would take six
-        // seconds and bar the other upstream for as long.
+        // seconds and block the other upstream for as long.
         begin(Set.of(), Set.of("g"));
         report(TWO, true, held(1, "d", "e", "f"));
         assertEquals(List.of(), want("g", 1));
     }
 
-    // Two upstreams hold three of seven models each, which is all that they have room for.
-    // Guards against a round of planning for each of the reports of dozens of routers, which keeps
-    // the leader's VM from its callers.
+    // Guards against one planning round per report of dozens of routers, which would keep the
+    // leader's VM from serving its callers.
     @Test
     void aFloodOfReportsLeadsToFewRoundsOfPlanning() {
         begin(Set.of("g"), Set.of());
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/OpenLoadsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/OpenLoadsTest.java
@@ -39,7 +39,7 @@
         assertEquals(OpenLoads.Reserve.NONE, open.reserve(engine(2, 5)));
     }
 
-    // Guards against an order that was planned by too high a count.
+    // Guards against an order that was planned with too high a count.
     @Test
     void anOrderOfALaterCountTakesRoomInItsOwnLifeToo() {
         open.sent(1, load(1, 5, ADAPTER));
