--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
@@ -27,21 +27,21 @@
      */
     private static final Duration KEPT = Duration.ofMillis(400);
 
-    private final DemandBook demand;
+    private final DemandAggregator demand;
 
-    AdapterPlanner(DemandBook demand) {
+    AdapterPlanner(DemandAggregator demand) {
         this.demand = demand;
     }
 
     /** An order that loads an adapter, or unloads another one to make room for it. */
-    record Step(Engine engine, Verb verb, ModelRef adapter) {}
+    record AdapterOrder(EngineState engine, OrderOperation operation, ModelRef adapter) {}
 
-    List<Step> plan(List<Engine> engines, Instant now) {
-        List<Step> steps = new ArrayList<>();
-        Set<Engine> taken = new HashSet<>();
-        for (LoadInput.Want want : demand.waiting()) {
-            if (want.model().adapted() && !isComing(engines, want.model())) {
-                Step step = step(engines, taken, want.model(), now);
+    List<AdapterOrder> plan(List<EngineState> engines, Instant now) {
+        List<AdapterOrder> steps = new ArrayList<>();
+        Set<EngineState> taken = new HashSet<>();
+        for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
+            if (want.model().adapted() && !isAvailableOrLoading(engines, want.model())) {
+                AdapterOrder step = bestOrder(engines, taken, want.model(), now);
                 if (step != null) {
                     steps.add(step);
                     taken.add(step.engine());
@@ -51,11 +51,11 @@
         return steps;
     }
 
-    private boolean isComing(List<Engine> engines, ModelRef adapter) {
-        for (Engine engine : engines) {
+    private boolean isAvailableOrLoading(List<EngineState> engines, ModelRef adapter) {
+        for (EngineState engine : engines) {
             boolean ordered = engine.pending() != null && engine.pending().model().equals(adapter);
-            boolean usable = !engine.leaves() && !demand.suspect(engine.id());
-            if (ordered || engine.coming().containsKey(adapter)) {
+            boolean usable = !engine.isLeaving() && !demand.isSuspect(engine.id());
+            if (ordered || engine.loadingAdapters().containsKey(adapter)) {
                 return true;
             }
             if (usable && engine.held().has(adapter)) {
@@ -65,15 +65,16 @@
         return false;
     }
 
-    private Step step(List<Engine> engines, Set<Engine> taken, ModelRef adapter, Instant now) {
-        Step best = null;
+    private AdapterOrder bestOrder(
+            List<EngineState> engines, Set<EngineState> taken, ModelRef adapter, Instant now) {
+        AdapterOrder best = null;
         double least = Double.MAX_VALUE;
-        for (Engine engine : engines) {
+        for (EngineState engine : engines) {
             if (taken.contains(engine)
-                    || !engine.free(now)
-                    || engine.intent() != null
-                    || !engine.has(adapter.model())
-                    || demand.suspect(engine.id())) {
+                    || !engine.acceptsOrders(now)
+                    || engine.plannedLoad() != null
+                    || !engine.holds(adapter.model())
+                    || demand.isSuspect(engine.id())) {
                 continue;
             }
             boolean place = engine.adapterCount() < engine.spec().adapterSlots();
@@ -87,26 +88,26 @@
                 least = cost;
                 best =
                         victim == null
-                                ? new Step(engine, Verb.LOAD, adapter)
-                                : new Step(engine, Verb.UNLOAD, victim);
+                                ? new AdapterOrder(engine, OrderOperation.LOAD, adapter)
+                                : new AdapterOrder(engine, OrderOperation.UNLOAD, victim);
             }
         }
         return best;
     }
 
     private double victimCost(ModelRef victim) {
-        return demand.perSecond(victim);
+        return demand.arrivalsPerSecond(victim);
     }
 
-    private ModelRef victim(Engine engine, Instant now) {
+    private ModelRef victim(EngineState engine, Instant now) {
         ModelRef oldest = null;
         for (Map.Entry<String, Set<String>> entry : engine.held().adapters().entrySet()) {
             for (String name : entry.getValue()) {
                 ModelRef each = new ModelRef(entry.getKey(), name);
-                if (inUse(engine, each, now)) {
+                if (isInUse(engine, each, now)) {
                     continue;
                 }
-                if (oldest == null || engine.usedAt(each).isBefore(engine.usedAt(oldest))) {
+                if (oldest == null || engine.lastUsedAt(each).isBefore(engine.lastUsedAt(oldest))) {
                     oldest = each;
                 }
             }
@@ -114,8 +115,8 @@
         return oldest;
     }
 
-    private boolean inUse(Engine engine, ModelRef adapter, Instant now) {
-        Instant used = engine.usedAt(adapter);
+    private boolean isInUse(EngineState engine, ModelRef adapter, Instant now) {
+        Instant used = engine.lastUsedAt(adapter);
         boolean lately = !used.equals(Instant.MIN) && now.isBefore(used.plus(KEPT));
         return lately || demand.running(engine.id(), adapter) > 0 || demand.waitingFor(adapter) > 0;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/DemandBook.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/DemandAggregator.java
@@ -16,7 +16,7 @@
  * summed when a planning round needs the totals and not as they arrive: {@code book.said(...);
  * book.addUp(now)}.
  */
-final class DemandBook {
+final class DemandAggregator {
     /**
      * Lifetime of a report. A router without changes repeats its report every 0.6 s, so one that is
      * silent for this long is gone.
@@ -29,13 +29,13 @@
      */
     private static final Duration YOUNG = Duration.ofSeconds(4);
 
-    private final Map<VmId, Entry> byRouter = new HashMap<>();
-    private final Map<ModelRef, LoadInput.Want> wants = new HashMap<>();
+    private final Map<VmId, ReceivedReport> byRouter = new HashMap<>();
+    private final Map<ModelRef, LoadInput.ModelDemand> wants = new HashMap<>();
     private final Map<String, Double> perSecond = new HashMap<>();
     private final Map<String, Double> adaptersPerSecond = new HashMap<>();
     private final Map<String, Integer> waiting = new HashMap<>();
     private final Map<String, Duration> oldest = new HashMap<>();
-    private List<LoadInput.Want> inOrder = List.of();
+    private List<LoadInput.ModelDemand> inOrder = List.of();
     private final Map<UpstreamId, Map<ModelRef, Integer>> runningAt = new HashMap<>();
     private final Map<UpstreamId, Map<String, Integer>> runningModels = new HashMap<>();
     private final Map<String, Integer> running = new HashMap<>();
@@ -46,18 +46,18 @@
     private Instant firstAt;
     private boolean changed;
 
-    private record Entry(LoadInput.Demanded said, Instant at) {}
+    private record ReceivedReport(LoadInput.DemandReported demand, Instant receivedAt) {}
 
-    void said(LoadInput.Demanded demanded, Instant now) {
-        byRouter.put(demanded.router(), new Entry(demanded, now));
-        if (firstAt == null && !demanded.wants().isEmpty()) {
+    void record(LoadInput.DemandReported demanded, Instant now) {
+        byRouter.put(demanded.router(), new ReceivedReport(demanded, now));
+        if (firstAt == null && !demanded.demands().isEmpty()) {
             firstAt = now;
         }
         changed = true;
     }
 
     /** Returns true until requests have arrived for long enough to show which models are busy. */
-    boolean young(Instant now) {
+    boolean isWarmingUp(Instant now) {
         return firstAt == null || now.isBefore(firstAt.plus(YOUNG));
     }
 
@@ -65,17 +65,18 @@
      * Returns true while no router has reported a request since this planner started to receive
      * reports.
      */
-    boolean nobodyAsked() {
+    boolean hasSeenNoRequests() {
         return firstAt == null;
     }
 
     /** Removes the reports that have expired. */
-    void expire(Instant now) {
-        changed |= byRouter.values().removeIf(entry -> entry.at().plus(VALID).isBefore(now));
+    void removeExpired(Instant now) {
+        changed |=
+                byRouter.values().removeIf(entry -> entry.receivedAt().plus(VALID).isBefore(now));
     }
 
     /** Returns true if any router has reported waiting requests. */
-    boolean anyWaits() {
+    boolean hasWaitingRequests() {
         return !inOrder.isEmpty();
     }
 
@@ -91,40 +92,41 @@
      * number of such requests per MB of the model. When more is requested than can be loaded,
      * ordering by age would make every request late by the same number of seconds.
      */
-    List<LoadInput.Want> waiting() {
+    List<LoadInput.ModelDemand> waitingInOrder() {
         return inOrder;
     }
 
-    private List<LoadInput.Want> sortWaiting() {
-        List<LoadInput.Want> sorted = new ArrayList<>();
-        for (LoadInput.Want want : wants.values()) {
+    private List<LoadInput.ModelDemand> sortWaiting() {
+        List<LoadInput.ModelDemand> sorted = new ArrayList<>();
+        for (LoadInput.ModelDemand want : wants.values()) {
             if (want.waiting() > 0) {
                 sorted.add(want);
             }
         }
         sorted.sort(
-                Comparator.comparing((LoadInput.Want want) -> !busy(want))
+                Comparator.comparing((LoadInput.ModelDemand want) -> !isBusy(want))
                         .thenComparing(want -> want.inTime() == 0)
-                        .thenComparingDouble(want -> -want.inTime() / weight(want))
-                        .thenComparingInt(LoadInput.Want::urgency)
+                        .thenComparingDouble(want -> -want.inTime() / sizeMb(want))
+                        .thenComparingInt(LoadInput.ModelDemand::urgency)
                         .thenComparingInt(want -> -want.waiting())
-                        .thenComparing(LoadInput.Want::oldest, Comparator.reverseOrder())
-                        .thenComparing(LoadInput.Want::model));
+                        .thenComparing(
+                                LoadInput.ModelDemand::longestWait, Comparator.reverseOrder())
+                        .thenComparing(LoadInput.ModelDemand::model));
         return sorted;
     }
 
     /** Sets the memory that each model takes, in MB. */
-    void weights(Map<String, Double> given) {
+    void setModelSizes(Map<String, Double> given) {
         weights.clear();
         weights.putAll(given);
     }
 
-    private double weight(LoadInput.Want want) {
+    private double sizeMb(LoadInput.ModelDemand want) {
         return weights.getOrDefault(want.model().model(), 1.0);
     }
 
-    private boolean busy(LoadInput.Want want) {
-        return ReplicaGoal.busy(want.model().model(), this);
+    private boolean isBusy(LoadInput.ModelDemand want) {
+        return ReplicaGoal.isBusy(want.model().model(), this);
     }
 
     /** Returns the number of requests that wait for the model or one of its adapters. */
@@ -134,34 +136,34 @@
 
     /** Returns the number of requests that wait for exactly this model or adapter. */
     int waitingFor(ModelRef model) {
-        LoadInput.Want want = wants.get(model);
+        LoadInput.ModelDemand want = wants.get(model);
         return want == null ? 0 : want.waiting();
     }
 
     /** Returns how long the first request has waited for the model or one of its adapters. */
-    Duration oldest(String model) {
+    Duration longestWait(String model) {
         return oldest.getOrDefault(model, Duration.ZERO);
     }
 
     /** Returns how many of the model's adapters were requested recently. */
-    int adaptersAsked(String model) {
+    int requestedAdapters(String model) {
         return adaptersAsked.getOrDefault(model, 0);
     }
 
     /** Returns the arrivals per second for the model and all its adapters. */
-    double perSecond(String model) {
+    double arrivalsPerSecond(String model) {
         return perSecond.getOrDefault(model, 0.0);
     }
 
     /** Returns the arrivals per second for the model's adapters. */
-    double adaptersPerSecond(String model) {
+    double adapterArrivalsPerSecond(String model) {
         return adaptersPerSecond.getOrDefault(model, 0.0);
     }
 
     /** Returns the arrivals per second for exactly this model or adapter. */
-    double perSecond(ModelRef model) {
-        LoadInput.Want want = wants.get(model);
-        return want == null ? 0 : want.perSecond();
+    double arrivalsPerSecond(ModelRef model) {
+        LoadInput.ModelDemand want = wants.get(model);
+        return want == null ? 0 : want.arrivalsPerSecond();
     }
 
     /**
@@ -187,7 +189,7 @@
     /**
      * Returns true if at least half of the routers report that the upstream fails their requests.
      */
-    boolean suspect(UpstreamId upstream) {
+    boolean isSuspect(UpstreamId upstream) {
         int finding = suspecting.getOrDefault(upstream, 0);
         return finding > 0 && 2 * finding >= byRouter.size();
     }
@@ -196,7 +198,7 @@
      * Recomputes the totals if reports have changed since the last call. The other methods return
      * the totals of the last call.
      */
-    void addUp(Instant now) {
+    void aggregate(Instant now) {
         if (!changed) {
             return;
         }
@@ -208,23 +210,23 @@
         oldest.clear();
         adaptersAsked.clear();
         suspecting.clear();
-        addUpRunning();
-        for (Entry entry : byRouter.values()) {
-            Duration age = Duration.between(entry.at(), now);
-            for (LoadInput.Want want : entry.said().wants()) {
+        aggregateRunning();
+        for (ReceivedReport entry : byRouter.values()) {
+            Duration age = Duration.between(entry.receivedAt(), now);
+            for (LoadInput.ModelDemand want : entry.demand().demands()) {
                 add(want, age);
             }
-            entry.said().suspects().forEach(id -> suspecting.merge(id, 1, Integer::sum));
+            entry.demand().suspects().forEach(id -> suspecting.merge(id, 1, Integer::sum));
         }
         inOrder = sortWaiting();
     }
 
-    private void addUpRunning() {
+    private void aggregateRunning() {
         runningAt.clear();
         runningModels.clear();
         running.clear();
-        for (Entry entry : byRouter.values()) {
-            entry.said().running().forEach(this::addRunning);
+        for (ReceivedReport entry : byRouter.values()) {
+            entry.demand().running().forEach(this::addRunning);
         }
     }
 
@@ -240,24 +242,25 @@
                 });
     }
 
-    private void add(LoadInput.Want want, Duration age) {
-        perSecond.merge(want.model().model(), want.perSecond(), Double::sum);
+    private void add(LoadInput.ModelDemand want, Duration age) {
+        perSecond.merge(want.model().model(), want.arrivalsPerSecond(), Double::sum);
         waiting.merge(want.model().model(), want.waiting(), Integer::sum);
         if (want.waiting() > 0) {
-            oldest.merge(want.model().model(), want.oldest().plus(age), DemandBook::longer);
+            oldest.merge(
+                    want.model().model(), want.longestWait().plus(age), DemandAggregator::longer);
         }
         if (want.model().adapted()) {
-            adaptersPerSecond.merge(want.model().model(), want.perSecond(), Double::sum);
+            adaptersPerSecond.merge(want.model().model(), want.arrivalsPerSecond(), Double::sum);
         }
-        LoadInput.Want aged =
-                new LoadInput.Want(
+        LoadInput.ModelDemand aged =
+                new LoadInput.ModelDemand(
                         want.model(),
                         want.waiting(),
-                        want.oldest().plus(age),
+                        want.longestWait().plus(age),
                         want.urgency(),
-                        want.perSecond(),
+                        want.arrivalsPerSecond(),
                         want.inTime());
-        if (wants.put(want.model(), both(wants.get(want.model()), aged)) == null
+        if (wants.put(want.model(), merge(wants.get(want.model()), aged)) == null
                 && want.model().adapted()) {
             adaptersAsked.merge(want.model().model(), 1, Integer::sum);
         }
@@ -267,17 +270,18 @@
         return one.compareTo(other) >= 0 ? one : other;
     }
 
-    private static LoadInput.Want both(LoadInput.Want one, LoadInput.Want other) {
+    private static LoadInput.ModelDemand merge(
+            LoadInput.ModelDemand one, LoadInput.ModelDemand other) {
         if (one == null) {
             return other;
         }
-        boolean longer = one.oldest().compareTo(other.oldest()) >= 0;
-        return new LoadInput.Want(
+        boolean longer = one.longestWait().compareTo(other.longestWait()) >= 0;
+        return new LoadInput.ModelDemand(
                 one.model(),
                 one.waiting() + other.waiting(),
-                longer ? one.oldest() : other.oldest(),
+                longer ? one.longestWait() : other.longestWait(),
                 Math.min(one.urgency(), other.urgency()),
-                one.perSecond() + other.perSecond(),
+                one.arrivalsPerSecond() + other.arrivalsPerSecond(),
                 one.inTime() + other.inTime());
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Engine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/EngineState.java
@@ -18,7 +18,7 @@
  * The planner's view of one upstream of a model service: the models that it holds, the order that
  * it carries out, and the memory that this leaves. Whatever may be in memory counts as held.
  */
-final class Engine {
+final class EngineState {
     /** Time to load an adapter from the store: 5 ms for the smallest, 9.7 ms for the largest. */
     private static final double ADAPTER_BASE_MILLIS = 4;
 
@@ -39,8 +39,8 @@
     private UpstreamFacts facts;
     private long life;
     private HeldModels held;
-    private Pending pending;
-    private Intent intent;
+    private PendingOrder pending;
+    private PlannedLoad intent;
     private boolean zoneDrained;
     private boolean known;
     private boolean answered;
@@ -48,23 +48,25 @@
     private boolean reported;
     private Instant quietUntil = Instant.MIN;
     private Instant askedAt = Instant.MIN;
-    private OpenLoads.Reserve reserve = OpenLoads.Reserve.NONE;
+    private UnansweredLoadOrders.Reservation reserve = UnansweredLoadOrders.Reservation.NONE;
 
     /** An order that was sent and is not finished. */
-    record Pending(
+    record PendingOrder(
             long number,
-            Verb verb,
+            OrderOperation operation,
             ModelRef model,
             LoadSource source,
             Instant sentAt,
             boolean accepted,
             Instant dueAt) {
         boolean loadsFromStore() {
-            return verb == Verb.LOAD && source == LoadSource.STORE && !model.adapted();
+            return operation == OrderOperation.LOAD
+                    && source == LoadSource.STORE
+                    && !model.adapted();
         }
 
-        Pending acceptedUntil(Instant due) {
-            return new Pending(number, verb, model, source, sentAt, true, due);
+        PendingOrder asAccepted(Instant due) {
+            return new PendingOrder(number, operation, model, source, sentAt, true, due);
         }
     }
 
@@ -72,14 +74,14 @@
      * A model that is to be loaded on this engine once there is room. Until then no other model is
      * loaded here.
      */
-    record Intent(String model, Instant until) {}
+    record PlannedLoad(String model, Instant expiresAt) {}
 
-    Engine(EngineSpec spec, UpstreamFacts facts) {
+    EngineState(EngineSpec spec, UpstreamFacts facts) {
         this.spec = spec;
         this.facts = facts;
         this.life = facts.held().startedAt();
         this.held = facts.held();
-        copies(facts.inMemory(), facts.onDisk());
+        updateCopies(facts.inMemory(), facts.onDisk());
     }
 
     UpstreamId id() {
@@ -99,21 +101,21 @@
     }
 
     /** Returns the start of the incarnation that is known, in Unix milliseconds. */
-    long life() {
+    long incarnation() {
         return life;
     }
 
     /** Reserves memory and adapter slots for orders that may still be carried out. */
-    void reserve(OpenLoads.Reserve given) {
+    void setReservation(UnansweredLoadOrders.Reservation given) {
         reserve = given;
     }
 
-    Pending pending() {
+    PendingOrder pending() {
         return pending;
     }
 
     /** Records whether the engine carries out an order of which nothing else is known. */
-    void busy(boolean unknown) {
+    void setBusyWithUnknownOrder(boolean unknown) {
         busyUnknown = unknown;
     }
 
@@ -123,10 +125,10 @@
      */
     boolean mayLoadFromStore() {
         boolean loads = pending == null ? busyUnknown : pending.loadsFromStore();
-        return loads || intent != null && source(intent.model()) == LoadSource.STORE;
+        return loads || intent != null && loadSource(intent.model()) == LoadSource.STORE;
     }
 
-    Intent intent() {
+    PlannedLoad plannedLoad() {
         return intent;
     }
 
@@ -134,31 +136,31 @@
      * Returns true if what the engine holds is known from a report received since this router
      * became leader.
      */
-    boolean known() {
+    boolean isKnown() {
         return known;
     }
 
     /** Requires a new report of what the engine holds before it gets another order. */
-    void doubt() {
+    void requireReport() {
         known = false;
     }
 
     /** Returns true if any report has been received since this router became leader. */
-    boolean reported() {
+    boolean hasReported() {
         return reported;
     }
 
     /** Returns true if the last requested report has been received. */
-    boolean answered() {
+    boolean hasAnsweredReportRequest() {
         return answered;
     }
 
     /** Records that the engine did not answer a request for a report. */
-    void silent() {
+    void reportFailed() {
         answered = false;
     }
 
-    void forget() {
+    void reset() {
         known = false;
         busyUnknown = false;
         reported = false;
@@ -168,7 +170,7 @@
     }
 
     /** Returns how long the current order will still take, or zero if that is not known. */
-    Duration barredFor(Instant now) {
+    Duration remainingOrderTime(Instant now) {
         return pending == null || !pending.dueAt().isAfter(now)
                 ? Duration.ZERO
                 : Duration.between(now, pending.dueAt());
@@ -178,17 +180,17 @@
      * Returns true if the engine's state is about to change: a report, an order, a planned load or
      * an adapter load is pending.
      */
-    boolean underWay() {
+    boolean hasPendingChange() {
         return !known || pending != null || intent != null || !coming.isEmpty();
     }
 
     /** Returns true if the engine can take an order now. */
-    boolean free(Instant now) {
-        return known && pending == null && !now.isBefore(quietUntil) && !leaves();
+    boolean acceptsOrders(Instant now) {
+        return known && pending == null && !now.isBefore(quietUntil) && !isLeaving();
     }
 
     /** Records whether operators drain the engine's availability zone. */
-    void zoneDrained(boolean given) {
+    void setZoneDrained(boolean given) {
         zoneDrained = given;
         if (given) {
             intent = null;
@@ -199,11 +201,11 @@
      * Returns true if the engine is about to stop receiving requests, so that models that only it
      * holds must be loaded elsewhere.
      */
-    boolean leaves() {
+    boolean isLeaving() {
         return facts.draining() || zoneDrained;
     }
 
-    void quiet(Instant until) {
+    void pauseUntil(Instant until) {
         quietUntil = until;
     }
 
@@ -211,11 +213,11 @@
      * Returns true if a report may be requested: none was requested yet, or the last request is at
      * least {@code gap} old.
      */
-    boolean mayAsk(Instant now, Duration gap) {
+    boolean isReportDue(Instant now, Duration gap) {
         return askedAt.equals(Instant.MIN) || !now.isBefore(askedAt.plus(gap));
     }
 
-    void asked(Instant now) {
+    void reportRequested(Instant now) {
         askedAt = now;
         answered = false;
     }
@@ -224,35 +226,35 @@
      * Applies what the list of upstreams says. Only reports count orders, so what a report said of
      * the held models takes precedence within an incarnation.
      */
-    void listed(UpstreamFacts given) {
+    void applyFacts(UpstreamFacts given) {
         facts = given;
-        copies(given.inMemory(), given.onDisk());
-        if (isOtherLife(given.held().startedAt())) {
-            reborn(given.held());
+        updateCopies(given.inMemory(), given.onDisk());
+        if (isNewIncarnation(given.held().startedAt())) {
+            restarted(given.held());
         }
     }
 
     // Not every source states the start time.
-    private boolean isOtherLife(long startedAt) {
+    private boolean isNewIncarnation(long startedAt) {
         return startedAt != HeldModels.NO_START && startedAt != life;
     }
 
-    private void reborn(HeldModels now) {
+    private void restarted(HeldModels now) {
         life = now.startedAt();
-        forget();
+        reset();
         coming.clear();
         loadedAt.clear();
         held = now;
     }
 
     /** Applies a report. Returns false if the report is older than what is known. */
-    boolean reported(LoadInput.Reported report) {
+    boolean applyReport(LoadInput.UpstreamReported report) {
         answered = true;
         reported = true;
-        if (isOtherLife(report.held().startedAt())) {
-            reborn(report.held());
+        if (isNewIncarnation(report.held().startedAt())) {
+            restarted(report.held());
         }
-        copies(report.inMemory(), report.onDisk());
+        updateCopies(report.inMemory(), report.onDisk());
         if (known && report.held().sequence() < held.sequence()) {
             return false;
         }
@@ -263,20 +265,20 @@
         return true;
     }
 
-    void sent(Pending order) {
+    void orderSent(PendingOrder order) {
         pending = order;
     }
 
-    void intend(Intent given) {
+    void setPlannedLoad(PlannedLoad given) {
         intent = given;
     }
 
-    void over() {
+    void orderFinished() {
         pending = null;
     }
 
-    void accepted(Instant due) {
-        pending = pending.acceptedUntil(due);
+    void orderAccepted(Instant due) {
+        pending = pending.asAccepted(due);
         held = new HeldModels(held.startedAt(), held.sequence() + 1, held.adapters());
     }
 
@@ -295,23 +297,23 @@
         }
     }
 
-    void counted(long sequence) {
+    void setSequence(long sequence) {
         held = new HeldModels(held.startedAt(), sequence, held.adapters());
     }
 
-    void comes(ModelRef adapter, Instant readyAt) {
+    void addLoadingAdapter(ModelRef adapter, Instant readyAt) {
         coming.put(adapter, readyAt);
     }
 
-    Map<ModelRef, Instant> coming() {
+    Map<ModelRef, Instant> loadingAdapters() {
         return coming;
     }
 
-    void used(ModelRef model, Instant now) {
+    void markUsed(ModelRef model, Instant now) {
         usedAt.put(model, now);
     }
 
-    Instant usedAt(ModelRef model) {
+    Instant lastUsedAt(ModelRef model) {
         return usedAt.getOrDefault(model, Instant.MIN);
     }
 
@@ -319,12 +321,12 @@
      * Returns true if the model was loaded less than {@code moment} ago, so that the requests that
      * waited for it may not have arrived yet.
      */
-    boolean justLoaded(String model, Instant now, Duration moment) {
+    boolean wasLoadedWithin(String model, Instant now, Duration moment) {
         Instant at = loadedAt.get(model);
         return at != null && now.isBefore(at.plus(moment));
     }
 
-    boolean has(String model) {
+    boolean holds(String model) {
         return held.adapters().containsKey(model);
     }
 
@@ -333,13 +335,13 @@
     }
 
     /** Returns the models that the engine can load without the weight store. */
-    Set<String> copies() {
+    Set<String> modelsWithCopy() {
         Set<String> all = new HashSet<>(onDisk);
         all.addAll(inMemory);
         return all;
     }
 
-    LoadSource source(String model) {
+    LoadSource loadSource(String model) {
         if (inMemory.contains(model)) {
             return LoadSource.MEMORY;
         }
@@ -350,26 +352,28 @@
     double freeMb() {
         double used = 0;
         for (Map.Entry<String, Set<String>> entry : held.adapters().entrySet()) {
-            used += weight(entry.getKey()) + entry.getValue().size() * adapterMb(entry.getKey());
+            used += modelMb(entry.getKey()) + entry.getValue().size() * adapterMb(entry.getKey());
         }
         for (ModelRef adapter : coming.keySet()) {
             used += adapterMb(adapter.model());
         }
-        if (pending != null && pending.verb() == Verb.LOAD && !held.has(pending.model())) {
-            used += megabytes(pending.model());
+        if (pending != null
+                && pending.operation() == OrderOperation.LOAD
+                && !held.has(pending.model())) {
+            used += sizeMb(pending.model());
         }
         return spec.weightsMb() - used - reserve.megabytes();
     }
 
     int adapterCount() {
-        return held.adapterCount() + coming.size() + reserve.places();
+        return held.adapterCount() + coming.size() + reserve.adapterSlots();
     }
 
-    double megabytes(ModelRef model) {
-        return model.adapted() ? adapterMb(model.model()) : weight(model.model());
+    double sizeMb(ModelRef model) {
+        return model.adapted() ? adapterMb(model.model()) : modelMb(model.model());
     }
 
-    double weight(String model) {
+    double modelMb(String model) {
         ModelSpec known = spec.models().get(model);
         return known == null ? spec.weightsMb() : known.weightsMb();
     }
@@ -379,7 +383,7 @@
         return known == null ? 0 : known.adapterMb();
     }
 
-    Duration adapterTime(String model) {
+    Duration adapterLoadTime(String model) {
         double millis =
                 ADAPTER_BASE_MILLIS
                         + adapterMb(model) * ADAPTER_MILLIS_PER_MB
@@ -387,7 +391,7 @@
         return Duration.ofNanos((long) (millis * 1e6));
     }
 
-    private void copies(Set<String> memory, Set<String> disk) {
+    private void updateCopies(Set<String> memory, Set<String> disk) {
         if (!memory.isEmpty() || !disk.isEmpty()) {
             inMemory.clear();
             onDisk.clear();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Room.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/EvictionPlanner.java
@@ -14,7 +14,7 @@
  * seconds apart, and reloads from the engine's own disk in well under a second. So models that are
  * idle now are evicted first, in the order of how soon they are likely to be requested again.
  */
-final class Room {
+final class EvictionPlanner {
     /**
      * How long a model is protected after its load: the requests that waited for it need this long
      * to reach it.
@@ -72,11 +72,11 @@
     /** Limit of the models that are considered for eviction; the cheapest ones are kept. */
     private static final int MOST_CANDIDATES = 6;
 
-    private final DemandBook demand;
+    private final DemandAggregator demand;
     private final FleetView fleet;
-    private final Packing packing;
+    private final MemoryFragmentation packing;
 
-    Room(DemandBook demand, FleetView fleet, Packing packing) {
+    EvictionPlanner(DemandAggregator demand, FleetView fleet, MemoryFragmentation packing) {
         this.demand = demand;
         this.fleet = fleet;
         this.packing = packing;
@@ -86,27 +86,27 @@
      * Models to evict.
      *
      * @param cost of not having them, in seconds of expected waiting per second
-     * @param seconds expected time until their running requests are over, as an unload waits for
-     *     them
+     * @param waitSeconds expected time until their running requests are over, as an unload waits
+     *     for them
      */
-    record Plan(List<String> victims, double cost, double seconds) {}
+    record Plan(List<String> victims, double cost, double waitSeconds) {}
 
-    private record Victim(String model, double freed, double cost, double seconds) {}
+    private record Victim(String model, double freedMb, double cost, double waitSeconds) {}
 
     /**
      * Returns the cheapest way to make room for the model, or empty if there is none now. Each
      * second until the room is there costs {@code perSecond}.
      */
-    Optional<Plan> plan(Engine engine, String model, double perSecond, Instant now) {
-        double weight = engine.weight(model);
+    Optional<Plan> plan(EngineState engine, String model, double perSecond, Instant now) {
+        double weight = engine.modelMb(model);
         double free = engine.freeMb();
         if (weight <= free) {
-            return Optional.of(new Plan(List.of(), packing.loss(free, free - weight), 0));
+            return Optional.of(new Plan(List.of(), packing.costOfChange(free, free - weight), 0));
         }
         List<Victim> candidates = new ArrayList<>();
         for (String held : engine.held().adapters().keySet()) {
-            if (evictable(engine, held, model, now)) {
-                candidates.add(victim(engine, held, engine.source(model)));
+            if (isEvictable(engine, held, model, now)) {
+                candidates.add(victim(engine, held, engine.loadSource(model)));
             }
         }
         if (candidates.size() > MOST_CANDIDATES) {
@@ -129,14 +129,14 @@
             for (int i = 0; i < candidates.size(); i++) {
                 if ((choice >> i & 1) == 1) {
                     cost += candidates.get(i).cost();
-                    seconds += candidates.get(i).seconds();
-                    room += candidates.get(i).freed();
+                    seconds += candidates.get(i).waitSeconds();
+                    room += candidates.get(i).freedMb();
                 }
             }
             if (room < weight) {
                 continue;
             }
-            cost += Math.max(0, packing.loss(free, room - weight));
+            cost += Math.max(0, packing.costOfChange(free, room - weight));
             double whole = cost + seconds * perSecond;
             if (whole < least) {
                 least = whole;
@@ -159,47 +159,48 @@
     // A model that is requested many times as often may evict one that has a request or two, or one
     // that was busy a while ago: dozens of its requests would be refused otherwise. While demand is
     // not known yet, models with several replicas are taken to be the busy ones.
-    private boolean evictable(Engine engine, String held, String forModel, Instant now) {
+    private boolean isEvictable(EngineState engine, String held, String forModel, Instant now) {
         boolean outweighed =
-                ReplicaGoal.busy(forModel, demand)
-                        && demand.perSecond(forModel) > OUTWEIGHS * demand.perSecond(held);
-        if (engine.justLoaded(held, now, outweighed ? SHORT_MOMENT : MOMENT)) {
+                ReplicaGoal.isBusy(forModel, demand)
+                        && demand.arrivalsPerSecond(forModel)
+                                > OUTWEIGHS * demand.arrivalsPerSecond(held);
+        if (engine.wasLoadedWithin(held, now, outweighed ? SHORT_MOMENT : MOMENT)) {
             return false;
         }
         if (outweighed) {
             return true;
         }
         boolean runs = demand.running(engine.id(), held) > 0;
-        if (runs && demand.oldest(forModel).compareTo(LONGEST_FOR_IDLE) < 0) {
+        if (runs && demand.longestWait(forModel).compareTo(LONGEST_FOR_IDLE) < 0) {
             return false;
         }
-        if (demand.young(now) && fleet.replicas(held) > 1) {
+        if (demand.isWarmingUp(now) && fleet.replicas(held) > 1) {
             return false;
         }
-        int goal = ReplicaGoal.of(engine.spec(), held, demand);
+        int goal = ReplicaGoal.replicasFor(engine.spec(), held, demand);
         return (demand.waitingFor(held) == 0 || fleet.replicas(held) > 1)
                 && (goal == 0 || fleet.replicas(held) > goal);
     }
 
-    private Victim victim(Engine engine, String model, LoadSource source) {
+    private Victim victim(EngineState engine, String model, LoadSource source) {
         double reload = 1.0;
         if (engine.spec().models().containsKey(model)) {
             reload = engine.spec().models().get(model).fromDisk().toMillis() / 1000.0;
         }
-        double cost = IDLE_COST + demand.perSecond(model) * reload;
+        double cost = IDLE_COST + demand.arrivalsPerSecond(model) * reload;
         if (fleet.replicas(model) > 1) {
             cost *= REPLICATED;
         }
-        if (source == LoadSource.STORE && !fleet.elsewhere(engine, model)) {
+        if (source == LoadSource.STORE && !fleet.isAvailableElsewhere(engine, model)) {
             cost += LOST_COPY;
         }
         int running = demand.running(engine.id(), model);
         double seconds = running == 0 ? 0 : RUN_SECONDS + running * CROWD_SECONDS;
-        return new Victim(model, freed(engine, model), cost, seconds);
+        return new Victim(model, freedMb(engine, model), cost, seconds);
     }
 
-    private static double freed(Engine engine, String model) {
+    private static double freedMb(EngineState engine, String model) {
         int adapters = engine.held().adapters().get(model).size();
-        return engine.weight(model) + adapters * engine.adapterMb(model);
+        return engine.modelMb(model) + adapters * engine.adapterMb(model);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
@@ -23,21 +23,21 @@
     private final Map<String, Integer> copies = new HashMap<>();
     private final Map<String, Integer> open = new HashMap<>();
     private final Map<String, Integer> comingSoon = new HashMap<>();
-    private final DemandBook demand;
+    private final DemandAggregator demand;
 
-    FleetView(Collection<Engine> engines, DemandBook demand, Instant now) {
+    FleetView(Collection<EngineState> engines, DemandAggregator demand, Instant now) {
         this.demand = demand;
-        for (Engine engine : engines) {
-            if (!usable(engine)) {
+        for (EngineState engine : engines) {
+            if (!isUsable(engine)) {
                 continue;
             }
             engine.held()
                     .adapters()
                     .keySet()
                     .forEach(each -> replicas.merge(each, 1, Integer::sum));
-            engine.copies().forEach(each -> copies.merge(each, 1, Integer::sum));
+            engine.modelsWithCopy().forEach(each -> copies.merge(each, 1, Integer::sum));
             count(engine, now);
-            if (isOpen(engine)) {
+            if (isAvailable(engine)) {
                 engine.held()
                         .adapters()
                         .keySet()
@@ -46,40 +46,42 @@
         }
     }
 
-    private static boolean isOpen(Engine engine) {
-        return engine.known() && engine.pending() == null && engine.intent() == null;
+    private static boolean isAvailable(EngineState engine) {
+        return engine.isKnown() && engine.pending() == null && engine.plannedLoad() == null;
     }
 
-    private void count(Engine engine, Instant now) {
-        Engine.Pending pending = engine.pending();
-        if (engine.intent() != null) {
-            count(engine.intent().model(), pending, now);
-        } else if (pending != null && pending.verb() == Verb.LOAD && !pending.model().adapted()) {
+    private void count(EngineState engine, Instant now) {
+        EngineState.PendingOrder pending = engine.pending();
+        if (engine.plannedLoad() != null) {
+            count(engine.plannedLoad().model(), pending, now);
+        } else if (pending != null
+                && pending.operation() == OrderOperation.LOAD
+                && !pending.model().adapted()) {
             count(pending.model().model(), pending, now);
         }
     }
 
-    private void count(String model, Engine.Pending pending, Instant now) {
+    private void count(String model, EngineState.PendingOrder pending, Instant now) {
         coming.merge(model, 1, Integer::sum);
-        if (!lasts(pending, now)) {
+        if (!takesLong(pending, now)) {
             comingSoon.merge(model, 1, Integer::sum);
         }
     }
 
     // A load from the store takes seconds. An unload that is not finished by now waits for a
     // running request, and nobody knows when that ends.
-    private static boolean lasts(Engine.Pending pending, Instant now) {
+    private static boolean takesLong(EngineState.PendingOrder pending, Instant now) {
         if (pending == null) {
             return false;
         }
-        return pending.verb() == Verb.LOAD
+        return pending.operation() == OrderOperation.LOAD
                 ? pending.dueAt().isAfter(now.plus(SOON))
                 : now.isAfter(pending.sentAt().plus(UNLOAD_TIME));
     }
 
     /** Returns true if the engine is not leaving and not suspected of failing. */
-    boolean usable(Engine engine) {
-        return !engine.leaves() && !demand.suspect(engine.id());
+    boolean isUsable(EngineState engine) {
+        return !engine.isLeaving() && !demand.isSuspect(engine.id());
     }
 
     /** Returns the number of engines that hold the model ready. */
@@ -88,17 +90,17 @@
     }
 
     /** Returns the number of engines that are about to hold the model. */
-    int coming(String model) {
+    int arrivingReplicas(String model) {
         return coming.getOrDefault(model, 0);
     }
 
     /** Returns the number of engines that can load the model without the store. */
-    int copies(String model) {
+    int enginesWithCopy(String model) {
         return copies.getOrDefault(model, 0);
     }
 
     /** Returns the number of engines that are expected to hold the model soon. */
-    int comingSoon(String model) {
+    int soonArrivingReplicas(String model) {
         return comingSoon.getOrDefault(model, 0);
     }
 
@@ -106,19 +108,19 @@
      * Returns true if an engine other than this one holds the model or can load it without the
      * store.
      */
-    boolean elsewhere(Engine engine, String model) {
-        int own = usable(engine) && engine.hasCopy(model) ? 1 : 0;
-        int held = usable(engine) && engine.has(model) ? 1 : 0;
-        return copies(model) > own || replicas(model) > held;
+    boolean isAvailableElsewhere(EngineState engine, String model) {
+        int own = isUsable(engine) && engine.hasCopy(model) ? 1 : 0;
+        int held = isUsable(engine) && engine.holds(model) ? 1 : 0;
+        return enginesWithCopy(model) > own || replicas(model) > held;
     }
 
     /** Returns the number of engines that hold the model and can take an order now. */
-    int open(String model) {
+    int availableReplicas(String model) {
         return open.getOrDefault(model, 0);
     }
 
     /** Records that the engine gets an order in this round and can take no other for a while. */
-    void barred(Engine engine) {
+    void markBusy(EngineState engine) {
         engine.held().adapters().keySet().forEach(each -> open.merge(each, -1, Integer::sum));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadInput.java
@@ -18,16 +18,16 @@
      *
      * @param engines memory, slots and models of the engines of each service, by service name
      */
-    record Configured(Map<String, EngineSpec> engines) implements LoadInput {}
+    record ServicesConfigured(Map<String, EngineSpec> engines) implements LoadInput {}
 
     /** An upstream of a model service appeared in the list or changed there. */
-    record Listed(UpstreamFacts facts) implements LoadInput {}
+    record UpstreamListed(UpstreamFacts facts) implements LoadInput {}
 
     /** The availability zones that operators drain changed to exactly this set. */
-    record Drained(Set<String> zones) implements LoadInput {}
+    record DrainedZonesChanged(Set<String> zones) implements LoadInput {}
 
     /** An upstream was removed. */
-    record Gone(UpstreamId upstream) implements LoadInput {}
+    record UpstreamRemoved(UpstreamId upstream) implements LoadInput {}
 
     /**
      * A router reported its demand. The report replaces the previous one of the same router.
@@ -35,20 +35,21 @@
      * @param running requests of that router that run on each upstream
      * @param suspects upstreams that fail the router's requests
      */
-    record Demanded(
+    record DemandReported(
             VmId router,
-            List<Want> wants,
+            List<ModelDemand> demands,
             Map<UpstreamId, Map<ModelRef, Integer>> running,
             Set<UpstreamId> suspects)
             implements LoadInput {
         /** Returns true if requests wait at that router. */
-        public boolean waits() {
-            return wants.stream().anyMatch(want -> want.waiting() > 0);
+        public boolean hasWaitingRequests() {
+            return demands.stream().anyMatch(demand -> demand.waiting() > 0);
         }
     }
 
     /** The order with that number was answered, or its answer did not arrive. */
-    record Answered(UpstreamId upstream, long number, OrderOutcome outcome) implements LoadInput {}
+    record OrderAnswered(UpstreamId upstream, long number, OrderOutcome outcome)
+            implements LoadInput {}
 
     /**
      * An upstream's own report was received. It may be some hundred milliseconds old.
@@ -57,7 +58,7 @@
      * @param inMemory models with a copy in its main memory
      * @param onDisk models with a copy on its disk
      */
-    record Reported(
+    record UpstreamReported(
             UpstreamId upstream,
             boolean busy,
             HeldModels held,
@@ -66,10 +67,10 @@
             implements LoadInput {}
 
     /** Another router that was leader announced a load order that it had no answer to. */
-    record Unanswered(OpenLoad load) implements LoadInput {}
+    record UnansweredLoadAnnounced(UnansweredLoadOrder load) implements LoadInput {}
 
     /** An upstream did not answer a request for a report. */
-    record NotReported(UpstreamId upstream) implements LoadInput {}
+    record ReportFailed(UpstreamId upstream) implements LoadInput {}
 
     /** This router became leader. What it knows of the upstreams may be out of date. */
     record Elected() implements LoadInput {}
@@ -84,21 +85,26 @@
      * The demand of one router for one model or adapter.
      *
      * @param waiting requests that no upstream can take now
-     * @param oldest how long the first of the waiting requests has waited
+     * @param longestWait how long the first of the waiting requests has waited
      * @param urgency smallest priority number of the waiting requests
-     * @param perSecond recent arrivals per second
+     * @param arrivalsPerSecond recent arrivals per second
      * @param inTime waiting requests that can be answered in time if the model is loaded now
      */
-    record Want(
+    record ModelDemand(
             ModelRef model,
             int waiting,
-            Duration oldest,
+            Duration longestWait,
             int urgency,
-            double perSecond,
+            double arrivalsPerSecond,
             int inTime) {
         /** Creates a demand whose waiting requests are all late. */
-        public Want(ModelRef model, int waiting, Duration oldest, int urgency, double perSecond) {
-            this(model, waiting, oldest, urgency, perSecond, 0);
+        public ModelDemand(
+                ModelRef model,
+                int waiting,
+                Duration longestWait,
+                int urgency,
+                double arrivalsPerSecond) {
+            this(model, waiting, longestWait, urgency, arrivalsPerSecond, 0);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
@@ -69,13 +69,13 @@
     private static final Duration INTENT_LIMIT = Duration.ofSeconds(3);
 
     private final LoadSettings settings;
-    private final DemandBook demand = new DemandBook();
-    private final Map<UpstreamId, Engine> engines = new TreeMap<>();
-    private final OpenLoads openLoads = new OpenLoads();
-    private final StoreLoads storeLoads;
-    private final Placer placer;
+    private final DemandAggregator demand = new DemandAggregator();
+    private final Map<UpstreamId, EngineState> engines = new TreeMap<>();
+    private final UnansweredLoadOrders openLoads = new UnansweredLoadOrders();
+    private final StoreLoadLimiter storeLoads;
+    private final ModelPlacer placer;
     private final AdapterPlanner adapters;
-    private final Map<String, Packing> packings = new HashMap<>();
+    private final Map<String, MemoryFragmentation> packings = new HashMap<>();
     private Map<String, EngineSpec> specs = new HashMap<>();
     private Set<String> drainedZones = Set.of();
     private long number;
@@ -88,94 +88,99 @@
     /** Creates a planner without upstreams or demand. */
     public LoadPlanner(LoadSettings settings) {
         this.settings = settings;
-        this.storeLoads = new StoreLoads(settings.ceilingWindow());
-        this.placer = new Placer(demand, storeLoads);
+        this.storeLoads = new StoreLoadLimiter(settings.storeRateWindow());
+        this.placer = new ModelPlacer(demand, storeLoads);
         this.adapters = new AdapterPlanner(demand);
     }
 
     @Override
     public List<LoadAction> on(LoadInput input, Instant now) {
         List<LoadAction> actions = new ArrayList<>();
-        take(input, now, actions);
-        if (active && due(input, now)) {
-            step(now, actions);
+        applyInput(input, now, actions);
+        if (active && startsRound(input, now)) {
+            runRound(now, actions);
         }
         return active ? actions : List.of();
     }
 
     /** Returns the number of planning rounds so far, to measure their cost. */
-    public long rounds() {
+    public long planningRounds() {
         return rounds;
     }
 
     /** Returns the models and adapters that requests wait for and that no engine holds. */
-    public UnmetNeed unmet(Instant now) {
-        demand.addUp(now);
+    public UnmetDemand unmetDemand(Instant now) {
+        demand.aggregate(now);
         int models = 0;
         Duration oldest = Duration.ZERO;
-        for (LoadInput.Want want : demand.waiting()) {
+        for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
             if (engines.values().stream().noneMatch(engine -> engine.held().has(want.model()))) {
                 models++;
-                oldest = want.oldest().compareTo(oldest) > 0 ? want.oldest() : oldest;
+                oldest = want.longestWait().compareTo(oldest) > 0 ? want.longestWait() : oldest;
             }
         }
-        return new UnmetNeed(models, oldest);
+        return new UnmetDemand(models, oldest);
     }
 
     /** Returns how much of the weight store's capacity is in use. */
-    public StoreUse storeUse() {
-        return new StoreUse(StoreLoads.running(engines.values()), storeLoads.atFullSpeed());
+    public StoreUsage storeUsage() {
+        return new StoreUsage(
+                StoreLoadLimiter.countRunning(engines.values()), storeLoads.fullSpeedLoads());
     }
 
-    private void take(LoadInput input, Instant now, List<LoadAction> actions) {
-        if (input instanceof LoadInput.Configured configured) {
+    private void applyInput(LoadInput input, Instant now, List<LoadAction> actions) {
+        if (input instanceof LoadInput.ServicesConfigured configured) {
             configured(configured.engines());
-        } else if (input instanceof LoadInput.Listed listed) {
-            listed(listed);
-        } else if (input instanceof LoadInput.Gone gone) {
+        } else if (input instanceof LoadInput.UpstreamListed listed) {
+            upstreamListed(listed);
+        } else if (input instanceof LoadInput.UpstreamRemoved gone) {
             engines.remove(gone.upstream());
-        } else if (input instanceof LoadInput.Drained drained) {
-            drained(drained.zones());
-        } else if (input instanceof LoadInput.Demanded demanded) {
-            demanded(demanded, now);
-        } else if (input instanceof LoadInput.Answered answered) {
-            answered(answered, now, actions);
-        } else if (input instanceof LoadInput.Reported reported) {
-            reported(reported, now, actions);
-        } else if (input instanceof LoadInput.Unanswered unanswered) {
-            openLoads.told(unanswered.load());
-        } else if (input instanceof LoadInput.NotReported notReported) {
-            find(notReported.upstream()).ifPresent(Engine::silent);
+        } else if (input instanceof LoadInput.DrainedZonesChanged drained) {
+            drainedZonesChanged(drained.zones());
+        } else if (input instanceof LoadInput.DemandReported demanded) {
+            demandReported(demanded, now);
+        } else if (input instanceof LoadInput.OrderAnswered answered) {
+            orderAnswered(answered, now, actions);
+        } else if (input instanceof LoadInput.UpstreamReported reported) {
+            upstreamReported(reported, now, actions);
+        } else if (input instanceof LoadInput.UnansweredLoadAnnounced unanswered) {
+            openLoads.addAnnounced(unanswered.load());
+        } else if (input instanceof LoadInput.ReportFailed notReported) {
+            find(notReported.upstream()).ifPresent(EngineState::reportFailed);
         } else if (input instanceof LoadInput.Elected) {
-            engines.values().forEach(Engine::forget);
+            engines.values().forEach(EngineState::reset);
             storeLoads.elected(now);
             active = true;
         } else if (input instanceof LoadInput.Resigned) {
             active = false;
         } else {
-            demand.expire(now);
+            demand.removeExpired(now);
         }
     }
 
     // List changes, announced orders and reports without waiting requests are planned for at the
     // next tick.
-    private boolean due(LoadInput input, Instant now) {
-        if (input instanceof LoadInput.Listed || input instanceof LoadInput.Unanswered) {
+    private boolean startsRound(LoadInput input, Instant now) {
+        if (input instanceof LoadInput.UpstreamListed
+                || input instanceof LoadInput.UnansweredLoadAnnounced) {
             return false;
         }
-        if (input instanceof LoadInput.Demanded demanded) {
-            return demanded.waits() && roundsForDemand++ < MOST_ROUNDS_FOR_DEMAND;
+        if (input instanceof LoadInput.DemandReported demanded) {
+            return demanded.hasWaitingRequests() && roundsForDemand++ < MOST_ROUNDS_FOR_DEMAND;
         }
         if (input instanceof LoadInput.Tick) {
             roundsForDemand = 0;
-            return demandChanged || !now.isBefore(aheadAt) || demand.anyWaits() || underWay();
+            return demandChanged
+                    || !now.isBefore(aheadAt)
+                    || demand.hasWaitingRequests()
+                    || hasPendingChanges();
         }
         return true;
     }
 
-    private boolean underWay() {
-        for (Engine engine : engines.values()) {
-            if (engine.underWay()) {
+    private boolean hasPendingChanges() {
+        for (EngineState engine : engines.values()) {
+            if (engine.hasPendingChange()) {
                 return true;
             }
         }
@@ -185,41 +190,41 @@
     private void configured(Map<String, EngineSpec> engines) {
         specs = engines;
         packings.clear();
-        engines.forEach((service, spec) -> packings.put(service, Packing.of(spec)));
+        engines.forEach((service, spec) -> packings.put(service, MemoryFragmentation.of(spec)));
         Map<String, Double> weights = new HashMap<>();
         for (EngineSpec spec : engines.values()) {
             spec.models().forEach((name, model) -> weights.put(name, model.weightsMb()));
         }
-        demand.weights(weights);
+        demand.setModelSizes(weights);
     }
 
-    private void listed(LoadInput.Listed listed) {
+    private void upstreamListed(LoadInput.UpstreamListed listed) {
         EngineSpec spec = specs.get(listed.facts().service());
         if (spec == null) {
             return;
         }
-        Engine engine = engines.get(listed.facts().id());
+        EngineState engine = engines.get(listed.facts().id());
         if (engine == null) {
-            engine = new Engine(spec, listed.facts());
+            engine = new EngineState(spec, listed.facts());
             engines.put(engine.id(), engine);
-            engine.zoneDrained(isDrained(engine));
+            engine.setZoneDrained(isDrained(engine));
             return;
         }
-        engine.listed(listed.facts());
+        engine.applyFacts(listed.facts());
     }
 
-    private void drained(Set<String> zones) {
+    private void drainedZonesChanged(Set<String> zones) {
         drainedZones = Set.copyOf(zones);
-        engines.values().forEach(engine -> engine.zoneDrained(isDrained(engine)));
+        engines.values().forEach(engine -> engine.setZoneDrained(isDrained(engine)));
         aheadAt = Instant.MIN;
     }
 
-    private boolean isDrained(Engine engine) {
+    private boolean isDrained(EngineState engine) {
         return drainedZones.contains(engine.facts().zone());
     }
 
-    private void demanded(LoadInput.Demanded demanded, Instant now) {
-        demand.said(demanded, now);
+    private void demandReported(LoadInput.DemandReported demanded, Instant now) {
+        demand.record(demanded, now);
         demandChanged = true;
         demanded.running()
                 .forEach(
@@ -230,39 +235,40 @@
                                                         counts.keySet()
                                                                 .forEach(
                                                                         model ->
-                                                                                engine.used(
+                                                                                engine.markUsed(
                                                                                         model,
                                                                                         now))));
     }
 
-    private void reported(LoadInput.Reported report, Instant now, List<LoadAction> actions) {
-        Engine engine = engines.get(report.upstream());
+    private void upstreamReported(
+            LoadInput.UpstreamReported report, Instant now, List<LoadAction> actions) {
+        EngineState engine = engines.get(report.upstream());
         if (engine == null) {
             return;
         }
-        if (!engine.reported(report)) {
+        if (!engine.applyReport(report)) {
             return;
         }
-        engine.busy(report.busy() && engine.pending() == null);
+        engine.setBusyWithUnknownOrder(report.busy() && engine.pending() == null);
         if (report.busy()) {
             // An order that this planner does not know of: only a later report shows its effect.
             if (engine.pending() == null) {
-                engine.doubt();
+                engine.requireReport();
             }
             return;
         }
         finishIfDone(engine, report.held(), now);
-        actions.add(new LoadAction.Tell(engine.id(), engine.held()));
+        actions.add(new LoadAction.AnnounceHeldModels(engine.id(), engine.held()));
     }
 
     // An accepted order is finished once the upstream is no longer busy, whether or not it
     // succeeded.
-    private void finishIfDone(Engine engine, HeldModels seen, Instant now) {
-        Engine.Pending pending = engine.pending();
+    private void finishIfDone(EngineState engine, HeldModels seen, Instant now) {
+        EngineState.PendingOrder pending = engine.pending();
         if (pending == null || !pending.accepted()) {
             return;
         }
-        boolean loading = pending.verb() == Verb.LOAD;
+        boolean loading = pending.operation() == OrderOperation.LOAD;
         boolean shows = seen.has(pending.model()) == loading;
         // A report from just before the load began shows neither the model nor that the upstream is
         // busy.
@@ -270,99 +276,100 @@
             return;
         }
         if (shows && pending.loadsFromStore()) {
-            noteStoreLoad(engine, pending, now);
+            recordStoreLoad(engine, pending, now);
         }
-        engine.over();
+        engine.orderFinished();
         if (shows && loading) {
             engine.loaded(pending.model(), now);
         }
     }
 
-    private void noteStoreLoad(Engine engine, Engine.Pending load, Instant now) {
+    private void recordStoreLoad(EngineState engine, EngineState.PendingOrder load, Instant now) {
         Duration alone = engine.spec().models().get(load.model().model()).fromStore();
-        storeLoads.look(StoreLoads.running(engines.values()), now);
-        storeLoads.ended(load.number(), alone, Duration.between(load.sentAt(), now));
+        storeLoads.recordRunning(StoreLoadLimiter.countRunning(engines.values()), now);
+        storeLoads.loadFinished(load.number(), alone, Duration.between(load.sentAt(), now));
     }
 
     // An order without an answer may be carried out seconds later. The next order need not wait for
     // that: it names the same number of accepted orders, so the upstream accepts only one of the
     // two.
-    private void answered(LoadInput.Answered answer, Instant now, List<LoadAction> actions) {
+    private void orderAnswered(
+            LoadInput.OrderAnswered answer, Instant now, List<LoadAction> actions) {
         if (answer.outcome() == OrderOutcome.UNKNOWN) {
             openLoads
                     .find(answer.upstream(), answer.number())
-                    .ifPresent(load -> actions.add(new LoadAction.TellOpen(load)));
+                    .ifPresent(load -> actions.add(new LoadAction.AnnounceUnansweredLoad(load)));
         } else {
-            openLoads.closed(answer.upstream(), answer.number());
+            openLoads.removeAnswered(answer.upstream(), answer.number());
         }
-        Engine engine = engines.get(answer.upstream());
-        Engine.Pending pending = engine == null ? null : engine.pending();
+        EngineState engine = engines.get(answer.upstream());
+        EngineState.PendingOrder pending = engine == null ? null : engine.pending();
         if (pending == null || pending.number() != answer.number()) {
             return;
         }
         switch (answer.outcome()) {
-            case ACCEPTED -> accepted(engine, now, actions);
-            case DONE -> done(engine, now, actions);
+            case ACCEPTED -> orderAccepted(engine, now, actions);
+            case DONE -> orderDone(engine, now, actions);
             case CONFLICT -> {
-                storeLoads.calledOff(pending.number());
-                engine.over();
-                engine.doubt();
-                engine.quiet(now.plus(AFTER_CONFLICT));
+                storeLoads.loadCanceled(pending.number());
+                engine.orderFinished();
+                engine.requireReport();
+                engine.pauseUntil(now.plus(AFTER_CONFLICT));
             }
             case UNKNOWN -> {
-                engine.over();
-                engine.doubt();
+                engine.orderFinished();
+                engine.requireReport();
             }
             default -> {
-                engine.over();
-                engine.doubt();
-                engine.intend(null);
-                engine.quiet(now.plus(AFTER_REFUSAL));
+                engine.orderFinished();
+                engine.requireReport();
+                engine.setPlannedLoad(null);
+                engine.pauseUntil(now.plus(AFTER_REFUSAL));
             }
         }
     }
 
-    private void accepted(Engine engine, Instant now, List<LoadAction> actions) {
-        Engine.Pending pending = engine.pending();
+    private void orderAccepted(EngineState engine, Instant now, List<LoadAction> actions) {
+        EngineState.PendingOrder pending = engine.pending();
         ModelRef model = pending.model();
-        if (pending.verb() == Verb.UNLOAD) {
-            engine.accepted(now);
+        if (pending.operation() == OrderOperation.UNLOAD) {
+            engine.orderAccepted(now);
             engine.unloaded(model);
-            actions.add(new LoadAction.Tell(engine.id(), engine.held()));
+            actions.add(new LoadAction.AnnounceHeldModels(engine.id(), engine.held()));
             return;
         }
         if (model.adapted()) {
-            engine.accepted(now);
-            engine.comes(model, now.plus(engine.adapterTime(model.model())));
-            engine.over();
+            engine.orderAccepted(now);
+            engine.addLoadingAdapter(model, now.plus(engine.adapterLoadTime(model.model())));
+            engine.orderFinished();
             return;
         }
-        Duration time = pending.source().time(engine.spec().models().get(model.model()));
-        engine.accepted(now.plus(time));
+        Duration time = pending.source().loadTime(engine.spec().models().get(model.model()));
+        engine.orderAccepted(now.plus(time));
     }
 
-    private void done(Engine engine, Instant now, List<LoadAction> actions) {
-        Engine.Pending pending = engine.pending();
-        engine.over();
-        if (pending.verb() == Verb.UNLOAD) {
-            engine.counted(engine.held().sequence() + 1);
+    private void orderDone(EngineState engine, Instant now, List<LoadAction> actions) {
+        EngineState.PendingOrder pending = engine.pending();
+        engine.orderFinished();
+        if (pending.operation() == OrderOperation.UNLOAD) {
+            engine.setSequence(engine.held().sequence() + 1);
             engine.unloaded(pending.model());
         } else {
             engine.loaded(pending.model(), now);
         }
-        actions.add(new LoadAction.Tell(engine.id(), engine.held()));
+        actions.add(new LoadAction.AnnounceHeldModels(engine.id(), engine.held()));
     }
 
-    private void step(Instant now, List<LoadAction> actions) {
+    private void runRound(Instant now, List<LoadAction> actions) {
         rounds++;
         demandChanged = false;
-        demand.addUp(now);
-        openLoads.expire(now);
-        storeLoads.look(StoreLoads.running(engines.values()), now);
-        for (Engine engine : engines.values()) {
-            engine.reserve(openLoads.reserve(engine));
-            arrive(engine, now, actions);
-            follow(engine, now, actions);
+        demand.aggregate(now);
+        openLoads.removeExpired(now);
+        storeLoads.recordRunning(StoreLoadLimiter.countRunning(engines.values()), now);
+        for (EngineState engine : engines.values()) {
+            engine.setReservation(openLoads.reservationFor(engine));
+            completeAdapterLoads(engine, now, actions);
+            followUp(engine, now, actions);
         }
         for (Map.Entry<String, EngineSpec> entry : specs.entrySet()) {
             plan(entry.getKey(), entry.getValue(), now, actions);
@@ -373,9 +380,10 @@
     }
 
     // Marks adapters as loaded once their load time has passed.
-    private static void arrive(Engine engine, Instant now, List<LoadAction> actions) {
+    private static void completeAdapterLoads(
+            EngineState engine, Instant now, List<LoadAction> actions) {
         List<ModelRef> here = new ArrayList<>();
-        engine.coming()
+        engine.loadingAdapters()
                 .forEach(
                         (adapter, readyAt) -> {
                             if (!now.isBefore(readyAt)) {
@@ -384,94 +392,102 @@
                         });
         here.forEach(adapter -> engine.loaded(adapter, now));
         if (!here.isEmpty()) {
-            actions.add(new LoadAction.Tell(engine.id(), engine.held()));
+            actions.add(new LoadAction.AnnounceHeldModels(engine.id(), engine.held()));
         }
     }
 
     /** Requests the reports that are due and takes the next step of a planned load. */
-    private void follow(Engine engine, Instant now, List<LoadAction> actions) {
-        Engine.Pending pending = engine.pending();
-        if (!engine.known()) {
-            Duration gap = engine.answered() ? DOUBT_GAP : REPORT_LIMIT;
-            if (engine.mayAsk(now, gap)) {
-                ask(engine, now, actions);
+    private void followUp(EngineState engine, Instant now, List<LoadAction> actions) {
+        EngineState.PendingOrder pending = engine.pending();
+        if (!engine.isKnown()) {
+            Duration gap = engine.hasAnsweredReportRequest() ? DOUBT_GAP : REPORT_LIMIT;
+            if (engine.isReportDue(now, gap)) {
+                requestReport(engine, now, actions);
             }
             return;
         }
         if (pending != null) {
             boolean due = pending.accepted() && !now.isBefore(pending.dueAt());
-            if (due && engine.mayAsk(now, REPORT_GAP)) {
-                ask(engine, now, actions);
+            if (due && engine.isReportDue(now, REPORT_GAP)) {
+                requestReport(engine, now, actions);
             }
-            if (!pending.accepted() && now.isAfter(pending.sentAt().plus(settings.orderLimit()))) {
-                engine.over();
-                engine.doubt();
-                engine.intend(null);
+            if (!pending.accepted()
+                    && now.isAfter(pending.sentAt().plus(settings.orderTimeout()))) {
+                engine.orderFinished();
+                engine.requireReport();
+                engine.setPlannedLoad(null);
             }
             return;
         }
-        Engine.Intent intent = engine.intent();
-        if (intent == null || !engine.free(now)) {
+        EngineState.PlannedLoad intent = engine.plannedLoad();
+        if (intent == null || !engine.acceptsOrders(now)) {
             return;
         }
-        if (now.isAfter(intent.until()) || engine.has(intent.model())) {
-            engine.intend(null);
+        if (now.isAfter(intent.expiresAt()) || engine.holds(intent.model())) {
+            engine.setPlannedLoad(null);
             return;
         }
-        FleetView fleet = new FleetView(of(engine.facts().service()), demand, now);
-        String model = placer.bestUse(engine, intent.model(), fleet);
+        FleetView fleet = new FleetView(enginesOf(engine.facts().service()), demand, now);
+        String model = placer.bestModelFor(engine, intent.model(), fleet);
         if (!model.equals(intent.model())) {
-            engine.intend(new Engine.Intent(model, now.plus(INTENT_LIMIT)));
+            engine.setPlannedLoad(new EngineState.PlannedLoad(model, now.plus(INTENT_LIMIT)));
         }
-        advance(engine, model, fleet, now, actions);
+        evictOrLoad(engine, model, fleet, now, actions);
     }
 
-    private void advance(
-            Engine engine, String model, FleetView fleet, Instant now, List<LoadAction> actions) {
-        Optional<Room.Plan> plan =
-                new Room(demand, fleet, packing(engine))
-                        .plan(engine, model, 1 + demand.perSecond(model), now);
+    private void evictOrLoad(
+            EngineState engine,
+            String model,
+            FleetView fleet,
+            Instant now,
+            List<LoadAction> actions) {
+        Optional<EvictionPlanner.Plan> plan =
+                new EvictionPlanner(demand, fleet, packing(engine))
+                        .plan(engine, model, 1 + demand.arrivalsPerSecond(model), now);
         if (plan.isEmpty()) {
             return;
         }
         if (!plan.get().victims().isEmpty()) {
             ModelRef victim = new ModelRef(plan.get().victims().get(0), "");
-            order(engine, Verb.UNLOAD, victim, null, now, actions);
+            sendOrder(engine, OrderOperation.UNLOAD, victim, null, now, actions);
             return;
         }
-        LoadSource source = engine.source(model);
+        LoadSource source = engine.loadSource(model);
         if (source == LoadSource.STORE) {
-            storeLoads.begun(number + 1, now);
+            storeLoads.loadStarted(number + 1, now);
         }
-        engine.intend(null);
-        order(engine, Verb.LOAD, new ModelRef(model, ""), source, now, actions);
+        engine.setPlannedLoad(null);
+        sendOrder(engine, OrderOperation.LOAD, new ModelRef(model, ""), source, now, actions);
     }
 
-    private Packing packing(Engine engine) {
-        return packings.computeIfAbsent(engine.facts().service(), any -> Packing.of(engine.spec()));
+    private MemoryFragmentation packing(EngineState engine) {
+        return packings.computeIfAbsent(
+                engine.facts().service(), any -> MemoryFragmentation.of(engine.spec()));
     }
 
     private void plan(String service, EngineSpec spec, Instant now, List<LoadAction> actions) {
         boolean ahead = !now.isBefore(aheadAt);
-        List<Engine> here = of(service);
-        Packing packing = packings.get(service);
-        for (Placer.Choice choice : placer.plan(spec, packing, here, ahead, now)) {
-            choice.engine().intend(new Engine.Intent(choice.model(), now.plus(INTENT_LIMIT)));
-            advance(
+        List<EngineState> here = enginesOf(service);
+        MemoryFragmentation packing = packings.get(service);
+        for (ModelPlacer.Placement choice : placer.plan(spec, packing, here, ahead, now)) {
+            choice.engine()
+                    .setPlannedLoad(
+                            new EngineState.PlannedLoad(choice.model(), now.plus(INTENT_LIMIT)));
+            evictOrLoad(
                     choice.engine(),
                     choice.model(),
                     new FleetView(here, demand, now),
                     now,
                     actions);
         }
-        for (AdapterPlanner.Step step : adapters.plan(here, now)) {
-            order(step.engine(), step.verb(), step.adapter(), null, now, actions);
+        for (AdapterPlanner.AdapterOrder step : adapters.plan(here, now)) {
+            sendOrder(step.engine(), step.operation(), step.adapter(), null, now, actions);
         }
     }
 
-    private void order(
-            Engine engine,
-            Verb verb,
+    private void sendOrder(
+            EngineState engine,
+            OrderOperation verb,
             ModelRef model,
             LoadSource source,
             Instant now,
@@ -479,24 +495,28 @@
         number++;
         long sequence = engine.held().sequence();
         double free = engine.freeMb();
-        engine.sent(new Engine.Pending(number, verb, model, source, now, false, now));
-        if (verb == Verb.LOAD) {
-            openLoads.sent(number, new OpenLoad(engine.id(), engine.life(), sequence, model, now));
-        }
-        actions.add(new LoadAction.Order(engine.id(), number, verb, model, sequence, free));
+        engine.orderSent(
+                new EngineState.PendingOrder(number, verb, model, source, now, false, now));
+        if (verb == OrderOperation.LOAD) {
+            openLoads.addSent(
+                    number,
+                    new UnansweredLoadOrder(
+                            engine.id(), engine.incarnation(), sequence, model, now));
+        }
+        actions.add(new LoadAction.SendOrder(engine.id(), number, verb, model, sequence, free));
     }
 
-    private static void ask(Engine engine, Instant now, List<LoadAction> actions) {
-        engine.asked(now);
-        actions.add(new LoadAction.AskReport(engine.id()));
+    private static void requestReport(EngineState engine, Instant now, List<LoadAction> actions) {
+        engine.reportRequested(now);
+        actions.add(new LoadAction.RequestReport(engine.id()));
     }
 
-    private Optional<Engine> find(UpstreamId id) {
+    private Optional<EngineState> find(UpstreamId id) {
         return Optional.ofNullable(engines.get(id));
     }
 
-    private List<Engine> of(String service) {
-        Collection<Engine> all = engines.values();
+    private List<EngineState> enginesOf(String service) {
+        Collection<EngineState> all = engines.values();
         return all.stream().filter(each -> each.facts().service().equals(service)).toList();
     }
 
@@ -505,8 +525,9 @@
      * one line per model with each engine that holds it or has a copy, and the engine's state.
      * Empty if no request has waited that long.
      */
-    public List<String> barred(Duration longerThan, Instant now) {
-        demand.addUp(now);
-        return new WaitReport(demand, engines.values(), storeUse(), now).longerThan(longerThan);
+    public List<String> explainLongWaits(Duration longerThan, Instant now) {
+        demand.aggregate(now);
+        return new WaitReport(demand, engines.values(), storeUsage(), now)
+                .waitsOfAtLeast(longerThan);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadSource.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadSource.java
@@ -7,23 +7,23 @@
 enum LoadSource {
     MEMORY {
         @Override
-        Duration time(ModelSpec model) {
+        Duration loadTime(ModelSpec model) {
             return model.fromMemory();
         }
     },
     DISK {
         @Override
-        Duration time(ModelSpec model) {
+        Duration loadTime(ModelSpec model) {
             return model.fromDisk();
         }
     },
     STORE {
         @Override
-        Duration time(ModelSpec model) {
+        Duration loadTime(ModelSpec model) {
             return model.fromStore();
         }
     };
 
     /** Returns the expected time of a load of the model. */
-    abstract Duration time(ModelSpec model);
+    abstract Duration loadTime(ModelSpec model);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Packing.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/MemoryFragmentation.java
@@ -12,7 +12,7 @@
  * one with a large one leaves a gap that no model fits in. Without regard to sizes, a fifth of all
  * memory ends up in such gaps, and each model that is not held costs a swap every few requests.
  */
-final class Packing {
+final class MemoryFragmentation {
     /**
      * Cost of a gap of average model size, in seconds of expected waiting per second: one model
      * that is requested every few seconds is not held, and needs a swap of about a second each
@@ -30,7 +30,7 @@
     private final double usual;
     private final int[] leastLeft = new int[STEPS + 1];
 
-    private Packing(EngineSpec spec) {
+    private MemoryFragmentation(EngineSpec spec) {
         step = spec.weightsMb() / STEPS;
         usual =
                 spec.models().values().stream()
@@ -43,17 +43,17 @@
                         .filter(size -> size > 0)
                         .distinct()
                         .toArray();
-        fill(sizes);
+        computeLeastLeft(sizes);
     }
 
     /** Creates the computation for the models of a service. */
-    static Packing of(EngineSpec spec) {
-        return new Packing(spec);
+    static MemoryFragmentation of(EngineSpec spec) {
+        return new MemoryFragmentation(spec);
     }
 
     // Dynamic programming over the steps, so that hundreds of models of as many sizes cost no more
     // than a few.
-    private void fill(int[] sizes) {
+    private void computeLeastLeft(int[] sizes) {
         for (int free = 0; free <= STEPS; free++) {
             leastLeft[free] = free;
             for (int size : sizes) {
@@ -68,15 +68,15 @@
      * Returns the cost, in seconds of expected waiting per second, of a change of the free memory
      * from one amount to the other, in MB. Negative if more of the memory can be used than before.
      */
-    double loss(double freeBefore, double freeAfter) {
-        return (gap(freeAfter) - gap(freeBefore)) / usual * MODEL_GAP_COST;
+    double costOfChange(double freeBefore, double freeAfter) {
+        return (unusableMb(freeAfter) - unusableMb(freeBefore)) / usual * MODEL_GAP_COST;
     }
 
     /**
      * Returns the memory, in MB, that stays unused when this much free memory is filled with models
      * as well as possible.
      */
-    double gap(double free) {
+    double unusableMb(double free) {
         int steps = (int) Math.max(0, Math.min(STEPS, Math.floor(free / step)));
         return leastLeft[steps] * step;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/Placer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/ModelPlacer.java
@@ -17,7 +17,7 @@
  * Picks an engine for each model that needs one: because requests wait for it, because it is busy
  * and has too few replicas, or because no engine holds it and there is room.
  */
-final class Placer {
+final class ModelPlacer {
     /**
      * How long requests must wait for a model that has a copy on a blocked engine before it is
      * loaded from the store elsewhere. A load from the store blocks its engine for many loads of
@@ -73,87 +73,99 @@
      */
     private static final double MOST_BLOCKED = 0.5;
 
-    private final DemandBook demand;
-    private final StoreLoads storeLoads;
+    private final DemandAggregator demand;
+    private final StoreLoadLimiter storeLoads;
 
-    Placer(DemandBook demand, StoreLoads storeLoads) {
+    ModelPlacer(DemandAggregator demand, StoreLoadLimiter storeLoads) {
         this.demand = demand;
         this.storeLoads = storeLoads;
     }
 
     /** A model and the engine that is to load it. */
-    record Choice(Engine engine, String model) {}
+    record Placement(EngineState engine, String model) {}
 
-    private record Offer(
-            Engine engine, LoadSource source, double cost, double hurt, boolean losesCopy) {}
+    private record Candidate(
+            EngineState engine,
+            LoadSource source,
+            double cost,
+            double evictionCost,
+            boolean losesLastCopy) {}
 
     /**
      * Returns the best use of memory that was just freed: the model it was meant for, or a busy one
      * that requests have begun to wait for since. An unload can take seconds, and a model that
      * becomes busy in that time gets dozens of requests per second.
      */
-    String bestUse(Engine engine, String meantFor, FleetView fleet) {
-        if (ReplicaGoal.busy(meantFor, demand)) {
+    String bestModelFor(EngineState engine, String meantFor, FleetView fleet) {
+        if (ReplicaGoal.isBusy(meantFor, demand)) {
             return meantFor;
         }
-        for (LoadInput.Want want : demand.waiting()) {
+        for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
             String model = want.model().model();
             boolean suits =
-                    ReplicaGoal.busy(model, demand)
-                            && engine.source(model) != LoadSource.STORE
-                            && !engine.has(model);
-            if (suits && fleet.replicas(model) == 0 && fleet.comingSoon(model) == 0) {
+                    ReplicaGoal.isBusy(model, demand)
+                            && engine.loadSource(model) != LoadSource.STORE
+                            && !engine.holds(model);
+            if (suits && fleet.replicas(model) == 0 && fleet.soonArrivingReplicas(model) == 0) {
                 return model;
             }
         }
         return meantFor;
     }
 
-    List<Choice> plan(
-            EngineSpec spec, Packing packing, List<Engine> engines, boolean ahead, Instant now) {
-        Round round = new Round(spec, packing, engines, new FleetView(engines, demand, now), now);
-        List<Choice> choices = new ArrayList<>();
-        for (String model : round.needed()) {
+    List<Placement> plan(
+            EngineSpec spec,
+            MemoryFragmentation packing,
+            List<EngineState> engines,
+            boolean ahead,
+            Instant now) {
+        PlanningRound round =
+                new PlanningRound(spec, packing, engines, new FleetView(engines, demand, now), now);
+        List<Placement> choices = new ArrayList<>();
+        for (String model : round.neededModels()) {
             round.place(model, true).ifPresent(choices::add);
         }
         if (ahead) {
-            round.busy().forEach(model -> round.place(model, false).ifPresent(choices::add));
-            round.absent().forEach(model -> round.place(model, false).ifPresent(choices::add));
+            round.modelsBelowGoal()
+                    .forEach(model -> round.place(model, false).ifPresent(choices::add));
+            round.modelsWithoutReplica()
+                    .forEach(model -> round.place(model, false).ifPresent(choices::add));
         }
         return choices;
     }
 
     /** One planning round over all engines of a service. */
-    private final class Round {
+    private final class PlanningRound {
         private final EngineSpec spec;
-        private final List<Engine> engines;
+        private final List<EngineState> engines;
         private final FleetView fleet;
-        private final Room room;
+        private final EvictionPlanner room;
         private final Instant now;
-        private final Set<Engine> taken = new HashSet<>();
+        private final Set<EngineState> taken = new HashSet<>();
         private int chosenFromStore;
 
-        Round(
+        PlanningRound(
                 EngineSpec spec,
-                Packing packing,
-                List<Engine> engines,
+                MemoryFragmentation packing,
+                List<EngineState> engines,
                 FleetView fleet,
                 Instant now) {
             this.spec = spec;
             this.engines = engines;
             this.fleet = fleet;
-            this.room = new Room(demand, fleet, packing);
+            this.room = new EvictionPlanner(demand, fleet, packing);
             this.now = now;
         }
 
-        Set<String> needed() {
+        Set<String> neededModels() {
             Set<String> models = new LinkedHashSet<>();
-            for (LoadInput.Want want : demand.waiting()) {
+            for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
                 String model = want.model().model();
-                if (!spec.models().containsKey(model) || fleet.comingSoon(model) > 0) {
+                if (!spec.models().containsKey(model) || fleet.soonArrivingReplicas(model) > 0) {
                     continue;
                 }
-                boolean crowded = !want.model().adapted() && want.oldest().compareTo(CROWDED) > 0;
+                boolean crowded =
+                        !want.model().adapted() && want.longestWait().compareTo(CROWDED) > 0;
                 if (fleet.replicas(model) == 0 || crowded) {
                     models.add(model);
                 }
@@ -161,129 +173,134 @@
             return models;
         }
 
-        List<String> busy() {
+        List<String> modelsBelowGoal() {
             return byDemand(
                     model ->
-                            fleet.coming(model) == 0
-                                    && fleet.replicas(model) < ReplicaGoal.of(spec, model, demand));
+                            fleet.arrivingReplicas(model) == 0
+                                    && fleet.replicas(model)
+                                            < ReplicaGoal.replicasFor(spec, model, demand));
         }
 
-        List<String> absent() {
-            return byDemand(model -> fleet.replicas(model) == 0 && fleet.coming(model) == 0);
+        List<String> modelsWithoutReplica() {
+            return byDemand(
+                    model -> fleet.replicas(model) == 0 && fleet.arrivingReplicas(model) == 0);
         }
 
         private List<String> byDemand(Predicate<String> wanted) {
             return spec.models().keySet().stream()
                     .filter(wanted)
                     .sorted(
-                            Comparator.comparingDouble((String model) -> -demand.perSecond(model))
+                            Comparator.comparingDouble(
+                                            (String model) -> -demand.arrivalsPerSecond(model))
                                     .thenComparing(Comparator.naturalOrder()))
                     .toList();
         }
 
-        Optional<Choice> place(String model, boolean needed) {
-            Offer best = null;
-            for (Engine engine : engines) {
-                Optional<Offer> offer =
-                        open(engine, model) ? offer(engine, model) : Optional.empty();
-                boolean free = needed || fetchesFirstCopy(model);
-                boolean suits = offer.isPresent() && (free || !offer.get().losesCopy());
+        Optional<Placement> place(String model, boolean needed) {
+            Candidate best = null;
+            for (EngineState engine : engines) {
+                Optional<Candidate> offer =
+                        canLoad(engine, model) ? candidate(engine, model) : Optional.empty();
+                boolean free = needed || isFirstCopyBeforeRequests(model);
+                boolean suits = offer.isPresent() && (free || !offer.get().losesLastCopy());
                 if (suits && (best == null || offer.get().cost() < best.cost())) {
                     best = offer.get();
                 }
             }
-            if (best == null || !worthIt(best, model, needed)) {
+            if (best == null || !isWorthwhile(best, model, needed)) {
                 return Optional.empty();
             }
             taken.add(best.engine());
             chosenFromStore += best.source() == LoadSource.STORE ? 1 : 0;
-            fleet.barred(best.engine());
-            return Optional.of(new Choice(best.engine(), model));
+            fleet.markBusy(best.engine());
+            return Optional.of(new Placement(best.engine(), model));
         }
 
-        private boolean open(Engine engine, String model) {
-            return engine.free(now)
-                    && engine.intent() == null
-                    && fleet.usable(engine)
+        private boolean canLoad(EngineState engine, String model) {
+            return engine.acceptsOrders(now)
+                    && engine.plannedLoad() == null
+                    && fleet.isUsable(engine)
                     && !taken.contains(engine)
-                    && !engine.has(model);
+                    && !engine.holds(model);
         }
 
-        private Optional<Offer> offer(Engine engine, String model) {
-            double blocked = blocked(engine);
-            if (blocked > MOST_BLOCKED && engine.source(model) == LoadSource.STORE) {
+        private Optional<Candidate> candidate(EngineState engine, String model) {
+            double blocked = blockedAdapterRequests(engine);
+            if (blocked > MOST_BLOCKED && engine.loadSource(model) == LoadSource.STORE) {
                 return Optional.empty();
             }
-            double perSecond = 1 + demand.perSecond(model) + blocked;
+            double perSecond = 1 + demand.arrivalsPerSecond(model) + blocked;
             return room.plan(engine, model, perSecond, now)
-                    .map(plan -> offer(engine, model, plan, perSecond));
+                    .map(plan -> candidate(engine, model, plan, perSecond));
         }
 
-        private boolean losesCopy(Engine engine, String model, Room.Plan plan) {
-            return engine.source(model) == LoadSource.STORE
-                    && plan.victims().stream().anyMatch(each -> !fleet.elsewhere(engine, each));
+        private boolean losesLastCopy(EngineState engine, String model, EvictionPlanner.Plan plan) {
+            return engine.loadSource(model) == LoadSource.STORE
+                    && plan.victims().stream()
+                            .anyMatch(each -> !fleet.isAvailableElsewhere(engine, each));
         }
 
-        private Offer offer(Engine engine, String model, Room.Plan plan, double perSecond) {
-            LoadSource source = engine.source(model);
+        private Candidate candidate(
+                EngineState engine, String model, EvictionPlanner.Plan plan, double perSecond) {
+            LoadSource source = engine.loadSource(model);
             ModelSpec weights = spec.models().get(model);
-            double load = source.time(weights).toMillis() / 1000.0;
-            double cost = (plan.seconds() + load) * perSecond + plan.cost();
+            double load = source.loadTime(weights).toMillis() / 1000.0;
+            double cost = (plan.waitSeconds() + load) * perSecond + plan.cost();
             if (source == LoadSource.STORE) {
-                cost += load * soleCopies(engine);
+                cost += load * soleCopyRequests(engine);
             }
-            double hurt = plan.cost() + plan.seconds();
-            return new Offer(engine, source, cost, hurt, losesCopy(engine, model, plan));
+            double hurt = plan.cost() + plan.waitSeconds();
+            return new Candidate(engine, source, cost, hurt, losesLastCopy(engine, model, plan));
         }
 
-        private double blocked(Engine engine) {
+        private double blockedAdapterRequests(EngineState engine) {
             double blocked = 0;
             for (String held : engine.held().adapters().keySet()) {
-                boolean alone = fleet.open(held) <= 1;
+                boolean alone = fleet.availableReplicas(held) <= 1;
                 double part = alone ? BLOCKED_ALONE : BLOCKED_SHARED;
-                blocked += demand.adaptersPerSecond(held) * part;
+                blocked += demand.adapterArrivalsPerSecond(held) * part;
             }
             return blocked;
         }
 
         // While an engine loads from the store, it cannot load the models that only it has a copy
         // of.
-        private double soleCopies(Engine engine) {
+        private double soleCopyRequests(EngineState engine) {
             double hurt = 0;
-            for (String model : engine.copies()) {
-                if (fleet.copies(model) == 1) {
-                    hurt += SOLE_COPY + demand.perSecond(model);
+            for (String model : engine.modelsWithCopy()) {
+                if (fleet.enginesWithCopy(model) == 1) {
+                    hurt += SOLE_COPY + demand.arrivalsPerSecond(model);
                 }
             }
             return hurt;
         }
 
-        private boolean worthIt(Offer best, String model, boolean needed) {
+        private boolean isWorthwhile(Candidate best, String model, boolean needed) {
             double gain =
                     fleet.replicas(model) > 0
-                            ? demand.perSecond(model) * BUSY_GAIN
+                            ? demand.arrivalsPerSecond(model) * BUSY_GAIN
                             : gain(best, model);
-            if (!needed && best.hurt() > gain && !fetchesFirstCopy(model)) {
+            if (!needed && best.evictionCost() > gain && !isFirstCopyBeforeRequests(model)) {
                 return false;
             }
             if (best.source() != LoadSource.STORE) {
                 return true;
             }
-            if (fleet.coming(model) > 0) {
+            if (fleet.arrivingReplicas(model) > 0) {
                 return false;
             }
-            if (fleet.copies(model) == 0) {
+            if (fleet.enginesWithCopy(model) == 0) {
                 return storeAllows(needed);
             }
-            if (!needed && !spareCopy(model)) {
-                return !anyLacksCopy() && storeAllows(false);
+            if (!needed && !hasSpareCopy(model)) {
+                return !anyRequestedModelIsNowhere() && storeAllows(false);
             }
-            if (!needed || !barred(model)) {
+            if (!needed || !hasWaitedTooLong(model)) {
                 return false;
             }
-            return ReplicaGoal.busy(model, demand)
+            return ReplicaGoal.isBusy(model, demand)
                     ? storeAllows(true)
-                    : chosenFromStore == 0 && StoreLoads.running(engines) == 0;
+                    : chosenFromStore == 0 && StoreLoadLimiter.countRunning(engines) == 0;
         }
 
         // The choices of a round become orders only after it, so they are counted here. Otherwise a
@@ -296,51 +313,54 @@
         // The store allows a few loads per minute. If they were spent on second copies of busy
         // models, models that are requested now and then and that no engine can load would never be
         // loaded.
-        private boolean anyLacksCopy() {
+        private boolean anyRequestedModelIsNowhere() {
             return spec.models().keySet().stream()
                     .anyMatch(
                             model ->
-                                    demand.perSecond(model) > 0
-                                            && nowhere(model)
-                                            && fleet.coming(model) == 0);
+                                    demand.arrivalsPerSecond(model) > 0
+                                            && isNowhere(model)
+                                            && fleet.arrivingReplicas(model) == 0);
         }
 
-        private boolean nowhere(String model) {
-            return fleet.copies(model) == 0 && fleet.replicas(model) == 0;
+        private boolean isNowhere(String model) {
+            return fleet.enginesWithCopy(model) == 0 && fleet.replicas(model) == 0;
         }
 
         // Before the first request nobody misses an evicted model, and it can be loaded from disk
         // in a second. A model that no engine has a copy of would take longer than its first
         // callers can wait.
-        private boolean fetchesFirstCopy(String model) {
-            return demand.nobodyAsked() && nowhere(model);
+        private boolean isFirstCopyBeforeRequests(String model) {
+            return demand.hasSeenNoRequests() && isNowhere(model);
         }
 
         // If the only copy of a busy model is on the engine that already holds it, a second replica
         // can come only from the store. A single replica would run out of slots and adapter slots.
-        private boolean spareCopy(String model) {
+        private boolean hasSpareCopy(String model) {
             return engines.stream()
                     .anyMatch(
-                            each -> fleet.usable(each) && each.hasCopy(model) && !each.has(model));
+                            each ->
+                                    fleet.isUsable(each)
+                                            && each.hasCopy(model)
+                                            && !each.holds(model));
         }
 
-        private double gain(Offer offer, String model) {
-            double seconds = offer.source().time(spec.models().get(model)).toMillis() / 1000.0;
-            return LEAST_GAIN + demand.perSecond(model) * seconds * AHEAD_PART;
+        private double gain(Candidate offer, String model) {
+            double seconds = offer.source().loadTime(spec.models().get(model)).toMillis() / 1000.0;
+            return LEAST_GAIN + demand.arrivalsPerSecond(model) * seconds * AHEAD_PART;
         }
 
         // A rare model waits a while for the engine that has a copy. For a busy one, dozens of
         // requests would be refused before the first has waited that long.
-        private boolean barred(String model) {
-            boolean busy = ReplicaGoal.busy(model, demand);
+        private boolean hasWaitedTooLong(String model) {
+            boolean busy = ReplicaGoal.isBusy(model, demand);
             Duration longest = busy ? LONGEST_IF_BUSY : LONGEST_FOR_COPY;
-            if (demand.oldest(model).compareTo(longest) > 0) {
+            if (demand.longestWait(model).compareTo(longest) > 0) {
                 return true;
             }
             return busy
                     && engines.stream()
-                            .filter(each -> fleet.usable(each) && each.hasCopy(model))
-                            .allMatch(each -> each.barredFor(now).compareTo(longest) > 0);
+                            .filter(each -> fleet.isUsable(each) && each.hasCopy(model))
+                            .allMatch(each -> each.remainingOrderTime(now).compareTo(longest) > 0);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/ReplicaGoal.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/ReplicaGoal.java
@@ -23,15 +23,16 @@
 
     private ReplicaGoal() {}
 
-    static boolean busy(String model, DemandBook demand) {
-        return demand.perSecond(model) >= BUSY_PER_SECOND;
+    static boolean isBusy(String model, DemandAggregator demand) {
+        return demand.arrivalsPerSecond(model) >= BUSY_PER_SECOND;
     }
 
-    static int of(EngineSpec spec, String model, DemandBook demand) {
-        if (!busy(model, demand)) {
+    static int replicasFor(EngineSpec spec, String model, DemandAggregator demand) {
+        if (!isBusy(model, demand)) {
             return 0;
         }
-        int byAdapters = (int) Math.ceil(demand.adaptersAsked(model) / (2.0 * spec.adapterSlots()));
+        int byAdapters =
+                (int) Math.ceil(demand.requestedAdapters(model) / (2.0 * spec.adapterSlots()));
         int byLoad = (int) Math.ceil(demand.running(model) / (spec.slots() * USUAL_PART));
         return Math.max(LEAST, Math.max(byLoad, Math.min(byAdapters, MOST_FOR_ADAPTERS)));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/StoreLoads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/StoreLoadLimiter.java
@@ -15,7 +15,7 @@
  * all of them finish late. The number is not configured; it is estimated from how long loads take.
  * The store also limits how many loads may start within some seconds.
  */
-final class StoreLoads {
+final class StoreLoadLimiter {
     /**
      * Initial and highest estimate of the loads at full speed. A lower start would leave half of
      * the store idle.
@@ -56,7 +56,7 @@
     private double loadSeconds;
     private int running;
 
-    StoreLoads(Duration window) {
+    StoreLoadLimiter(Duration window) {
         this.window = window;
     }
 
@@ -73,7 +73,11 @@
      * @param needed whether requests wait for the model
      */
     boolean allows(
-            EngineSpec spec, Collection<Engine> engines, int chosen, boolean needed, Instant now) {
+            EngineSpec spec,
+            Collection<EngineState> engines,
+            int chosen,
+            boolean needed,
+            Instant now) {
         while (!begun.isEmpty() && begun.peek().plus(window).isBefore(now)) {
             begun.remove();
         }
@@ -81,12 +85,15 @@
         // Loads ahead of need leave one of the loads at full speed to models that requests wait
         // for.
         int places = needed ? atFullSpeed : Math.max(1, atFullSpeed - 1);
-        boolean reported = !now.isBefore(reportedAt) || engines.stream().allMatch(Engine::reported);
-        return reported && begun.size() + chosen + 1 <= most && running(engines) + chosen < places;
+        boolean reported =
+                !now.isBefore(reportedAt) || engines.stream().allMatch(EngineState::hasReported);
+        return reported
+                && begun.size() + chosen + 1 <= most
+                && countRunning(engines) + chosen < places;
     }
 
     /** Records the number of running loads; called in each planning round. */
-    void look(int runningNow, Instant now) {
+    void recordRunning(int runningNow, Instant now) {
         if (!lookedAt.equals(Instant.MIN)) {
             loadSeconds += running * seconds(Duration.between(lookedAt, now));
         }
@@ -95,7 +102,7 @@
     }
 
     /** Records that the order with that number starts a load. */
-    void begun(long order, Instant now) {
+    void loadStarted(long order, Instant now) {
         begun.add(now);
         loadSecondsAtStart.put(order, loadSeconds);
     }
@@ -106,7 +113,7 @@
      * @param alone time that the load takes undisturbed
      * @param took time that it took
      */
-    void ended(long order, Duration alone, Duration took) {
+    void loadFinished(long order, Duration alone, Duration took) {
         Double atStart = loadSecondsAtStart.remove(order);
         if (atStart == null) {
             return;
@@ -121,12 +128,12 @@
     }
 
     /** Records that the load of that order did not take place. */
-    void calledOff(long order) {
+    void loadCanceled(long order) {
         loadSecondsAtStart.remove(order);
     }
 
     /** Returns the estimated number of loads that run at full speed. */
-    int atFullSpeed() {
+    int fullSpeedLoads() {
         return atFullSpeed;
     }
 
@@ -137,7 +144,7 @@
     // An engine that carries out an order of a previous leader may be loading from the store. If it
     // were not counted, each change of leader would start as many loads again beside those that are
     // running, and all of them would finish too late.
-    static int running(Collection<Engine> engines) {
-        return (int) engines.stream().filter(Engine::mayLoadFromStore).count();
+    static int countRunning(Collection<EngineState> engines) {
+        return (int) engines.stream().filter(EngineState::mayLoadFromStore).count();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/StoreUse.java
+++ /dev/null
@@ -1,9 +0,0 @@
-package io.damaskyoke.control.loads;
-
-/**
- * How much of the weight store's capacity is in use.
- *
- * @param running loads that are running, as far as is known
- * @param atFullSpeed estimated number of loads that can run at once without slowing each other down
- */
-public record StoreUse(int running, int atFullSpeed) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/OpenLoad.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/UnansweredLoadOrder.java
@@ -7,8 +7,10 @@
 /**
  * A load order that was not answered and may still be carried out.
  *
- * @param life start of the upstream incarnation that the order was sent to, in Unix milliseconds
+ * @param incarnation start of the upstream incarnation that the order was sent to, in Unix
+ *     milliseconds
  * @param sequence number of accepted orders at which the upstream carries it out
- * @param at when it was sent
+ * @param sentAt when it was sent
  */
-public record OpenLoad(UpstreamId upstream, long life, long sequence, ModelRef model, Instant at) {}
+public record UnansweredLoadOrder(
+        UpstreamId upstream, long incarnation, long sequence, ModelRef model, Instant sentAt) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/OpenLoads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/UnansweredLoadOrders.java
@@ -21,32 +21,32 @@
  * other models, and so may an order that was planned with too high a count. Memory is reserved for
  * such orders until the upstream's count is past theirs or they expire.
  */
-final class OpenLoads {
+final class UnansweredLoadOrders {
     /** Expiry of an unanswered order. Orders are carried out up to a dozen seconds late. */
     private static final Duration LATEST = Duration.ofSeconds(15);
 
     private final Map<UpstreamId, List<Entry>> byUpstream = new HashMap<>();
 
     /** An order of this leader has a number; one announced by another leader has none. */
-    private record Entry(OptionalLong number, OpenLoad load) {}
+    private record Entry(OptionalLong number, UnansweredLoadOrder load) {}
 
     /** What must be kept free on an engine: memory in MB, and adapter slots. */
-    record Reserve(double megabytes, int places) {
-        static final Reserve NONE = new Reserve(0, 0);
+    record Reservation(double megabytes, int adapterSlots) {
+        static final Reservation NONE = new Reservation(0, 0);
     }
 
     /** Records that this leader sends the order with this number. */
-    void sent(long number, OpenLoad load) {
+    void addSent(long number, UnansweredLoadOrder load) {
         add(new Entry(OptionalLong.of(number), load));
     }
 
     /** Records an order that another leader sent and had no answer to. */
-    void told(OpenLoad load) {
+    void addAnnounced(UnansweredLoadOrder load) {
         add(new Entry(OptionalLong.empty(), load));
     }
 
     /** Removes the order with that number, which the upstream has answered. */
-    void closed(UpstreamId upstream, long number) {
+    void removeAnswered(UpstreamId upstream, long number) {
         List<Entry> entries = byUpstream.get(upstream);
         if (entries != null) {
             entries.removeIf(each -> each.number().equals(OptionalLong.of(number)));
@@ -54,7 +54,7 @@
     }
 
     /** Returns the order with that number if it is still unanswered. */
-    Optional<OpenLoad> find(UpstreamId upstream, long number) {
+    Optional<UnansweredLoadOrder> find(UpstreamId upstream, long number) {
         return byUpstream.getOrDefault(upstream, List.of()).stream()
                 .filter(each -> each.number().equals(OptionalLong.of(number)))
                 .map(Entry::load)
@@ -66,10 +66,13 @@
     }
 
     /** Removes the orders that have expired. */
-    void expire(Instant now) {
+    void removeExpired(Instant now) {
         byUpstream
                 .values()
-                .forEach(all -> all.removeIf(each -> each.load().at().plus(LATEST).isBefore(now)));
+                .forEach(
+                        all ->
+                                all.removeIf(
+                                        each -> each.load().sentAt().plus(LATEST).isBefore(now)));
         byUpstream.values().removeIf(List::isEmpty);
     }
 
@@ -77,22 +80,22 @@
      * Returns what orders that may still be carried out, at counts that they were not planned for,
      * can take on the engine.
      */
-    Reserve reserve(Engine engine) {
+    Reservation reservationFor(EngineState engine) {
         List<Entry> entries = byUpstream.get(engine.id());
         if (entries == null) {
-            return Reserve.NONE;
+            return Reservation.NONE;
         }
         // Of the orders that name one count, at most one is carried out.
         Map<Long, Double> megabytes = new TreeMap<>();
         Map<Long, Integer> places = new TreeMap<>();
         for (Entry entry : entries) {
-            OpenLoad load = entry.load();
-            if (mayCome(load, engine)) {
-                megabytes.merge(load.sequence(), engine.megabytes(load.model()), Math::max);
+            UnansweredLoadOrder load = entry.load();
+            if (mayBeCarriedOut(load, engine)) {
+                megabytes.merge(load.sequence(), engine.sizeMb(load.model()), Math::max);
                 places.merge(load.sequence(), load.model().adapted() ? 1 : 0, Math::max);
             }
         }
-        return new Reserve(
+        return new Reservation(
                 megabytes.values().stream().mapToDouble(each -> each).sum(),
                 places.values().stream().mapToInt(each -> each).sum());
     }
@@ -100,8 +103,9 @@
     // Within the current incarnation, an order that names a later count was planned with a wrong
     // one: an unload that was answered as done may have changed nothing, and is then counted here
     // but not on the upstream.
-    private static boolean mayCome(OpenLoad load, Engine engine) {
+    private static boolean mayBeCarriedOut(UnansweredLoadOrder load, EngineState engine) {
         long now = engine.held().sequence();
-        return load.sequence() > now || load.sequence() == now && load.life() != engine.life();
+        return load.sequence() > now
+                || load.sequence() == now && load.incarnation() != engine.incarnation();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/WaitReport.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/WaitReport.java
@@ -12,35 +12,39 @@
  * per model.
  */
 final class WaitReport {
-    private final DemandBook demand;
-    private final Collection<Engine> engines;
-    private final StoreUse store;
+    private final DemandAggregator demand;
+    private final Collection<EngineState> engines;
+    private final StoreUsage store;
     private final Instant now;
 
-    WaitReport(DemandBook demand, Collection<Engine> engines, StoreUse store, Instant now) {
+    WaitReport(
+            DemandAggregator demand,
+            Collection<EngineState> engines,
+            StoreUsage store,
+            Instant now) {
         this.demand = demand;
         this.engines = engines;
         this.store = store;
         this.now = now;
     }
 
-    List<String> longerThan(Duration limit) {
+    List<String> waitsOfAtLeast(Duration limit) {
         List<String> lines = new ArrayList<>();
-        for (LoadInput.Want want : demand.waiting()) {
-            if (want.oldest().compareTo(limit) >= 0) {
-                lines.add(line(want));
+        for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
+            if (want.longestWait().compareTo(limit) >= 0) {
+                lines.add(describe(want));
             }
         }
         return lines;
     }
 
-    private String line(LoadInput.Want want) {
+    private String describe(LoadInput.ModelDemand want) {
         StringBuilder line = new StringBuilder(want.model().toString());
         line.append(" waiting=").append(want.waiting());
-        line.append(" ms=").append(want.oldest().toMillis());
+        line.append(" ms=").append(want.longestWait().toMillis());
         boolean anywhere = false;
-        for (Engine engine : engines) {
-            boolean has = engine.has(want.model().model());
+        for (EngineState engine : engines) {
+            boolean has = engine.holds(want.model().model());
             if (has || engine.hasCopy(want.model().model())) {
                 line.append(' ').append(engine.id()).append('=');
                 line.append(has ? "held," : "copy,").append(state(engine));
@@ -48,26 +52,27 @@
             }
         }
         if (!anywhere) {
-            line.append(" no copy on any engine, store loads running ").append(store.running());
-            line.append(" of ").append(store.atFullSpeed());
+            line.append(" no copy on any engine, store loads running ")
+                    .append(store.runningLoads());
+            line.append(" of ").append(store.fullSpeedLoads());
         }
         return line.toString();
     }
 
-    private String state(Engine engine) {
-        if (demand.suspect(engine.id())) {
+    private String state(EngineState engine) {
+        if (demand.isSuspect(engine.id())) {
             return "suspect";
         }
-        if (!engine.known()) {
+        if (!engine.isKnown()) {
             return "unreported";
         }
         if (engine.pending() != null) {
             ModelRef model = engine.pending().model();
-            return engine.pending().verb() + ":" + model;
+            return engine.pending().operation() + ":" + model;
         }
-        if (engine.intent() != null) {
-            return "for:" + engine.intent().model();
+        if (engine.plannedLoad() != null) {
+            return "for:" + engine.plannedLoad().model();
         }
-        return engine.free(now) ? "free" : "quiet";
+        return engine.acceptsOrders(now) ? "free" : "quiet";
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
@@ -74,7 +74,7 @@
 
     /** Tells the leader, or this router's own planner, what is news to it. */
     void report() {
-        LoadInput.Demanded demanded = parts.dispatch().demand(self);
+        LoadInput.DemandReported demanded = parts.dispatch().demand(self);
         if (parts.lease().held()) {
             parts.leader().demanded(demanded);
             return;
@@ -94,8 +94,8 @@
     }
 
     // An idle router's report would wake both VMs seven times a second to say the same.
-    private boolean news(LoadInput.Demanded demanded) {
-        if (demanded.waits() || reportedAt.equals(Instant.MIN)) {
+    private boolean news(LoadInput.DemandReported demanded) {
+        if (demanded.hasWaitingRequests() || reportedAt.equals(Instant.MIN)) {
             return true;
         }
         boolean changed = !demanded.running().equals(reportedRunning);
@@ -129,7 +129,7 @@
         report();
     }
 
-    private void send(Optional<VmId> to, LoadInput.Demanded demanded) {
+    private void send(Optional<VmId> to, LoadInput.DemandReported demanded) {
         RouterStanding standing =
                 new RouterStanding(
                         parts.configuration().revision(),
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
@@ -2,8 +2,8 @@
 
 import io.damaskyoke.control.direct.DirectConfiguration;
 import io.damaskyoke.control.loads.LoadInput;
+import io.damaskyoke.control.loads.OrderOperation;
 import io.damaskyoke.control.loads.OrderOutcome;
-import io.damaskyoke.control.loads.Verb;
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -73,7 +73,7 @@
     String reportPath();
 
     /** Reads a report; throws a {@link DirectException} MALFORMED. */
-    LoadInput.Reported report(UpstreamId from, byte[] body);
+    LoadInput.UpstreamReported report(UpstreamId from, byte[] body);
 
     /**
      * An order to an upstream.
@@ -82,5 +82,5 @@
      * @param fencing grows with each change of the holder
      * @param sequence how many orders the upstream must have accepted before
      */
-    record Order(Verb verb, ModelRef model, String holder, long fencing, long sequence) {}
+    record Order(OrderOperation verb, ModelRef model, String holder, long fencing, long sequence) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Dispatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Dispatch.java
@@ -192,13 +192,15 @@
     }
 
     /** What this router needs and sees, for the leader. */
-    LoadInput.Demanded demand(VmId self) {
+    LoadInput.DemandReported demand(VmId self) {
         Instant now = clock.instant();
         Map<ModelRef, Double> perSecond = rates.all(now);
-        Map<ModelRef, LoadInput.Want> wants = new TreeMap<>();
+        Map<ModelRef, LoadInput.ModelDemand> wants = new TreeMap<>();
         perSecond.forEach(
                 (model, rate) ->
-                        wants.put(model, new LoadInput.Want(model, 0, Duration.ZERO, 9, rate)));
+                        wants.put(
+                                model,
+                                new LoadInput.ModelDemand(model, 0, Duration.ZERO, 9, rate)));
         waitingByModel()
                 .forEach((model, queue) -> wants.put(model, want(model, queue, perSecond, now)));
         Map<UpstreamId, Map<ModelRef, Integer>> running = new TreeMap<>();
@@ -211,7 +213,7 @@
                 suspects.add(upstream.facts().id());
             }
         }
-        return new LoadInput.Demanded(self, List.copyOf(wants.values()), running, suspects);
+        return new LoadInput.DemandReported(self, List.copyOf(wants.values()), running, suspects);
     }
 
     private Map<ModelRef, TreeSet<Place>> waitingByModel() {
@@ -230,7 +232,7 @@
         return waiting;
     }
 
-    private static LoadInput.Want want(
+    private static LoadInput.ModelDemand want(
             ModelRef model, TreeSet<Place> queue, Map<ModelRef, Double> rates, Instant now) {
         Instant oldest = now;
         int inTime = 0;
@@ -239,7 +241,7 @@
             oldest = since.isBefore(oldest) ? since : oldest;
             inTime += now.plus(COMING).isBefore(place.waiter().inTimeUntil()) ? 1 : 0;
         }
-        return new LoadInput.Want(
+        return new LoadInput.ModelDemand(
                 model,
                 queue.size(),
                 Duration.between(oldest, now),
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderNews.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.loads.OpenLoad;
+import io.damaskyoke.control.loads.UnansweredLoadOrder;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import java.util.Map;
@@ -11,5 +11,5 @@
     void tell(long fencing, Map<UpstreamId, HeldModels> held);
 
     /** Tells of an order that the next leader has to reckon with. */
-    void tellOpen(OpenLoad load);
+    void tellOpen(UnansweredLoadOrder load);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
@@ -6,7 +6,7 @@
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.control.crashes.UpstreamEnd;
 import io.damaskyoke.control.loads.LoadInput;
-import io.damaskyoke.control.loads.OpenLoad;
+import io.damaskyoke.control.loads.UnansweredLoadOrder;
 import io.damaskyoke.control.upstreams.Departure;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.ModelRef;
@@ -48,7 +48,7 @@
     private NeighbourFrames() {}
 
     static Frame report(
-            long number, LoadInput.Demanded demanded, RouterStanding standing, Instant now) {
+            long number, LoadInput.DemandReported demanded, RouterStanding standing, Instant now) {
         RouterReport.Builder report =
                 RouterReport.newBuilder()
                         .setNumber(number)
@@ -60,7 +60,7 @@
         standing.drains()
                 .notBefore()
                 .forEach((zone, at) -> report.addDrainedZones(drained(zone, at, now)));
-        demanded.wants().forEach(want -> report.addDemand(demand(want)));
+        demanded.demands().forEach(want -> report.addDemand(demand(want)));
         demanded.running()
                 .forEach(
                         (upstream, counts) ->
@@ -99,21 +99,21 @@
         return Frame.newBuilder().setReplicaNews(news).build();
     }
 
-    static Frame open(OpenLoad load, Instant now) {
+    static Frame open(UnansweredLoadOrder load, Instant now) {
         UnansweredLoad line =
                 UnansweredLoad.newBuilder()
                         .setUpstream(load.upstream().value())
-                        .setLife(load.life())
+                        .setLife(load.incarnation())
                         .setSequence(load.sequence())
                         .setModel(load.model().model())
                         .setAdapter(load.model().adapter())
-                        .setAgeMs((int) Duration.between(load.at(), now).toMillis())
+                        .setAgeMs((int) Duration.between(load.sentAt(), now).toMillis())
                         .build();
         return Frame.newBuilder().setUnansweredLoad(line).build();
     }
 
-    static OpenLoad open(UnansweredLoad line, Instant now) {
-        return new OpenLoad(
+    static UnansweredLoadOrder open(UnansweredLoad line, Instant now) {
+        return new UnansweredLoadOrder(
                 UpstreamId.of(line.getUpstream()),
                 line.getLife(),
                 line.getSequence(),
@@ -312,14 +312,14 @@
         return new Change(line.getKey(), line.getRevision(), entry);
     }
 
-    private static ModelDemand demand(LoadInput.Want want) {
+    private static ModelDemand demand(LoadInput.ModelDemand want) {
         return ModelDemand.newBuilder()
                 .setModel(want.model().model())
                 .setAdapter(want.model().adapter())
                 .setWaiting(want.waiting())
-                .setOldestMs((int) want.oldest().toMillis())
+                .setOldestMs((int) want.longestWait().toMillis())
                 .setUrgency(want.urgency())
-                .setPerSecond(want.perSecond())
+                .setPerSecond(want.arrivalsPerSecond())
                 .setInTime(want.inTime())
                 .build();
     }
@@ -349,11 +349,11 @@
         return line.build();
     }
 
-    static LoadInput.Demanded demanded(VmId from, RouterReport report) {
-        List<LoadInput.Want> wants = new ArrayList<>();
+    static LoadInput.DemandReported demanded(VmId from, RouterReport report) {
+        List<LoadInput.ModelDemand> wants = new ArrayList<>();
         for (ModelDemand demand : report.getDemandList()) {
             wants.add(
-                    new LoadInput.Want(
+                    new LoadInput.ModelDemand(
                             new ModelRef(demand.getModel(), demand.getAdapter()),
                             demand.getWaiting(),
                             Duration.ofMillis(demand.getOldestMs()),
@@ -368,7 +368,7 @@
         }
         Set<UpstreamId> suspects = new HashSet<>();
         report.getSuspectsList().forEach(id -> suspects.add(UpstreamId.of(id)));
-        return new LoadInput.Demanded(from, wants, running, suspects);
+        return new LoadInput.DemandReported(from, wants, running, suspects);
     }
 
     static List<Departure> departures(Departures all) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
@@ -4,7 +4,7 @@
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.control.crashes.UpstreamEnd;
 import io.damaskyoke.control.loads.LoadInput;
-import io.damaskyoke.control.loads.OpenLoad;
+import io.damaskyoke.control.loads.UnansweredLoadOrder;
 import io.damaskyoke.control.upstreams.Departure;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void reported(LoadInput.Demanded demanded, RouterStanding standing) {
+    public void reported(LoadInput.DemandReported demanded, RouterStanding standing) {
         parts.leader().demanded(demanded);
         parts.drains().told(standing.drains());
         if (standing.configuration() > parts.configuration().revision()) {
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public void unanswered(OpenLoad load) {
+    public void unanswered(UnansweredLoadOrder load) {
         parts.leader().unanswered(load);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
@@ -6,7 +6,7 @@
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.control.crashes.UpstreamEnd;
 import io.damaskyoke.control.loads.LoadInput;
-import io.damaskyoke.control.loads.OpenLoad;
+import io.damaskyoke.control.loads.UnansweredLoadOrder;
 import io.damaskyoke.control.upstreams.Departure;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -68,7 +68,7 @@
         void linked();
 
         /** A router's needs, and what it knows. */
-        void reported(LoadInput.Demanded demanded, RouterStanding standing);
+        void reported(LoadInput.DemandReported demanded, RouterStanding standing);
 
         /** A router wants to know what has changed in the store; the answer goes to the sink. */
         void askedChanges(
@@ -81,7 +81,7 @@
         void told(VmId leader, long fencing, Map<UpstreamId, HeldModels> held);
 
         /** A leader had no answer to an order. */
-        void unanswered(OpenLoad load);
+        void unanswered(UnansweredLoadOrder load);
 
         /** An upstream ended so long ago, and these had run there for so long. */
         void ended(UpstreamEnd end, Duration ago, Map<RequestDigest, Duration> ran);
@@ -170,7 +170,7 @@
     }
 
     /** Says what this router needs to one other, or to those that follow the store for all. */
-    void report(Optional<VmId> to, LoadInput.Demanded demanded, RouterStanding standing) {
+    void report(Optional<VmId> to, LoadInput.DemandReported demanded, RouterStanding standing) {
         Frame frame =
                 NeighbourFrames.report(++number, demanded, standing, control.clock().instant());
         if (to.isPresent()) {
@@ -200,7 +200,7 @@
     }
 
     @Override
-    public void tellOpen(OpenLoad load) {
+    public void tellOpen(UnansweredLoadOrder load) {
         sendAll(NeighbourFrames.open(load, control.clock().instant()));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderCalls.java
@@ -12,5 +12,5 @@
     void order(UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then);
 
     /** Asks for a report; empty if none comes in time or it can't be read. */
-    void report(UpstreamFacts from, Consumer<Optional<LoadInput.Reported>> then);
+    void report(UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
@@ -8,9 +8,9 @@
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.loads.LoadPlanner;
 import io.damaskyoke.control.loads.LoadSettings;
-import io.damaskyoke.control.loads.OpenLoad;
 import io.damaskyoke.control.loads.OrderOutcome;
-import io.damaskyoke.control.loads.UnmetNeed;
+import io.damaskyoke.control.loads.UnansweredLoadOrder;
+import io.damaskyoke.control.loads.UnmetDemand;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.Upstream;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -57,7 +57,7 @@
     private final OrderCalls calls;
     private final VmId self;
     private final LeaderNews news;
-    private final LoadPlanner planner = new LoadPlanner(LoadSettings.usual());
+    private final LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
     private final Map<UpstreamId, HeldModels> changed = new HashMap<>();
     private Runnable told = () -> {};
     private Control.Cancellable ticking = () -> {};
@@ -89,13 +89,13 @@
     /** Shows what models are waited for, and how much of the weight store is in use. */
     void show(Metrics metrics) {
         metrics.gauge("models_waited_for", () -> unmet().models());
-        metrics.gauge("oldest_model_wait_ms", () -> unmet().oldest().toMillis());
-        metrics.gauge("store_loads_running", () -> planner.storeUse().running());
-        metrics.gauge("store_loads_at_full_speed", () -> planner.storeUse().atFullSpeed());
+        metrics.gauge("oldest_model_wait_ms", () -> unmet().longestWait().toMillis());
+        metrics.gauge("store_loads_running", () -> planner.storeUsage().runningLoads());
+        metrics.gauge("store_loads_at_full_speed", () -> planner.storeUsage().fullSpeedLoads());
     }
 
-    private UnmetNeed unmet() {
-        return lease.held() ? planner.unmet(control.clock().instant()) : UnmetNeed.NONE;
+    private UnmetDemand unmet() {
+        return lease.held() ? planner.unmetDemand(control.clock().instant()) : UnmetDemand.NONE;
     }
 
     void configured(DirectConfiguration configuration) {
@@ -103,30 +103,30 @@
         for (ServiceSpec service : configuration.engines()) {
             engines.put(service.name(), service.engine().orElseThrow());
         }
-        feed(new LoadInput.Configured(engines));
+        feed(new LoadInput.ServicesConfigured(engines));
         upstreams.all().forEach(each -> listed(each.facts()));
     }
 
     void listed(UpstreamFacts facts) {
-        feed(new LoadInput.Listed(facts));
+        feed(new LoadInput.UpstreamListed(facts));
     }
 
     /** Just these zones are drained. */
     void zonesDrained(Set<String> zones) {
-        feed(new LoadInput.Drained(zones));
+        feed(new LoadInput.DrainedZonesChanged(zones));
     }
 
     void gone(UpstreamId upstream) {
-        feed(new LoadInput.Gone(upstream));
+        feed(new LoadInput.UpstreamRemoved(upstream));
     }
 
-    void demanded(LoadInput.Demanded demanded) {
+    void demanded(LoadInput.DemandReported demanded) {
         feed(demanded);
     }
 
     /** Another router had no answer to an order. */
-    void unanswered(OpenLoad load) {
-        feed(new LoadInput.Unanswered(load));
+    void unanswered(UnansweredLoadOrder load) {
+        feed(new LoadInput.UnansweredLoadAnnounced(load));
     }
 
     /** What this router knows better than the list, for a router that has just come. */
@@ -163,7 +163,7 @@
         Instant now = control.clock().instant();
         if (explainedAt.plus(EXPLAIN_GAP).isBefore(now)) {
             explainedAt = now;
-            planner.barred(LONG_WAIT, now).stream()
+            planner.explainLongWaits(LONG_WAIT, now).stream()
                     .limit(MOST_EXPLAINED)
                     .forEach(line -> LOG.info("still waits: {}", line));
         }
@@ -180,19 +180,19 @@
     }
 
     private void carryOut(LoadAction action) {
-        if (action instanceof LoadAction.Order order) {
+        if (action instanceof LoadAction.SendOrder order) {
             give(order);
-        } else if (action instanceof LoadAction.AskReport ask) {
+        } else if (action instanceof LoadAction.RequestReport ask) {
             askReport(ask.upstream());
-        } else if (action instanceof LoadAction.TellOpen open) {
+        } else if (action instanceof LoadAction.AnnounceUnansweredLoad open) {
             news.tellOpen(open.load());
-        } else if (action instanceof LoadAction.Tell tell) {
+        } else if (action instanceof LoadAction.AnnounceHeldModels tell) {
             tell(tell);
         }
     }
 
     // The lease is looked at for every order: between the decision and now the VM may have slept.
-    private void give(LoadAction.Order order) {
+    private void give(LoadAction.SendOrder order) {
         Optional<Upstream> to = upstreams.find(order.upstream());
         if (!lease.held() || to.isEmpty()) {
             control.run(() -> answered(order, OrderOutcome.REFUSED));
@@ -200,7 +200,7 @@
         }
         Dialect.Order body =
                 new Dialect.Order(
-                        order.verb(),
+                        order.operation(),
                         order.model(),
                         self.value(),
                         lease.fencing(),
@@ -213,7 +213,7 @@
                     LOG.info(
                             "order {} {} upstream={} sequence={} free_mb={} holds={} outcome={}"
                                     + " ms={}",
-                            order.verb(),
+                            order.operation(),
                             order.model(),
                             order.upstream(),
                             order.sequence(),
@@ -225,17 +225,17 @@
                 });
     }
 
-    private void answered(LoadAction.Order order, OrderOutcome outcome) {
+    private void answered(LoadAction.SendOrder order, OrderOutcome outcome) {
         if (outcome == OrderOutcome.FENCED) {
             lease.resign("an upstream has seen a higher fencing token");
         }
-        feed(new LoadInput.Answered(order.upstream(), order.number(), outcome));
+        feed(new LoadInput.OrderAnswered(order.upstream(), order.number(), outcome));
     }
 
     private void askReport(UpstreamId id) {
         Optional<Upstream> to = upstreams.find(id);
         if (to.isEmpty()) {
-            feed(new LoadInput.Gone(id));
+            feed(new LoadInput.UpstreamRemoved(id));
             return;
         }
         calls.report(
@@ -243,10 +243,10 @@
                 report ->
                         feed(
                                 report.<LoadInput>map(found -> found)
-                                        .orElse(new LoadInput.NotReported(id))));
+                                        .orElse(new LoadInput.ReportFailed(id))));
     }
 
-    private void tell(LoadAction.Tell tell) {
+    private void tell(LoadAction.AnnounceHeldModels tell) {
         upstreams
                 .find(tell.upstream())
                 .ifPresent(each -> each.told(tell.held(), control.clock().instant()));
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void report(UpstreamFacts from, Consumer<Optional<LoadInput.Reported>> then) {
+    public void report(UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then) {
         call(
                 from,
                 HttpMethod.GET,
@@ -73,7 +73,7 @@
                 answer -> then.accept(read(from, answer)));
     }
 
-    private Optional<LoadInput.Reported> read(UpstreamFacts from, WholeAnswer answer) {
+    private Optional<LoadInput.UpstreamReported> read(UpstreamFacts from, WholeAnswer answer) {
         if (answer.failure().isPresent() || answer.status() != OK) {
             return Optional.empty();
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/DrainedZoneLoadsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/DrainedZoneLoadsTest.java
@@ -31,7 +31,7 @@
     private static final UpstreamId STAYS_1 = UpstreamId.of("stays-1");
     private static final UpstreamId STAYS_2 = UpstreamId.of("stays-2");
 
-    private final LoadPlanner planner = new LoadPlanner(LoadSettings.usual());
+    private final LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
     private Instant now = Instant.ofEpochSecond(100);
 
     // Guards against models that only a drained zone holds and that are not loaded elsewhere until
@@ -41,7 +41,7 @@
         begin();
         demand(want("rare", 0, 0.2), want("hot", 0, 1.5));
         assertEquals(List.of(), orders(new LoadInput.Tick()));
-        List<String> orders = orders(new LoadInput.Drained(Set.of("drained")));
+        List<String> orders = orders(new LoadInput.DrainedZonesChanged(Set.of("drained")));
         assertEquals("LOAD hot stays-1", orders.get(0));
         assertTrue(orders.contains("LOAD rare stays-2"), orders.toString());
     }
@@ -50,7 +50,7 @@
     @Test
     void anEngineInADrainedZoneGetsNoOrder() {
         begin();
-        orders(new LoadInput.Drained(Set.of("drained")));
+        orders(new LoadInput.DrainedZonesChanged(Set.of("drained")));
         List<String> orders = new ArrayList<>();
         for (int round = 0; round < 20; round++) {
             now = now.plusMillis(100);
@@ -62,14 +62,14 @@
     @Test
     void aZoneThatIsTakenBackGetsOrdersAgain() {
         begin();
-        orders(new LoadInput.Drained(Set.of("drained", "other")));
+        orders(new LoadInput.DrainedZonesChanged(Set.of("drained", "other")));
         assertEquals(List.of(), demand(want("cold", 1, 1.0)));
-        List<String> orders = orders(new LoadInput.Drained(Set.of("other")));
+        List<String> orders = orders(new LoadInput.DrainedZonesChanged(Set.of("other")));
         assertTrue(orders.stream().anyMatch(each -> each.contains("left-")), orders.toString());
     }
 
     private void begin() {
-        planner.on(new LoadInput.Configured(Map.of("engines", spec())), now);
+        planner.on(new LoadInput.ServicesConfigured(Map.of("engines", spec())), now);
         list(LEFT_1, "drained", "hot");
         list(LEFT_2, "drained", "rare");
         list(STAYS_1, "other", "other");
@@ -95,32 +95,32 @@
                         held(model),
                         Set.of(),
                         Set.of("hot", "rare", "cold"));
-        planner.on(new LoadInput.Listed(facts), now);
+        planner.on(new LoadInput.UpstreamListed(facts), now);
     }
 
     private void report(UpstreamId id, String model) {
         planner.on(
-                new LoadInput.Reported(
+                new LoadInput.UpstreamReported(
                         id, false, held(model), Set.of(), Set.of("hot", "rare", "cold")),
                 now);
     }
 
-    private List<String> demand(LoadInput.Want... wants) {
-        return orders(new LoadInput.Demanded(ROUTER, List.of(wants), Map.of(), Set.of()));
+    private List<String> demand(LoadInput.ModelDemand... wants) {
+        return orders(new LoadInput.DemandReported(ROUTER, List.of(wants), Map.of(), Set.of()));
     }
 
     private List<String> orders(LoadInput input) {
         List<String> orders = new ArrayList<>();
         for (LoadAction action : planner.on(input, now)) {
-            if (action instanceof LoadAction.Order order) {
-                orders.add(order.verb() + " " + order.model() + " " + order.upstream());
+            if (action instanceof LoadAction.SendOrder order) {
+                orders.add(order.operation() + " " + order.model() + " " + order.upstream());
             }
         }
         return orders;
     }
 
-    private static LoadInput.Want want(String model, int waiting, double perSecond) {
-        return new LoadInput.Want(
+    private static LoadInput.ModelDemand want(String model, int waiting, double perSecond) {
+        return new LoadInput.ModelDemand(
                 ModelRef.parse(model), waiting, Duration.ofMillis(10), 1, perSecond);
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/LoadPlannerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/LoadPlannerTest.java
@@ -27,10 +27,10 @@
     private static final UpstreamId ONE = UpstreamId.of("one");
     private static final UpstreamId TWO = UpstreamId.of("two");
 
-    private final LoadPlanner planner = new LoadPlanner(LoadSettings.usual());
+    private final LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
     private final Map<UpstreamId, HeldModels> truth = new HashMap<>();
     private Instant now = Instant.ofEpochSecond(100);
-    private LoadAction.Order last;
+    private LoadAction.SendOrder last;
     private String lastOrder = "none";
     private final List<String> given = new ArrayList<>();
 
@@ -68,10 +68,10 @@
         // A new leader knows from the list what upstreams hold, but not which orders of the
         // previous leader are being carried out. Orders planned from the list alone could exceed an
         // upstream's memory.
-        planner.on(new LoadInput.Configured(Map.of("engines", spec())), now);
-        planner.on(new LoadInput.Listed(facts(ONE, held(0, "a"), Set.of("g"))), now);
+        planner.on(new LoadInput.ServicesConfigured(Map.of("engines", spec())), now);
+        planner.on(new LoadInput.UpstreamListed(facts(ONE, held(0, "a"), Set.of("g"))), now);
         List<LoadAction> actions = planner.on(new LoadInput.Elected(), now);
-        assertEquals(List.of(new LoadAction.AskReport(ONE)), actions);
+        assertEquals(List.of(new LoadAction.RequestReport(ONE)), actions);
         assertEquals(List.of(), want("g", 1));
     }
 
@@ -143,7 +143,7 @@
         // for the first again, no request would ever be served.
         begin(Set.of(), Set.of());
         report(ONE, false, new HeldModels(1, 0, adaptersOfA("x", "y")));
-        List<LoadInput.Want> both = List.of(want("a/v", 1, 1), want("a/w", 1, 1));
+        List<LoadInput.ModelDemand> both = List.of(want("a/v", 1, 1), want("a/w", 1, 1));
         assertEquals(1, demand(both, Map.of()).size());
         answer(OrderOutcome.DONE);
         answer(OrderOutcome.ACCEPTED);
@@ -194,8 +194,10 @@
         // more urgent and older; if it were always served first, the fifty callers of the busy
         // model would never be served.
         begin(Set.of("g", "h"), Set.of());
-        LoadInput.Want rare = new LoadInput.Want(ref("g"), 2, Duration.ofSeconds(2), 0, 0.3);
-        LoadInput.Want busy = new LoadInput.Want(ref("h"), 50, Duration.ofMillis(900), 2, 15);
+        LoadInput.ModelDemand rare =
+                new LoadInput.ModelDemand(ref("g"), 2, Duration.ofSeconds(2), 0, 0.3);
+        LoadInput.ModelDemand busy =
+                new LoadInput.ModelDemand(ref("h"), 50, Duration.ofMillis(900), 2, 15);
         demand(List.of(rare, busy), Map.of());
         answer(OrderOutcome.ACCEPTED);
         report(ONE, false, held(1, "b", "c"));
@@ -210,8 +212,10 @@
         // request would become late too, and then the next, as long as more is requested than can
         // be loaded.
         begin(Set.of("g", "h"), Set.of());
-        LoadInput.Want late = new LoadInput.Want(ref("g"), 1, Duration.ofSeconds(2), 1, 0.1, 0);
-        LoadInput.Want inTime = new LoadInput.Want(ref("h"), 1, Duration.ofMillis(300), 1, 0.1, 1);
+        LoadInput.ModelDemand late =
+                new LoadInput.ModelDemand(ref("g"), 1, Duration.ofSeconds(2), 1, 0.1, 0);
+        LoadInput.ModelDemand inTime =
+                new LoadInput.ModelDemand(ref("h"), 1, Duration.ofMillis(300), 1, 0.1, 1);
         demand(List.of(late, inTime), Map.of());
         answer(OrderOutcome.ACCEPTED);
         report(ONE, false, held(1, "b", "c"));
@@ -228,7 +232,8 @@
         Map<UpstreamId, Map<ModelRef, Integer>> runs =
                 Map.of(ONE, Map.of(ref("a"), 1, ref("b"), 1, ref("c"), 1));
         assertEquals(List.of(), demand(List.of(want("g", 1, 0.2)), runs));
-        LoadInput.Want patient = new LoadInput.Want(ref("g"), 1, Duration.ofMillis(1_600), 1, 0.2);
+        LoadInput.ModelDemand patient =
+                new LoadInput.ModelDemand(ref("g"), 1, Duration.ofMillis(1_600), 1, 0.2);
         assertEquals(1, demand(List.of(patient), runs).size());
     }
 
@@ -251,7 +256,7 @@
         // Routers have just started and no request has arrived yet. Models with several replicas
         // are the busy ones; if a replica were evicted for a model that no upstream holds, the
         // first callers would find one replica where they need two.
-        planner.on(new LoadInput.Configured(Map.of("engines", spec())), now);
+        planner.on(new LoadInput.ServicesConfigured(Map.of("engines", spec())), now);
         list(ONE, held(0, "a", "b", "c"), Set.of("h"));
         list(TWO, held(0, "a", "e", "f"), Set.of("h"));
         planner.on(new LoadInput.Elected(), now);
@@ -299,11 +304,11 @@
     @Test
     void aFloodOfReportsLeadsToFewRoundsOfPlanning() {
         begin(Set.of("g"), Set.of());
-        long before = planner.rounds();
+        long before = planner.planningRounds();
         for (int tick = 0; tick < 50; tick++) {
             for (int router = 0; router < 33; router++) {
                 planner.on(
-                        new LoadInput.Demanded(
+                        new LoadInput.DemandReported(
                                 VmId.of("router-" + router),
                                 List.of(want("g", 1, 0.1)),
                                 Map.of(),
@@ -313,16 +318,18 @@
             tick();
             now = now.plusMillis(20);
         }
-        assertTrue(planner.rounds() - before <= 3 * 50, "rounds " + planner.rounds());
+        assertTrue(
+                planner.planningRounds() - before <= 3 * 50, "rounds " + planner.planningRounds());
     }
 
     @Test
     void whatReportsSayTogetherCountsThoughTheyAreNotPlannedForOneByOne() {
         begin(Set.of("g"), Set.of());
         for (String router : List.of("one", "two", "three", "four")) {
-            LoadInput.Want quiet = want("e", 0, 0.5);
+            LoadInput.ModelDemand quiet = want("e", 0, 0.5);
             planner.on(
-                    new LoadInput.Demanded(VmId.of(router), List.of(quiet), Map.of(), Set.of()),
+                    new LoadInput.DemandReported(
+                            VmId.of(router), List.of(quiet), Map.of(), Set.of()),
                     now);
         }
         now = now.plusMillis(20);
@@ -331,7 +338,7 @@
     }
 
     private void begin(Set<String> onDiskOfOne, Set<String> onDiskOfTwo) {
-        planner.on(new LoadInput.Configured(Map.of("engines", spec())), now);
+        planner.on(new LoadInput.ServicesConfigured(Map.of("engines", spec())), now);
         list(ONE, held(0, "a", "b", "c"), onDiskOfOne);
         list(TWO, held(0, "d", "e", "f"), onDiskOfTwo);
         planner.on(new LoadInput.Elected(), now);
@@ -341,18 +348,20 @@
 
     private void list(UpstreamId id, HeldModels held, Set<String> onDisk) {
         truth.put(id, held);
-        planner.on(new LoadInput.Listed(facts(id, held, onDisk)), now);
+        planner.on(new LoadInput.UpstreamListed(facts(id, held, onDisk)), now);
     }
 
     private List<LoadAction> report(UpstreamId id, boolean busy, HeldModels held) {
         List<LoadAction> actions =
-                planner.on(new LoadInput.Reported(id, busy, held, Set.of(), Set.of()), now);
+                planner.on(new LoadInput.UpstreamReported(id, busy, held, Set.of(), Set.of()), now);
         orders(actions);
         return actions;
     }
 
     private void answer(OrderOutcome outcome) {
-        orders(planner.on(new LoadInput.Answered(last.upstream(), last.number(), outcome), now));
+        orders(
+                planner.on(
+                        new LoadInput.OrderAnswered(last.upstream(), last.number(), outcome), now));
     }
 
     private List<String> tick() {
@@ -364,23 +373,24 @@
     }
 
     private List<String> demand(
-            List<LoadInput.Want> wants, Map<UpstreamId, Map<ModelRef, Integer>> running) {
-        return orders(planner.on(new LoadInput.Demanded(ROUTER, wants, running, Set.of()), now));
+            List<LoadInput.ModelDemand> wants, Map<UpstreamId, Map<ModelRef, Integer>> running) {
+        return orders(
+                planner.on(new LoadInput.DemandReported(ROUTER, wants, running, Set.of()), now));
     }
 
-    private static LoadInput.Demanded demanded(List<LoadInput.Want> wants) {
-        return new LoadInput.Demanded(ROUTER, wants, Map.of(), Set.of());
+    private static LoadInput.DemandReported demanded(List<LoadInput.ModelDemand> wants) {
+        return new LoadInput.DemandReported(ROUTER, wants, Map.of(), Set.of());
     }
 
     private List<String> orders(List<LoadAction> actions) {
         List<String> orders = new ArrayList<>();
         for (LoadAction action : actions) {
-            if (action instanceof LoadAction.Order order) {
+            if (action instanceof LoadAction.SendOrder order) {
                 last = order;
                 lastOrder =
                         String.join(
                                 " ",
-                                order.verb().name(),
+                                order.operation().name(),
                                 order.model().toString(),
                                 order.upstream().value(),
                                 Long.toString(order.sequence()));
@@ -393,7 +403,7 @@
 
     private void carryOut(List<LoadAction> actions, int step) {
         for (LoadAction action : actions) {
-            if (!(action instanceof LoadAction.Order order)) {
+            if (!(action instanceof LoadAction.SendOrder order)) {
                 continue;
             }
             HeldModels before = truth.get(order.upstream());
@@ -403,7 +413,7 @@
                 long next = before.sequence() + 1;
                 truth.put(
                         order.upstream(),
-                        order.verb() == Verb.LOAD
+                        order.operation() == OrderOperation.LOAD
                                 ? before.with(order.model(), next)
                                 : before.without(order.model(), next));
             }
@@ -411,13 +421,14 @@
             OrderOutcome outcome = lost ? OrderOutcome.UNKNOWN : known;
             carryOut(
                     planner.on(
-                            new LoadInput.Answered(order.upstream(), order.number(), outcome), now),
+                            new LoadInput.OrderAnswered(order.upstream(), order.number(), outcome),
+                            now),
                     step);
         }
     }
 
-    private static LoadInput.Want want(String model, int waiting, double perSecond) {
-        return new LoadInput.Want(
+    private static LoadInput.ModelDemand want(String model, int waiting, double perSecond) {
+        return new LoadInput.ModelDemand(
                 ModelRef.parse(model), waiting, Duration.ofMillis(10), 1, perSecond);
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/PackingTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/MemoryFragmentationTest.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class PackingTest {
+class MemoryFragmentationTest {
     private static final double STEP = 0.36;
 
-    private final Packing packing =
-            Packing.of(
+    private final MemoryFragmentation packing =
+            MemoryFragmentation.of(
                     new EngineSpec(
                             32,
                             1,
@@ -24,18 +24,18 @@
 
     @Test
     void aGapIsWhatNoModelFitsIn() {
-        assertEquals(42, packing.gap(42), STEP);
-        assertEquals(0, packing.gap(43.2), STEP);
-        assertEquals(11, packing.gap(140), 3 * STEP);
-        assertEquals(24, packing.gap(67), STEP);
+        assertEquals(42, packing.unusableMb(42), STEP);
+        assertEquals(0, packing.unusableMb(43.2), STEP);
+        assertEquals(11, packing.unusableMb(140), 3 * STEP);
+        assertEquals(24, packing.unusableMb(67), STEP);
     }
 
     @Test
     void aSmallModelBesideALargeOneCostsMoreThanBesideASmallOne() {
-        double besideLarge = packing.loss(140 - 73, 140 - 73 - 43);
-        double besideSmall = packing.loss(140 - 43, 140 - 43 - 43);
+        double besideLarge = packing.costOfChange(140 - 73, 140 - 73 - 43);
+        double besideSmall = packing.costOfChange(140 - 43, 140 - 43 - 43);
         assertTrue(besideSmall <= 0.01, "beside a small one " + besideSmall);
-        assertTrue(packing.loss(140, 140 - 73) > 0, "a large one alone leaves a gap");
+        assertTrue(packing.costOfChange(140, 140 - 73) > 0, "a large one alone leaves a gap");
         assertEquals(0, besideLarge, 0.01, "the gap was there before");
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/OpenLoadsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/UnansweredLoadOrdersTest.java
@@ -15,61 +15,65 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class OpenLoadsTest {
+class UnansweredLoadOrdersTest {
     private static final UpstreamId ONE = UpstreamId.of("one");
     private static final Instant SENT = Instant.ofEpochSecond(100);
     private static final ModelRef SMALL = new ModelRef("small", "");
     private static final ModelRef LARGE = new ModelRef("large", "");
     private static final ModelRef ADAPTER = new ModelRef("small", "a1");
 
-    private final OpenLoads open = new OpenLoads();
+    private final UnansweredLoadOrders open = new UnansweredLoadOrders();
 
     @Test
     void withinALifeTheNextOrderEndsAnOpenOneOfItsCount() {
-        open.sent(1, load(1, 4, LARGE));
-        assertEquals(OpenLoads.Reserve.NONE, open.reserve(engine(1, 4)));
+        open.addSent(1, load(1, 4, LARGE));
+        assertEquals(UnansweredLoadOrders.Reservation.NONE, open.reservationFor(engine(1, 4)));
     }
 
     // Guards against an order from before a restart that is carried out after it.
     @Test
     void anOrderToAnEarlierLifeTakesRoomUntilTheCountIsPast() {
-        open.sent(1, load(1, 4, LARGE));
-        assertEquals(new OpenLoads.Reserve(40, 0), open.reserve(engine(2, 0)));
-        assertEquals(new OpenLoads.Reserve(40, 0), open.reserve(engine(2, 4)));
-        assertEquals(OpenLoads.Reserve.NONE, open.reserve(engine(2, 5)));
+        open.addSent(1, load(1, 4, LARGE));
+        assertEquals(
+                new UnansweredLoadOrders.Reservation(40, 0), open.reservationFor(engine(2, 0)));
+        assertEquals(
+                new UnansweredLoadOrders.Reservation(40, 0), open.reservationFor(engine(2, 4)));
+        assertEquals(UnansweredLoadOrders.Reservation.NONE, open.reservationFor(engine(2, 5)));
     }
 
     // Guards against an order that was planned with too high a count.
     @Test
     void anOrderOfALaterCountTakesRoomInItsOwnLifeToo() {
-        open.sent(1, load(1, 5, ADAPTER));
-        assertEquals(new OpenLoads.Reserve(2, 1), open.reserve(engine(1, 4)));
-        assertEquals(OpenLoads.Reserve.NONE, open.reserve(engine(1, 5)));
+        open.addSent(1, load(1, 5, ADAPTER));
+        assertEquals(new UnansweredLoadOrders.Reservation(2, 1), open.reservationFor(engine(1, 4)));
+        assertEquals(UnansweredLoadOrders.Reservation.NONE, open.reservationFor(engine(1, 5)));
     }
 
     @Test
     void ofOrdersThatNameOneCountTheLargestTakesRoom() {
-        open.sent(1, load(1, 4, LARGE));
-        open.told(load(1, 4, SMALL));
-        open.told(load(1, 6, SMALL));
-        assertEquals(new OpenLoads.Reserve(70, 0), open.reserve(engine(2, 0)));
+        open.addSent(1, load(1, 4, LARGE));
+        open.addAnnounced(load(1, 4, SMALL));
+        open.addAnnounced(load(1, 6, SMALL));
+        assertEquals(
+                new UnansweredLoadOrders.Reservation(70, 0), open.reservationFor(engine(2, 0)));
     }
 
     @Test
     void whatIsAnsweredOrTooOldTakesNone() {
-        open.sent(1, load(1, 4, LARGE));
-        open.sent(2, load(1, 5, LARGE));
-        open.closed(ONE, 1);
-        assertEquals(new OpenLoads.Reserve(40, 0), open.reserve(engine(2, 0)));
-        open.expire(SENT.plusSeconds(16));
-        assertEquals(OpenLoads.Reserve.NONE, open.reserve(engine(2, 0)));
+        open.addSent(1, load(1, 4, LARGE));
+        open.addSent(2, load(1, 5, LARGE));
+        open.removeAnswered(ONE, 1);
+        assertEquals(
+                new UnansweredLoadOrders.Reservation(40, 0), open.reservationFor(engine(2, 0)));
+        open.removeExpired(SENT.plusSeconds(16));
+        assertEquals(UnansweredLoadOrders.Reservation.NONE, open.reservationFor(engine(2, 0)));
     }
 
-    private static OpenLoad load(long life, long sequence, ModelRef model) {
-        return new OpenLoad(ONE, life, sequence, model, SENT);
+    private static UnansweredLoadOrder load(long life, long sequence, ModelRef model) {
+        return new UnansweredLoadOrder(ONE, life, sequence, model, SENT);
     }
 
-    private static Engine engine(long life, long sequence) {
+    private static EngineState engine(long life, long sequence) {
         Duration time = Duration.ofSeconds(1);
         EngineSpec spec =
                 new EngineSpec(
@@ -81,7 +85,7 @@
                         Map.of(
                                 "small", new ModelSpec("small", 30, time, time, time, 2),
                                 "large", new ModelSpec("large", 40, time, time, time, 2)));
-        return new Engine(
+        return new EngineState(
                 spec,
                 new UpstreamFacts(
                         ONE,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/NeighbourFramesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/NeighbourFramesTest.java
@@ -32,10 +32,12 @@
     @Test
     void aReportArrivesAsItWasSent() {
         ModelRef model = new ModelRef("m", "a1");
-        LoadInput.Demanded sent =
-                new LoadInput.Demanded(
+        LoadInput.DemandReported sent =
+                new LoadInput.DemandReported(
                         SENDER,
-                        List.of(new LoadInput.Want(model, 3, Duration.ofMillis(40), 1, 2.5, 2)),
+                        List.of(
+                                new LoadInput.ModelDemand(
+                                        model, 3, Duration.ofMillis(40), 1, 2.5, 2)),
                         Map.of(ONE, Map.of(model, 4)),
                         Set.of(TWO));
         Instant now = Instant.ofEpochSecond(100);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderWorld.java
@@ -7,8 +7,8 @@
 import io.damaskyoke.control.direct.ModelSpec;
 import io.damaskyoke.control.direct.ServiceSpec;
 import io.damaskyoke.control.loads.LoadInput;
-import io.damaskyoke.control.loads.OpenLoad;
 import io.damaskyoke.control.loads.OrderOutcome;
+import io.damaskyoke.control.loads.UnansweredLoadOrder;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -177,8 +177,9 @@
             }
 
             @Override
-            public void report(UpstreamFacts from, Consumer<Optional<LoadInput.Reported>> then) {
-                Answer<Optional<LoadInput.Reported>> answer = new Answer<>(router, then);
+            public void report(
+                    UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then) {
+                Answer<Optional<LoadInput.UpstreamReported>> answer = new Answer<>(router, then);
                 router.after(REPORT_LIMIT, () -> answer.come(Optional.empty()));
                 way(
                         () ->
@@ -196,7 +197,7 @@
             public void tell(long fencing, Map<UpstreamId, HeldModels> held) {}
 
             @Override
-            public void tellOpen(OpenLoad load) {
+            public void tellOpen(UnansweredLoadOrder load) {
                 routers.stream()
                         .filter(each -> !each.vm().equals(from))
                         .forEach(each -> way(() -> each.unanswered(load)));
@@ -264,13 +265,13 @@
     }
 
     private void demand() {
-        List<LoadInput.Want> wants = new ArrayList<>();
+        List<LoadInput.ModelDemand> wants = new ArrayList<>();
         int count = 1 + random.nextInt(3);
         for (int each = 0; each < count; each++) {
             String model = "m" + random.nextInt(MODELS);
             String adapter = random.nextBoolean() ? "a" + random.nextInt(ADAPTERS) : "";
             wants.add(
-                    new LoadInput.Want(
+                    new LoadInput.ModelDemand(
                             new ModelRef(model, adapter),
                             1 + random.nextInt(3),
                             Duration.ofMillis(random.nextInt(1_000)),
@@ -282,7 +283,7 @@
             routers.forEach(
                     each ->
                             each.demanded(
-                                    new LoadInput.Demanded(
+                                    new LoadInput.DemandReported(
                                             router.vm(), wants, Map.of(), Set.of())));
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
@@ -3,7 +3,7 @@
 import io.damaskyoke.control.Control;
 import io.damaskyoke.control.direct.DirectConfiguration;
 import io.damaskyoke.control.loads.LoadInput;
-import io.damaskyoke.control.loads.OpenLoad;
+import io.damaskyoke.control.loads.UnansweredLoadOrder;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.control.upstreams.UpstreamTable;
@@ -82,11 +82,11 @@
                 });
     }
 
-    void demanded(LoadInput.Demanded demanded) {
+    void demanded(LoadInput.DemandReported demanded) {
         control.run(() -> leader.demanded(demanded));
     }
 
-    void unanswered(OpenLoad load) {
+    void unanswered(UnansweredLoadOrder load) {
         control.run(() -> leader.unanswered(load));
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
@@ -4,8 +4,8 @@
 import io.damaskyoke.control.direct.ModelSpec;
 import io.damaskyoke.control.loads.LoadAction;
 import io.damaskyoke.control.loads.LoadInput;
+import io.damaskyoke.control.loads.OrderOperation;
 import io.damaskyoke.control.loads.OrderOutcome;
-import io.damaskyoke.control.loads.Verb;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -72,16 +72,16 @@
         running.computeIfPresent(model, (any, count) -> count == 1 ? null : count - 1);
     }
 
-    OrderOutcome take(LoadAction.Order order, Instant now) {
+    OrderOutcome take(LoadAction.SendOrder order, Instant now) {
         if (busy() || order.sequence() != sequence) {
             return OrderOutcome.CONFLICT;
         }
         String model = order.model().model();
-        if ((order.verb() == Verb.LOAD) == held.contains(model)) {
+        if ((order.operation() == OrderOperation.LOAD) == held.contains(model)) {
             return OrderOutcome.DONE;
         }
         sequence++;
-        if (order.verb() == Verb.UNLOAD) {
+        if (order.operation() == OrderOperation.UNLOAD) {
             unloading = model;
             return OrderOutcome.ACCEPTED;
         }
@@ -112,8 +112,8 @@
         }
     }
 
-    LoadInput.Reported report() {
-        return new LoadInput.Reported(
+    LoadInput.UpstreamReported report() {
+        return new LoadInput.UpstreamReported(
                 id, busy(), new HeldModels(1, sequence, models()), Set.of(), Set.copyOf(disk));
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -72,7 +72,7 @@
     private final Dispatch dispatch;
     private final Map<String, Count> counts = new TreeMap<>();
     private final SameThreadControl time = new SameThreadControl();
-    private LoadPlanner planner = new LoadPlanner(LoadSettings.usual());
+    private LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
     private boolean led;
     private int served;
     private int asked;
@@ -158,10 +158,10 @@
 
     /** Another router gives the orders from now on. */
     void lead() {
-        planner = new LoadPlanner(LoadSettings.usual());
+        planner = new LoadPlanner(LoadSettings.defaults());
         led = true;
-        feed(new LoadInput.Configured(Map.of(SERVICE, spec)));
-        engines.values().forEach(engine -> feed(new LoadInput.Listed(engine.facts())));
+        feed(new LoadInput.ServicesConfigured(Map.of(SERVICE, spec)));
+        engines.values().forEach(engine -> feed(new LoadInput.UpstreamListed(engine.facts())));
         feed(new LoadInput.Elected());
     }
 
@@ -218,7 +218,7 @@
     private void beat() {
         for (RareModelEngine engine : engines.values()) {
             upstreams.put(engine.facts(), now());
-            feed(new LoadInput.Listed(engine.facts()));
+            feed(new LoadInput.UpstreamListed(engine.facts()));
         }
     }
 
@@ -234,19 +234,20 @@
 
     private void carryOut(LoadAction action) {
         LoadPlanner by = planner;
-        if (action instanceof LoadAction.Order order) {
+        if (action instanceof LoadAction.SendOrder order) {
             time.after(
                     Duration.ofMillis(2),
                     () -> {
                         var outcome = engines.get(order.upstream()).take(order, now());
                         answer(
                                 by,
-                                new LoadInput.Answered(order.upstream(), order.number(), outcome));
+                                new LoadInput.OrderAnswered(
+                                        order.upstream(), order.number(), outcome));
                     });
-        } else if (action instanceof LoadAction.AskReport ask) {
+        } else if (action instanceof LoadAction.RequestReport ask) {
             time.after(
                     Duration.ofMillis(3), () -> answer(by, engines.get(ask.upstream()).report()));
-        } else if (action instanceof LoadAction.Tell tell) {
+        } else if (action instanceof LoadAction.AnnounceHeldModels tell) {
             upstreams.find(tell.upstream()).ifPresent(each -> each.told(tell.held(), now()));
             dispatch.tick();
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
@@ -3,8 +3,8 @@
 import io.damaskyoke.control.Control;
 import io.damaskyoke.control.direct.EngineSpec;
 import io.damaskyoke.control.loads.LoadInput;
+import io.damaskyoke.control.loads.OrderOperation;
 import io.damaskyoke.control.loads.OrderOutcome;
-import io.damaskyoke.control.loads.Verb;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -120,7 +120,7 @@
         if (busy || (checksCounts && order.sequence() != sequence)) {
             return Optional.of(OrderOutcome.CONFLICT);
         }
-        boolean load = order.verb() == Verb.LOAD;
+        boolean load = order.verb() == OrderOperation.LOAD;
         if (load == has(order.model())) {
             return Optional.of(OrderOutcome.DONE);
         }
@@ -134,7 +134,7 @@
     }
 
     /** What it says of itself, as of some time ago; empty if there is nobody to answer. */
-    Optional<LoadInput.Reported> report() {
+    Optional<LoadInput.UpstreamReported> report() {
         if (!up) {
             return Optional.empty();
         }
@@ -147,7 +147,8 @@
             }
         }
         return Optional.of(
-                new LoadInput.Reported(id, found.busy, found.held, Set.of(), Set.copyOf(disk)));
+                new LoadInput.UpstreamReported(
+                        id, found.busy, found.held, Set.of(), Set.copyOf(disk)));
     }
 
     /** Ends, with all that it held and knew, and starts again under the same name. */
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public LoadInput.Reported report(UpstreamId from, byte[] body) {
+    public LoadInput.UpstreamReported report(UpstreamId from, byte[] body) {
         throw new UnsupportedOperationException();
     }
 }
