--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
@@ -25,7 +25,7 @@
      * once, alternating with the other adapters that are waited for, and none of them would ever be
      * used.
      */
-    private static final Duration KEPT = Duration.ofMillis(400);
+    private static final Duration MIN_RETENTION = Duration.ofMillis(400);
 
     private final DemandAggregator demand;
 
@@ -36,19 +36,21 @@
     /** An order that loads an adapter, or unloads another one to make room for it. */
     record AdapterOrder(EngineState engine, OrderOperation operation, ModelRef adapter) {}
 
+    /** Returns at most one order per engine for the adapters that requests wait for. */
     List<AdapterOrder> plan(List<EngineState> engines, Instant now) {
-        List<AdapterOrder> steps = new ArrayList<>();
-        Set<EngineState> taken = new HashSet<>();
-        for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
-            if (want.model().adapted() && !isAvailableOrLoading(engines, want.model())) {
-                AdapterOrder step = bestOrder(engines, taken, want.model(), now);
-                if (step != null) {
-                    steps.add(step);
-                    taken.add(step.engine());
+        List<AdapterOrder> orders = new ArrayList<>();
+        Set<EngineState> assigned = new HashSet<>();
+        for (LoadInput.ModelDemand modelDemand : demand.waitingInOrder()) {
+            if (modelDemand.model().adapted()
+                    && !isAvailableOrLoading(engines, modelDemand.model())) {
+                AdapterOrder order = bestOrder(engines, assigned, modelDemand.model(), now);
+                if (order != null) {
+                    orders.add(order);
+                    assigned.add(order.engine());
                 }
             }
         }
-        return steps;
+        return orders;
     }
 
     private boolean isAvailableOrLoading(List<EngineState> engines, ModelRef adapter) {
@@ -66,26 +68,26 @@
     }
 
     private AdapterOrder bestOrder(
-            List<EngineState> engines, Set<EngineState> taken, ModelRef adapter, Instant now) {
+            List<EngineState> engines, Set<EngineState> assigned, ModelRef adapter, Instant now) {
         AdapterOrder best = null;
-        double least = Double.MAX_VALUE;
+        double lowestCost = Double.MAX_VALUE;
         for (EngineState engine : engines) {
-            if (taken.contains(engine)
+            if (assigned.contains(engine)
                     || !engine.acceptsOrders(now)
                     || engine.plannedLoad() != null
                     || !engine.holds(adapter.model())
                     || demand.isSuspect(engine.id())) {
                 continue;
             }
-            boolean place = engine.adapterCount() < engine.spec().adapterSlots();
-            boolean memory = engine.freeMb() >= engine.adapterMb(adapter.model());
-            ModelRef victim = place && memory ? null : victim(engine, now);
-            if (!(place && memory) && victim == null) {
+            boolean hasSlot = engine.adapterCount() < engine.spec().adapterSlots();
+            boolean hasMemory = engine.freeMb() >= engine.adapterMb(adapter.model());
+            ModelRef victim = hasSlot && hasMemory ? null : victim(engine, now);
+            if (!(hasSlot && hasMemory) && victim == null) {
                 continue;
             }
             double cost = victim == null ? engine.adapterCount() : 100 + victimCost(victim);
-            if (cost < least) {
-                least = cost;
+            if (cost < lowestCost) {
+                lowestCost = cost;
                 best =
                         victim == null
                                 ? new AdapterOrder(engine, OrderOperation.LOAD, adapter)
@@ -116,8 +118,11 @@
     }
 
     private boolean isInUse(EngineState engine, ModelRef adapter, Instant now) {
-        Instant used = engine.lastUsedAt(adapter);
-        boolean lately = !used.equals(Instant.MIN) && now.isBefore(used.plus(KEPT));
-        return lately || demand.running(engine.id(), adapter) > 0 || demand.waitingFor(adapter) > 0;
+        Instant lastUsed = engine.lastUsedAt(adapter);
+        boolean recentlyUsed =
+                !lastUsed.equals(Instant.MIN) && now.isBefore(lastUsed.plus(MIN_RETENTION));
+        return recentlyUsed
+                || demand.running(engine.id(), adapter) > 0
+                || demand.waitingFor(adapter) > 0;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/DemandAggregator.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/DemandAggregator.java
@@ -13,52 +13,52 @@
 
 /**
  * Aggregates the demand reports of all routers. A report counts until it expires. Reports are
- * summed when a planning round needs the totals and not as they arrive: {@code book.said(...);
- * book.addUp(now)}.
+ * summed when a planning round needs the totals and not as they arrive: {@code
+ * demand.recordReport(...); demand.aggregate(now)}.
  */
 final class DemandAggregator {
     /**
      * Lifetime of a report. A router without changes repeats its report every 0.6 s, so one that is
      * silent for this long is gone.
      */
-    private static final Duration VALID = Duration.ofSeconds(2);
+    private static final Duration REPORT_LIFETIME = Duration.ofSeconds(2);
 
     /**
      * Time after the first request from which arrival rates are meaningful: a model that nobody has
      * requested by then is not busy.
      */
-    private static final Duration YOUNG = Duration.ofSeconds(4);
-
-    private final Map<VmId, ReceivedReport> byRouter = new HashMap<>();
-    private final Map<ModelRef, LoadInput.ModelDemand> wants = new HashMap<>();
-    private final Map<String, Double> perSecond = new HashMap<>();
-    private final Map<String, Double> adaptersPerSecond = new HashMap<>();
-    private final Map<String, Integer> waiting = new HashMap<>();
-    private final Map<String, Duration> oldest = new HashMap<>();
-    private List<LoadInput.ModelDemand> inOrder = List.of();
-    private final Map<UpstreamId, Map<ModelRef, Integer>> runningAt = new HashMap<>();
-    private final Map<UpstreamId, Map<String, Integer>> runningModels = new HashMap<>();
-    private final Map<String, Integer> running = new HashMap<>();
-    private final Map<String, Integer> adaptersAsked = new HashMap<>();
-    private final Map<UpstreamId, Integer> suspecting = new HashMap<>();
-    private final Map<String, Double> weights = new HashMap<>();
-
-    private Instant firstAt;
+    private static final Duration WARM_UP = Duration.ofSeconds(4);
+
+    private final Map<VmId, ReceivedReport> reports = new HashMap<>();
+    private final Map<ModelRef, LoadInput.ModelDemand> demands = new HashMap<>();
+    private final Map<String, Double> arrivalRates = new HashMap<>();
+    private final Map<String, Double> adapterArrivalRates = new HashMap<>();
+    private final Map<String, Integer> waitingByModel = new HashMap<>();
+    private final Map<String, Duration> longestWaits = new HashMap<>();
+    private List<LoadInput.ModelDemand> waitingInOrder = List.of();
+    private final Map<UpstreamId, Map<ModelRef, Integer>> runningByUpstream = new HashMap<>();
+    private final Map<UpstreamId, Map<String, Integer>> runningModelsByUpstream = new HashMap<>();
+    private final Map<String, Integer> runningByModel = new HashMap<>();
+    private final Map<String, Integer> requestedAdapters = new HashMap<>();
+    private final Map<UpstreamId, Integer> suspectReports = new HashMap<>();
+    private final Map<String, Double> modelSizesMb = new HashMap<>();
+
+    private Instant firstRequestAt;
     private boolean changed;
 
     private record ReceivedReport(LoadInput.DemandReported demand, Instant receivedAt) {}
 
-    void record(LoadInput.DemandReported demanded, Instant now) {
-        byRouter.put(demanded.router(), new ReceivedReport(demanded, now));
-        if (firstAt == null && !demanded.demands().isEmpty()) {
-            firstAt = now;
+    void recordReport(LoadInput.DemandReported report, Instant now) {
+        reports.put(report.router(), new ReceivedReport(report, now));
+        if (firstRequestAt == null && !report.demands().isEmpty()) {
+            firstRequestAt = now;
         }
         changed = true;
     }
 
     /** Returns true until requests have arrived for long enough to show which models are busy. */
     boolean isWarmingUp(Instant now) {
-        return firstAt == null || now.isBefore(firstAt.plus(YOUNG));
+        return firstRequestAt == null || now.isBefore(firstRequestAt.plus(WARM_UP));
     }
 
     /**
@@ -66,18 +66,20 @@
      * reports.
      */
     boolean hasSeenNoRequests() {
-        return firstAt == null;
+        return firstRequestAt == null;
     }
 
     /** Removes the reports that have expired. */
     void removeExpired(Instant now) {
         changed |=
-                byRouter.values().removeIf(entry -> entry.receivedAt().plus(VALID).isBefore(now));
+                reports.values()
+                        .removeIf(
+                                report -> report.receivedAt().plus(REPORT_LIFETIME).isBefore(now));
     }
 
     /** Returns true if any router has reported waiting requests. */
     boolean hasWaitingRequests() {
-        return !inOrder.isEmpty();
+        return !waitingInOrder.isEmpty();
     }
 
     /**
@@ -93,22 +95,23 @@
      * ordering by age would make every request late by the same number of seconds.
      */
     List<LoadInput.ModelDemand> waitingInOrder() {
-        return inOrder;
+        return waitingInOrder;
     }
 
     private List<LoadInput.ModelDemand> sortWaiting() {
         List<LoadInput.ModelDemand> sorted = new ArrayList<>();
-        for (LoadInput.ModelDemand want : wants.values()) {
-            if (want.waiting() > 0) {
-                sorted.add(want);
+        for (LoadInput.ModelDemand modelDemand : demands.values()) {
+            if (modelDemand.waiting() > 0) {
+                sorted.add(modelDemand);
             }
         }
         sorted.sort(
-                Comparator.comparing((LoadInput.ModelDemand want) -> !isBusy(want))
-                        .thenComparing(want -> want.inTime() == 0)
-                        .thenComparingDouble(want -> -want.inTime() / sizeMb(want))
+                Comparator.comparing((LoadInput.ModelDemand modelDemand) -> !isBusy(modelDemand))
+                        .thenComparing(modelDemand -> modelDemand.inTime() == 0)
+                        .thenComparingDouble(
+                                modelDemand -> -modelDemand.inTime() / sizeMb(modelDemand))
                         .thenComparingInt(LoadInput.ModelDemand::urgency)
-                        .thenComparingInt(want -> -want.waiting())
+                        .thenComparingInt(modelDemand -> -modelDemand.waiting())
                         .thenComparing(
                                 LoadInput.ModelDemand::longestWait, Comparator.reverseOrder())
                         .thenComparing(LoadInput.ModelDemand::model));
@@ -116,54 +119,54 @@
     }
 
     /** Sets the memory that each model takes, in MB. */
-    void setModelSizes(Map<String, Double> given) {
-        weights.clear();
-        weights.putAll(given);
+    void setModelSizes(Map<String, Double> sizesMb) {
+        modelSizesMb.clear();
+        modelSizesMb.putAll(sizesMb);
     }
 
-    private double sizeMb(LoadInput.ModelDemand want) {
-        return weights.getOrDefault(want.model().model(), 1.0);
+    private double sizeMb(LoadInput.ModelDemand modelDemand) {
+        return modelSizesMb.getOrDefault(modelDemand.model().model(), 1.0);
     }
 
-    private boolean isBusy(LoadInput.ModelDemand want) {
-        return ReplicaGoal.isBusy(want.model().model(), this);
+    private boolean isBusy(LoadInput.ModelDemand modelDemand) {
+        return ReplicaGoal.isBusy(modelDemand.model().model(), this);
     }
 
     /** Returns the number of requests that wait for the model or one of its adapters. */
     int waitingFor(String model) {
-        return waiting.getOrDefault(model, 0);
+        return waitingByModel.getOrDefault(model, 0);
     }
 
     /** Returns the number of requests that wait for exactly this model or adapter. */
     int waitingFor(ModelRef model) {
-        LoadInput.ModelDemand want = wants.get(model);
-        return want == null ? 0 : want.waiting();
+        LoadInput.ModelDemand modelDemand = demands.get(model);
+        return modelDemand == null ? 0 : modelDemand.waiting();
     }
 
     /** Returns how long the first request has waited for the model or one of its adapters. */
     Duration longestWait(String model) {
-        return oldest.getOrDefault(model, Duration.ZERO);
+        return longestWaits.getOrDefault(model, Duration.ZERO);
     }
 
     /** Returns how many of the model's adapters were requested recently. */
     int requestedAdapters(String model) {
-        return adaptersAsked.getOrDefault(model, 0);
+        return requestedAdapters.getOrDefault(model, 0);
     }
 
     /** Returns the arrivals per second for the model and all its adapters. */
     double arrivalsPerSecond(String model) {
-        return perSecond.getOrDefault(model, 0.0);
+        return arrivalRates.getOrDefault(model, 0.0);
     }
 
     /** Returns the arrivals per second for the model's adapters. */
     double adapterArrivalsPerSecond(String model) {
-        return adaptersPerSecond.getOrDefault(model, 0.0);
+        return adapterArrivalRates.getOrDefault(model, 0.0);
     }
 
     /** Returns the arrivals per second for exactly this model or adapter. */
     double arrivalsPerSecond(ModelRef model) {
-        LoadInput.ModelDemand want = wants.get(model);
-        return want == null ? 0 : want.arrivalsPerSecond();
+        LoadInput.ModelDemand modelDemand = demands.get(model);
+        return modelDemand == null ? 0 : modelDemand.arrivalsPerSecond();
     }
 
     /**
@@ -171,27 +174,27 @@
      * upstream.
      */
     int running(UpstreamId upstream, String model) {
-        return runningModels.getOrDefault(upstream, Map.of()).getOrDefault(model, 0);
+        return runningModelsByUpstream.getOrDefault(upstream, Map.of()).getOrDefault(model, 0);
     }
 
     /**
      * Returns the number of requests for exactly this model or adapter that run on the upstream.
      */
     int running(UpstreamId upstream, ModelRef model) {
-        return runningAt.getOrDefault(upstream, Map.of()).getOrDefault(model, 0);
+        return runningByUpstream.getOrDefault(upstream, Map.of()).getOrDefault(model, 0);
     }
 
     /** Returns the number of requests for the model that run on any upstream. */
     int running(String model) {
-        return running.getOrDefault(model, 0);
+        return runningByModel.getOrDefault(model, 0);
     }
 
     /**
      * Returns true if at least half of the routers report that the upstream fails their requests.
      */
     boolean isSuspect(UpstreamId upstream) {
-        int finding = suspecting.getOrDefault(upstream, 0);
-        return finding > 0 && 2 * finding >= byRouter.size();
+        int reporting = suspectReports.getOrDefault(upstream, 0);
+        return reporting > 0 && 2 * reporting >= reports.size();
     }
 
     /**
@@ -203,66 +206,71 @@
             return;
         }
         changed = false;
-        wants.clear();
-        perSecond.clear();
-        adaptersPerSecond.clear();
-        waiting.clear();
-        oldest.clear();
-        adaptersAsked.clear();
-        suspecting.clear();
+        demands.clear();
+        arrivalRates.clear();
+        adapterArrivalRates.clear();
+        waitingByModel.clear();
+        longestWaits.clear();
+        requestedAdapters.clear();
+        suspectReports.clear();
         aggregateRunning();
-        for (ReceivedReport entry : byRouter.values()) {
-            Duration age = Duration.between(entry.receivedAt(), now);
-            for (LoadInput.ModelDemand want : entry.demand().demands()) {
-                add(want, age);
+        for (ReceivedReport report : reports.values()) {
+            Duration age = Duration.between(report.receivedAt(), now);
+            for (LoadInput.ModelDemand modelDemand : report.demand().demands()) {
+                add(modelDemand, age);
             }
-            entry.demand().suspects().forEach(id -> suspecting.merge(id, 1, Integer::sum));
+            report.demand().suspects().forEach(id -> suspectReports.merge(id, 1, Integer::sum));
         }
-        inOrder = sortWaiting();
+        waitingInOrder = sortWaiting();
     }
 
     private void aggregateRunning() {
-        runningAt.clear();
-        runningModels.clear();
-        running.clear();
-        for (ReceivedReport entry : byRouter.values()) {
-            entry.demand().running().forEach(this::addRunning);
+        runningByUpstream.clear();
+        runningModelsByUpstream.clear();
+        runningByModel.clear();
+        for (ReceivedReport report : reports.values()) {
+            report.demand().running().forEach(this::addRunning);
         }
     }
 
     private void addRunning(UpstreamId upstream, Map<ModelRef, Integer> counts) {
-        Map<ModelRef, Integer> here = runningAt.computeIfAbsent(upstream, any -> new HashMap<>());
-        Map<String, Integer> models =
-                runningModels.computeIfAbsent(upstream, any -> new HashMap<>());
+        Map<ModelRef, Integer> byRef =
+                runningByUpstream.computeIfAbsent(upstream, any -> new HashMap<>());
+        Map<String, Integer> byModel =
+                runningModelsByUpstream.computeIfAbsent(upstream, any -> new HashMap<>());
         counts.forEach(
                 (model, count) -> {
-                    here.merge(model, count, Integer::sum);
-                    models.merge(model.model(), count, Integer::sum);
-                    running.merge(model.model(), count, Integer::sum);
+                    byRef.merge(model, count, Integer::sum);
+                    byModel.merge(model.model(), count, Integer::sum);
+                    runningByModel.merge(model.model(), count, Integer::sum);
                 });
     }
 
-    private void add(LoadInput.ModelDemand want, Duration age) {
-        perSecond.merge(want.model().model(), want.arrivalsPerSecond(), Double::sum);
-        waiting.merge(want.model().model(), want.waiting(), Integer::sum);
-        if (want.waiting() > 0) {
-            oldest.merge(
-                    want.model().model(), want.longestWait().plus(age), DemandAggregator::longer);
+    private void add(LoadInput.ModelDemand modelDemand, Duration age) {
+        arrivalRates.merge(
+                modelDemand.model().model(), modelDemand.arrivalsPerSecond(), Double::sum);
+        waitingByModel.merge(modelDemand.model().model(), modelDemand.waiting(), Integer::sum);
+        if (modelDemand.waiting() > 0) {
+            longestWaits.merge(
+                    modelDemand.model().model(),
+                    modelDemand.longestWait().plus(age),
+                    DemandAggregator::longer);
         }
-        if (want.model().adapted()) {
-            adaptersPerSecond.merge(want.model().model(), want.arrivalsPerSecond(), Double::sum);
+        if (modelDemand.model().adapted()) {
+            adapterArrivalRates.merge(
+                    modelDemand.model().model(), modelDemand.arrivalsPerSecond(), Double::sum);
         }
         LoadInput.ModelDemand aged =
                 new LoadInput.ModelDemand(
-                        want.model(),
-                        want.waiting(),
-                        want.longestWait().plus(age),
-                        want.urgency(),
-                        want.arrivalsPerSecond(),
-                        want.inTime());
-        if (wants.put(want.model(), merge(wants.get(want.model()), aged)) == null
-                && want.model().adapted()) {
-            adaptersAsked.merge(want.model().model(), 1, Integer::sum);
+                        modelDemand.model(),
+                        modelDemand.waiting(),
+                        modelDemand.longestWait().plus(age),
+                        modelDemand.urgency(),
+                        modelDemand.arrivalsPerSecond(),
+                        modelDemand.inTime());
+        if (demands.put(modelDemand.model(), merge(demands.get(modelDemand.model()), aged)) == null
+                && modelDemand.model().adapted()) {
+            requestedAdapters.merge(modelDemand.model().model(), 1, Integer::sum);
         }
     }
 
@@ -275,11 +283,11 @@
         if (one == null) {
             return other;
         }
-        boolean longer = one.longestWait().compareTo(other.longestWait()) >= 0;
+        boolean firstIsLonger = one.longestWait().compareTo(other.longestWait()) >= 0;
         return new LoadInput.ModelDemand(
                 one.model(),
                 one.waiting() + other.waiting(),
-                longer ? one.longestWait() : other.longestWait(),
+                firstIsLonger ? one.longestWait() : other.longestWait(),
                 Math.min(one.urgency(), other.urgency()),
                 one.arrivalsPerSecond() + other.arrivalsPerSecond(),
                 one.inTime() + other.inTime());
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/EngineState.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/EngineState.java
@@ -31,24 +31,24 @@
     private static final double ADAPTER_MARGIN_MILLIS = 5;
 
     private final EngineSpec spec;
-    private final Map<ModelRef, Instant> usedAt = new HashMap<>();
-    private final Map<ModelRef, Instant> coming = new TreeMap<>();
+    private final Map<ModelRef, Instant> lastUsedAt = new HashMap<>();
+    private final Map<ModelRef, Instant> loadingAdapters = new TreeMap<>();
     private final Map<String, Instant> loadedAt = new HashMap<>();
     private final Set<String> inMemory = new HashSet<>();
     private final Set<String> onDisk = new HashSet<>();
     private UpstreamFacts facts;
-    private long life;
+    private long incarnation;
     private HeldModels held;
     private PendingOrder pending;
-    private PlannedLoad intent;
+    private PlannedLoad plannedLoad;
     private boolean zoneDrained;
     private boolean known;
-    private boolean answered;
-    private boolean busyUnknown;
+    private boolean lastReportAnswered;
+    private boolean busyWithUnknownOrder;
     private boolean reported;
-    private Instant quietUntil = Instant.MIN;
-    private Instant askedAt = Instant.MIN;
-    private UnansweredLoadOrders.Reservation reserve = UnansweredLoadOrders.Reservation.NONE;
+    private Instant pausedUntil = Instant.MIN;
+    private Instant reportRequestedAt = Instant.MIN;
+    private UnansweredLoadOrders.Reservation reservation = UnansweredLoadOrders.Reservation.NONE;
 
     /** An order that was sent and is not finished. */
     record PendingOrder(
@@ -79,7 +79,7 @@
     EngineState(EngineSpec spec, UpstreamFacts facts) {
         this.spec = spec;
         this.facts = facts;
-        this.life = facts.held().startedAt();
+        this.incarnation = facts.held().startedAt();
         this.held = facts.held();
         updateCopies(facts.inMemory(), facts.onDisk());
     }
@@ -102,12 +102,12 @@
 
     /** Returns the start of the incarnation that is known, in Unix milliseconds. */
     long incarnation() {
-        return life;
+        return incarnation;
     }
 
     /** Reserves memory and adapter slots for orders that may still be carried out. */
     void setReservation(UnansweredLoadOrders.Reservation given) {
-        reserve = given;
+        reservation = given;
     }
 
     PendingOrder pending() {
@@ -116,7 +116,7 @@
 
     /** Records whether the engine carries out an order of which nothing else is known. */
     void setBusyWithUnknownOrder(boolean unknown) {
-        busyUnknown = unknown;
+        busyWithUnknownOrder = unknown;
     }
 
     /**
@@ -124,12 +124,12 @@
      * known.
      */
     boolean mayLoadFromStore() {
-        boolean loads = pending == null ? busyUnknown : pending.loadsFromStore();
-        return loads || intent != null && loadSource(intent.model()) == LoadSource.STORE;
+        boolean loads = pending == null ? busyWithUnknownOrder : pending.loadsFromStore();
+        return loads || plannedLoad != null && loadSource(plannedLoad.model()) == LoadSource.STORE;
     }
 
     PlannedLoad plannedLoad() {
-        return intent;
+        return plannedLoad;
     }
 
     /**
@@ -152,21 +152,22 @@
 
     /** Returns true if the last requested report has been received. */
     boolean hasAnsweredReportRequest() {
-        return answered;
+        return lastReportAnswered;
     }
 
     /** Records that the engine did not answer a request for a report. */
     void reportFailed() {
-        answered = false;
+        lastReportAnswered = false;
     }
 
+    /** Forgets orders and reports, after a restart of the engine or a change of leader. */
     void reset() {
         known = false;
-        busyUnknown = false;
+        busyWithUnknownOrder = false;
         reported = false;
         pending = null;
-        intent = null;
-        askedAt = Instant.MIN;
+        plannedLoad = null;
+        reportRequestedAt = Instant.MIN;
     }
 
     /** Returns how long the current order will still take, or zero if that is not known. */
@@ -181,19 +182,19 @@
      * an adapter load is pending.
      */
     boolean hasPendingChange() {
-        return !known || pending != null || intent != null || !coming.isEmpty();
+        return !known || pending != null || plannedLoad != null || !loadingAdapters.isEmpty();
     }
 
     /** Returns true if the engine can take an order now. */
     boolean acceptsOrders(Instant now) {
-        return known && pending == null && !now.isBefore(quietUntil) && !isLeaving();
+        return known && pending == null && !now.isBefore(pausedUntil) && !isLeaving();
     }
 
     /** Records whether operators drain the engine's availability zone. */
     void setZoneDrained(boolean given) {
         zoneDrained = given;
         if (given) {
-            intent = null;
+            plannedLoad = null;
         }
     }
 
@@ -205,21 +206,23 @@
         return facts.draining() || zoneDrained;
     }
 
+    /** Sends the engine no order before the given time. */
     void pauseUntil(Instant until) {
-        quietUntil = until;
+        pausedUntil = until;
     }
 
     /**
      * Returns true if a report may be requested: none was requested yet, or the last request is at
-     * least {@code gap} old.
+     * least {@code interval} old.
      */
-    boolean isReportDue(Instant now, Duration gap) {
-        return askedAt.equals(Instant.MIN) || !now.isBefore(askedAt.plus(gap));
+    boolean isReportDue(Instant now, Duration interval) {
+        return reportRequestedAt.equals(Instant.MIN)
+                || !now.isBefore(reportRequestedAt.plus(interval));
     }
 
     void reportRequested(Instant now) {
-        askedAt = now;
-        answered = false;
+        reportRequestedAt = now;
+        lastReportAnswered = false;
     }
 
     /**
@@ -236,20 +239,21 @@
 
     // Not every source states the start time.
     private boolean isNewIncarnation(long startedAt) {
-        return startedAt != HeldModels.NO_START && startedAt != life;
+        return startedAt != HeldModels.NO_START && startedAt != incarnation;
     }
 
+    // Discards what was known of the previous incarnation.
     private void restarted(HeldModels now) {
-        life = now.startedAt();
+        incarnation = now.startedAt();
         reset();
-        coming.clear();
+        loadingAdapters.clear();
         loadedAt.clear();
         held = now;
     }
 
     /** Applies a report. Returns false if the report is older than what is known. */
     boolean applyReport(LoadInput.UpstreamReported report) {
-        answered = true;
+        lastReportAnswered = true;
         reported = true;
         if (isNewIncarnation(report.held().startedAt())) {
             restarted(report.held());
@@ -259,9 +263,9 @@
             return false;
         }
         known = true;
-        HeldModels said = report.held();
-        held = new HeldModels(life, said.sequence(), said.adapters());
-        coming.keySet().removeIf(held::has);
+        HeldModels reportedModels = report.held();
+        held = new HeldModels(incarnation, reportedModels.sequence(), reportedModels.adapters());
+        loadingAdapters.keySet().removeIf(held::has);
         return true;
     }
 
@@ -269,14 +273,16 @@
         pending = order;
     }
 
+    /** Sets the model to load next, or null for none. */
     void setPlannedLoad(PlannedLoad given) {
-        intent = given;
+        plannedLoad = given;
     }
 
     void orderFinished() {
         pending = null;
     }
 
+    /** Records that the engine has accepted the pending order, which increases its order count. */
     void orderAccepted(Instant due) {
         pending = pending.asAccepted(due);
         held = new HeldModels(held.startedAt(), held.sequence() + 1, held.adapters());
@@ -288,8 +294,8 @@
 
     void loaded(ModelRef model, Instant now) {
         held = held.with(model, held.sequence());
-        coming.remove(model);
-        usedAt.put(model, now);
+        loadingAdapters.remove(model);
+        lastUsedAt.put(model, now);
         if (!model.adapted()) {
             loadedAt.put(model.model(), now);
             inMemory.add(model.model());
@@ -297,33 +303,35 @@
         }
     }
 
+    /** Sets the number of orders that the engine has accepted. */
     void setSequence(long sequence) {
         held = new HeldModels(held.startedAt(), sequence, held.adapters());
     }
 
+    /** Records that the adapter is being loaded and expected to be ready at the given time. */
     void addLoadingAdapter(ModelRef adapter, Instant readyAt) {
-        coming.put(adapter, readyAt);
+        loadingAdapters.put(adapter, readyAt);
     }
 
     Map<ModelRef, Instant> loadingAdapters() {
-        return coming;
+        return loadingAdapters;
     }
 
     void markUsed(ModelRef model, Instant now) {
-        usedAt.put(model, now);
+        lastUsedAt.put(model, now);
     }
 
     Instant lastUsedAt(ModelRef model) {
-        return usedAt.getOrDefault(model, Instant.MIN);
+        return lastUsedAt.getOrDefault(model, Instant.MIN);
     }
 
     /**
-     * Returns true if the model was loaded less than {@code moment} ago, so that the requests that
+     * Returns true if the model was loaded less than {@code period} ago, so that the requests that
      * waited for it may not have arrived yet.
      */
-    boolean wasLoadedWithin(String model, Instant now, Duration moment) {
+    boolean wasLoadedWithin(String model, Instant now, Duration period) {
         Instant at = loadedAt.get(model);
-        return at != null && now.isBefore(at.plus(moment));
+        return at != null && now.isBefore(at.plus(period));
     }
 
     boolean holds(String model) {
@@ -354,7 +362,7 @@
         for (Map.Entry<String, Set<String>> entry : held.adapters().entrySet()) {
             used += modelMb(entry.getKey()) + entry.getValue().size() * adapterMb(entry.getKey());
         }
-        for (ModelRef adapter : coming.keySet()) {
+        for (ModelRef adapter : loadingAdapters.keySet()) {
             used += adapterMb(adapter.model());
         }
         if (pending != null
@@ -362,17 +370,20 @@
                 && !held.has(pending.model())) {
             used += sizeMb(pending.model());
         }
-        return spec.weightsMb() - used - reserve.megabytes();
+        return spec.weightsMb() - used - reservation.megabytes();
     }
 
+    /** Returns the adapters that are loaded, being loaded, or may still be loaded. */
     int adapterCount() {
-        return held.adapterCount() + coming.size() + reserve.adapterSlots();
+        return held.adapterCount() + loadingAdapters.size() + reservation.adapterSlots();
     }
 
+    /** Returns the memory that the model or adapter takes, in MB. */
     double sizeMb(ModelRef model) {
         return model.adapted() ? adapterMb(model.model()) : modelMb(model.model());
     }
 
+    /** Returns the size of the model, in MB; all memory if the model is not configured. */
     double modelMb(String model) {
         ModelSpec known = spec.models().get(model);
         return known == null ? spec.weightsMb() : known.weightsMb();
@@ -383,6 +394,7 @@
         return known == null ? 0 : known.adapterMb();
     }
 
+    /** Returns the expected time to load an adapter of the model, with a margin. */
     Duration adapterLoadTime(String model) {
         double millis =
                 ADAPTER_BASE_MILLIS
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
@@ -19,10 +19,10 @@
     private static final Duration UNLOAD_TIME = Duration.ofMillis(600);
 
     private final Map<String, Integer> replicas = new HashMap<>();
-    private final Map<String, Integer> coming = new HashMap<>();
-    private final Map<String, Integer> copies = new HashMap<>();
-    private final Map<String, Integer> open = new HashMap<>();
-    private final Map<String, Integer> comingSoon = new HashMap<>();
+    private final Map<String, Integer> arriving = new HashMap<>();
+    private final Map<String, Integer> withCopy = new HashMap<>();
+    private final Map<String, Integer> available = new HashMap<>();
+    private final Map<String, Integer> arrivingSoon = new HashMap<>();
     private final DemandAggregator demand;
 
     FleetView(Collection<EngineState> engines, DemandAggregator demand, Instant now) {
@@ -35,13 +35,13 @@
                     .adapters()
                     .keySet()
                     .forEach(each -> replicas.merge(each, 1, Integer::sum));
-            engine.modelsWithCopy().forEach(each -> copies.merge(each, 1, Integer::sum));
+            engine.modelsWithCopy().forEach(each -> withCopy.merge(each, 1, Integer::sum));
             count(engine, now);
             if (isAvailable(engine)) {
                 engine.held()
                         .adapters()
                         .keySet()
-                        .forEach(each -> open.merge(each, 1, Integer::sum));
+                        .forEach(each -> available.merge(each, 1, Integer::sum));
             }
         }
     }
@@ -62,9 +62,9 @@
     }
 
     private void count(String model, EngineState.PendingOrder pending, Instant now) {
-        coming.merge(model, 1, Integer::sum);
+        arriving.merge(model, 1, Integer::sum);
         if (!takesLong(pending, now)) {
-            comingSoon.merge(model, 1, Integer::sum);
+            arrivingSoon.merge(model, 1, Integer::sum);
         }
     }
 
@@ -91,17 +91,17 @@
 
     /** Returns the number of engines that are about to hold the model. */
     int arrivingReplicas(String model) {
-        return coming.getOrDefault(model, 0);
+        return arriving.getOrDefault(model, 0);
     }
 
     /** Returns the number of engines that can load the model without the store. */
     int enginesWithCopy(String model) {
-        return copies.getOrDefault(model, 0);
+        return withCopy.getOrDefault(model, 0);
     }
 
     /** Returns the number of engines that are expected to hold the model soon. */
     int soonArrivingReplicas(String model) {
-        return comingSoon.getOrDefault(model, 0);
+        return arrivingSoon.getOrDefault(model, 0);
     }
 
     /**
@@ -116,11 +116,11 @@
 
     /** Returns the number of engines that hold the model and can take an order now. */
     int availableReplicas(String model) {
-        return open.getOrDefault(model, 0);
+        return available.getOrDefault(model, 0);
     }
 
     /** Records that the engine gets an order in this round and can take no other for a while. */
     void markBusy(EngineState engine) {
-        engine.held().adapters().keySet().forEach(each -> open.merge(each, -1, Integer::sum));
+        engine.held().adapters().keySet().forEach(each -> available.merge(each, -1, Integer::sum));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadAction.java
@@ -4,7 +4,7 @@
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.UpstreamId;
 
-/** An action that a {@link LoadPlanner} wants carried out. */
+/** An action that a {@link LoadPlanner} asks its caller to carry out. */
 public sealed interface LoadAction {
     /**
      * Sends an order to an upstream; answered by {@link LoadInput.OrderAnswered} with the same
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
@@ -35,61 +35,61 @@
      * Minimum time between report requests to an upstream. Reports lag by about a tenth of a
      * second, so more frequent requests return nothing new.
      */
-    private static final Duration REPORT_GAP = Duration.ofMillis(60);
+    private static final Duration MIN_REPORT_INTERVAL = Duration.ofMillis(60);
 
     /**
      * Time between report requests to an upstream that carries out an unknown order, perhaps for
      * seconds.
      */
-    private static final Duration DOUBT_GAP = Duration.ofMillis(150);
+    private static final Duration UNKNOWN_ORDER_REPORT_INTERVAL = Duration.ofMillis(150);
 
     /** Time after which an unanswered report request is repeated. */
-    private static final Duration REPORT_LIMIT = Duration.ofSeconds(1);
+    private static final Duration REPORT_TIMEOUT = Duration.ofSeconds(1);
 
     /** Pause after a conflict, in which the upstream can finish the order that it carries out. */
-    private static final Duration AFTER_CONFLICT = Duration.ofMillis(80);
+    private static final Duration PAUSE_AFTER_CONFLICT = Duration.ofMillis(80);
 
     /** Pause after an upstream has refused an order. */
-    private static final Duration AFTER_REFUSAL = Duration.ofMillis(500);
+    private static final Duration PAUSE_AFTER_REFUSAL = Duration.ofMillis(500);
 
     /**
      * Time between searches for models to load ahead of need. Models that requests wait for are
      * planned at once.
      */
-    private static final Duration AHEAD_GAP = Duration.ofMillis(200);
+    private static final Duration LOAD_AHEAD_INTERVAL = Duration.ofMillis(200);
 
     /**
      * Limit of planning rounds between two ticks that are started by reports of waiting requests.
      * Each of dozens of routers reports several times a second; a round for each report would keep
      * the leader's VM busy with nothing new.
      */
-    private static final int MOST_ROUNDS_FOR_DEMAND = 2;
+    private static final int MAX_DEMAND_ROUNDS_PER_TICK = 2;
 
     /** Time after which a planned load that could not start is given up. */
-    private static final Duration INTENT_LIMIT = Duration.ofSeconds(3);
+    private static final Duration PLANNED_LOAD_LIFETIME = Duration.ofSeconds(3);
 
     private final LoadSettings settings;
     private final DemandAggregator demand = new DemandAggregator();
     private final Map<UpstreamId, EngineState> engines = new TreeMap<>();
-    private final UnansweredLoadOrders openLoads = new UnansweredLoadOrders();
-    private final StoreLoadLimiter storeLoads;
+    private final UnansweredLoadOrders unansweredOrders = new UnansweredLoadOrders();
+    private final StoreLoadLimiter storeLoadLimiter;
     private final ModelPlacer placer;
     private final AdapterPlanner adapters;
-    private final Map<String, MemoryFragmentation> packings = new HashMap<>();
+    private final Map<String, MemoryFragmentation> fragmentationByService = new HashMap<>();
     private Map<String, EngineSpec> specs = new HashMap<>();
     private Set<String> drainedZones = Set.of();
-    private long number;
+    private long lastOrderNumber;
     private boolean active;
-    private Instant aheadAt = Instant.MIN;
-    private int roundsForDemand;
+    private Instant nextLoadAheadAt = Instant.MIN;
+    private int demandRounds;
     private boolean demandChanged;
-    private long rounds;
+    private long planningRounds;
 
     /** Creates a planner without upstreams or demand. */
     public LoadPlanner(LoadSettings settings) {
         this.settings = settings;
-        this.storeLoads = new StoreLoadLimiter(settings.storeRateWindow());
-        this.placer = new ModelPlacer(demand, storeLoads);
+        this.storeLoadLimiter = new StoreLoadLimiter(settings.storeRateWindow());
+        this.placer = new ModelPlacer(demand, storeLoadLimiter);
         this.adapters = new AdapterPlanner(demand);
     }
 
@@ -105,51 +105,55 @@
 
     /** Returns the number of planning rounds so far, to measure their cost. */
     public long planningRounds() {
-        return rounds;
+        return planningRounds;
     }
 
     /** Returns the models and adapters that requests wait for and that no engine holds. */
     public UnmetDemand unmetDemand(Instant now) {
         demand.aggregate(now);
         int models = 0;
-        Duration oldest = Duration.ZERO;
-        for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
-            if (engines.values().stream().noneMatch(engine -> engine.held().has(want.model()))) {
+        Duration longestWait = Duration.ZERO;
+        for (LoadInput.ModelDemand modelDemand : demand.waitingInOrder()) {
+            if (engines.values().stream()
+                    .noneMatch(engine -> engine.held().has(modelDemand.model()))) {
                 models++;
-                oldest = want.longestWait().compareTo(oldest) > 0 ? want.longestWait() : oldest;
+                longestWait =
+                        modelDemand.longestWait().compareTo(longestWait) > 0
+                                ? modelDemand.longestWait()
+                                : longestWait;
             }
         }
-        return new UnmetDemand(models, oldest);
+        return new UnmetDemand(models, longestWait);
     }
 
     /** Returns how much of the weight store's capacity is in use. */
     public StoreUsage storeUsage() {
         return new StoreUsage(
-                StoreLoadLimiter.countRunning(engines.values()), storeLoads.fullSpeedLoads());
+                StoreLoadLimiter.countRunning(engines.values()), storeLoadLimiter.fullSpeedLoads());
     }
 
     private void applyInput(LoadInput input, Instant now, List<LoadAction> actions) {
         if (input instanceof LoadInput.ServicesConfigured configured) {
-            configured(configured.engines());
+            servicesConfigured(configured.engines());
         } else if (input instanceof LoadInput.UpstreamListed listed) {
             upstreamListed(listed);
-        } else if (input instanceof LoadInput.UpstreamRemoved gone) {
-            engines.remove(gone.upstream());
-        } else if (input instanceof LoadInput.DrainedZonesChanged drained) {
-            drainedZonesChanged(drained.zones());
-        } else if (input instanceof LoadInput.DemandReported demanded) {
-            demandReported(demanded, now);
+        } else if (input instanceof LoadInput.UpstreamRemoved removed) {
+            engines.remove(removed.upstream());
+        } else if (input instanceof LoadInput.DrainedZonesChanged zonesChanged) {
+            drainedZonesChanged(zonesChanged.zones());
+        } else if (input instanceof LoadInput.DemandReported report) {
+            demandReported(report, now);
         } else if (input instanceof LoadInput.OrderAnswered answered) {
             orderAnswered(answered, now, actions);
         } else if (input instanceof LoadInput.UpstreamReported reported) {
             upstreamReported(reported, now, actions);
-        } else if (input instanceof LoadInput.UnansweredLoadAnnounced unanswered) {
-            openLoads.addAnnounced(unanswered.load());
-        } else if (input instanceof LoadInput.ReportFailed notReported) {
-            find(notReported.upstream()).ifPresent(EngineState::reportFailed);
+        } else if (input instanceof LoadInput.UnansweredLoadAnnounced announced) {
+            unansweredOrders.addAnnounced(announced.load());
+        } else if (input instanceof LoadInput.ReportFailed reportFailed) {
+            find(reportFailed.upstream()).ifPresent(EngineState::reportFailed);
         } else if (input instanceof LoadInput.Elected) {
             engines.values().forEach(EngineState::reset);
-            storeLoads.elected(now);
+            storeLoadLimiter.elected(now);
             active = true;
         } else if (input instanceof LoadInput.Resigned) {
             active = false;
@@ -165,13 +169,13 @@
                 || input instanceof LoadInput.UnansweredLoadAnnounced) {
             return false;
         }
-        if (input instanceof LoadInput.DemandReported demanded) {
-            return demanded.hasWaitingRequests() && roundsForDemand++ < MOST_ROUNDS_FOR_DEMAND;
+        if (input instanceof LoadInput.DemandReported report) {
+            return report.hasWaitingRequests() && demandRounds++ < MAX_DEMAND_ROUNDS_PER_TICK;
         }
         if (input instanceof LoadInput.Tick) {
-            roundsForDemand = 0;
+            demandRounds = 0;
             return demandChanged
-                    || !now.isBefore(aheadAt)
+                    || !now.isBefore(nextLoadAheadAt)
                     || demand.hasWaitingRequests()
                     || hasPendingChanges();
         }
@@ -187,10 +191,12 @@
         return false;
     }
 
-    private void configured(Map<String, EngineSpec> engines) {
+    private void servicesConfigured(Map<String, EngineSpec> engines) {
         specs = engines;
-        packings.clear();
-        engines.forEach((service, spec) -> packings.put(service, MemoryFragmentation.of(spec)));
+        fragmentationByService.clear();
+        engines.forEach(
+                (service, spec) ->
+                        fragmentationByService.put(service, MemoryFragmentation.of(spec)));
         Map<String, Double> weights = new HashMap<>();
         for (EngineSpec spec : engines.values()) {
             spec.models().forEach((name, model) -> weights.put(name, model.weightsMb()));
@@ -216,17 +222,17 @@
     private void drainedZonesChanged(Set<String> zones) {
         drainedZones = Set.copyOf(zones);
         engines.values().forEach(engine -> engine.setZoneDrained(isDrained(engine)));
-        aheadAt = Instant.MIN;
+        nextLoadAheadAt = Instant.MIN;
     }
 
     private boolean isDrained(EngineState engine) {
         return drainedZones.contains(engine.facts().zone());
     }
 
-    private void demandReported(LoadInput.DemandReported demanded, Instant now) {
-        demand.record(demanded, now);
+    private void demandReported(LoadInput.DemandReported report, Instant now) {
+        demand.recordReport(report, now);
         demandChanged = true;
-        demanded.running()
+        report.running()
                 .forEach(
                         (upstream, counts) ->
                                 find(upstream)
@@ -269,25 +275,26 @@
             return;
         }
         boolean loading = pending.operation() == OrderOperation.LOAD;
-        boolean shows = seen.has(pending.model()) == loading;
+        boolean isVisible = seen.has(pending.model()) == loading;
         // A report from just before the load began shows neither the model nor that the upstream is
         // busy.
-        if (!shows && loading && now.isBefore(pending.dueAt().plus(REPORT_LIMIT))) {
+        if (!isVisible && loading && now.isBefore(pending.dueAt().plus(REPORT_TIMEOUT))) {
             return;
         }
-        if (shows && pending.loadsFromStore()) {
+        if (isVisible && pending.loadsFromStore()) {
             recordStoreLoad(engine, pending, now);
         }
         engine.orderFinished();
-        if (shows && loading) {
+        if (isVisible && loading) {
             engine.loaded(pending.model(), now);
         }
     }
 
     private void recordStoreLoad(EngineState engine, EngineState.PendingOrder load, Instant now) {
-        Duration alone = engine.spec().models().get(load.model().model()).fromStore();
-        storeLoads.recordRunning(StoreLoadLimiter.countRunning(engines.values()), now);
-        storeLoads.loadFinished(load.number(), alone, Duration.between(load.sentAt(), now));
+        Duration undisturbed = engine.spec().models().get(load.model().model()).fromStore();
+        storeLoadLimiter.recordRunning(StoreLoadLimiter.countRunning(engines.values()), now);
+        storeLoadLimiter.loadFinished(
+                load.number(), undisturbed, Duration.between(load.sentAt(), now));
     }
 
     // An order without an answer may be carried out seconds later. The next order need not wait for
@@ -296,11 +303,11 @@
     private void orderAnswered(
             LoadInput.OrderAnswered answer, Instant now, List<LoadAction> actions) {
         if (answer.outcome() == OrderOutcome.UNKNOWN) {
-            openLoads
+            unansweredOrders
                     .find(answer.upstream(), answer.number())
                     .ifPresent(load -> actions.add(new LoadAction.AnnounceUnansweredLoad(load)));
         } else {
-            openLoads.removeAnswered(answer.upstream(), answer.number());
+            unansweredOrders.removeAnswered(answer.upstream(), answer.number());
         }
         EngineState engine = engines.get(answer.upstream());
         EngineState.PendingOrder pending = engine == null ? null : engine.pending();
@@ -311,10 +318,10 @@
             case ACCEPTED -> orderAccepted(engine, now, actions);
             case DONE -> orderDone(engine, now, actions);
             case CONFLICT -> {
-                storeLoads.loadCanceled(pending.number());
+                storeLoadLimiter.loadCanceled(pending.number());
                 engine.orderFinished();
                 engine.requireReport();
-                engine.pauseUntil(now.plus(AFTER_CONFLICT));
+                engine.pauseUntil(now.plus(PAUSE_AFTER_CONFLICT));
             }
             case UNKNOWN -> {
                 engine.orderFinished();
@@ -324,7 +331,7 @@
                 engine.orderFinished();
                 engine.requireReport();
                 engine.setPlannedLoad(null);
-                engine.pauseUntil(now.plus(AFTER_REFUSAL));
+                engine.pauseUntil(now.plus(PAUSE_AFTER_REFUSAL));
             }
         }
     }
@@ -344,8 +351,8 @@
             engine.orderFinished();
             return;
         }
-        Duration time = pending.source().loadTime(engine.spec().models().get(model.model()));
-        engine.orderAccepted(now.plus(time));
+        Duration loadTime = pending.source().loadTime(engine.spec().models().get(model.model()));
+        engine.orderAccepted(now.plus(loadTime));
     }
 
     private void orderDone(EngineState engine, Instant now, List<LoadAction> actions) {
@@ -361,37 +368,37 @@
     }
 
     private void runRound(Instant now, List<LoadAction> actions) {
-        rounds++;
+        planningRounds++;
         demandChanged = false;
         demand.aggregate(now);
-        openLoads.removeExpired(now);
-        storeLoads.recordRunning(StoreLoadLimiter.countRunning(engines.values()), now);
+        unansweredOrders.removeExpired(now);
+        storeLoadLimiter.recordRunning(StoreLoadLimiter.countRunning(engines.values()), now);
         for (EngineState engine : engines.values()) {
-            engine.setReservation(openLoads.reservationFor(engine));
+            engine.setReservation(unansweredOrders.reservationFor(engine));
             completeAdapterLoads(engine, now, actions);
             followUp(engine, now, actions);
         }
         for (Map.Entry<String, EngineSpec> entry : specs.entrySet()) {
             plan(entry.getKey(), entry.getValue(), now, actions);
         }
-        if (!now.isBefore(aheadAt)) {
-            aheadAt = now.plus(AHEAD_GAP);
+        if (!now.isBefore(nextLoadAheadAt)) {
+            nextLoadAheadAt = now.plus(LOAD_AHEAD_INTERVAL);
         }
     }
 
     // Marks adapters as loaded once their load time has passed.
     private static void completeAdapterLoads(
             EngineState engine, Instant now, List<LoadAction> actions) {
-        List<ModelRef> here = new ArrayList<>();
+        List<ModelRef> loaded = new ArrayList<>();
         engine.loadingAdapters()
                 .forEach(
                         (adapter, readyAt) -> {
                             if (!now.isBefore(readyAt)) {
-                                here.add(adapter);
+                                loaded.add(adapter);
                             }
                         });
-        here.forEach(adapter -> engine.loaded(adapter, now));
-        if (!here.isEmpty()) {
+        loaded.forEach(adapter -> engine.loaded(adapter, now));
+        if (!loaded.isEmpty()) {
             actions.add(new LoadAction.AnnounceHeldModels(engine.id(), engine.held()));
         }
     }
@@ -400,15 +407,18 @@
     private void followUp(EngineState engine, Instant now, List<LoadAction> actions) {
         EngineState.PendingOrder pending = engine.pending();
         if (!engine.isKnown()) {
-            Duration gap = engine.hasAnsweredReportRequest() ? DOUBT_GAP : REPORT_LIMIT;
-            if (engine.isReportDue(now, gap)) {
+            Duration interval =
+                    engine.hasAnsweredReportRequest()
+                            ? UNKNOWN_ORDER_REPORT_INTERVAL
+                            : REPORT_TIMEOUT;
+            if (engine.isReportDue(now, interval)) {
                 requestReport(engine, now, actions);
             }
             return;
         }
         if (pending != null) {
             boolean due = pending.accepted() && !now.isBefore(pending.dueAt());
-            if (due && engine.isReportDue(now, REPORT_GAP)) {
+            if (due && engine.isReportDue(now, MIN_REPORT_INTERVAL)) {
                 requestReport(engine, now, actions);
             }
             if (!pending.accepted()
@@ -419,18 +429,19 @@
             }
             return;
         }
-        EngineState.PlannedLoad intent = engine.plannedLoad();
-        if (intent == null || !engine.acceptsOrders(now)) {
+        EngineState.PlannedLoad plannedLoad = engine.plannedLoad();
+        if (plannedLoad == null || !engine.acceptsOrders(now)) {
             return;
         }
-        if (now.isAfter(intent.expiresAt()) || engine.holds(intent.model())) {
+        if (now.isAfter(plannedLoad.expiresAt()) || engine.holds(plannedLoad.model())) {
             engine.setPlannedLoad(null);
             return;
         }
         FleetView fleet = new FleetView(enginesOf(engine.facts().service()), demand, now);
-        String model = placer.bestModelFor(engine, intent.model(), fleet);
-        if (!model.equals(intent.model())) {
-            engine.setPlannedLoad(new EngineState.PlannedLoad(model, now.plus(INTENT_LIMIT)));
+        String model = placer.bestModelFor(engine, plannedLoad.model(), fleet);
+        if (!model.equals(plannedLoad.model())) {
+            engine.setPlannedLoad(
+                    new EngineState.PlannedLoad(model, now.plus(PLANNED_LOAD_LIFETIME)));
         }
         evictOrLoad(engine, model, fleet, now, actions);
     }
@@ -442,7 +453,7 @@
             Instant now,
             List<LoadAction> actions) {
         Optional<EvictionPlanner.Plan> plan =
-                new EvictionPlanner(demand, fleet, packing(engine))
+                new EvictionPlanner(demand, fleet, fragmentation(engine))
                         .plan(engine, model, 1 + demand.arrivalsPerSecond(model), now);
         if (plan.isEmpty()) {
             return;
@@ -454,56 +465,68 @@
         }
         LoadSource source = engine.loadSource(model);
         if (source == LoadSource.STORE) {
-            storeLoads.loadStarted(number + 1, now);
+            storeLoadLimiter.loadStarted(lastOrderNumber + 1, now);
         }
         engine.setPlannedLoad(null);
         sendOrder(engine, OrderOperation.LOAD, new ModelRef(model, ""), source, now, actions);
     }
 
-    private MemoryFragmentation packing(EngineState engine) {
-        return packings.computeIfAbsent(
+    private MemoryFragmentation fragmentation(EngineState engine) {
+        return fragmentationByService.computeIfAbsent(
                 engine.facts().service(), any -> MemoryFragmentation.of(engine.spec()));
     }
 
     private void plan(String service, EngineSpec spec, Instant now, List<LoadAction> actions) {
-        boolean ahead = !now.isBefore(aheadAt);
-        List<EngineState> here = enginesOf(service);
-        MemoryFragmentation packing = packings.get(service);
-        for (ModelPlacer.Placement choice : placer.plan(spec, packing, here, ahead, now)) {
-            choice.engine()
+        boolean ahead = !now.isBefore(nextLoadAheadAt);
+        List<EngineState> serviceEngines = enginesOf(service);
+        MemoryFragmentation fragmentation = fragmentationByService.get(service);
+        for (ModelPlacer.Placement placement :
+                placer.plan(spec, fragmentation, serviceEngines, ahead, now)) {
+            placement
+                    .engine()
                     .setPlannedLoad(
-                            new EngineState.PlannedLoad(choice.model(), now.plus(INTENT_LIMIT)));
+                            new EngineState.PlannedLoad(
+                                    placement.model(), now.plus(PLANNED_LOAD_LIFETIME)));
             evictOrLoad(
-                    choice.engine(),
-                    choice.model(),
-                    new FleetView(here, demand, now),
+                    placement.engine(),
+                    placement.model(),
+                    new FleetView(serviceEngines, demand, now),
                     now,
                     actions);
         }
-        for (AdapterPlanner.AdapterOrder step : adapters.plan(here, now)) {
-            sendOrder(step.engine(), step.operation(), step.adapter(), null, now, actions);
+        for (AdapterPlanner.AdapterOrder adapterOrder : adapters.plan(serviceEngines, now)) {
+            sendOrder(
+                    adapterOrder.engine(),
+                    adapterOrder.operation(),
+                    adapterOrder.adapter(),
+                    null,
+                    now,
+                    actions);
         }
     }
 
     private void sendOrder(
             EngineState engine,
-            OrderOperation verb,
+            OrderOperation operation,
             ModelRef model,
             LoadSource source,
             Instant now,
             List<LoadAction> actions) {
-        number++;
+        lastOrderNumber++;
         long sequence = engine.held().sequence();
-        double free = engine.freeMb();
+        double freeMb = engine.freeMb();
         engine.orderSent(
-                new EngineState.PendingOrder(number, verb, model, source, now, false, now));
-        if (verb == OrderOperation.LOAD) {
-            openLoads.addSent(
-                    number,
+                new EngineState.PendingOrder(
+                        lastOrderNumber, operation, model, source, now, false, now));
+        if (operation == OrderOperation.LOAD) {
+            unansweredOrders.addSent(
+                    lastOrderNumber,
                     new UnansweredLoadOrder(
                             engine.id(), engine.incarnation(), sequence, model, now));
         }
-        actions.add(new LoadAction.SendOrder(engine.id(), number, verb, model, sequence, free));
+        actions.add(
+                new LoadAction.SendOrder(
+                        engine.id(), lastOrderNumber, operation, model, sequence, freeMb));
     }
 
     private static void requestReport(EngineState engine, Instant now, List<LoadAction> actions) {
@@ -521,13 +544,12 @@
     }
 
     /**
-     * Explains why models that requests have waited for longer than the given time are not loaded:
-     * one line per model with each engine that holds it or has a copy, and the engine's state.
-     * Empty if no request has waited that long.
+     * Explains why models that requests have waited for at least the given time are not loaded: one
+     * line per model with each engine that holds it or has a copy, and the engine's state. Empty if
+     * no request has waited that long.
      */
-    public List<String> explainLongWaits(Duration longerThan, Instant now) {
+    public List<String> explainLongWaits(Duration minWait, Instant now) {
         demand.aggregate(now);
-        return new WaitReport(demand, engines.values(), storeUsage(), now)
-                .waitsOfAtLeast(longerThan);
+        return new WaitReport(demand, engines.values(), storeUsage(), now).waitsOfAtLeast(minWait);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/MemoryFragmentation.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/MemoryFragmentation.java
@@ -5,7 +5,7 @@
 
 /**
  * Computes how much of an upstream's memory is fragmented, so that no model fits in it: {@code
- * packing.loss(freeBefore, freeAfter)}.
+ * fragmentation.costOfChange(freeBefore, freeAfter)}.
  *
  * <p>The expected load is models of a few sizes, two to four of them on an upstream, and nearly as
  * many in total as all memory can hold. Two small models together leave room for a third; a small
@@ -26,20 +26,20 @@
      */
     private static final int STEPS = 400;
 
-    private final double step;
-    private final double usual;
+    private final double stepMb;
+    private final double averageModelMb;
     private final int[] leastLeft = new int[STEPS + 1];
 
     private MemoryFragmentation(EngineSpec spec) {
-        step = spec.weightsMb() / STEPS;
-        usual =
+        stepMb = spec.weightsMb() / STEPS;
+        averageModelMb =
                 spec.models().values().stream()
                         .mapToDouble(ModelSpec::weightsMb)
                         .average()
                         .orElse(1);
         int[] sizes =
                 spec.models().values().stream()
-                        .mapToInt(model -> (int) Math.ceil(model.weightsMb() / step))
+                        .mapToInt(model -> (int) Math.ceil(model.weightsMb() / stepMb))
                         .filter(size -> size > 0)
                         .distinct()
                         .toArray();
@@ -68,16 +68,18 @@
      * Returns the cost, in seconds of expected waiting per second, of a change of the free memory
      * from one amount to the other, in MB. Negative if more of the memory can be used than before.
      */
-    double costOfChange(double freeBefore, double freeAfter) {
-        return (unusableMb(freeAfter) - unusableMb(freeBefore)) / usual * MODEL_GAP_COST;
+    double costOfChange(double freeBeforeMb, double freeAfterMb) {
+        return (unusableMb(freeAfterMb) - unusableMb(freeBeforeMb))
+                / averageModelMb
+                * MODEL_GAP_COST;
     }
 
     /**
      * Returns the memory, in MB, that stays unused when this much free memory is filled with models
      * as well as possible.
      */
-    double unusableMb(double free) {
-        int steps = (int) Math.max(0, Math.min(STEPS, Math.floor(free / step)));
-        return leastLeft[steps] * step;
+    double unusableMb(double freeMb) {
+        int steps = (int) Math.max(0, Math.min(STEPS, Math.floor(freeMb / stepMb)));
+        return leastLeft[steps] * stepMb;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/ModelPlacer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/ModelPlacer.java
@@ -23,67 +23,76 @@
      * loaded from the store elsewhere. A load from the store blocks its engine for many loads of
      * other models, so more of those wait, and more would be loaded from the store in turn.
      */
-    private static final Duration LONGEST_FOR_COPY = Duration.ofMillis(3_000);
+    private static final Duration MAX_WAIT_FOR_COPY = Duration.ofMillis(3_000);
 
     /**
      * The same for a busy model. Also how long all engines with a copy must still be blocked for it
      * to be loaded from the store at once.
      */
-    private static final Duration LONGEST_IF_BUSY = Duration.ofMillis(1_200);
+    private static final Duration MAX_WAIT_FOR_COPY_IF_BUSY = Duration.ofMillis(1_200);
 
     /**
      * Minimum cost, in requests per second, of blocking an engine that has the only copy of a
      * model.
      */
-    private static final double SOLE_COPY = 0.05;
+    private static final double SOLE_COPY_MIN_PER_SECOND = 0.05;
 
     /** Wait after which requests for a model that has replicas justify one more replica. */
-    private static final Duration CROWDED = Duration.ofMillis(120);
+    private static final Duration CROWDED_WAIT = Duration.ofMillis(120);
 
     /**
      * Seconds that one more replica of a busy model saves for each of its requests, counting those
      * that find a slot or an adapter at once and those that would be lost with the only replica.
      */
-    private static final double BUSY_GAIN = 0.3;
+    private static final double SECONDS_SAVED_BY_REPLICA = 0.3;
 
     /**
      * Part of the saving of a load ahead of need that the load may cost at most. Otherwise models
      * would replace each other back and forth.
      */
-    private static final double AHEAD_PART = 0.4;
+    private static final double MAX_LOAD_AHEAD_COST_PART = 0.4;
 
     /**
      * Saving of loading a model that nobody has requested: enough to replace surplus replicas and
      * nothing else.
      */
-    private static final double LEAST_GAIN = 0.001;
+    private static final double UNREQUESTED_GAIN = 0.001;
 
     /**
-     * Part of the requests for adapters that wait while an engine loads or unloads a model, as it
-     * takes no order for an adapter meanwhile. If no other engine that holds the base model is
-     * available, most requests for adapters that are not loaded wait; otherwise hardly any do.
+     * Part of the requests for adapters that wait, because their adapter is not loaded, while an
+     * engine loads or unloads a model, as it takes no order for an adapter meanwhile. This part
+     * applies if no other engine that holds the base model is available; otherwise hardly any of
+     * them wait.
      */
-    private static final double BLOCKED_ALONE = 0.7;
+    private static final double BLOCKED_PART_IF_ALONE = 0.7;
 
-    private static final double BLOCKED_SHARED = 0.05;
+    /** The same where another engine that holds the base model is available. */
+    private static final double BLOCKED_PART_IF_SHARED = 0.05;
 
     /**
      * Blocked adapter requests per second above which an engine does not load from the store, which
      * would block it for seconds.
      */
-    private static final double MOST_BLOCKED = 0.5;
+    private static final double MAX_BLOCKED_PER_SECOND = 0.5;
 
     private final DemandAggregator demand;
-    private final StoreLoadLimiter storeLoads;
+    private final StoreLoadLimiter storeLoadLimiter;
 
-    ModelPlacer(DemandAggregator demand, StoreLoadLimiter storeLoads) {
+    ModelPlacer(DemandAggregator demand, StoreLoadLimiter storeLoadLimiter) {
         this.demand = demand;
-        this.storeLoads = storeLoads;
+        this.storeLoadLimiter = storeLoadLimiter;
     }
 
     /** A model and the engine that is to load it. */
     record Placement(EngineState engine, String model) {}
 
+    /**
+     * An engine that could load the model.
+     *
+     * @param cost expected waiting that the load costs, in seconds, to compare engines by
+     * @param evictionCost cost of the evictions, plus the wait for running requests in seconds
+     * @param losesLastCopy whether the last copy of a model is evicted for a load from the store
+     */
     private record Candidate(
             EngineState engine,
             LoadSource source,
@@ -96,42 +105,48 @@
      * that requests have begun to wait for since. An unload can take seconds, and a model that
      * becomes busy in that time gets dozens of requests per second.
      */
-    String bestModelFor(EngineState engine, String meantFor, FleetView fleet) {
-        if (ReplicaGoal.isBusy(meantFor, demand)) {
-            return meantFor;
+    String bestModelFor(EngineState engine, String plannedModel, FleetView fleet) {
+        if (ReplicaGoal.isBusy(plannedModel, demand)) {
+            return plannedModel;
         }
-        for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
-            String model = want.model().model();
-            boolean suits =
+        for (LoadInput.ModelDemand modelDemand : demand.waitingInOrder()) {
+            String model = modelDemand.model().model();
+            boolean eligible =
                     ReplicaGoal.isBusy(model, demand)
                             && engine.loadSource(model) != LoadSource.STORE
                             && !engine.holds(model);
-            if (suits && fleet.replicas(model) == 0 && fleet.soonArrivingReplicas(model) == 0) {
+            if (eligible && fleet.replicas(model) == 0 && fleet.soonArrivingReplicas(model) == 0) {
                 return model;
             }
         }
-        return meantFor;
+        return plannedModel;
     }
 
+    /**
+     * Returns the placements of a planning round.
+     *
+     * @param ahead whether to place models that no request waits for as well
+     */
     List<Placement> plan(
             EngineSpec spec,
-            MemoryFragmentation packing,
+            MemoryFragmentation fragmentation,
             List<EngineState> engines,
             boolean ahead,
             Instant now) {
         PlanningRound round =
-                new PlanningRound(spec, packing, engines, new FleetView(engines, demand, now), now);
-        List<Placement> choices = new ArrayList<>();
+                new PlanningRound(
+                        spec, fragmentation, engines, new FleetView(engines, demand, now), now);
+        List<Placement> placements = new ArrayList<>();
         for (String model : round.neededModels()) {
-            round.place(model, true).ifPresent(choices::add);
+            round.place(model, true).ifPresent(placements::add);
         }
         if (ahead) {
             round.modelsBelowGoal()
-                    .forEach(model -> round.place(model, false).ifPresent(choices::add));
+                    .forEach(model -> round.place(model, false).ifPresent(placements::add));
             round.modelsWithoutReplica()
-                    .forEach(model -> round.place(model, false).ifPresent(choices::add));
+                    .forEach(model -> round.place(model, false).ifPresent(placements::add));
         }
-        return choices;
+        return placements;
     }
 
     /** One planning round over all engines of a service. */
@@ -139,33 +154,34 @@
         private final EngineSpec spec;
         private final List<EngineState> engines;
         private final FleetView fleet;
-        private final EvictionPlanner room;
+        private final EvictionPlanner evictions;
         private final Instant now;
-        private final Set<EngineState> taken = new HashSet<>();
+        private final Set<EngineState> assigned = new HashSet<>();
         private int chosenFromStore;
 
         PlanningRound(
                 EngineSpec spec,
-                MemoryFragmentation packing,
+                MemoryFragmentation fragmentation,
                 List<EngineState> engines,
                 FleetView fleet,
                 Instant now) {
             this.spec = spec;
             this.engines = engines;
             this.fleet = fleet;
-            this.room = new EvictionPlanner(demand, fleet, packing);
+            this.evictions = new EvictionPlanner(demand, fleet, fragmentation);
             this.now = now;
         }
 
         Set<String> neededModels() {
             Set<String> models = new LinkedHashSet<>();
-            for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
-                String model = want.model().model();
+            for (LoadInput.ModelDemand modelDemand : demand.waitingInOrder()) {
+                String model = modelDemand.model().model();
                 if (!spec.models().containsKey(model) || fleet.soonArrivingReplicas(model) > 0) {
                     continue;
                 }
                 boolean crowded =
-                        !want.model().adapted() && want.longestWait().compareTo(CROWDED) > 0;
+                        !modelDemand.model().adapted()
+                                && modelDemand.longestWait().compareTo(CROWDED_WAIT) > 0;
                 if (fleet.replicas(model) == 0 || crowded) {
                     models.add(model);
                 }
@@ -199,18 +215,20 @@
         Optional<Placement> place(String model, boolean needed) {
             Candidate best = null;
             for (EngineState engine : engines) {
-                Optional<Candidate> offer =
+                Optional<Candidate> candidate =
                         canLoad(engine, model) ? candidate(engine, model) : Optional.empty();
-                boolean free = needed || isFirstCopyBeforeRequests(model);
-                boolean suits = offer.isPresent() && (free || !offer.get().losesLastCopy());
-                if (suits && (best == null || offer.get().cost() < best.cost())) {
-                    best = offer.get();
+                boolean mayLoseLastCopy = needed || isFirstCopyBeforeRequests(model);
+                boolean eligible =
+                        candidate.isPresent()
+                                && (mayLoseLastCopy || !candidate.get().losesLastCopy());
+                if (eligible && (best == null || candidate.get().cost() < best.cost())) {
+                    best = candidate.get();
                 }
             }
             if (best == null || !isWorthwhile(best, model, needed)) {
                 return Optional.empty();
             }
-            taken.add(best.engine());
+            assigned.add(best.engine());
             chosenFromStore += best.source() == LoadSource.STORE ? 1 : 0;
             fleet.markBusy(best.engine());
             return Optional.of(new Placement(best.engine(), model));
@@ -220,18 +238,19 @@
             return engine.acceptsOrders(now)
                     && engine.plannedLoad() == null
                     && fleet.isUsable(engine)
-                    && !taken.contains(engine)
+                    && !assigned.contains(engine)
                     && !engine.holds(model);
         }
 
         private Optional<Candidate> candidate(EngineState engine, String model) {
             double blocked = blockedAdapterRequests(engine);
-            if (blocked > MOST_BLOCKED && engine.loadSource(model) == LoadSource.STORE) {
+            if (blocked > MAX_BLOCKED_PER_SECOND && engine.loadSource(model) == LoadSource.STORE) {
                 return Optional.empty();
             }
-            double perSecond = 1 + demand.arrivalsPerSecond(model) + blocked;
-            return room.plan(engine, model, perSecond, now)
-                    .map(plan -> candidate(engine, model, plan, perSecond));
+            double costPerSecond = 1 + demand.arrivalsPerSecond(model) + blocked;
+            return evictions
+                    .plan(engine, model, costPerSecond, now)
+                    .map(plan -> candidate(engine, model, plan, costPerSecond));
         }
 
         private boolean losesLastCopy(EngineState engine, String model, EvictionPlanner.Plan plan) {
@@ -241,23 +260,24 @@
         }
 
         private Candidate candidate(
-                EngineState engine, String model, EvictionPlanner.Plan plan, double perSecond) {
+                EngineState engine, String model, EvictionPlanner.Plan plan, double costPerSecond) {
             LoadSource source = engine.loadSource(model);
-            ModelSpec weights = spec.models().get(model);
-            double load = source.loadTime(weights).toMillis() / 1000.0;
-            double cost = (plan.waitSeconds() + load) * perSecond + plan.cost();
+            ModelSpec modelSpec = spec.models().get(model);
+            double loadSeconds = source.loadTime(modelSpec).toMillis() / 1000.0;
+            double cost = (plan.waitSeconds() + loadSeconds) * costPerSecond + plan.cost();
             if (source == LoadSource.STORE) {
-                cost += load * soleCopyRequests(engine);
+                cost += loadSeconds * soleCopyRequests(engine);
             }
-            double hurt = plan.cost() + plan.waitSeconds();
-            return new Candidate(engine, source, cost, hurt, losesLastCopy(engine, model, plan));
+            double evictionCost = plan.cost() + plan.waitSeconds();
+            return new Candidate(
+                    engine, source, cost, evictionCost, losesLastCopy(engine, model, plan));
         }
 
         private double blockedAdapterRequests(EngineState engine) {
             double blocked = 0;
             for (String held : engine.held().adapters().keySet()) {
                 boolean alone = fleet.availableReplicas(held) <= 1;
-                double part = alone ? BLOCKED_ALONE : BLOCKED_SHARED;
+                double part = alone ? BLOCKED_PART_IF_ALONE : BLOCKED_PART_IF_SHARED;
                 blocked += demand.adapterArrivalsPerSecond(held) * part;
             }
             return blocked;
@@ -266,19 +286,19 @@
         // While an engine loads from the store, it cannot load the models that only it has a copy
         // of.
         private double soleCopyRequests(EngineState engine) {
-            double hurt = 0;
+            double requestsPerSecond = 0;
             for (String model : engine.modelsWithCopy()) {
                 if (fleet.enginesWithCopy(model) == 1) {
-                    hurt += SOLE_COPY + demand.arrivalsPerSecond(model);
+                    requestsPerSecond += SOLE_COPY_MIN_PER_SECOND + demand.arrivalsPerSecond(model);
                 }
             }
-            return hurt;
+            return requestsPerSecond;
         }
 
         private boolean isWorthwhile(Candidate best, String model, boolean needed) {
             double gain =
                     fleet.replicas(model) > 0
-                            ? demand.arrivalsPerSecond(model) * BUSY_GAIN
+                            ? demand.arrivalsPerSecond(model) * SECONDS_SAVED_BY_REPLICA
                             : gain(best, model);
             if (!needed && best.evictionCost() > gain && !isFirstCopyBeforeRequests(model)) {
                 return false;
@@ -307,7 +327,7 @@
         // dozen models that requests wait for would be loaded from the store at once, and each load
         // would take minutes.
         private boolean storeAllows(boolean needed) {
-            return storeLoads.allows(spec, engines, chosenFromStore, needed, now);
+            return storeLoadLimiter.allows(spec, engines, chosenFromStore, needed, now);
         }
 
         // The store allows a few loads per minute. If they were spent on second copies of busy
@@ -344,23 +364,25 @@
                                             && !each.holds(model));
         }
 
-        private double gain(Candidate offer, String model) {
-            double seconds = offer.source().loadTime(spec.models().get(model)).toMillis() / 1000.0;
-            return LEAST_GAIN + demand.arrivalsPerSecond(model) * seconds * AHEAD_PART;
+        private double gain(Candidate candidate, String model) {
+            double seconds =
+                    candidate.source().loadTime(spec.models().get(model)).toMillis() / 1000.0;
+            return UNREQUESTED_GAIN
+                    + demand.arrivalsPerSecond(model) * seconds * MAX_LOAD_AHEAD_COST_PART;
         }
 
         // A rare model waits a while for the engine that has a copy. For a busy one, dozens of
         // requests would be refused before the first has waited that long.
         private boolean hasWaitedTooLong(String model) {
             boolean busy = ReplicaGoal.isBusy(model, demand);
-            Duration longest = busy ? LONGEST_IF_BUSY : LONGEST_FOR_COPY;
-            if (demand.longestWait(model).compareTo(longest) > 0) {
+            Duration maxWait = busy ? MAX_WAIT_FOR_COPY_IF_BUSY : MAX_WAIT_FOR_COPY;
+            if (demand.longestWait(model).compareTo(maxWait) > 0) {
                 return true;
             }
             return busy
                     && engines.stream()
                             .filter(each -> fleet.isUsable(each) && each.hasCopy(model))
-                            .allMatch(each -> each.remainingOrderTime(now).compareTo(longest) > 0);
+                            .allMatch(each -> each.remainingOrderTime(now).compareTo(maxWait) > 0);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/StoreLoadLimiter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/StoreLoadLimiter.java
@@ -9,7 +9,8 @@
 import java.util.Map;
 
 /**
- * Limits the loads from the weight store: {@code loads.allows(spec, engines, chosen, needed, now)}.
+ * Limits the loads from the weight store: {@code limiter.allows(spec, engines, chosen, needed,
+ * now)}.
  *
  * <p>The store runs a few loads at once at full speed. More than that slow each other down, so that
  * all of them finish late. The number is not configured; it is estimated from how long loads take.
@@ -20,39 +21,39 @@
      * Initial and highest estimate of the loads at full speed. A lower start would leave half of
      * the store idle.
      */
-    private static final int MOST_TRIED = 4;
+    private static final int MAX_FULL_SPEED_LOADS = 4;
 
-    private static final double MILLIS_A_SECOND = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
     /**
      * Ratio to the time of an undisturbed load above which a load counts as slowed down by others.
      */
-    private static final double SLOWED = 1.2;
+    private static final double SLOWDOWN_RATIO = 1.2;
 
     /**
      * Part of the allowed start rate that is used, because loads started by the previous leader
      * count too.
      */
-    private static final double PART = 0.8;
+    private static final double USED_RATE_PART = 0.8;
 
     /**
      * Time after an election by which a new leader has a report of each engine and knows which ones
      * are loading.
      */
-    private static final Duration REPORTED = Duration.ofMillis(300);
+    private static final Duration REPORT_TIME_AFTER_ELECTION = Duration.ofMillis(300);
 
     /**
      * Tolerance within which a load counts as having run beside as many loads as are known to run
      * at full speed.
      */
-    private static final double NEARLY_ONE = 0.5;
+    private static final double CONCURRENCY_TOLERANCE = 0.5;
 
     private final Duration window;
-    private final ArrayDeque<Instant> begun = new ArrayDeque<>();
+    private final ArrayDeque<Instant> startTimes = new ArrayDeque<>();
     private final Map<Long, Double> loadSecondsAtStart = new HashMap<>();
-    private int atFullSpeed = MOST_TRIED;
-    private Instant reportedAt = Instant.MIN;
-    private Instant lookedAt = Instant.MIN;
+    private int fullSpeedLoads = MAX_FULL_SPEED_LOADS;
+    private Instant allReportedAt = Instant.MIN;
+    private Instant runningRecordedAt = Instant.MIN;
     private double loadSeconds;
     private int running;
 
@@ -62,7 +63,7 @@
 
     /** Records that this router became leader. */
     void elected(Instant now) {
-        reportedAt = now.plus(REPORTED);
+        allReportedAt = now.plus(REPORT_TIME_AFTER_ELECTION);
     }
 
     /**
@@ -78,52 +79,53 @@
             int chosen,
             boolean needed,
             Instant now) {
-        while (!begun.isEmpty() && begun.peek().plus(window).isBefore(now)) {
-            begun.remove();
+        while (!startTimes.isEmpty() && startTimes.peek().plus(window).isBefore(now)) {
+            startTimes.remove();
         }
-        double most = Math.max(1, spec.loadsPerSecond() * window.toMillis() / 1000.0 * PART);
+        double maxStarts =
+                Math.max(1, spec.loadsPerSecond() * window.toMillis() / 1000.0 * USED_RATE_PART);
         // Loads ahead of need leave one of the loads at full speed to models that requests wait
         // for.
-        int places = needed ? atFullSpeed : Math.max(1, atFullSpeed - 1);
+        int maxRunning = needed ? fullSpeedLoads : Math.max(1, fullSpeedLoads - 1);
         boolean reported =
-                !now.isBefore(reportedAt) || engines.stream().allMatch(EngineState::hasReported);
+                !now.isBefore(allReportedAt) || engines.stream().allMatch(EngineState::hasReported);
         return reported
-                && begun.size() + chosen + 1 <= most
-                && countRunning(engines) + chosen < places;
+                && startTimes.size() + chosen + 1 <= maxStarts
+                && countRunning(engines) + chosen < maxRunning;
     }
 
     /** Records the number of running loads; called in each planning round. */
     void recordRunning(int runningNow, Instant now) {
-        if (!lookedAt.equals(Instant.MIN)) {
-            loadSeconds += running * seconds(Duration.between(lookedAt, now));
+        if (!runningRecordedAt.equals(Instant.MIN)) {
+            loadSeconds += running * seconds(Duration.between(runningRecordedAt, now));
         }
-        lookedAt = now;
+        runningRecordedAt = now;
         running = runningNow;
     }
 
     /** Records that the order with that number starts a load. */
     void loadStarted(long order, Instant now) {
-        begun.add(now);
+        startTimes.add(now);
         loadSecondsAtStart.put(order, loadSeconds);
     }
 
     /**
      * Records that the load of that order is finished, and updates the estimate.
      *
-     * @param alone time that the load takes undisturbed
+     * @param undisturbed time that the load takes undisturbed
      * @param took time that it took
      */
-    void loadFinished(long order, Duration alone, Duration took) {
+    void loadFinished(long order, Duration undisturbed, Duration took) {
         Double atStart = loadSecondsAtStart.remove(order);
         if (atStart == null) {
             return;
         }
-        double beside = (loadSeconds - atStart) / seconds(took);
-        double slower = seconds(took) / seconds(alone);
-        if (slower > SLOWED) {
-            atFullSpeed = Math.max(1, (int) Math.round(beside / slower));
-        } else if (beside > atFullSpeed - NEARLY_ONE) {
-            atFullSpeed = Math.min(MOST_TRIED, atFullSpeed + 1);
+        double concurrency = (loadSeconds - atStart) / seconds(took);
+        double slowdown = seconds(took) / seconds(undisturbed);
+        if (slowdown > SLOWDOWN_RATIO) {
+            fullSpeedLoads = Math.max(1, (int) Math.round(concurrency / slowdown));
+        } else if (concurrency > fullSpeedLoads - CONCURRENCY_TOLERANCE) {
+            fullSpeedLoads = Math.min(MAX_FULL_SPEED_LOADS, fullSpeedLoads + 1);
         }
     }
 
@@ -134,11 +136,11 @@
 
     /** Returns the estimated number of loads that run at full speed. */
     int fullSpeedLoads() {
-        return atFullSpeed;
+        return fullSpeedLoads;
     }
 
     private static double seconds(Duration time) {
-        return Math.max(1, time.toMillis()) / MILLIS_A_SECOND;
+        return Math.max(1, time.toMillis()) / MILLIS_PER_SECOND;
     }
 
     // An engine that carries out an order of a previous leader may be loading from the store. If it
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/UnansweredLoadOrders.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/UnansweredLoadOrders.java
@@ -13,7 +13,7 @@
 
 /**
  * Load orders that were sent and not answered, and that an upstream may carry out seconds later:
- * {@code open.sent(number, load)}, {@code open.closed(upstream, number)}.
+ * {@code orders.addSent(number, order)}, {@code orders.removeAnswered(upstream, number)}.
  *
  * <p>Within one incarnation of an upstream its count of accepted orders makes them harmless: of all
  * orders that name the same count, the upstream carries out only the first. A restart resets the
@@ -23,12 +23,12 @@
  */
 final class UnansweredLoadOrders {
     /** Expiry of an unanswered order. Orders are carried out up to a dozen seconds late. */
-    private static final Duration LATEST = Duration.ofSeconds(15);
+    private static final Duration EXPIRY = Duration.ofSeconds(15);
 
     private final Map<UpstreamId, List<Entry>> byUpstream = new HashMap<>();
 
     /** An order of this leader has a number; one announced by another leader has none. */
-    private record Entry(OptionalLong number, UnansweredLoadOrder load) {}
+    private record Entry(OptionalLong number, UnansweredLoadOrder order) {}
 
     /** What must be kept free on an engine: memory in MB, and adapter slots. */
     record Reservation(double megabytes, int adapterSlots) {
@@ -36,13 +36,13 @@
     }
 
     /** Records that this leader sends the order with this number. */
-    void addSent(long number, UnansweredLoadOrder load) {
-        add(new Entry(OptionalLong.of(number), load));
+    void addSent(long number, UnansweredLoadOrder order) {
+        add(new Entry(OptionalLong.of(number), order));
     }
 
     /** Records an order that another leader sent and had no answer to. */
-    void addAnnounced(UnansweredLoadOrder load) {
-        add(new Entry(OptionalLong.empty(), load));
+    void addAnnounced(UnansweredLoadOrder order) {
+        add(new Entry(OptionalLong.empty(), order));
     }
 
     /** Removes the order with that number, which the upstream has answered. */
@@ -57,12 +57,12 @@
     Optional<UnansweredLoadOrder> find(UpstreamId upstream, long number) {
         return byUpstream.getOrDefault(upstream, List.of()).stream()
                 .filter(each -> each.number().equals(OptionalLong.of(number)))
-                .map(Entry::load)
+                .map(Entry::order)
                 .findFirst();
     }
 
     private void add(Entry entry) {
-        byUpstream.computeIfAbsent(entry.load().upstream(), any -> new ArrayList<>()).add(entry);
+        byUpstream.computeIfAbsent(entry.order().upstream(), any -> new ArrayList<>()).add(entry);
     }
 
     /** Removes the orders that have expired. */
@@ -72,7 +72,7 @@
                 .forEach(
                         all ->
                                 all.removeIf(
-                                        each -> each.load().sentAt().plus(LATEST).isBefore(now)));
+                                        each -> each.order().sentAt().plus(EXPIRY).isBefore(now)));
         byUpstream.values().removeIf(List::isEmpty);
     }
 
@@ -87,25 +87,26 @@
         }
         // Of the orders that name one count, at most one is carried out.
         Map<Long, Double> megabytes = new TreeMap<>();
-        Map<Long, Integer> places = new TreeMap<>();
+        Map<Long, Integer> adapterSlots = new TreeMap<>();
         for (Entry entry : entries) {
-            UnansweredLoadOrder load = entry.load();
-            if (mayBeCarriedOut(load, engine)) {
-                megabytes.merge(load.sequence(), engine.sizeMb(load.model()), Math::max);
-                places.merge(load.sequence(), load.model().adapted() ? 1 : 0, Math::max);
+            UnansweredLoadOrder order = entry.order();
+            if (mayBeCarriedOut(order, engine)) {
+                megabytes.merge(order.sequence(), engine.sizeMb(order.model()), Math::max);
+                adapterSlots.merge(order.sequence(), order.model().adapted() ? 1 : 0, Math::max);
             }
         }
         return new Reservation(
                 megabytes.values().stream().mapToDouble(each -> each).sum(),
-                places.values().stream().mapToInt(each -> each).sum());
+                adapterSlots.values().stream().mapToInt(each -> each).sum());
     }
 
     // Within the current incarnation, an order that names a later count was planned with a wrong
     // one: an unload that was answered as done may have changed nothing, and is then counted here
     // but not on the upstream.
-    private static boolean mayBeCarriedOut(UnansweredLoadOrder load, EngineState engine) {
-        long now = engine.held().sequence();
-        return load.sequence() > now
-                || load.sequence() == now && load.incarnation() != engine.incarnation();
+    private static boolean mayBeCarriedOut(UnansweredLoadOrder order, EngineState engine) {
+        long acceptedOrders = engine.held().sequence();
+        return order.sequence() > acceptedOrders
+                || order.sequence() == acceptedOrders
+                        && order.incarnation() != engine.incarnation();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/WaitReport.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/WaitReport.java
@@ -28,26 +28,29 @@
         this.now = now;
     }
 
+    /**
+     * Returns a line for each model or adapter that a request has waited for at least this long.
+     */
     List<String> waitsOfAtLeast(Duration limit) {
         List<String> lines = new ArrayList<>();
-        for (LoadInput.ModelDemand want : demand.waitingInOrder()) {
-            if (want.longestWait().compareTo(limit) >= 0) {
-                lines.add(describe(want));
+        for (LoadInput.ModelDemand modelDemand : demand.waitingInOrder()) {
+            if (modelDemand.longestWait().compareTo(limit) >= 0) {
+                lines.add(describe(modelDemand));
             }
         }
         return lines;
     }
 
-    private String describe(LoadInput.ModelDemand want) {
-        StringBuilder line = new StringBuilder(want.model().toString());
-        line.append(" waiting=").append(want.waiting());
-        line.append(" ms=").append(want.longestWait().toMillis());
+    private String describe(LoadInput.ModelDemand modelDemand) {
+        StringBuilder line = new StringBuilder(modelDemand.model().toString());
+        line.append(" waiting=").append(modelDemand.waiting());
+        line.append(" ms=").append(modelDemand.longestWait().toMillis());
         boolean anywhere = false;
         for (EngineState engine : engines) {
-            boolean has = engine.holds(want.model().model());
-            if (has || engine.hasCopy(want.model().model())) {
+            boolean holds = engine.holds(modelDemand.model().model());
+            if (holds || engine.hasCopy(modelDemand.model().model())) {
                 line.append(' ').append(engine.id()).append('=');
-                line.append(has ? "held," : "copy,").append(state(engine));
+                line.append(holds ? "held," : "copy,").append(state(engine));
                 anywhere = true;
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/DrainedZoneLoadsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/DrainedZoneLoadsTest.java
@@ -26,10 +26,10 @@
  */
 class DrainedZoneLoadsTest {
     private static final VmId ROUTER = VmId.of("router-1");
-    private static final UpstreamId LEFT_1 = UpstreamId.of("left-1");
-    private static final UpstreamId LEFT_2 = UpstreamId.of("left-2");
-    private static final UpstreamId STAYS_1 = UpstreamId.of("stays-1");
-    private static final UpstreamId STAYS_2 = UpstreamId.of("stays-2");
+    private static final UpstreamId DRAINED_1 = UpstreamId.of("left-1");
+    private static final UpstreamId DRAINED_2 = UpstreamId.of("left-2");
+    private static final UpstreamId OTHER_1 = UpstreamId.of("stays-1");
+    private static final UpstreamId OTHER_2 = UpstreamId.of("stays-2");
 
     private final LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
     private Instant now = Instant.ofEpochSecond(100);
@@ -37,9 +37,9 @@
     // Guards against models that only a drained zone holds and that are not loaded elsewhere until
     // requests wait for them.
     @Test
-    void whatOnlyADrainedZoneHoldsIsLoadedElsewhereTheBusiestFirst() {
-        begin();
-        demand(want("rare", 0, 0.2), want("hot", 0, 1.5));
+    void modelsHeldOnlyInADrainedZoneAreLoadedElsewhereBusiestFirst() {
+        start();
+        demand(modelDemand("rare", 0, 0.2), modelDemand("hot", 0, 1.5));
         assertEquals(List.of(), orders(new LoadInput.Tick()));
         List<String> orders = orders(new LoadInput.DrainedZonesChanged(Set.of("drained")));
         assertEquals("LOAD hot stays-1", orders.get(0));
@@ -49,36 +49,36 @@
     // Guards against loading a model on an engine that gets no requests.
     @Test
     void anEngineInADrainedZoneGetsNoOrder() {
-        begin();
+        start();
         orders(new LoadInput.DrainedZonesChanged(Set.of("drained")));
         List<String> orders = new ArrayList<>();
         for (int round = 0; round < 20; round++) {
             now = now.plusMillis(100);
-            orders.addAll(demand(want("cold", 1, 1.0), want("cold/a1", 1, 1.0)));
+            orders.addAll(demand(modelDemand("cold", 1, 1.0), modelDemand("cold/a1", 1, 1.0)));
         }
         assertTrue(orders.stream().noneMatch(each -> each.contains("left-")), orders.toString());
     }
 
     @Test
-    void aZoneThatIsTakenBackGetsOrdersAgain() {
-        begin();
+    void aZoneWhoseDrainIsCanceledGetsOrdersAgain() {
+        start();
         orders(new LoadInput.DrainedZonesChanged(Set.of("drained", "other")));
-        assertEquals(List.of(), demand(want("cold", 1, 1.0)));
+        assertEquals(List.of(), demand(modelDemand("cold", 1, 1.0)));
         List<String> orders = orders(new LoadInput.DrainedZonesChanged(Set.of("other")));
         assertTrue(orders.stream().anyMatch(each -> each.contains("left-")), orders.toString());
     }
 
-    private void begin() {
+    private void start() {
         planner.on(new LoadInput.ServicesConfigured(Map.of("engines", spec())), now);
-        list(LEFT_1, "drained", "hot");
-        list(LEFT_2, "drained", "rare");
-        list(STAYS_1, "other", "other");
-        list(STAYS_2, "other", "other");
+        list(DRAINED_1, "drained", "hot");
+        list(DRAINED_2, "drained", "rare");
+        list(OTHER_1, "other", "other");
+        list(OTHER_2, "other", "other");
         planner.on(new LoadInput.Elected(), now);
-        report(LEFT_1, "hot");
-        report(LEFT_2, "rare");
-        report(STAYS_1, "other");
-        report(STAYS_2, "other");
+        report(DRAINED_1, "hot");
+        report(DRAINED_2, "rare");
+        report(OTHER_1, "other");
+        report(OTHER_2, "other");
     }
 
     private void list(UpstreamId id, String zone, String model) {
@@ -105,8 +105,8 @@
                 now);
     }
 
-    private List<String> demand(LoadInput.ModelDemand... wants) {
-        return orders(new LoadInput.DemandReported(ROUTER, List.of(wants), Map.of(), Set.of()));
+    private List<String> demand(LoadInput.ModelDemand... demands) {
+        return orders(new LoadInput.DemandReported(ROUTER, List.of(demands), Map.of(), Set.of()));
     }
 
     private List<String> orders(LoadInput input) {
@@ -119,7 +119,7 @@
         return orders;
     }
 
-    private static LoadInput.ModelDemand want(String model, int waiting, double perSecond) {
+    private static LoadInput.ModelDemand modelDemand(String model, int waiting, double perSecond) {
         return new LoadInput.ModelDemand(
                 ModelRef.parse(model), waiting, Duration.ofMillis(10), 1, perSecond);
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/LoadPlannerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/LoadPlannerTest.java
@@ -28,38 +28,42 @@
     private static final UpstreamId TWO = UpstreamId.of("two");
 
     private final LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
-    private final Map<UpstreamId, HeldModels> truth = new HashMap<>();
+    private final Map<UpstreamId, HeldModels> actual = new HashMap<>();
     private Instant now = Instant.ofEpochSecond(100);
-    private LoadAction.SendOrder last;
-    private String lastOrder = "none";
-    private final List<String> given = new ArrayList<>();
+    private LoadAction.SendOrder lastSent;
+    private String lastOrderText = "none";
+    private final List<String> sentOrders = new ArrayList<>();
 
     @Test
-    void aWaitedForModelComesFromTheDiskOfTheUpstreamThatHasIt() {
-        begin(Set.of(), Set.of("g"));
-        assertEquals(List.of("UNLOAD d two 0"), want("g", 1));
+    void aModelThatRequestsWaitForIsLoadedFromDiskWhereThereIsACopy() {
+        start(Set.of(), Set.of("g"));
+        assertEquals(List.of("UNLOAD d two 0"), reportWaiting("g", 1));
         answer(OrderOutcome.ACCEPTED);
         report(TWO, false, held(1, "e", "f"));
-        assertEquals("LOAD g two 1", lastOrder);
+        assertEquals("LOAD g two 1", lastOrderText);
     }
 
     @Test
-    void theModelThatIsAskedForLeastMakesRoom() {
-        begin(Set.of("g"), Set.of());
-        var asked = List.of(want("a", 0, 1.0), want("b", 0, 0.1), want("c", 0, 1.0));
-        demand(asked, Map.of());
-        var more = new ArrayList<>(asked);
-        more.add(want("g", 1, 0.2));
+    void theLeastRequestedModelIsEvicted() {
+        start(Set.of("g"), Set.of());
+        var demands =
+                List.of(
+                        modelDemand("a", 0, 1.0),
+                        modelDemand("b", 0, 0.1),
+                        modelDemand("c", 0, 1.0));
+        demand(demands, Map.of());
+        var more = new ArrayList<>(demands);
+        more.add(modelDemand("g", 1, 0.2));
         assertEquals(List.of("UNLOAD b one 0"), demand(more, Map.of()));
     }
 
     @Test
-    void aModelWithRequestsRunningIsSpared() {
-        begin(Set.of("g"), Set.of());
+    void aModelWithRunningRequestsIsNotEvicted() {
+        start(Set.of("g"), Set.of());
         assertEquals(
                 List.of("UNLOAD c one 0"),
                 demand(
-                        List.of(want("c", 0, 0.3), want("g", 1, 0.2)),
+                        List.of(modelDemand("c", 0, 0.3), modelDemand("g", 1, 0.2)),
                         Map.of(ONE, Map.of(ref("a"), 1, ref("b"), 2))));
     }
 
@@ -72,57 +76,57 @@
         planner.on(new LoadInput.UpstreamListed(facts(ONE, held(0, "a"), Set.of("g"))), now);
         List<LoadAction> actions = planner.on(new LoadInput.Elected(), now);
         assertEquals(List.of(new LoadAction.RequestReport(ONE)), actions);
-        assertEquals(List.of(), want("g", 1));
+        assertEquals(List.of(), reportWaiting("g", 1));
     }
 
     @Test
-    void anUpstreamThatIsBusyWithAnUnknownOrderIsWaitedFor() {
+    void noOrderIsSentToAnUpstreamBusyWithAnUnknownOrder() {
         // A load ordered by the previous leader is still running, and its model is not in the
         // report yet. It must count before anything else is ordered.
-        begin(Set.of("g"), Set.of());
+        start(Set.of("g"), Set.of());
         report(ONE, true, held(1, "a", "b"));
-        assertEquals(List.of(), want("g", 1));
+        assertEquals(List.of(), reportWaiting("g", 1));
         now = now.plusMillis(200);
         report(ONE, false, held(1, "a", "b", "c"));
-        assertEquals("UNLOAD a one 1", lastOrder);
+        assertEquals("UNLOAD a one 1", lastOrderText);
     }
 
     @Test
-    void anOrderWithoutAnAnswerIsNotTakenAsRefused() {
+    void anUnansweredOrderIsNotTreatedAsRefused() {
         // The answer to an unload is lost, and it may be carried out seconds later. Nothing is
         // ordered until the upstream has reported; the next order names the same number of accepted
         // orders, so the upstream accepts only one of the two.
-        begin(Set.of("g"), Set.of());
-        assertEquals(List.of("UNLOAD a one 0"), want("g", 1));
+        start(Set.of("g"), Set.of());
+        assertEquals(List.of("UNLOAD a one 0"), reportWaiting("g", 1));
         answer(OrderOutcome.UNKNOWN);
         assertEquals(List.of(), tick());
         now = now.plusSeconds(1);
         report(ONE, false, held(0, "a", "b", "c"));
-        assertEquals("UNLOAD a one 0", lastOrder);
+        assertEquals("UNLOAD a one 0", lastOrderText);
     }
 
     @Test
-    void memoryIsNeverOrderedOverItsBound() {
+    void ordersNeverExceedAnUpstreamsMemory() {
         // Requests for all models keep arriving, models are loaded and unloaded, and every fourth
         // answer is lost, whether or not its order was carried out. No upstream may ever hold more
         // than its memory.
-        begin(Set.of("d", "e", "f", "g"), Set.of("a", "b", "c", "g"));
+        start(Set.of("d", "e", "f", "g"), Set.of("a", "b", "c", "g"));
         String all = "abcdefg";
         for (int step = 0; step < 600; step++) {
             String model = all.substring(step * 5 % 7, step * 5 % 7 + 1);
-            carryOut(planner.on(demanded(List.of(want(model, 1, 0.5))), now), step);
+            carryOut(planner.on(demanded(List.of(modelDemand(model, 1, 0.5))), now), step);
             now = now.plusMillis(150);
             for (UpstreamId id : List.of(ONE, TWO)) {
-                carryOut(report(id, false, truth.get(id)), step);
-                assertTrue(truth.get(id).adapters().size() <= 3, "holds " + truth.get(id));
+                carryOut(report(id, false, actual.get(id)), step);
+                assertTrue(actual.get(id).adapters().size() <= 3, "holds " + actual.get(id));
             }
         }
-        assertTrue(truth.get(ONE).sequence() > 20, "orders " + truth.get(ONE).sequence());
+        assertTrue(actual.get(ONE).sequence() > 20, "orders " + actual.get(ONE).sequence());
     }
 
     @Test
-    void anAdapterTakesThePlaceOfTheOneUsedLongestAgo() {
-        begin(Set.of(), Set.of());
+    void theLeastRecentlyUsedAdapterIsEvicted() {
+        start(Set.of(), Set.of());
         Map<String, Set<String>> adapters = new HashMap<>();
         adapters.put("a", Set.of("x", "y"));
         adapters.put("b", Set.of());
@@ -131,19 +135,20 @@
         demand(List.of(), Map.of(ONE, Map.of(ModelRef.parse("a/x"), 1)));
         now = now.plusMillis(50);
         demand(List.of(), Map.of());
-        assertEquals(List.of("UNLOAD a/y one 0"), want("a/z", 1));
+        assertEquals(List.of("UNLOAD a/y one 0"), reportWaiting("a/z", 1));
         answer(OrderOutcome.DONE);
-        assertEquals("LOAD a/z one 1", lastOrder);
+        assertEquals("LOAD a/z one 1", lastOrderText);
     }
 
     @Test
-    void anAdapterThatJustCameIsNotTakenAwayForTheNext() {
+    void anAdapterThatWasJustLoadedIsNotEvictedForTheNext() {
         // Both adapter slots are taken and requests wait for two more adapters. When the first is
         // loaded, its requests are on their way. If it were unloaded for the second, and that one
         // for the first again, no request would ever be served.
-        begin(Set.of(), Set.of());
+        start(Set.of(), Set.of());
         report(ONE, false, new HeldModels(1, 0, adaptersOfA("x", "y")));
-        List<LoadInput.ModelDemand> both = List.of(want("a/v", 1, 1), want("a/w", 1, 1));
+        List<LoadInput.ModelDemand> both =
+                List.of(modelDemand("a/v", 1, 1), modelDemand("a/w", 1, 1));
         assertEquals(1, demand(both, Map.of()).size());
         answer(OrderOutcome.DONE);
         answer(OrderOutcome.ACCEPTED);
@@ -153,12 +158,12 @@
         answer(OrderOutcome.ACCEPTED);
         now = now.plusMillis(30);
         tick();
-        assertEquals(4, given.size(), given.toString());
-        demand(List.of(want("a/x", 1, 1)), Map.of());
-        assertEquals(4, given.size(), given.toString());
+        assertEquals(4, sentOrders.size(), sentOrders.toString());
+        demand(List.of(modelDemand("a/x", 1, 1)), Map.of());
+        assertEquals(4, sentOrders.size(), sentOrders.toString());
         now = now.plusMillis(400);
         tick();
-        assertEquals(5, given.size(), given.toString());
+        assertEquals(5, sentOrders.size(), sentOrders.toString());
     }
 
     private static Map<String, Set<String>> adaptersOfA(String... names) {
@@ -174,26 +179,26 @@
         // All requests for a busy model go to the only upstream with a copy. Its adapter slots and
         // slots run out, and requests are refused while other upstreams are idle. A model with a
         // copy on another upstream is evicted for the load, which takes seconds.
-        begin(Set.of("e"), Set.of());
-        demand(List.of(want("a", 0, 9.0)), Map.of());
+        start(Set.of("e"), Set.of());
+        demand(List.of(modelDemand("a", 0, 9.0)), Map.of());
         now = now.plusMillis(200);
         assertEquals(List.of("UNLOAD e two 0"), tick());
     }
 
     @Test
     void aBusyModelGetsASecondReplica() {
-        begin(Set.of(), Set.of("a"));
-        demand(List.of(want("a", 0, 9.0)), Map.of());
+        start(Set.of(), Set.of("a"));
+        demand(List.of(modelDemand("a", 0, 9.0)), Map.of());
         now = now.plusMillis(200);
         assertEquals(List.of("UNLOAD d two 0"), tick());
     }
 
     @Test
-    void aBusyModelGoesBeforeRareOnesThatHaveWaitedLonger() {
+    void aBusyModelIsLoadedBeforeRareOnesThatHaveWaitedLonger() {
         // One engine is free and has copies of both models. The requests for the rare model are
         // more urgent and older; if it were always served first, the fifty callers of the busy
         // model would never be served.
-        begin(Set.of("g", "h"), Set.of());
+        start(Set.of("g", "h"), Set.of());
         LoadInput.ModelDemand rare =
                 new LoadInput.ModelDemand(ref("g"), 2, Duration.ofSeconds(2), 0, 0.3);
         LoadInput.ModelDemand busy =
@@ -201,17 +206,17 @@
         demand(List.of(rare, busy), Map.of());
         answer(OrderOutcome.ACCEPTED);
         report(ONE, false, held(1, "b", "c"));
-        assertTrue(given.contains("LOAD h one 1"), given.toString());
-        assertFalse(given.contains("LOAD g one 1"), given.toString());
+        assertTrue(sentOrders.contains("LOAD h one 1"), sentOrders.toString());
+        assertFalse(sentOrders.contains("LOAD g one 1"), sentOrders.toString());
     }
 
     @Test
-    void aModelWhoseRequestsCanStillBeInTimeGoesBeforeOneWhoseAreLate() {
+    void aModelWhoseRequestsCanStillBeInTimeIsLoadedBeforeOneWhoseRequestsAreLate() {
         // One engine is free and has copies of both models, and the requests are equally urgent.
         // One request is late already. If its model were loaded first because of its age, the other
         // request would become late too, and then the next, as long as more is requested than can
         // be loaded.
-        begin(Set.of("g", "h"), Set.of());
+        start(Set.of("g", "h"), Set.of());
         LoadInput.ModelDemand late =
                 new LoadInput.ModelDemand(ref("g"), 1, Duration.ofSeconds(2), 1, 0.1, 0);
         LoadInput.ModelDemand inTime =
@@ -219,36 +224,36 @@
         demand(List.of(late, inTime), Map.of());
         answer(OrderOutcome.ACCEPTED);
         report(ONE, false, held(1, "b", "c"));
-        assertTrue(given.contains("LOAD h one 1"), given.toString());
-        assertFalse(given.contains("LOAD g one 1"), given.toString());
+        assertTrue(sentOrders.contains("LOAD h one 1"), sentOrders.toString());
+        assertFalse(sentOrders.contains("LOAD g one 1"), sentOrders.toString());
     }
 
     @Test
-    void anUnloadThatWouldWaitForRunsIsNotOrderedWhileRequestsHaveJustCome() {
+    void anUnloadThatWouldWaitForRunningRequestsIsNotOrderedForNewRequests() {
         // All models on the engine with the copy are in use. An unload would wait for the request
         // that runs on its model and block the engine meanwhile, although another model may become
         // idle first. It is ordered only after requests have waited for a while.
-        begin(Set.of("g"), Set.of());
+        start(Set.of("g"), Set.of());
         Map<UpstreamId, Map<ModelRef, Integer>> runs =
                 Map.of(ONE, Map.of(ref("a"), 1, ref("b"), 1, ref("c"), 1));
-        assertEquals(List.of(), demand(List.of(want("g", 1, 0.2)), runs));
+        assertEquals(List.of(), demand(List.of(modelDemand("g", 1, 0.2)), runs));
         LoadInput.ModelDemand patient =
                 new LoadInput.ModelDemand(ref("g"), 1, Duration.ofMillis(1_600), 1, 0.2);
         assertEquals(1, demand(List.of(patient), runs).size());
     }
 
     @Test
-    void roomThatWasMadeForARareModelGoesToABusyOneThatHasComeToWait() {
+    void memoryFreedForARareModelGoesToAModelThatHasBecomeBusy() {
         // An unload waits two seconds for a running request. Meanwhile another model, of which this
         // upstream has a copy, becomes busy. If the rare model were loaded first, the busy model's
         // callers would wait another second and for the next unload.
-        begin(Set.of("g", "h"), Set.of());
-        want("g", 1);
+        start(Set.of("g", "h"), Set.of());
+        reportWaiting("g", 1);
         answer(OrderOutcome.ACCEPTED);
         now = now.plusMillis(900);
-        demand(List.of(want("g", 1, 0.2), want("h", 20, 15)), Map.of());
+        demand(List.of(modelDemand("g", 1, 0.2), modelDemand("h", 20, 15)), Map.of());
         report(ONE, false, held(1, "b", "c"));
-        assertTrue(given.contains("LOAD h one 1"), given.toString());
+        assertTrue(sentOrders.contains("LOAD h one 1"), sentOrders.toString());
     }
 
     @Test
@@ -260,57 +265,57 @@
         list(ONE, held(0, "a", "b", "c"), Set.of("h"));
         list(TWO, held(0, "a", "e", "f"), Set.of("h"));
         planner.on(new LoadInput.Elected(), now);
-        report(ONE, false, truth.get(ONE));
-        report(TWO, false, truth.get(TWO));
+        report(ONE, false, actual.get(ONE));
+        report(TWO, false, actual.get(TWO));
         now = now.plusMillis(300);
         tick();
-        assertFalse(given.toString().contains("UNLOAD a"), given.toString());
+        assertFalse(sentOrders.toString().contains("UNLOAD a"), sentOrders.toString());
     }
 
     @Test
-    void aModelThatIsOnItsWayFromTheStoreIsNotFetchedFromThereAgain() {
+    void aModelBeingLoadedFromTheStoreIsNotLoadedFromThereAgain() {
         // No upstream has a copy of the model. Its load takes six seconds, and requests wait for it
         // meanwhile; if each planning round started another load, it would block one upstream after
         // the other.
-        begin(Set.of(), Set.of());
-        want("h", 1);
+        start(Set.of(), Set.of());
+        reportWaiting("h", 1);
         answer(OrderOutcome.ACCEPTED);
         report(
-                last.upstream(),
+                lastSent.upstream(),
                 false,
-                last.upstream() == ONE ? held(1, "b", "c") : held(1, "e", "f"));
+                lastSent.upstream() == ONE ? held(1, "b", "c") : held(1, "e", "f"));
         answer(OrderOutcome.ACCEPTED);
         for (int step = 0; step < 20; step++) {
             now = now.plusMillis(200);
-            want("h", 1);
+            reportWaiting("h", 1);
         }
         assertEquals(
                 1,
-                given.stream().filter(each -> each.startsWith("LOAD h")).count(),
-                given.toString());
+                sentOrders.stream().filter(each -> each.startsWith("LOAD h")).count(),
+                sentOrders.toString());
     }
 
     @Test
-    void theStoreIsLeftAloneWhileAnUpstreamHasACopy() {
+    void theStoreIsNotUsedWhileAnUpstreamHasACopy() {
         // The only upstream with a copy is busy for a moment. A load from the store would take six
         // seconds and block the other upstream for as long.
-        begin(Set.of(), Set.of("g"));
+        start(Set.of(), Set.of("g"));
         report(TWO, true, held(1, "d", "e", "f"));
-        assertEquals(List.of(), want("g", 1));
+        assertEquals(List.of(), reportWaiting("g", 1));
     }
 
     // Guards against one planning round per report of dozens of routers, which would keep the
     // leader's VM from serving its callers.
     @Test
-    void aFloodOfReportsLeadsToFewRoundsOfPlanning() {
-        begin(Set.of("g"), Set.of());
+    void manyReportsLeadToFewPlanningRounds() {
+        start(Set.of("g"), Set.of());
         long before = planner.planningRounds();
         for (int tick = 0; tick < 50; tick++) {
             for (int router = 0; router < 33; router++) {
                 planner.on(
                         new LoadInput.DemandReported(
                                 VmId.of("router-" + router),
-                                List.of(want("g", 1, 0.1)),
+                                List.of(modelDemand("g", 1, 0.1)),
                                 Map.of(),
                                 Set.of()),
                         now);
@@ -323,10 +328,10 @@
     }
 
     @Test
-    void whatReportsSayTogetherCountsThoughTheyAreNotPlannedForOneByOne() {
-        begin(Set.of("g"), Set.of());
+    void reportsThatStartNoRoundOfTheirOwnAreSummedInTheNextOne() {
+        start(Set.of("g"), Set.of());
         for (String router : List.of("one", "two", "three", "four")) {
-            LoadInput.ModelDemand quiet = want("e", 0, 0.5);
+            LoadInput.ModelDemand quiet = modelDemand("e", 0, 0.5);
             planner.on(
                     new LoadInput.DemandReported(
                             VmId.of(router), List.of(quiet), Map.of(), Set.of()),
@@ -334,20 +339,20 @@
         }
         now = now.plusMillis(20);
         tick();
-        assertEquals(List.of("UNLOAD a one 0"), want("g", 1));
+        assertEquals(List.of("UNLOAD a one 0"), reportWaiting("g", 1));
     }
 
-    private void begin(Set<String> onDiskOfOne, Set<String> onDiskOfTwo) {
+    private void start(Set<String> onDiskOfOne, Set<String> onDiskOfTwo) {
         planner.on(new LoadInput.ServicesConfigured(Map.of("engines", spec())), now);
         list(ONE, held(0, "a", "b", "c"), onDiskOfOne);
         list(TWO, held(0, "d", "e", "f"), onDiskOfTwo);
         planner.on(new LoadInput.Elected(), now);
-        report(ONE, false, truth.get(ONE));
-        report(TWO, false, truth.get(TWO));
+        report(ONE, false, actual.get(ONE));
+        report(TWO, false, actual.get(TWO));
     }
 
     private void list(UpstreamId id, HeldModels held, Set<String> onDisk) {
-        truth.put(id, held);
+        actual.put(id, held);
         planner.on(new LoadInput.UpstreamListed(facts(id, held, onDisk)), now);
     }
 
@@ -361,41 +366,43 @@
     private void answer(OrderOutcome outcome) {
         orders(
                 planner.on(
-                        new LoadInput.OrderAnswered(last.upstream(), last.number(), outcome), now));
+                        new LoadInput.OrderAnswered(
+                                lastSent.upstream(), lastSent.number(), outcome),
+                        now));
     }
 
     private List<String> tick() {
         return orders(planner.on(new LoadInput.Tick(), now));
     }
 
-    private List<String> want(String model, int waiting) {
-        return demand(List.of(want(model, waiting, 0.2)), Map.of());
+    private List<String> reportWaiting(String model, int waiting) {
+        return demand(List.of(modelDemand(model, waiting, 0.2)), Map.of());
     }
 
     private List<String> demand(
-            List<LoadInput.ModelDemand> wants, Map<UpstreamId, Map<ModelRef, Integer>> running) {
+            List<LoadInput.ModelDemand> demands, Map<UpstreamId, Map<ModelRef, Integer>> running) {
         return orders(
-                planner.on(new LoadInput.DemandReported(ROUTER, wants, running, Set.of()), now));
+                planner.on(new LoadInput.DemandReported(ROUTER, demands, running, Set.of()), now));
     }
 
-    private static LoadInput.DemandReported demanded(List<LoadInput.ModelDemand> wants) {
-        return new LoadInput.DemandReported(ROUTER, wants, Map.of(), Set.of());
+    private static LoadInput.DemandReported demanded(List<LoadInput.ModelDemand> demands) {
+        return new LoadInput.DemandReported(ROUTER, demands, Map.of(), Set.of());
     }
 
     private List<String> orders(List<LoadAction> actions) {
         List<String> orders = new ArrayList<>();
         for (LoadAction action : actions) {
             if (action instanceof LoadAction.SendOrder order) {
-                last = order;
-                lastOrder =
+                lastSent = order;
+                lastOrderText =
                         String.join(
                                 " ",
                                 order.operation().name(),
                                 order.model().toString(),
                                 order.upstream().value(),
                                 Long.toString(order.sequence()));
-                orders.add(lastOrder);
-                given.add(lastOrder);
+                orders.add(lastOrderText);
+                sentOrders.add(lastOrderText);
             }
         }
         return orders;
@@ -406,12 +413,12 @@
             if (!(action instanceof LoadAction.SendOrder order)) {
                 continue;
             }
-            HeldModels before = truth.get(order.upstream());
+            HeldModels before = actual.get(order.upstream());
             boolean lost = step % 4 == 0;
             boolean done = order.sequence() == before.sequence() && (!lost || step % 8 == 0);
             if (done) {
                 long next = before.sequence() + 1;
-                truth.put(
+                actual.put(
                         order.upstream(),
                         order.operation() == OrderOperation.LOAD
                                 ? before.with(order.model(), next)
@@ -427,7 +434,7 @@
         }
     }
 
-    private static LoadInput.ModelDemand want(String model, int waiting, double perSecond) {
+    private static LoadInput.ModelDemand modelDemand(String model, int waiting, double perSecond) {
         return new LoadInput.ModelDemand(
                 ModelRef.parse(model), waiting, Duration.ofMillis(10), 1, perSecond);
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/MemoryFragmentationTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/MemoryFragmentationTest.java
@@ -12,7 +12,7 @@
 class MemoryFragmentationTest {
     private static final double STEP = 0.36;
 
-    private final MemoryFragmentation packing =
+    private final MemoryFragmentation fragmentation =
             MemoryFragmentation.of(
                     new EngineSpec(
                             32,
@@ -23,19 +23,19 @@
                             Map.of("small", model("small", 43), "large", model("large", 73))));
 
     @Test
-    void aGapIsWhatNoModelFitsIn() {
-        assertEquals(42, packing.unusableMb(42), STEP);
-        assertEquals(0, packing.unusableMb(43.2), STEP);
-        assertEquals(11, packing.unusableMb(140), 3 * STEP);
-        assertEquals(24, packing.unusableMb(67), STEP);
+    void memoryThatNoModelFitsInIsUnusable() {
+        assertEquals(42, fragmentation.unusableMb(42), STEP);
+        assertEquals(0, fragmentation.unusableMb(43.2), STEP);
+        assertEquals(11, fragmentation.unusableMb(140), 3 * STEP);
+        assertEquals(24, fragmentation.unusableMb(67), STEP);
     }
 
     @Test
-    void aSmallModelBesideALargeOneCostsMoreThanBesideASmallOne() {
-        double besideLarge = packing.costOfChange(140 - 73, 140 - 73 - 43);
-        double besideSmall = packing.costOfChange(140 - 43, 140 - 43 - 43);
+    void theGapIsChargedToTheLargeModelThatLeavesIt() {
+        double besideLarge = fragmentation.costOfChange(140 - 73, 140 - 73 - 43);
+        double besideSmall = fragmentation.costOfChange(140 - 43, 140 - 43 - 43);
         assertTrue(besideSmall <= 0.01, "beside a small one " + besideSmall);
-        assertTrue(packing.costOfChange(140, 140 - 73) > 0, "a large one alone leaves a gap");
+        assertTrue(fragmentation.costOfChange(140, 140 - 73) > 0, "a large one alone leaves a gap");
         assertEquals(0, besideLarge, 0.01, "the gap was there before");
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/UnansweredLoadOrdersTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/UnansweredLoadOrdersTest.java
@@ -22,58 +22,59 @@
     private static final ModelRef LARGE = new ModelRef("large", "");
     private static final ModelRef ADAPTER = new ModelRef("small", "a1");
 
-    private final UnansweredLoadOrders open = new UnansweredLoadOrders();
+    private final UnansweredLoadOrders orders = new UnansweredLoadOrders();
 
     @Test
-    void withinALifeTheNextOrderEndsAnOpenOneOfItsCount() {
-        open.addSent(1, load(1, 4, LARGE));
-        assertEquals(UnansweredLoadOrders.Reservation.NONE, open.reservationFor(engine(1, 4)));
+    void anUnansweredOrderOfTheCurrentIncarnationAndCountReservesNothing() {
+        orders.addSent(1, load(1, 4, LARGE));
+        assertEquals(UnansweredLoadOrders.Reservation.NONE, orders.reservationFor(engine(1, 4)));
     }
 
     // Guards against an order from before a restart that is carried out after it.
     @Test
-    void anOrderToAnEarlierLifeTakesRoomUntilTheCountIsPast() {
-        open.addSent(1, load(1, 4, LARGE));
+    void anOrderToAnEarlierIncarnationReservesMemoryUntilTheCountIsPast() {
+        orders.addSent(1, load(1, 4, LARGE));
         assertEquals(
-                new UnansweredLoadOrders.Reservation(40, 0), open.reservationFor(engine(2, 0)));
+                new UnansweredLoadOrders.Reservation(40, 0), orders.reservationFor(engine(2, 0)));
         assertEquals(
-                new UnansweredLoadOrders.Reservation(40, 0), open.reservationFor(engine(2, 4)));
-        assertEquals(UnansweredLoadOrders.Reservation.NONE, open.reservationFor(engine(2, 5)));
+                new UnansweredLoadOrders.Reservation(40, 0), orders.reservationFor(engine(2, 4)));
+        assertEquals(UnansweredLoadOrders.Reservation.NONE, orders.reservationFor(engine(2, 5)));
     }
 
     // Guards against an order that was planned with too high a count.
     @Test
-    void anOrderOfALaterCountTakesRoomInItsOwnLifeToo() {
-        open.addSent(1, load(1, 5, ADAPTER));
-        assertEquals(new UnansweredLoadOrders.Reservation(2, 1), open.reservationFor(engine(1, 4)));
-        assertEquals(UnansweredLoadOrders.Reservation.NONE, open.reservationFor(engine(1, 5)));
+    void anOrderOfALaterCountReservesMemoryInItsOwnIncarnationToo() {
+        orders.addSent(1, load(1, 5, ADAPTER));
+        assertEquals(
+                new UnansweredLoadOrders.Reservation(2, 1), orders.reservationFor(engine(1, 4)));
+        assertEquals(UnansweredLoadOrders.Reservation.NONE, orders.reservationFor(engine(1, 5)));
     }
 
     @Test
-    void ofOrdersThatNameOneCountTheLargestTakesRoom() {
-        open.addSent(1, load(1, 4, LARGE));
-        open.addAnnounced(load(1, 4, SMALL));
-        open.addAnnounced(load(1, 6, SMALL));
+    void ofOrdersThatNameOneCountOnlyTheLargestIsReserved() {
+        orders.addSent(1, load(1, 4, LARGE));
+        orders.addAnnounced(load(1, 4, SMALL));
+        orders.addAnnounced(load(1, 6, SMALL));
         assertEquals(
-                new UnansweredLoadOrders.Reservation(70, 0), open.reservationFor(engine(2, 0)));
+                new UnansweredLoadOrders.Reservation(70, 0), orders.reservationFor(engine(2, 0)));
     }
 
     @Test
-    void whatIsAnsweredOrTooOldTakesNone() {
-        open.addSent(1, load(1, 4, LARGE));
-        open.addSent(2, load(1, 5, LARGE));
-        open.removeAnswered(ONE, 1);
+    void answeredAndExpiredOrdersReserveNothing() {
+        orders.addSent(1, load(1, 4, LARGE));
+        orders.addSent(2, load(1, 5, LARGE));
+        orders.removeAnswered(ONE, 1);
         assertEquals(
-                new UnansweredLoadOrders.Reservation(40, 0), open.reservationFor(engine(2, 0)));
-        open.removeExpired(SENT.plusSeconds(16));
-        assertEquals(UnansweredLoadOrders.Reservation.NONE, open.reservationFor(engine(2, 0)));
+                new UnansweredLoadOrders.Reservation(40, 0), orders.reservationFor(engine(2, 0)));
+        orders.removeExpired(SENT.plusSeconds(16));
+        assertEquals(UnansweredLoadOrders.Reservation.NONE, orders.reservationFor(engine(2, 0)));
     }
 
-    private static UnansweredLoadOrder load(long life, long sequence, ModelRef model) {
-        return new UnansweredLoadOrder(ONE, life, sequence, model, SENT);
+    private static UnansweredLoadOrder load(long incarnation, long sequence, ModelRef model) {
+        return new UnansweredLoadOrder(ONE, incarnation, sequence, model, SENT);
     }
 
-    private static EngineState engine(long life, long sequence) {
+    private static EngineState engine(long incarnation, long sequence) {
         Duration time = Duration.ofSeconds(1);
         EngineSpec spec =
                 new EngineSpec(
@@ -96,7 +97,7 @@
                         4,
                         false,
                         Duration.ZERO,
-                        new HeldModels(life, sequence, Map.of()),
+                        new HeldModels(incarnation, sequence, Map.of()),
                         Set.of(),
                         Set.of()));
     }
