--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/AdapterPlanner.java
@@ -10,49 +10,54 @@
 import java.util.Set;
 
 /**
- * Brings adapters to engines that hold their model, as requests wait for them.
+ * Decides which adapters to load on engines that hold their base model, when requests wait for
+ * them.
  *
- * <p>The pattern: some hundred adapters of a few busy models, eight places at an engine, each load
- * a few milliseconds. The one used longest ago and not in use makes way.
+ * <p>The expected load is some hundred adapters of a few busy models, eight adapter slots per
+ * engine, and loads of a few milliseconds. The least recently used adapter that is not in use is
+ * unloaded to free a slot.
  */
 final class AdapterPlanner {
     /**
-     * An adapter that came or was in use so lately is kept. Routers hear that it is there and send
-     * those who waited, and their word of that comes back up to 150 ms later. Taken away meanwhile,
-     * it is fetched again at once, in turns with the others that wait, and none of them is ever
+     * How long an adapter is kept after it was loaded or used. Routers learn that the adapter is
+     * ready and send the requests that waited for it, and their reports of those requests arrive up
+     * to 150 ms later. If the adapter were unloaded in the meantime, it would be loaded again at
+     * once, alternating with the other adapters that are waited for, and none of them would ever be
      * used.
      */
-    private static final Duration KEPT = Duration.ofMillis(400);
+    private static final Duration MIN_RETENTION = Duration.ofMillis(400);
 
-    private final DemandBook demand;
+    private final DemandAggregator demand;
 
-    AdapterPlanner(DemandBook demand) {
+    AdapterPlanner(DemandAggregator demand) {
         this.demand = demand;
     }
 
-    /** One order that brings an adapter nearer. */
-    record Step(Engine engine, Verb verb, ModelRef adapter) {}
+    /** An order that loads an adapter, or unloads another one to make room for it. */
+    record AdapterOrder(EngineState engine, OrderOperation operation, ModelRef adapter) {}
 
-    List<Step> plan(List<Engine> engines, Instant now) {
-        List<Step> steps = new ArrayList<>();
-        Set<Engine> taken = new HashSet<>();
-        for (LoadInput.Want want : demand.waiting()) {
-            if (want.model().hasAdapter() && !isComing(engines, want.model())) {
-                Step step = step(engines, taken, want.model(), now);
-                if (step != null) {
-                    steps.add(step);
-                    taken.add(step.engine());
+    /** Returns at most one order per engine for the adapters that requests wait for. */
+    List<AdapterOrder> plan(List<EngineState> engines, Instant now) {
+        List<AdapterOrder> orders = new ArrayList<>();
+        Set<EngineState> assigned = new HashSet<>();
+        for (LoadInput.ModelDemand modelDemand : demand.waitingInOrder()) {
+            if (modelDemand.model().hasAdapter()
+                    && !isAvailableOrLoading(engines, modelDemand.model())) {
+                AdapterOrder order = bestOrder(engines, assigned, modelDemand.model(), now);
+                if (order != null) {
+                    orders.add(order);
+                    assigned.add(order.engine());
                 }
             }
         }
-        return steps;
+        return orders;
     }
 
-    private boolean isComing(List<Engine> engines, ModelRef adapter) {
-        for (Engine engine : engines) {
+    private boolean isAvailableOrLoading(List<EngineState> engines, ModelRef adapter) {
+        for (EngineState engine : engines) {
             boolean ordered = engine.pending() != null && engine.pending().model().equals(adapter);
-            boolean usable = !engine.leaves() && !demand.suspect(engine.id());
-            if (ordered || engine.coming().containsKey(adapter)) {
+            boolean usable = !engine.isLeaving() && !demand.isSuspect(engine.id());
+            if (ordered || engine.loadingAdapters().containsKey(adapter)) {
                 return true;
             }
             if (usable && engine.held().contains(adapter)) {
@@ -62,48 +67,49 @@
         return false;
     }
 
-    private Step step(List<Engine> engines, Set<Engine> taken, ModelRef adapter, Instant now) {
-        Step best = null;
-        double least = Double.MAX_VALUE;
-        for (Engine engine : engines) {
-            if (taken.contains(engine)
-                    || !engine.free(now)
-                    || engine.intent() != null
-                    || !engine.has(adapter.model())
-                    || demand.suspect(engine.id())) {
+    private AdapterOrder bestOrder(
+            List<EngineState> engines, Set<EngineState> assigned, ModelRef adapter, Instant now) {
+        AdapterOrder best = null;
+        double lowestCost = Double.MAX_VALUE;
+        for (EngineState engine : engines) {
+            if (assigned.contains(engine)
+                    || !engine.acceptsOrders(now)
+                    || engine.plannedLoad() != null
+                    || !engine.holds(adapter.model())
+                    || demand.isSuspect(engine.id())) {
                 continue;
             }
-            boolean place = engine.adapterCount() < engine.spec().adapterSlots();
-            boolean memory = engine.freeMb() >= engine.adapterMb(adapter.model());
-            ModelRef victim = place && memory ? null : victim(engine, now);
-            if (!(place && memory) && victim == null) {
+            boolean hasSlot = engine.adapterCount() < engine.spec().adapterSlots();
+            boolean hasMemory = engine.freeMb() >= engine.adapterMb(adapter.model());
+            ModelRef victim = hasSlot && hasMemory ? null : victim(engine, now);
+            if (!(hasSlot && hasMemory) && victim == null) {
                 continue;
             }
             double cost = victim == null ? engine.adapterCount() : 100 + victimCost(victim);
-            if (cost < least) {
-                least = cost;
+            if (cost < lowestCost) {
+                lowestCost = cost;
                 best =
                         victim == null
-                                ? new Step(engine, Verb.LOAD, adapter)
-                                : new Step(engine, Verb.UNLOAD, victim);
+                                ? new AdapterOrder(engine, OrderOperation.LOAD, adapter)
+                                : new AdapterOrder(engine, OrderOperation.UNLOAD, victim);
             }
         }
         return best;
     }
 
     private double victimCost(ModelRef victim) {
-        return demand.perSecond(victim);
+        return demand.arrivalsPerSecond(victim);
     }
 
-    private ModelRef victim(Engine engine, Instant now) {
+    private ModelRef victim(EngineState engine, Instant now) {
         ModelRef oldest = null;
         for (Map.Entry<String, Set<String>> entry : engine.held().adapters().entrySet()) {
             for (String name : entry.getValue()) {
                 ModelRef each = new ModelRef(entry.getKey(), name);
-                if (inUse(engine, each, now)) {
+                if (isInUse(engine, each, now)) {
                     continue;
                 }
-                if (oldest == null || engine.usedAt(each).isBefore(engine.usedAt(oldest))) {
+                if (oldest == null || engine.lastUsedAt(each).isBefore(engine.lastUsedAt(oldest))) {
                     oldest = each;
                 }
             }
@@ -111,9 +117,12 @@
         return oldest;
     }
 
-    private boolean inUse(Engine engine, ModelRef adapter, Instant now) {
-        Instant used = engine.usedAt(adapter);
-        boolean lately = !used.equals(Instant.MIN) && now.isBefore(used.plus(KEPT));
-        return lately || demand.running(engine.id(), adapter) > 0 || demand.waitingFor(adapter) > 0;
+    private boolean isInUse(EngineState engine, ModelRef adapter, Instant now) {
+        Instant lastUsed = engine.lastUsedAt(adapter);
+        boolean recentlyUsed =
+                !lastUsed.equals(Instant.MIN) && now.isBefore(lastUsed.plus(MIN_RETENTION));
+        return recentlyUsed
+                || demand.running(engine.id(), adapter) > 0
+                || demand.waitingFor(adapter) > 0;
     }
 }
--- /dev/null
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/EngineState.java
@@ -0,0 +1,414 @@
+package io.damaskyoke.control.loads;
+
+import io.damaskyoke.control.direct.EngineSpec;
+import io.damaskyoke.control.direct.ModelSpec;
+import io.damaskyoke.control.upstreams.HeldModels;
+import io.damaskyoke.control.upstreams.ModelRef;
+import io.damaskyoke.control.upstreams.UpstreamFacts;
+import io.damaskyoke.control.upstreams.UpstreamId;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+
+/**
+ * The planner's view of one upstream of a model service: the models that it holds, the order that
+ * it carries out, and the memory that this leaves. Whatever may be in memory counts as held.
+ */
+final class EngineState {
+    /** Time to load an adapter from the store: 5 ms for the smallest, 9.7 ms for the largest. */
+    private static final double ADAPTER_BASE_MILLIS = 4;
+
+    private static final double ADAPTER_MILLIS_PER_MB = 0.09;
+
+    /**
+     * Added to the expected load time of an adapter, so that a request does not arrive before the
+     * adapter is ready.
+     */
+    private static final double ADAPTER_MARGIN_MILLIS = 5;
+
+    private final EngineSpec spec;
+    private final Map<ModelRef, Instant> lastUsedAt = new HashMap<>();
+    private final Map<ModelRef, Instant> loadingAdapters = new TreeMap<>();
+    private final Map<String, Instant> loadedAt = new HashMap<>();
+    private final Set<String> inMemory = new HashSet<>();
+    private final Set<String> onDisk = new HashSet<>();
+    private UpstreamFacts facts;
+    private long incarnation;
+    private HeldModels held;
+    private PendingOrder pending;
+    private PlannedLoad plannedLoad;
+    private boolean zoneDrained;
+    private boolean known;
+    private boolean lastReportAnswered;
+    private boolean busyWithUnknownOrder;
+    private boolean reported;
+    private Instant pausedUntil = Instant.MIN;
+    private Instant reportRequestedAt = Instant.MIN;
+    private UnansweredLoadOrders.Reservation reservation = UnansweredLoadOrders.Reservation.NONE;
+
+    /** An order that was sent and is not finished. */
+    record PendingOrder(
+            long number,
+            OrderOperation operation,
+            ModelRef model,
+            LoadSource source,
+            Instant sentAt,
+            boolean accepted,
+            Instant dueAt) {
+        boolean loadsFromStore() {
+            return operation == OrderOperation.LOAD
+                    && source == LoadSource.STORE
+                    && !model.hasAdapter();
+        }
+
+        PendingOrder asAccepted(Instant due) {
+            return new PendingOrder(number, operation, model, source, sentAt, true, due);
+        }
+    }
+
+    /**
+     * A model that is to be loaded on this engine once there is room. Until then no other model is
+     * loaded here.
+     */
+    record PlannedLoad(String model, Instant expiresAt) {}
+
+    EngineState(EngineSpec spec, UpstreamFacts facts) {
+        this.spec = spec;
+        this.facts = facts;
+        this.incarnation = facts.held().startedAt();
+        this.held = facts.held();
+        updateCopies(facts.inMemory(), facts.onDisk());
+    }
+
+    UpstreamId id() {
+        return facts.id();
+    }
+
+    UpstreamFacts facts() {
+        return facts;
+    }
+
+    EngineSpec spec() {
+        return spec;
+    }
+
+    HeldModels held() {
+        return held;
+    }
+
+    /** Returns the start of the incarnation that is known, in Unix milliseconds. */
+    long incarnation() {
+        return incarnation;
+    }
+
+    /** Reserves memory and adapter slots for orders that may still be carried out. */
+    void setReservation(UnansweredLoadOrders.Reservation given) {
+        reservation = given;
+    }
+
+    PendingOrder pending() {
+        return pending;
+    }
+
+    /** Records whether the engine carries out an order of which nothing else is known. */
+    void setBusyWithUnknownOrder(boolean unknown) {
+        busyWithUnknownOrder = unknown;
+    }
+
+    /**
+     * Returns true if the engine loads a model from the weight store or is about to, as far as is
+     * known.
+     */
+    boolean mayLoadFromStore() {
+        boolean loads = pending == null ? busyWithUnknownOrder : pending.loadsFromStore();
+        return loads || plannedLoad != null && loadSource(plannedLoad.model()) == LoadSource.STORE;
+    }
+
+    PlannedLoad plannedLoad() {
+        return plannedLoad;
+    }
+
+    /**
+     * Returns true if what the engine holds is known from a report received since this router
+     * became leader.
+     */
+    boolean isKnown() {
+        return known;
+    }
+
+    /** Requires a new report of what the engine holds before it gets another order. */
+    void requireReport() {
+        known = false;
+    }
+
+    /** Returns true if any report has been received since this router became leader. */
+    boolean hasReported() {
+        return reported;
+    }
+
+    /** Returns true if the last requested report has been received. */
+    boolean hasAnsweredReportRequest() {
+        return lastReportAnswered;
+    }
+
+    /** Records that the engine did not answer a request for a report. */
+    void reportFailed() {
+        lastReportAnswered = false;
+    }
+
+    /** Forgets orders and reports, after a restart of the engine or a change of leader. */
+    void reset() {
+        known = false;
+        busyWithUnknownOrder = false;
+        reported = false;
+        pending = null;
+        plannedLoad = null;
+        reportRequestedAt = Instant.MIN;
+    }
+
+    /** Returns how long the current order will still take, or zero if that is not known. */
+    Duration remainingOrderTime(Instant now) {
+        return pending == null || !pending.dueAt().isAfter(now)
+                ? Duration.ZERO
+                : Duration.between(now, pending.dueAt());
+    }
+
+    /**
+     * Returns true if the engine's state is about to change: a report, an order, a planned load or
+     * an adapter load is pending.
+     */
+    boolean hasPendingChange() {
+        return !known || pending != null || plannedLoad != null || !loadingAdapters.isEmpty();
+    }
+
+    /** Returns true if the engine can take an order now. */
+    boolean acceptsOrders(Instant now) {
+        return known && pending == null && !now.isBefore(pausedUntil) && !isLeaving();
+    }
+
+    /** Records whether operators drain the engine's availability zone. */
+    void setZoneDrained(boolean given) {
+        zoneDrained = given;
+        if (given) {
+            plannedLoad = null;
+        }
+    }
+
+    /**
+     * Returns true if the engine is about to stop receiving requests, so that models that only it
+     * holds must be loaded elsewhere.
+     */
+    boolean isLeaving() {
+        return facts.draining() || zoneDrained;
+    }
+
+    /** Sends the engine no order before the given time. */
+    void pauseUntil(Instant until) {
+        pausedUntil = until;
+    }
+
+    /**
+     * Returns true if a report may be requested: none was requested yet, or the last request is at
+     * least {@code interval} old.
+     */
+    boolean isReportDue(Instant now, Duration interval) {
+        return reportRequestedAt.equals(Instant.MIN)
+                || !now.isBefore(reportRequestedAt.plus(interval));
+    }
+
+    void reportRequested(Instant now) {
+        reportRequestedAt = now;
+        lastReportAnswered = false;
+    }
+
+    /**
+     * Applies what the list of upstreams says. Only reports count orders, so what a report said of
+     * the held models takes precedence within an incarnation.
+     */
+    void applyFacts(UpstreamFacts given) {
+        facts = given;
+        updateCopies(given.inMemory(), given.onDisk());
+        if (isNewIncarnation(given.held().startedAt())) {
+            restarted(given.held());
+        }
+    }
+
+    // Not every source states the start time.
+    private boolean isNewIncarnation(long startedAt) {
+        return startedAt != HeldModels.UNKNOWN_START && startedAt != incarnation;
+    }
+
+    // Discards what was known of the previous incarnation.
+    private void restarted(HeldModels now) {
+        incarnation = now.startedAt();
+        reset();
+        loadingAdapters.clear();
+        loadedAt.clear();
+        held = now;
+    }
+
+    /** Applies a report. Returns false if the report is older than what is known. */
+    boolean applyReport(LoadInput.UpstreamReported report) {
+        lastReportAnswered = true;
+        reported = true;
+        if (isNewIncarnation(report.held().startedAt())) {
+            restarted(report.held());
+        }
+        updateCopies(report.inMemory(), report.onDisk());
+        if (known && report.held().sequence() < held.sequence()) {
+            return false;
+        }
+        known = true;
+        HeldModels reportedModels = report.held();
+        held = new HeldModels(incarnation, reportedModels.sequence(), reportedModels.adapters());
+        loadingAdapters.keySet().removeIf(held::contains);
+        return true;
+    }
+
+    void orderSent(PendingOrder order) {
+        pending = order;
+    }
+
+    /** Sets the model to load next, or null for none. */
+    void setPlannedLoad(PlannedLoad given) {
+        plannedLoad = given;
+    }
+
+    void orderFinished() {
+        pending = null;
+    }
+
+    /** Records that the engine has accepted the pending order, which increases its order count. */
+    void orderAccepted(Instant due) {
+        pending = pending.asAccepted(due);
+        held = new HeldModels(held.startedAt(), held.sequence() + 1, held.adapters());
+    }
+
+    void unloaded(ModelRef model) {
+        held = held.without(model, held.sequence());
+    }
+
+    void loaded(ModelRef model, Instant now) {
+        held = held.with(model, held.sequence());
+        loadingAdapters.remove(model);
+        lastUsedAt.put(model, now);
+        if (!model.hasAdapter()) {
+            loadedAt.put(model.model(), now);
+            inMemory.add(model.model());
+            onDisk.add(model.model());
+        }
+    }
+
+    /** Sets the number of orders that the engine has accepted. */
+    void setSequence(long sequence) {
+        held = new HeldModels(held.startedAt(), sequence, held.adapters());
+    }
+
+    /** Records that the adapter is being loaded and expected to be ready at the given time. */
+    void addLoadingAdapter(ModelRef adapter, Instant readyAt) {
+        loadingAdapters.put(adapter, readyAt);
+    }
+
+    Map<ModelRef, Instant> loadingAdapters() {
+        return loadingAdapters;
+    }
+
+    void markUsed(ModelRef model, Instant now) {
+        lastUsedAt.put(model, now);
+    }
+
+    Instant lastUsedAt(ModelRef model) {
+        return lastUsedAt.getOrDefault(model, Instant.MIN);
+    }
+
+    /**
+     * Returns true if the model was loaded less than {@code period} ago, so that the requests that
+     * waited for it may not have arrived yet.
+     */
+    boolean wasLoadedWithin(String model, Instant now, Duration period) {
+        Instant at = loadedAt.get(model);
+        return at != null && now.isBefore(at.plus(period));
+    }
+
+    boolean holds(String model) {
+        return held.adapters().containsKey(model);
+    }
+
+    boolean hasCopy(String model) {
+        return inMemory.contains(model) || onDisk.contains(model);
+    }
+
+    /** Returns the models that the engine can load without the weight store. */
+    Set<String> modelsWithCopy() {
+        Set<String> all = new HashSet<>(onDisk);
+        all.addAll(inMemory);
+        return all;
+    }
+
+    LoadSource loadSource(String model) {
+        if (inMemory.contains(model)) {
+            return LoadSource.MEMORY;
+        }
+        return onDisk.contains(model) ? LoadSource.DISK : LoadSource.STORE;
+    }
+
+    /** Returns the free memory, in MB, counting everything that may be in memory. */
+    double freeMb() {
+        double used = 0;
+        for (Map.Entry<String, Set<String>> entry : held.adapters().entrySet()) {
+            used += modelMb(entry.getKey()) + entry.getValue().size() * adapterMb(entry.getKey());
+        }
+        for (ModelRef adapter : loadingAdapters.keySet()) {
+            used += adapterMb(adapter.model());
+        }
+        if (pending != null
+                && pending.operation() == OrderOperation.LOAD
+                && !held.contains(pending.model())) {
+            used += sizeMb(pending.model());
+        }
+        return spec.weightsMb() - used - reservation.megabytes();
+    }
+
+    /** Returns the adapters that are loaded, being loaded, or may still be loaded. */
+    int adapterCount() {
+        return held.adapterCount() + loadingAdapters.size() + reservation.adapterSlots();
+    }
+
+    /** Returns the memory that the model or adapter takes, in MB. */
+    double sizeMb(ModelRef model) {
+        return model.hasAdapter() ? adapterMb(model.model()) : modelMb(model.model());
+    }
+
+    /** Returns the size of the model, in MB; all memory if the model is not configured. */
+    double modelMb(String model) {
+        ModelSpec known = spec.models().get(model);
+        return known == null ? spec.weightsMb() : known.weightsMb();
+    }
+
+    double adapterMb(String model) {
+        ModelSpec known = spec.models().get(model);
+        return known == null ? 0 : known.adapterMb();
+    }
+
+    /** Returns the expected time to load an adapter of the model, with a margin. */
+    Duration adapterLoadTime(String model) {
+        double millis =
+                ADAPTER_BASE_MILLIS
+                        + adapterMb(model) * ADAPTER_MILLIS_PER_MB
+                        + ADAPTER_MARGIN_MILLIS;
+        return Duration.ofNanos((long) (millis * 1e6));
+    }
+
+    private void updateCopies(Set<String> memory, Set<String> disk) {
+        if (!memory.isEmpty() || !disk.isEmpty()) {
+            inMemory.clear();
+            onDisk.clear();
+            inMemory.addAll(memory);
+            onDisk.addAll(disk);
+        }
+    }
+}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/FleetView.java
@@ -7,116 +7,120 @@
 import java.util.Map;
 
 /**
- * What all engines of a service hold and are about to hold, counted once for a round of planning.
- * Counted anew for each question, the planner would take more of a small VM than the traffic.
+ * Counts of the models that all engines of a service hold or are about to hold, computed once per
+ * planning round. Recounting for each question would take more of a small VM's processor time than
+ * the traffic.
  */
 final class FleetView {
-    /** A load from the store that ends within this is as good as one from a disk. */
+    /** A load from the store that ends within this time is as good as one from disk. */
     private static final Duration SOON = Duration.ofMillis(1_500);
 
-    /** An unload that waits for no run shows in a report by then. */
+    /** Time by which a report shows an unload that waits for no running request. */
     private static final Duration UNLOAD_TIME = Duration.ofMillis(600);
 
     private final Map<String, Integer> replicas = new HashMap<>();
-    private final Map<String, Integer> coming = new HashMap<>();
-    private final Map<String, Integer> copies = new HashMap<>();
-    private final Map<String, Integer> open = new HashMap<>();
-    private final Map<String, Integer> comingSoon = new HashMap<>();
-    private final DemandBook demand;
+    private final Map<String, Integer> arriving = new HashMap<>();
+    private final Map<String, Integer> withCopy = new HashMap<>();
+    private final Map<String, Integer> available = new HashMap<>();
+    private final Map<String, Integer> arrivingSoon = new HashMap<>();
+    private final DemandAggregator demand;
 
-    FleetView(Collection<Engine> engines, DemandBook demand, Instant now) {
+    FleetView(Collection<EngineState> engines, DemandAggregator demand, Instant now) {
         this.demand = demand;
-        for (Engine engine : engines) {
-            if (!usable(engine)) {
+        for (EngineState engine : engines) {
+            if (!isUsable(engine)) {
                 continue;
             }
             engine.held()
                     .adapters()
                     .keySet()
                     .forEach(each -> replicas.merge(each, 1, Integer::sum));
-            engine.copies().forEach(each -> copies.merge(each, 1, Integer::sum));
+            engine.modelsWithCopy().forEach(each -> withCopy.merge(each, 1, Integer::sum));
             count(engine, now);
-            if (isOpen(engine)) {
+            if (isAvailable(engine)) {
                 engine.held()
                         .adapters()
                         .keySet()
-                        .forEach(each -> open.merge(each, 1, Integer::sum));
+                        .forEach(each -> available.merge(each, 1, Integer::sum));
             }
         }
     }
 
-    private static boolean isOpen(Engine engine) {
-        return engine.known() && engine.pending() == null && engine.intent() == null;
+    private static boolean isAvailable(EngineState engine) {
+        return engine.isKnown() && engine.pending() == null && engine.plannedLoad() == null;
     }
 
-    private void count(Engine engine, Instant now) {
-        Engine.Pending pending = engine.pending();
-        if (engine.intent() != null) {
-            count(engine.intent().model(), pending, now);
+    private void count(EngineState engine, Instant now) {
+        EngineState.PendingOrder pending = engine.pending();
+        if (engine.plannedLoad() != null) {
+            count(engine.plannedLoad().model(), pending, now);
         } else if (pending != null
-                && pending.verb() == Verb.LOAD
+                && pending.operation() == OrderOperation.LOAD
                 && !pending.model().hasAdapter()) {
             count(pending.model().model(), pending, now);
         }
     }
 
-    private void count(String model, Engine.Pending pending, Instant now) {
-        coming.merge(model, 1, Integer::sum);
-        if (!lasts(pending, now)) {
-            comingSoon.merge(model, 1, Integer::sum);
+    private void count(String model, EngineState.PendingOrder pending, Instant now) {
+        arriving.merge(model, 1, Integer::sum);
+        if (!takesLong(pending, now)) {
+            arrivingSoon.merge(model, 1, Integer::sum);
         }
     }
 
-    // A load from the store has seconds to go, and an unload that isn't over by now waits for a
-    // run whose end nobody knows.
-    private static boolean lasts(Engine.Pending pending, Instant now) {
+    // A load from the store takes seconds. An unload that is not finished by now waits for a
+    // running request, and nobody knows when that ends.
+    private static boolean takesLong(EngineState.PendingOrder pending, Instant now) {
         if (pending == null) {
             return false;
         }
-        return pending.verb() == Verb.LOAD
+        return pending.operation() == OrderOperation.LOAD
                 ? pending.dueAt().isAfter(now.plus(SOON))
                 : now.isAfter(pending.sentAt().plus(UNLOAD_TIME));
     }
 
-    /** True if it stays and answers. */
-    boolean usable(Engine engine) {
-        return !engine.leaves() && !demand.suspect(engine.id());
+    /** Returns true if the engine is not leaving and not suspected of failing. */
+    boolean isUsable(EngineState engine) {
+        return !engine.isLeaving() && !demand.isSuspect(engine.id());
     }
 
-    /** Engines that hold the model ready. */
+    /** Returns the number of engines that hold the model ready. */
     int replicas(String model) {
         return replicas.getOrDefault(model, 0);
     }
 
-    /** Engines that are about to hold it. */
-    int coming(String model) {
-        return coming.getOrDefault(model, 0);
+    /** Returns the number of engines that are about to hold the model. */
+    int arrivingReplicas(String model) {
+        return arriving.getOrDefault(model, 0);
     }
 
-    /** Engines that can load it without the store. */
-    int copies(String model) {
-        return copies.getOrDefault(model, 0);
+    /** Returns the number of engines that can load the model without the store. */
+    int enginesWithCopy(String model) {
+        return withCopy.getOrDefault(model, 0);
     }
 
-    /** Engines that are about to hold it soon, as far as is known. */
-    int comingSoon(String model) {
-        return comingSoon.getOrDefault(model, 0);
+    /** Returns the number of engines that are expected to hold the model soon. */
+    int soonArrivingReplicas(String model) {
+        return arrivingSoon.getOrDefault(model, 0);
     }
 
-    /** True if an engine beside this one holds the model, or can load it without the store. */
-    boolean elsewhere(Engine engine, String model) {
-        int own = usable(engine) && engine.hasCopy(model) ? 1 : 0;
-        int held = usable(engine) && engine.has(model) ? 1 : 0;
-        return copies(model) > own || replicas(model) > held;
+    /**
+     * Returns true if an engine other than this one holds the model or can load it without the
+     * store.
+     */
+    boolean isAvailableElsewhere(EngineState engine, String model) {
+        int own = isUsable(engine) && engine.hasCopy(model) ? 1 : 0;
+        int held = isUsable(engine) && engine.holds(model) ? 1 : 0;
+        return enginesWithCopy(model) > own || replicas(model) > held;
     }
 
-    /** Engines that hold it and take orders now. */
-    int open(String model) {
-        return open.getOrDefault(model, 0);
+    /** Returns the number of engines that hold the model and can take an order now. */
+    int availableReplicas(String model) {
+        return available.getOrDefault(model, 0);
     }
 
-    /** An engine gets an order now, and takes no other for a while. */
-    void barred(Engine engine) {
-        engine.held().adapters().keySet().forEach(each -> open.merge(each, -1, Integer::sum));
+    /** Records that the engine gets an order in this round and can take no other for a while. */
+    void markBusy(EngineState engine) {
+        engine.held().adapters().keySet().forEach(each -> available.merge(each, -1, Integer::sum));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadAction.java
@@ -4,29 +4,37 @@
 import io.damaskyoke.control.upstreams.ModelRef;
 import io.damaskyoke.control.upstreams.UpstreamId;
 
-/** What a {@link LoadPlanner} wants done. */
+/** An action that a {@link LoadPlanner} asks its caller to carry out. */
 public sealed interface LoadAction {
     /**
-     * Give an order; ends in Answered with the same number.
+     * Sends an order to an upstream; answered by {@link LoadInput.OrderAnswered} with the same
+     * number.
      *
-     * @param sequence how many orders the upstream must have accepted before, or it refuses
-     * @param freeMb memory that the planner takes to be free before the order
+     * @param sequence number of orders that the upstream must have accepted before; it refuses the
+     *     order otherwise
+     * @param freeMb free memory that the planner assumes before the order, in MB
      */
-    record Order(
+    record SendOrder(
             UpstreamId upstream,
             long number,
-            Verb verb,
+            OrderOperation operation,
             ModelRef model,
             long sequence,
             double freeMb)
             implements LoadAction {}
 
-    /** Ask an upstream what it holds; ends in Reported or NotReported. */
-    record AskReport(UpstreamId upstream) implements LoadAction {}
+    /**
+     * Requests a report of what an upstream holds; answered by {@link LoadInput.UpstreamReported}
+     * or {@link LoadInput.ReportFailed}.
+     */
+    record RequestReport(UpstreamId upstream) implements LoadAction {}
 
-    /** Tell all routers, of which one may be the next leader, of an order without an answer. */
-    record TellOpen(OpenLoad load) implements LoadAction {}
+    /**
+     * Announces a load order without an answer to all routers, since any of them may be the next
+     * leader.
+     */
+    record AnnounceUnansweredLoad(UnansweredLoadOrder load) implements LoadAction {}
 
-    /** Tell all routers what an upstream holds. */
-    record Tell(UpstreamId upstream, HeldModels held) implements LoadAction {}
+    /** Announces to all routers what an upstream holds. */
+    record AnnounceHeldModels(UpstreamId upstream, HeldModels held) implements LoadAction {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
@@ -19,200 +19,220 @@
 /**
  * Decides which upstream loads and unloads which model: {@code planner.on(input, now)}.
  *
- * <p>The pattern: many rarely used models, more than memory holds, each asked for every few
- * seconds, and a few busy ones that change. The first load of a model at an upstream takes seconds
- * from the weight store; each later one a fraction of a second from the upstream's own memory or
- * disk. So every model is brought to one upstream as early as the weight store allows, and from
- * then on takes turns there with others, at once when a request waits for it. Load times and sizes
- * are those of the configuration.
+ * <p>The expected load is many rarely used models, more than fit in memory, each requested every
+ * few seconds, and a few busy models that change. The first load of a model on an upstream takes
+ * seconds from the weight store; each later one takes a fraction of a second from the upstream's
+ * own memory or disk. So every model is brought to one upstream as early as the weight store
+ * allows. From then on it shares that upstream's memory with other models and is loaded at once
+ * when a request waits for it. Load times and sizes are those of the configuration.
  *
- * <p>One order at a time is under way at an upstream, each with the number of orders it must have
- * accepted before; so an order that was delayed finds another number and is not carried out, and
- * memory never holds more than was counted.
+ * <p>An upstream carries out one order at a time. Each order names the number of orders that the
+ * upstream must have accepted before, so a delayed order finds another number and is not carried
+ * out, and an upstream never holds more than was counted.
  */
 public final class LoadPlanner implements Machine<LoadInput, LoadAction> {
-    /** Reports lag by about a tenth of a second; asking more often tells nothing new. */
-    private static final Duration REPORT_GAP = Duration.ofMillis(60);
+    /**
+     * Minimum time between report requests to an upstream. Reports lag by about a tenth of a
+     * second, so more frequent requests return nothing new.
+     */
+    private static final Duration MIN_REPORT_INTERVAL = Duration.ofMillis(60);
 
-    /** An upstream that carries out an unknown order, perhaps for seconds, is asked this often. */
-    private static final Duration DOUBT_GAP = Duration.ofMillis(150);
+    /**
+     * Time between report requests to an upstream that carries out an unknown order, perhaps for
+     * seconds.
+     */
+    private static final Duration UNKNOWN_ORDER_REPORT_INTERVAL = Duration.ofMillis(150);
 
-    /** A report that isn't answered is asked for again after this. */
-    private static final Duration REPORT_LIMIT = Duration.ofSeconds(1);
+    /** Time after which an unanswered report request is repeated. */
+    private static final Duration REPORT_TIMEOUT = Duration.ofSeconds(1);
 
-    /** After a conflict, the order under way there is given this time. */
-    private static final Duration AFTER_CONFLICT = Duration.ofMillis(80);
+    /** Pause after a conflict, in which the upstream can finish the order that it carries out. */
+    private static final Duration PAUSE_AFTER_CONFLICT = Duration.ofMillis(80);
 
-    /** An upstream that refused an order is left alone for this. */
-    private static final Duration AFTER_REFUSAL = Duration.ofMillis(500);
+    /** Pause after an upstream has refused an order. */
+    private static final Duration PAUSE_AFTER_REFUSAL = Duration.ofMillis(500);
 
-    /** What is loaded ahead of need is looked for this often; what is waited for, at once. */
-    private static final Duration AHEAD_GAP = Duration.ofMillis(200);
+    /**
+     * Time between searches for models to load ahead of need. Models that requests wait for are
+     * planned at once.
+     */
+    private static final Duration LOAD_AHEAD_INTERVAL = Duration.ofMillis(200);
 
     /**
-     * Requests that routers say are waiting are planned for at once, so many times between two
-     * ticks. Each of dozens of routers reports several times a second; a round of planning for each
-     * report would keep the leader's VM busy with nothing new.
+     * Limit of planning rounds between two ticks that are started by reports of waiting requests.
+     * Each of dozens of routers reports several times a second; a round for each report would keep
+     * the leader's VM busy with nothing new.
      */
-    private static final int MOST_ROUNDS_FOR_DEMAND = 2;
+    private static final int MAX_DEMAND_ROUNDS_PER_TICK = 2;
 
-    /** An intent whose way is barred this long is given up. */
-    private static final Duration INTENT_LIMIT = Duration.ofSeconds(3);
+    /** Time after which a planned load that could not start is given up. */
+    private static final Duration PLANNED_LOAD_LIFETIME = Duration.ofSeconds(3);
 
     private final LoadSettings settings;
-    private final DemandBook demand = new DemandBook();
-    private final Map<UpstreamId, Engine> engines = new TreeMap<>();
-    private final OpenLoads openLoads = new OpenLoads();
-    private final StoreLoads storeLoads;
-    private final Placer placer;
+    private final DemandAggregator demand = new DemandAggregator();
+    private final Map<UpstreamId, EngineState> engines = new TreeMap<>();
+    private final UnansweredLoadOrders unansweredOrders = new UnansweredLoadOrders();
+    private final StoreLoadLimiter storeLoadLimiter;
+    private final ModelPlacer placer;
     private final AdapterPlanner adapters;
-    private final Map<String, Packing> packings = new HashMap<>();
+    private final Map<String, MemoryFragmentation> fragmentationByService = new HashMap<>();
     private Map<String, EngineSpec> specs = new HashMap<>();
     private Set<String> drainedZones = Set.of();
-    private long number;
+    private long lastOrderNumber;
     private boolean active;
-    private Instant aheadAt = Instant.MIN;
-    private int roundsForDemand;
+    private Instant nextLoadAheadAt = Instant.MIN;
+    private int demandRounds;
     private boolean demandChanged;
-    private long rounds;
+    private long planningRounds;
 
-    /** A planner that knows nothing yet. */
+    /** Creates a planner without upstreams or demand. */
     public LoadPlanner(LoadSettings settings) {
         this.settings = settings;
-        this.storeLoads = new StoreLoads(settings.ceilingWindow());
-        this.placer = new Placer(demand, storeLoads);
+        this.storeLoadLimiter = new StoreLoadLimiter(settings.storeRateWindow());
+        this.placer = new ModelPlacer(demand, storeLoadLimiter);
         this.adapters = new AdapterPlanner(demand);
     }
 
     @Override
     public List<LoadAction> on(LoadInput input, Instant now) {
         List<LoadAction> actions = new ArrayList<>();
-        take(input, now, actions);
-        if (active && due(input, now)) {
-            step(now, actions);
+        applyInput(input, now, actions);
+        if (active && startsRound(input, now)) {
+            runRound(now, actions);
         }
         return active ? actions : List.of();
     }
 
-    /** How many rounds of planning there were, for a measurement of what they cost. */
-    public long rounds() {
-        return rounds;
+    /** Returns the number of planning rounds so far, to measure their cost. */
+    public long planningRounds() {
+        return planningRounds;
     }
 
-    /** What requests wait for and no engine holds. */
-    public UnmetNeed unmet(Instant now) {
-        demand.addUp(now);
+    /** Returns the models and adapters that requests wait for and that no engine holds. */
+    public UnmetDemand unmetDemand(Instant now) {
+        demand.aggregate(now);
         int models = 0;
-        Duration oldest = Duration.ZERO;
-        for (LoadInput.Want want : demand.waiting()) {
+        Duration longestWait = Duration.ZERO;
+        for (LoadInput.ModelDemand modelDemand : demand.waitingInOrder()) {
             if (engines.values().stream()
-                    .noneMatch(engine -> engine.held().contains(want.model()))) {
+                    .noneMatch(engine -> engine.held().contains(modelDemand.model()))) {
                 models++;
-                oldest = want.oldest().compareTo(oldest) > 0 ? want.oldest() : oldest;
+                longestWait =
+                        modelDemand.longestWait().compareTo(longestWait) > 0
+                                ? modelDemand.longestWait()
+                                : longestWait;
             }
         }
-        return new UnmetNeed(models, oldest);
+        return new UnmetDemand(models, longestWait);
     }
 
-    /** How much of the weight store is in use. */
-    public StoreUse storeUse() {
-        return new StoreUse(StoreLoads.running(engines.values()), storeLoads.atFullSpeed());
+    /** Returns how much of the weight store's capacity is in use. */
+    public StoreUsage storeUsage() {
+        return new StoreUsage(
+                StoreLoadLimiter.countRunning(engines.values()), storeLoadLimiter.fullSpeedLoads());
     }
 
-    private void take(LoadInput input, Instant now, List<LoadAction> actions) {
-        if (input instanceof LoadInput.Configured configured) {
-            configured(configured.engines());
-        } else if (input instanceof LoadInput.Listed listed) {
-            listed(listed);
-        } else if (input instanceof LoadInput.Gone gone) {
-            engines.remove(gone.upstream());
-        } else if (input instanceof LoadInput.Drained drained) {
-            drained(drained.zones());
-        } else if (input instanceof LoadInput.Demanded demanded) {
-            demanded(demanded, now);
-        } else if (input instanceof LoadInput.Answered answered) {
-            answered(answered, now, actions);
-        } else if (input instanceof LoadInput.Reported reported) {
-            reported(reported, now, actions);
-        } else if (input instanceof LoadInput.Unanswered unanswered) {
-            openLoads.told(unanswered.load());
-        } else if (input instanceof LoadInput.NotReported notReported) {
-            find(notReported.upstream()).ifPresent(Engine::silent);
+    private void applyInput(LoadInput input, Instant now, List<LoadAction> actions) {
+        if (input instanceof LoadInput.ServicesConfigured configured) {
+            servicesConfigured(configured.engines());
+        } else if (input instanceof LoadInput.UpstreamListed listed) {
+            upstreamListed(listed);
+        } else if (input instanceof LoadInput.UpstreamRemoved removed) {
+            engines.remove(removed.upstream());
+        } else if (input instanceof LoadInput.DrainedZonesChanged zonesChanged) {
+            drainedZonesChanged(zonesChanged.zones());
+        } else if (input instanceof LoadInput.DemandReported report) {
+            demandReported(report, now);
+        } else if (input instanceof LoadInput.OrderAnswered answered) {
+            orderAnswered(answered, now, actions);
+        } else if (input instanceof LoadInput.UpstreamReported reported) {
+            upstreamReported(reported, now, actions);
+        } else if (input instanceof LoadInput.UnansweredLoadAnnounced announced) {
+            unansweredOrders.addAnnounced(announced.load());
+        } else if (input instanceof LoadInput.ReportFailed reportFailed) {
+            find(reportFailed.upstream()).ifPresent(EngineState::reportFailed);
         } else if (input instanceof LoadInput.Elected) {
-            engines.values().forEach(Engine::forget);
-            storeLoads.elected(now);
+            engines.values().forEach(EngineState::reset);
+            storeLoadLimiter.elected(now);
             active = true;
         } else if (input instanceof LoadInput.Resigned) {
             active = false;
         } else {
-            demand.expire(now);
+            demand.removeExpired(now);
         }
     }
 
-    // What is listed and who reports without requests that wait can wait for the next tick.
-    private boolean due(LoadInput input, Instant now) {
-        if (input instanceof LoadInput.Listed || input instanceof LoadInput.Unanswered) {
+    // List changes, announced orders and reports without waiting requests are planned for at the
+    // next tick.
+    private boolean startsRound(LoadInput input, Instant now) {
+        if (input instanceof LoadInput.UpstreamListed
+                || input instanceof LoadInput.UnansweredLoadAnnounced) {
             return false;
         }
-        if (input instanceof LoadInput.Demanded demanded) {
-            return demanded.waits() && roundsForDemand++ < MOST_ROUNDS_FOR_DEMAND;
+        if (input instanceof LoadInput.DemandReported report) {
+            return report.hasWaitingRequests() && demandRounds++ < MAX_DEMAND_ROUNDS_PER_TICK;
         }
         if (input instanceof LoadInput.Tick) {
-            roundsForDemand = 0;
-            return demandChanged || !now.isBefore(aheadAt) || demand.anyWaits() || underWay();
+            demandRounds = 0;
+            return demandChanged
+                    || !now.isBefore(nextLoadAheadAt)
+                    || demand.hasWaitingRequests()
+                    || hasPendingChanges();
         }
         return true;
     }
 
-    private boolean underWay() {
-        for (Engine engine : engines.values()) {
-            if (engine.underWay()) {
+    private boolean hasPendingChanges() {
+        for (EngineState engine : engines.values()) {
+            if (engine.hasPendingChange()) {
                 return true;
             }
         }
         return false;
     }
 
-    private void configured(Map<String, EngineSpec> engines) {
+    private void servicesConfigured(Map<String, EngineSpec> engines) {
         specs = engines;
-        packings.clear();
-        engines.forEach((service, spec) -> packings.put(service, Packing.of(spec)));
+        fragmentationByService.clear();
+        engines.forEach(
+                (service, spec) ->
+                        fragmentationByService.put(service, MemoryFragmentation.of(spec)));
         Map<String, Double> weights = new HashMap<>();
         for (EngineSpec spec : engines.values()) {
             spec.models().forEach((name, model) -> weights.put(name, model.weightsMb()));
         }
-        demand.weights(weights);
+        demand.setModelSizes(weights);
     }
 
-    private void listed(LoadInput.Listed listed) {
+    private void upstreamListed(LoadInput.UpstreamListed listed) {
         EngineSpec spec = specs.get(listed.facts().service());
         if (spec == null) {
             return;
         }
-        Engine engine = engines.get(listed.facts().id());
+        EngineState engine = engines.get(listed.facts().id());
         if (engine == null) {
-            engine = new Engine(spec, listed.facts());
+            engine = new EngineState(spec, listed.facts());
             engines.put(engine.id(), engine);
-            engine.zoneDrained(isDrained(engine));
+            engine.setZoneDrained(isDrained(engine));
             return;
         }
-        engine.listed(listed.facts());
+        engine.applyFacts(listed.facts());
     }
 
-    private void drained(Set<String> zones) {
+    private void drainedZonesChanged(Set<String> zones) {
         drainedZones = Set.copyOf(zones);
-        engines.values().forEach(engine -> engine.zoneDrained(isDrained(engine)));
-        aheadAt = Instant.MIN;
+        engines.values().forEach(engine -> engine.setZoneDrained(isDrained(engine)));
+        nextLoadAheadAt = Instant.MIN;
     }
 
-    private boolean isDrained(Engine engine) {
+    private boolean isDrained(EngineState engine) {
         return drainedZones.contains(engine.facts().zone());
     }
 
-    private void demanded(LoadInput.Demanded demanded, Instant now) {
-        demand.said(demanded, now);
+    private void demandReported(LoadInput.DemandReported report, Instant now) {
+        demand.recordReport(report, now);
         demandChanged = true;
-        demanded.running()
+        report.running()
                 .forEach(
                         (upstream, counts) ->
                                 find(upstream)
@@ -221,279 +241,315 @@
                                                         counts.keySet()
                                                                 .forEach(
                                                                         model ->
-                                                                                engine.used(
+                                                                                engine.markUsed(
                                                                                         model,
                                                                                         now))));
     }
 
-    private void reported(LoadInput.Reported report, Instant now, List<LoadAction> actions) {
-        Engine engine = engines.get(report.upstream());
+    private void upstreamReported(
+            LoadInput.UpstreamReported report, Instant now, List<LoadAction> actions) {
+        EngineState engine = engines.get(report.upstream());
         if (engine == null) {
             return;
         }
-        if (!engine.reported(report)) {
+        if (!engine.applyReport(report)) {
             return;
         }
-        engine.busy(report.busy() && engine.pending() == null);
+        engine.setBusyWithUnknownOrder(report.busy() && engine.pending() == null);
         if (report.busy()) {
-            // An order that we don't know of: what it brings shows in a later report only.
+            // An order that this planner does not know of: only a later report shows its effect.
             if (engine.pending() == null) {
-                engine.doubt();
+                engine.requireReport();
             }
             return;
         }
         finishIfDone(engine, report.held(), now);
-        actions.add(new LoadAction.Tell(engine.id(), engine.held()));
+        actions.add(new LoadAction.AnnounceHeldModels(engine.id(), engine.held()));
     }
 
-    // An order that was accepted is over once the upstream is no longer busy, whatever came of it.
-    private void finishIfDone(Engine engine, HeldModels seen, Instant now) {
-        Engine.Pending pending = engine.pending();
+    // An accepted order is finished once the upstream is no longer busy, whether or not it
+    // succeeded.
+    private void finishIfDone(EngineState engine, HeldModels seen, Instant now) {
+        EngineState.PendingOrder pending = engine.pending();
         if (pending == null || !pending.accepted()) {
             return;
         }
-        boolean loading = pending.verb() == Verb.LOAD;
-        boolean shows = seen.contains(pending.model()) == loading;
-        // A report from just before the load began shows neither the model nor that it is busy.
-        if (!shows && loading && now.isBefore(pending.dueAt().plus(REPORT_LIMIT))) {
+        boolean loading = pending.operation() == OrderOperation.LOAD;
+        boolean isVisible = seen.contains(pending.model()) == loading;
+        // A report from just before the load began shows neither the model nor that the upstream is
+        // busy.
+        if (!isVisible && loading && now.isBefore(pending.dueAt().plus(REPORT_TIMEOUT))) {
             return;
         }
-        if (shows && pending.loadsFromStore()) {
-            noteStoreLoad(engine, pending, now);
+        if (isVisible && pending.loadsFromStore()) {
+            recordStoreLoad(engine, pending, now);
         }
-        engine.over();
-        if (shows && loading) {
+        engine.orderFinished();
+        if (isVisible && loading) {
             engine.loaded(pending.model(), now);
         }
     }
 
-    private void noteStoreLoad(Engine engine, Engine.Pending load, Instant now) {
-        Duration alone = engine.spec().models().get(load.model().model()).storeLoadTime();
-        storeLoads.look(StoreLoads.running(engines.values()), now);
-        storeLoads.ended(load.number(), alone, Duration.between(load.sentAt(), now));
+    private void recordStoreLoad(EngineState engine, EngineState.PendingOrder load, Instant now) {
+        Duration undisturbed = engine.spec().models().get(load.model().model()).storeLoadTime();
+        storeLoadLimiter.recordRunning(StoreLoadLimiter.countRunning(engines.values()), now);
+        storeLoadLimiter.loadFinished(
+                load.number(), undisturbed, Duration.between(load.sentAt(), now));
     }
 
-    // An order without an answer may be carried out seconds later. The next one need not wait for
-    // that: it names the same number of accepted orders, and so the upstream accepts one of them.
-    private void answered(LoadInput.Answered answer, Instant now, List<LoadAction> actions) {
+    // An order without an answer may be carried out seconds later. The next order need not wait for
+    // that: it names the same number of accepted orders, so the upstream accepts only one of the
+    // two.
+    private void orderAnswered(
+            LoadInput.OrderAnswered answer, Instant now, List<LoadAction> actions) {
         if (answer.outcome() == OrderOutcome.UNKNOWN) {
-            openLoads
+            unansweredOrders
                     .find(answer.upstream(), answer.number())
-                    .ifPresent(load -> actions.add(new LoadAction.TellOpen(load)));
+                    .ifPresent(load -> actions.add(new LoadAction.AnnounceUnansweredLoad(load)));
         } else {
-            openLoads.closed(answer.upstream(), answer.number());
+            unansweredOrders.removeAnswered(answer.upstream(), answer.number());
         }
-        Engine engine = engines.get(answer.upstream());
-        Engine.Pending pending = engine == null ? null : engine.pending();
+        EngineState engine = engines.get(answer.upstream());
+        EngineState.PendingOrder pending = engine == null ? null : engine.pending();
         if (pending == null || pending.number() != answer.number()) {
             return;
         }
         switch (answer.outcome()) {
-            case ACCEPTED -> accepted(engine, now, actions);
-            case DONE -> done(engine, now, actions);
+            case ACCEPTED -> orderAccepted(engine, now, actions);
+            case DONE -> orderDone(engine, now, actions);
             case CONFLICT -> {
-                storeLoads.calledOff(pending.number());
-                engine.over();
-                engine.doubt();
-                engine.quiet(now.plus(AFTER_CONFLICT));
+                storeLoadLimiter.loadCanceled(pending.number());
+                engine.orderFinished();
+                engine.requireReport();
+                engine.pauseUntil(now.plus(PAUSE_AFTER_CONFLICT));
             }
             case UNKNOWN -> {
-                engine.over();
-                engine.doubt();
+                engine.orderFinished();
+                engine.requireReport();
             }
             default -> {
-                engine.over();
-                engine.doubt();
-                engine.intend(null);
-                engine.quiet(now.plus(AFTER_REFUSAL));
+                engine.orderFinished();
+                engine.requireReport();
+                engine.setPlannedLoad(null);
+                engine.pauseUntil(now.plus(PAUSE_AFTER_REFUSAL));
             }
         }
     }
 
-    private void accepted(Engine engine, Instant now, List<LoadAction> actions) {
-        Engine.Pending pending = engine.pending();
+    private void orderAccepted(EngineState engine, Instant now, List<LoadAction> actions) {
+        EngineState.PendingOrder pending = engine.pending();
         ModelRef model = pending.model();
-        if (pending.verb() == Verb.UNLOAD) {
-            engine.accepted(now);
+        if (pending.operation() == OrderOperation.UNLOAD) {
+            engine.orderAccepted(now);
             engine.unloaded(model);
-            actions.add(new LoadAction.Tell(engine.id(), engine.held()));
+            actions.add(new LoadAction.AnnounceHeldModels(engine.id(), engine.held()));
             return;
         }
         if (model.hasAdapter()) {
-            engine.accepted(now);
-            engine.comes(model, now.plus(engine.adapterTime(model.model())));
-            engine.over();
+            engine.orderAccepted(now);
+            engine.addLoadingAdapter(model, now.plus(engine.adapterLoadTime(model.model())));
+            engine.orderFinished();
             return;
         }
-        Duration time = pending.source().time(engine.spec().models().get(model.model()));
-        engine.accepted(now.plus(time));
+        Duration loadTime = pending.source().loadTime(engine.spec().models().get(model.model()));
+        engine.orderAccepted(now.plus(loadTime));
     }
 
-    private void done(Engine engine, Instant now, List<LoadAction> actions) {
-        Engine.Pending pending = engine.pending();
-        engine.over();
-        if (pending.verb() == Verb.UNLOAD) {
-            engine.counted(engine.held().sequence() + 1);
+    private void orderDone(EngineState engine, Instant now, List<LoadAction> actions) {
+        EngineState.PendingOrder pending = engine.pending();
+        engine.orderFinished();
+        if (pending.operation() == OrderOperation.UNLOAD) {
+            engine.setSequence(engine.held().sequence() + 1);
             engine.unloaded(pending.model());
         } else {
             engine.loaded(pending.model(), now);
         }
-        actions.add(new LoadAction.Tell(engine.id(), engine.held()));
+        actions.add(new LoadAction.AnnounceHeldModels(engine.id(), engine.held()));
     }
 
-    private void step(Instant now, List<LoadAction> actions) {
-        rounds++;
+    private void runRound(Instant now, List<LoadAction> actions) {
+        planningRounds++;
         demandChanged = false;
-        demand.addUp(now);
-        openLoads.expire(now);
-        storeLoads.look(StoreLoads.running(engines.values()), now);
-        for (Engine engine : engines.values()) {
-            engine.reserve(openLoads.reserve(engine));
-            arrive(engine, now, actions);
-            follow(engine, now, actions);
+        demand.aggregate(now);
+        unansweredOrders.removeExpired(now);
+        storeLoadLimiter.recordRunning(StoreLoadLimiter.countRunning(engines.values()), now);
+        for (EngineState engine : engines.values()) {
+            engine.setReservation(unansweredOrders.reservationFor(engine));
+            completeAdapterLoads(engine, now, actions);
+            followUp(engine, now, actions);
         }
         for (Map.Entry<String, EngineSpec> entry : specs.entrySet()) {
             plan(entry.getKey(), entry.getValue(), now, actions);
         }
-        if (!now.isBefore(aheadAt)) {
-            aheadAt = now.plus(AHEAD_GAP);
+        if (!now.isBefore(nextLoadAheadAt)) {
+            nextLoadAheadAt = now.plus(LOAD_AHEAD_INTERVAL);
         }
     }
 
-    // Adapters that were on their way are there once their time is over.
-    private static void arrive(Engine engine, Instant now, List<LoadAction> actions) {
-        List<ModelRef> here = new ArrayList<>();
-        engine.coming()
+    // Marks adapters as loaded once their load time has passed.
+    private static void completeAdapterLoads(
+            EngineState engine, Instant now, List<LoadAction> actions) {
+        List<ModelRef> loaded = new ArrayList<>();
+        engine.loadingAdapters()
                 .forEach(
                         (adapter, readyAt) -> {
                             if (!now.isBefore(readyAt)) {
-                                here.add(adapter);
+                                loaded.add(adapter);
                             }
                         });
-        here.forEach(adapter -> engine.loaded(adapter, now));
-        if (!here.isEmpty()) {
-            actions.add(new LoadAction.Tell(engine.id(), engine.held()));
+        loaded.forEach(adapter -> engine.loaded(adapter, now));
+        if (!loaded.isEmpty()) {
+            actions.add(new LoadAction.AnnounceHeldModels(engine.id(), engine.held()));
         }
     }
 
-    /** Asks for reports that are due, and takes the next step towards what is intended. */
-    private void follow(Engine engine, Instant now, List<LoadAction> actions) {
-        Engine.Pending pending = engine.pending();
-        if (!engine.known()) {
-            Duration gap = engine.answered() ? DOUBT_GAP : REPORT_LIMIT;
-            if (engine.mayAsk(now, gap)) {
-                ask(engine, now, actions);
+    /** Requests the reports that are due and takes the next step of a planned load. */
+    private void followUp(EngineState engine, Instant now, List<LoadAction> actions) {
+        EngineState.PendingOrder pending = engine.pending();
+        if (!engine.isKnown()) {
+            Duration interval =
+                    engine.hasAnsweredReportRequest()
+                            ? UNKNOWN_ORDER_REPORT_INTERVAL
+                            : REPORT_TIMEOUT;
+            if (engine.isReportDue(now, interval)) {
+                requestReport(engine, now, actions);
             }
             return;
         }
         if (pending != null) {
             boolean due = pending.accepted() && !now.isBefore(pending.dueAt());
-            if (due && engine.mayAsk(now, REPORT_GAP)) {
-                ask(engine, now, actions);
+            if (due && engine.isReportDue(now, MIN_REPORT_INTERVAL)) {
+                requestReport(engine, now, actions);
             }
-            if (!pending.accepted() && now.isAfter(pending.sentAt().plus(settings.orderLimit()))) {
-                engine.over();
-                engine.doubt();
-                engine.intend(null);
+            if (!pending.accepted()
+                    && now.isAfter(pending.sentAt().plus(settings.orderTimeout()))) {
+                engine.orderFinished();
+                engine.requireReport();
+                engine.setPlannedLoad(null);
             }
             return;
         }
-        Engine.Intent intent = engine.intent();
-        if (intent == null || !engine.free(now)) {
+        EngineState.PlannedLoad plannedLoad = engine.plannedLoad();
+        if (plannedLoad == null || !engine.acceptsOrders(now)) {
             return;
         }
-        if (now.isAfter(intent.until()) || engine.has(intent.model())) {
-            engine.intend(null);
+        if (now.isAfter(plannedLoad.expiresAt()) || engine.holds(plannedLoad.model())) {
+            engine.setPlannedLoad(null);
             return;
         }
-        FleetView fleet = new FleetView(of(engine.facts().service()), demand, now);
-        String model = placer.bestUse(engine, intent.model(), fleet);
-        if (!model.equals(intent.model())) {
-            engine.intend(new Engine.Intent(model, now.plus(INTENT_LIMIT)));
+        FleetView fleet = new FleetView(enginesOf(engine.facts().service()), demand, now);
+        String model = placer.bestModelFor(engine, plannedLoad.model(), fleet);
+        if (!model.equals(plannedLoad.model())) {
+            engine.setPlannedLoad(
+                    new EngineState.PlannedLoad(model, now.plus(PLANNED_LOAD_LIFETIME)));
         }
-        advance(engine, model, fleet, now, actions);
+        evictOrLoad(engine, model, fleet, now, actions);
     }
 
-    private void advance(
-            Engine engine, String model, FleetView fleet, Instant now, List<LoadAction> actions) {
-        Optional<Room.Plan> plan =
-                new Room(demand, fleet, packing(engine))
-                        .plan(engine, model, 1 + demand.perSecond(model), now);
+    private void evictOrLoad(
+            EngineState engine,
+            String model,
+            FleetView fleet,
+            Instant now,
+            List<LoadAction> actions) {
+        Optional<EvictionPlanner.Plan> plan =
+                new EvictionPlanner(demand, fleet, fragmentation(engine))
+                        .plan(engine, model, 1 + demand.arrivalsPerSecond(model), now);
         if (plan.isEmpty()) {
             return;
         }
         if (!plan.get().victims().isEmpty()) {
             ModelRef victim = new ModelRef(plan.get().victims().get(0), "");
-            order(engine, Verb.UNLOAD, victim, null, now, actions);
+            sendOrder(engine, OrderOperation.UNLOAD, victim, null, now, actions);
             return;
         }
-        LoadSource source = engine.source(model);
+        LoadSource source = engine.loadSource(model);
         if (source == LoadSource.STORE) {
-            storeLoads.begun(number + 1, now);
+            storeLoadLimiter.loadStarted(lastOrderNumber + 1, now);
         }
-        engine.intend(null);
-        order(engine, Verb.LOAD, new ModelRef(model, ""), source, now, actions);
+        engine.setPlannedLoad(null);
+        sendOrder(engine, OrderOperation.LOAD, new ModelRef(model, ""), source, now, actions);
     }
 
-    private Packing packing(Engine engine) {
-        return packings.computeIfAbsent(engine.facts().service(), any -> Packing.of(engine.spec()));
+    private MemoryFragmentation fragmentation(EngineState engine) {
+        return fragmentationByService.computeIfAbsent(
+                engine.facts().service(), any -> MemoryFragmentation.of(engine.spec()));
     }
 
     private void plan(String service, EngineSpec spec, Instant now, List<LoadAction> actions) {
-        boolean ahead = !now.isBefore(aheadAt);
-        List<Engine> here = of(service);
-        Packing packing = packings.get(service);
-        for (Placer.Choice choice : placer.plan(spec, packing, here, ahead, now)) {
-            choice.engine().intend(new Engine.Intent(choice.model(), now.plus(INTENT_LIMIT)));
-            advance(
-                    choice.engine(),
-                    choice.model(),
-                    new FleetView(here, demand, now),
+        boolean ahead = !now.isBefore(nextLoadAheadAt);
+        List<EngineState> serviceEngines = enginesOf(service);
+        MemoryFragmentation fragmentation = fragmentationByService.get(service);
+        for (ModelPlacer.Placement placement :
+                placer.plan(spec, fragmentation, serviceEngines, ahead, now)) {
+            placement
+                    .engine()
+                    .setPlannedLoad(
+                            new EngineState.PlannedLoad(
+                                    placement.model(), now.plus(PLANNED_LOAD_LIFETIME)));
+            evictOrLoad(
+                    placement.engine(),
+                    placement.model(),
+                    new FleetView(serviceEngines, demand, now),
                     now,
                     actions);
         }
-        for (AdapterPlanner.Step step : adapters.plan(here, now)) {
-            order(step.engine(), step.verb(), step.adapter(), null, now, actions);
+        for (AdapterPlanner.AdapterOrder adapterOrder : adapters.plan(serviceEngines, now)) {
+            sendOrder(
+                    adapterOrder.engine(),
+                    adapterOrder.operation(),
+                    adapterOrder.adapter(),
+                    null,
+                    now,
+                    actions);
         }
     }
 
-    private void order(
-            Engine engine,
-            Verb verb,
+    private void sendOrder(
+            EngineState engine,
+            OrderOperation operation,
             ModelRef model,
             LoadSource source,
             Instant now,
             List<LoadAction> actions) {
-        number++;
+        lastOrderNumber++;
         long sequence = engine.held().sequence();
-        double free = engine.freeMb();
-        engine.sent(new Engine.Pending(number, verb, model, source, now, false, now));
-        if (verb == Verb.LOAD) {
-            openLoads.sent(number, new OpenLoad(engine.id(), engine.life(), sequence, model, now));
-        }
-        actions.add(new LoadAction.Order(engine.id(), number, verb, model, sequence, free));
+        double freeMb = engine.freeMb();
+        engine.orderSent(
+                new EngineState.PendingOrder(
+                        lastOrderNumber, operation, model, source, now, false, now));
+        if (operation == OrderOperation.LOAD) {
+            unansweredOrders.addSent(
+                    lastOrderNumber,
+                    new UnansweredLoadOrder(
+                            engine.id(), engine.incarnation(), sequence, model, now));
+        }
+        actions.add(
+                new LoadAction.SendOrder(
+                        engine.id(), lastOrderNumber, operation, model, sequence, freeMb));
     }
 
-    private static void ask(Engine engine, Instant now, List<LoadAction> actions) {
-        engine.asked(now);
-        actions.add(new LoadAction.AskReport(engine.id()));
+    private static void requestReport(EngineState engine, Instant now, List<LoadAction> actions) {
+        engine.reportRequested(now);
+        actions.add(new LoadAction.RequestReport(engine.id()));
     }
 
-    private Optional<Engine> find(UpstreamId id) {
+    private Optional<EngineState> find(UpstreamId id) {
         return Optional.ofNullable(engines.get(id));
     }
 
-    private List<Engine> of(String service) {
-        Collection<Engine> all = engines.values();
+    private List<EngineState> enginesOf(String service) {
+        Collection<EngineState> all = engines.values();
         return all.stream().filter(each -> each.facts().service().equals(service)).toList();
     }
 
     /**
-     * Why models that requests have waited for so long are still not placed: each engine that has a
-     * copy, and what bars it. Empty if nothing waits.
+     * Explains why models that requests have waited for at least the given time are not loaded: one
+     * line per model with each engine that holds it or has a copy, and the engine's state. Empty if
+     * no request has waited that long.
      */
-    public List<String> barred(Duration longerThan, Instant now) {
-        demand.addUp(now);
-        return new WaitReport(demand, engines.values(), storeUse(), now).longerThan(longerThan);
+    public List<String> explainLongWaits(Duration minWait, Instant now) {
+        demand.aggregate(now);
+        return new WaitReport(demand, engines.values(), storeUsage(), now).waitsOfAtLeast(minWait);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/WaitReport.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/WaitReport.java
@@ -7,64 +7,75 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Says in a line each, for the log, what models wait for that requests have waited for long. */
+/**
+ * Describes, for the log, why models are not loaded that requests have waited for long: one line
+ * per model.
+ */
 final class WaitReport {
-    private final DemandBook demand;
-    private final Collection<Engine> engines;
-    private final StoreUse store;
+    private final DemandAggregator demand;
+    private final Collection<EngineState> engines;
+    private final StoreUsage store;
     private final Instant now;
 
-    WaitReport(DemandBook demand, Collection<Engine> engines, StoreUse store, Instant now) {
+    WaitReport(
+            DemandAggregator demand,
+            Collection<EngineState> engines,
+            StoreUsage store,
+            Instant now) {
         this.demand = demand;
         this.engines = engines;
         this.store = store;
         this.now = now;
     }
 
-    List<String> longerThan(Duration limit) {
+    /**
+     * Returns a line for each model or adapter that a request has waited for at least this long.
+     */
+    List<String> waitsOfAtLeast(Duration limit) {
         List<String> lines = new ArrayList<>();
-        for (LoadInput.Want want : demand.waiting()) {
-            if (want.oldest().compareTo(limit) >= 0) {
-                lines.add(line(want));
+        for (LoadInput.ModelDemand modelDemand : demand.waitingInOrder()) {
+            if (modelDemand.longestWait().compareTo(limit) >= 0) {
+                lines.add(describe(modelDemand));
             }
         }
         return lines;
     }
 
-    private String line(LoadInput.Want want) {
-        StringBuilder line = new StringBuilder(want.model().toString());
-        line.append(" waiting=").append(want.waiting());
-        line.append(" ms=").append(want.oldest().toMillis());
+    private String describe(LoadInput.ModelDemand modelDemand) {
+        StringBuilder line = new StringBuilder(modelDemand.model().toString());
+        line.append(" waiting=").append(modelDemand.waiting());
+        line.append(" ms=").append(modelDemand.longestWait().toMillis());
         boolean anywhere = false;
-        for (Engine engine : engines) {
-            boolean has = engine.has(want.model().model());
-            if (has || engine.hasCopy(want.model().model())) {
+        for (EngineState engine : engines) {
+            boolean holds = engine.holds(modelDemand.model().model());
+            if (holds || engine.hasCopy(modelDemand.model().model())) {
                 line.append(' ').append(engine.id()).append('=');
-                line.append(has ? "held," : "copy,").append(state(engine));
+                line.append(holds ? "held," : "copy,").append(state(engine));
                 anywhere = true;
             }
         }
         if (!anywhere) {
-            line.append(" no copy, loads from the store ").append(store.running());
-            line.append(" of ").append(store.atFullSpeed());
+            line.append(" no copy on any engine, store loads running ")
+                    .append(store.runningLoads());
+            line.append(" of ").append(store.fullSpeedLoads());
         }
         return line.toString();
     }
 
-    private String state(Engine engine) {
-        if (demand.suspect(engine.id())) {
+    private String state(EngineState engine) {
+        if (demand.isSuspect(engine.id())) {
             return "suspect";
         }
-        if (!engine.known()) {
+        if (!engine.isKnown()) {
             return "unreported";
         }
         if (engine.pending() != null) {
             ModelRef model = engine.pending().model();
-            return engine.pending().verb() + ":" + model;
+            return engine.pending().operation() + ":" + model;
         }
-        if (engine.intent() != null) {
-            return "for:" + engine.intent().model();
+        if (engine.plannedLoad() != null) {
+            return "for:" + engine.plannedLoad().model();
         }
-        return engine.free(now) ? "free" : "quiet";
+        return engine.acceptsOrders(now) ? "free" : "quiet";
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/loads/DrainedZoneLoadsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/loads/DrainedZoneLoadsTest.java
@@ -20,62 +20,65 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is ordered while an availability zone is drained: two engines in it, two elsewhere. */
+/**
+ * Tests the orders given while an availability zone is drained, with two engines in the zone and
+ * two in another.
+ */
 class DrainedZoneLoadsTest {
     private static final VmId ROUTER = VmId.of("router-1");
-    private static final UpstreamId LEFT_1 = UpstreamId.of("left-1");
-    private static final UpstreamId LEFT_2 = UpstreamId.of("left-2");
-    private static final UpstreamId STAYS_1 = UpstreamId.of("stays-1");
-    private static final UpstreamId STAYS_2 = UpstreamId.of("stays-2");
+    private static final UpstreamId DRAINED_1 = UpstreamId.of("left-1");
+    private static final UpstreamId DRAINED_2 = UpstreamId.of("left-2");
+    private static final UpstreamId OTHER_1 = UpstreamId.of("stays-1");
+    private static final UpstreamId OTHER_2 = UpstreamId.of("stays-2");
 
-    private final LoadPlanner planner = new LoadPlanner(LoadSettings.usual());
+    private final LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
     private Instant now = Instant.ofEpochSecond(100);
 
-    // Guards against models that only a drained zone holds, and that nobody makes elsewhere until
+    // Guards against models that only a drained zone holds and that are not loaded elsewhere until
     // requests wait for them.
     @Test
-    void whatOnlyADrainedZoneHoldsIsLoadedElsewhereTheBusiestFirst() {
-        begin();
-        demand(want("rare", 0, 0.2), want("hot", 0, 1.5));
+    void modelsHeldOnlyInADrainedZoneAreLoadedElsewhereBusiestFirst() {
+        start();
+        demand(modelDemand("rare", 0, 0.2), modelDemand("hot", 0, 1.5));
         assertEquals(List.of(), orders(new LoadInput.Tick()));
-        List<String> orders = orders(new LoadInput.Drained(Set.of("drained")));
+        List<String> orders = orders(new LoadInput.DrainedZonesChanged(Set.of("drained")));
         assertEquals("LOAD hot stays-1", orders.get(0));
         assertTrue(orders.contains("LOAD rare stays-2"), orders.toString());
     }
 
-    // Guards against a load whose model nobody may be sent to.
+    // Guards against loading a model on an engine that gets no requests.
     @Test
     void anEngineInADrainedZoneGetsNoOrder() {
-        begin();
-        orders(new LoadInput.Drained(Set.of("drained")));
+        start();
+        orders(new LoadInput.DrainedZonesChanged(Set.of("drained")));
         List<String> orders = new ArrayList<>();
         for (int round = 0; round < 20; round++) {
             now = now.plusMillis(100);
-            orders.addAll(demand(want("cold", 1, 1.0), want("cold/a1", 1, 1.0)));
+            orders.addAll(demand(modelDemand("cold", 1, 1.0), modelDemand("cold/a1", 1, 1.0)));
         }
         assertTrue(orders.stream().noneMatch(each -> each.contains("left-")), orders.toString());
     }
 
     @Test
-    void aZoneThatIsTakenBackGetsOrdersAgain() {
-        begin();
-        orders(new LoadInput.Drained(Set.of("drained", "other")));
-        assertEquals(List.of(), demand(want("cold", 1, 1.0)));
-        List<String> orders = orders(new LoadInput.Drained(Set.of("other")));
+    void aZoneWhoseDrainIsCanceledGetsOrdersAgain() {
+        start();
+        orders(new LoadInput.DrainedZonesChanged(Set.of("drained", "other")));
+        assertEquals(List.of(), demand(modelDemand("cold", 1, 1.0)));
+        List<String> orders = orders(new LoadInput.DrainedZonesChanged(Set.of("other")));
         assertTrue(orders.stream().anyMatch(each -> each.contains("left-")), orders.toString());
     }
 
-    private void begin() {
-        planner.on(new LoadInput.Configured(Map.of("engines", spec())), now);
-        list(LEFT_1, "drained", "hot");
-        list(LEFT_2, "drained", "rare");
-        list(STAYS_1, "other", "other");
-        list(STAYS_2, "other", "other");
+    private void start() {
+        planner.on(new LoadInput.ServicesConfigured(Map.of("engines", spec())), now);
+        list(DRAINED_1, "drained", "hot");
+        list(DRAINED_2, "drained", "rare");
+        list(OTHER_1, "other", "other");
+        list(OTHER_2, "other", "other");
         planner.on(new LoadInput.Elected(), now);
-        report(LEFT_1, "hot");
-        report(LEFT_2, "rare");
-        report(STAYS_1, "other");
-        report(STAYS_2, "other");
+        report(DRAINED_1, "hot");
+        report(DRAINED_2, "rare");
+        report(OTHER_1, "other");
+        report(OTHER_2, "other");
     }
 
     private void list(UpstreamId id, String zone, String model) {
@@ -92,32 +95,32 @@
                         held(model),
                         Set.of(),
                         Set.of("hot", "rare", "cold"));
-        planner.on(new LoadInput.Listed(facts), now);
+        planner.on(new LoadInput.UpstreamListed(facts), now);
     }
 
     private void report(UpstreamId id, String model) {
         planner.on(
-                new LoadInput.Reported(
+                new LoadInput.UpstreamReported(
                         id, false, held(model), Set.of(), Set.of("hot", "rare", "cold")),
                 now);
     }
 
-    private List<String> demand(LoadInput.Want... wants) {
-        return orders(new LoadInput.Demanded(ROUTER, List.of(wants), Map.of(), Set.of()));
+    private List<String> demand(LoadInput.ModelDemand... demands) {
+        return orders(new LoadInput.DemandReported(ROUTER, List.of(demands), Map.of(), Set.of()));
     }
 
     private List<String> orders(LoadInput input) {
         List<String> orders = new ArrayList<>();
         for (LoadAction action : planner.on(input, now)) {
-            if (action instanceof LoadAction.Order order) {
-                orders.add(order.verb() + " " + order.model() + " " + order.upstream());
+            if (action instanceof LoadAction.SendOrder order) {
+                orders.add(order.operation() + " " + order.model() + " " + order.upstream());
             }
         }
         return orders;
     }
 
-    private static LoadInput.Want want(String model, int waiting, double perSecond) {
-        return new LoadInput.Want(
+    private static LoadInput.ModelDemand modelDemand(String model, int waiting, double perSecond) {
+        return new LoadInput.ModelDemand(
                 ModelRef.parse(model), waiting, Duration.ofMillis(10), 1, perSecond);
     }
 
