--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Account.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/Account.java
@@ -13,20 +13,25 @@
 import java.util.Set;
 
 /**
- * One workspace at one router: its own bucket, what it has borrowed and lent, and who waits.
+ * One workspace's tokens at one router: the router's own bucket, the tokens it borrowed and lent,
+ * and the requests that wait for tokens.
  *
- * <p>At each moment own tokens, loans on their way and loans not spent add up to no more than this
- * router's part of the burst and what others lent it: what is lent lowers the lender's cap until it
- * is spent or has run out. What is set aside for a request that waits for the rest lowers it, too.
+ * <p>At any time the router's own tokens, transfers in flight and unspent transfers add up to at
+ * most this router's part of the burst plus what others lent it. A transfer lowers the lender's cap
+ * until it is spent or has expired. Tokens set aside for a request that waits for the rest lower
+ * the cap as well.
  */
 final class Account {
     private static final double DEMAND_SECONDS = 4.0;
     private static final double NANOS = 1e9;
 
-    /** Who lacked tokens is likely to lack them again within this. */
+    /** A workspace that lacked tokens is likely to lack them again within this time. */
     private static final Duration SHORT_TIME = Duration.ofMillis(500);
 
-    /** Of its cap, what a bucket must hold for some time before half of it is kept. */
+    /**
+     * Fill level, as a fraction of the cap, that a bucket must hold for some time before half of it
+     * is reserved for the next incarnation.
+     */
     private static final double PLENTY = 0.75;
 
     final Bucket bucket;
@@ -63,10 +68,13 @@
         this.demandAt = now;
     }
 
-    /** A write under way that lowers our part; it counts before the store has confirmed it. */
+    /**
+     * A write in flight that lowers this router's part. It counts before the store has confirmed
+     * it.
+     */
     record Lowering(int part, long revision) {}
 
-    /** A write under way that raises what we keep; it binds from its sending. */
+    /** A write in flight that raises the reserved part. It binds from the moment it is sent. */
     record Raise(int kept, long revision) {}
 
     private record Lent(double tokens, Instant until) {}
@@ -85,7 +93,12 @@
         }
     }
 
-    /** Brings everything up to now, with this part of the whole, of which so much is kept. */
+    /**
+     * Refills the bucket, drops expired transfers and applies the current share.
+     *
+     * @param part this router's part of the workspace, in millionths
+     * @param kept the part of it that is reserved for the next incarnation, in millionths
+     */
     void advance(int part, int kept, Instant now) {
         bucket.refill(now);
         lent.values().removeIf(loan -> !now.isBefore(loan.until()));
@@ -99,12 +112,14 @@
         notePlenty(cap, now);
     }
 
-    /** Requests that wait for tokens, here or at the owner. */
+    /** Returns the number of requests that wait for tokens, in the local queue or at a lender. */
     int waiting() {
         return held.size() + asksOfOwner.size();
     }
 
-    /** True if a request here, or a router that asked for a loan, lacked tokens a moment ago. */
+    /**
+     * Returns whether a request here, or a router that requested tokens, lacked tokens recently.
+     */
     boolean wasShort(Instant now) {
         return !held.isEmpty()
                 || !shortAt.equals(Instant.MIN) && now.isBefore(shortAt.plus(SHORT_TIME));
@@ -120,7 +135,8 @@
     }
 
     /**
-     * Own tokens that may be spent: what is kept for the next life on this VM is not among them.
+     * Returns the own tokens that may be spent, without those reserved for the next incarnation on
+     * this VM.
      */
     double own() {
         return Math.max(Math.min(0, bucket.tokens()), bucket.tokens() - floor);
@@ -139,7 +155,10 @@
         return own() + borrowed.stream().mapToDouble(loan -> loan.tokens).sum();
     }
 
-    /** Takes the tokens, borrowed ones first as they run out; false if there are not enough. */
+    /**
+     * Takes this many tokens, borrowed ones first because they expire. Returns false if there are
+     * not enough.
+     */
     boolean take(long tokens) {
         if (available() < tokens) {
             return false;
@@ -158,14 +177,17 @@
         bucket.take(left);
     }
 
-    /** Sets aside what is here of so many tokens, for a request that waits for the rest. */
+    /**
+     * Takes up to this many available tokens and sets them aside for a request that waits for the
+     * rest. Returns the number of tokens set aside.
+     */
     double setAside(long tokens) {
         double here = Math.max(0, Math.min(tokens, available()));
         spend(here);
         return here;
     }
 
-    /** Notes that a loan was spent as it came. */
+    /** Records that a transfer was spent on arrival, to be reported to its lender. */
     void spentAtOnce(VmId from, String loan) {
         spent.computeIfAbsent(from, vm -> new ArrayList<>()).add(loan);
     }
@@ -174,15 +196,15 @@
         borrowed.add(new Borrowed(from, loan, tokens, until));
     }
 
-    /** Lends of its own. */
+    /** Lends own tokens until the given time. */
     void lend(String loan, long tokens, Instant until) {
         bucket.take(tokens);
         lent.put(loan, new Lent(tokens, until));
     }
 
     /**
-     * Lends of its own and what others lent it. That counts as lent here, and its first lender may
-     * fill up again: there is never more of it than the one loan.
+     * Lends own and borrowed tokens. All of them count as lent here, and the first lender may
+     * refill: the borrowed tokens exist only in the new transfer.
      */
     void lendOn(String loan, long tokens, Instant until) {
         spend(tokens);
@@ -197,13 +219,16 @@
         return lent.values().stream().mapToDouble(Lent::tokens).sum();
     }
 
-    /** Notes a write over this revision; no other is tried before it has shown, or failed to. */
+    /**
+     * Records a write that replaces this revision. No other write is sent before its result is
+     * known or the time has passed.
+     */
     void written(long revision, Instant until) {
         writtenOver = revision;
         writtenUntil = until;
     }
 
-    /** True while a write is under way and may still land. */
+    /** Returns whether a write is in flight that may still be applied. */
     boolean writing(Instant now) {
         long revision = row == null ? 0 : row.revision();
         return writtenOver == revision && now.isBefore(writtenUntil);
@@ -213,13 +238,13 @@
         lent.remove(loan);
     }
 
-    /** Notes that somebody asked for tokens here, let in or not. */
+    /** Adds requested tokens to the demand, whether or not the request is admitted. */
     void wanted(double tokens, Instant now) {
         demand = Math.max(0, demand(now) + tokens / DEMAND_SECONDS);
         demandAt = now;
     }
 
-    /** Tokens a second that were asked for here of late. */
+    /** Returns the recent demand here, in tokens per second. */
     double demand(Instant now) {
         double seconds = Math.max(0, Duration.between(demandAt, now).toNanos() / NANOS);
         return demand * Math.exp(-seconds / DEMAND_SECONDS);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/AnswerTime.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/AnswerTime.java
@@ -3,21 +3,24 @@
 import java.time.Duration;
 
 /**
- * How long other routers take to answer an ask for tokens, and so how long to wait for the next:
- * {@code time.heardAfter(took); wait(time.patience())}.
+ * Estimates how long other routers take to answer a token request, and derives the timeout of the
+ * next: {@code time.heardAfter(took); wait(time.patience())}.
  *
- * <p>The pattern: routers on a tenth of a core answer after tens of milliseconds, others after two.
- * Given up too early, an ask is followed by asks of all others, and the tokens that come after all
- * are lost to everybody until the loan ends; kept too long, a router that died holds its askers up.
+ * <p>Routers on a tenth of a core answer after tens of milliseconds, others after two. If the
+ * timeout is too short, a late answer is followed by token requests to all other routers, and the
+ * tokens that still arrive are unusable for everybody until the transfer expires. If it is too
+ * long, a router that died holds up every request that asked it.
  */
 final class AnswerTime {
-    /** Routers with room to spare answer in a few milliseconds. */
+    /** Routers with spare CPU answer in a few milliseconds. */
     private static final Duration SHORTEST = Duration.ofMillis(40);
 
-    /** About the whole objective of the most urgent callers. */
+    /** About the whole latency objective of the most urgent callers. */
     private static final Duration LONGEST = Duration.ofMillis(250);
 
-    /** Answers vary; one in some dozens takes longer than so many times the usual. */
+    /**
+     * Answer times vary: about one in several dozen exceeds the average by more than this factor.
+     */
     private static final double FACTOR = 4;
 
     private static final double NEWEST = 0.15;
@@ -26,17 +29,20 @@
 
     private double usualMillis;
 
-    /** An answer has come. */
+    /** Adds a measured answer time to the moving average. */
     void heardAfter(Duration took) {
         usualMillis += NEWEST * (took.toNanos() / NANOS_PER_MILLI - usualMillis);
     }
 
-    /** No answer came within the {@link #patience()}: it may only be slow. */
+    /**
+     * Records that no answer came within {@link #patience()}. The lender may only be slow, so the
+     * estimate grows.
+     */
     void unheard() {
         heardAfter(patience());
     }
 
-    /** How long to wait for an answer. */
+    /** Returns how long to wait for an answer. */
     Duration patience() {
         Duration wait = Duration.ofNanos((long) (usualMillis * FACTOR * NANOS_PER_MILLI));
         if (wait.compareTo(SHORTEST) < 0) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Borrowing.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/Borrowing.java
@@ -9,17 +9,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whom a router asks for tokens, and for how many.
+ * Borrows tokens for all queued requests of a workspace together: chooses the lenders and the
+ * number of tokens.
  *
- * <p>A router with a share borrows what its share lacks now and then, and asks all others. One
- * without a share borrows for every request: it asks the same lender as long as that lends, and the
- * others only then. Asked all at once, each would set aside what one of them is to lend.
+ * <p>A router with a share borrows what its share lacks now and then, and asks all lenders. A
+ * router without a share borrows for every request: it asks the same lender as long as that one
+ * lends, and all lenders only after that. If it asked all at once, each would set aside the tokens
+ * that only one of them has to lend.
  */
 final class Borrowing {
-    /** Requests of the next moment are asked for along with the present one. */
+    /** Tokens for the expected demand of this time are requested along with the present need. */
     static final double LOOK_AHEAD_SECONDS = 0.25;
 
-    /** A lender that has less than this of the whole is not the first to be asked. */
+    /** A lender with a smaller part than this, in millionths, is not asked first. */
     private static final int LARGE_PART = ShareTable.WHOLE / 8;
 
     private static final Duration ASK_GAP = Duration.ofMillis(20);
@@ -27,8 +29,9 @@
     private static final int MOST_ASKED = 8;
 
     /**
-     * Loans take a few milliseconds; who says nothing for so long is asked no more. A request is
-     * held for a few times this: after a longer wait there would be no time to ask the others.
+     * Time after which an unanswered lender no longer holds up further token requests. A transfer
+     * takes a few milliseconds. The queue timeout is a few times this value, so that time remains
+     * to ask the other lenders.
      */
     private static final Duration LENDER_PATIENCE = Duration.ofMillis(40);
 
@@ -42,7 +45,10 @@
         this.keeper = keeper;
     }
 
-    /** Asks for what held requests lack, unless answers are awaited or came a moment ago. */
+    /**
+     * Requests the tokens that queued requests lack, unless answers are pending or the last token
+     * request is very recent.
+     */
     void ask(Account account, LongSupplier numbers, Instant now, List<RateAction> actions) {
         boolean soon = now.isBefore(account.askedAt.plus(gap(account)));
         boolean awaited = !account.unanswered.isEmpty() && !stale(account, now);
@@ -51,14 +57,14 @@
         }
     }
 
-    // An owner waits for its own rate, and the others' shares are small: until a request's worth
-    // has
-    // come in there, asking them again brings nothing. Their buckets take longer to run over.
+    // An owner waits for its own rate, and the shares of the others are small. Until they have
+    // refilled enough for one request, asking them again brings nothing. Their buckets take longer
+    // than this to overflow.
     private Duration gap(Account account) {
         return keeper.owns(account) ? OWNER_ASK_GAP : ASK_GAP;
     }
 
-    /** Asks the others at once when the one lender that was asked had too little. */
+    /** Asks the other lenders at once when the single lender that was asked had too few tokens. */
     void askOthers(Account account, LongSupplier numbers, Instant now, List<RateAction> actions) {
         boolean had = account.askedOne && account.unanswered.isEmpty();
         if (had && !account.held.isEmpty()) {
@@ -84,8 +90,9 @@
         }
     }
 
-    // In the first round after the one lender had too little, each other is asked for what is its
-    // part of it. What one of them then hasn't got, each is asked for in full; it is little then.
+    // After the single lender had too few tokens, the first round asks each lender for its
+    // proportional part. Whatever one of them lacks, the next round asks for in full from each; it
+    // is little by then.
     private long portion(Account account, VmId lender, long tokens) {
         long all = 0;
         long own = 0;
@@ -109,7 +116,7 @@
         account.unanswered.addAll(asked);
     }
 
-    /** True while the answers to the last round may still come. */
+    /** Returns whether answers to the last round may still arrive. */
     boolean awaits(Account account, Instant now) {
         return !account.unanswered.isEmpty() && now.isBefore(account.askedAt.plus(LENDER_PATIENCE));
     }
@@ -119,8 +126,8 @@
         return (long) Math.ceil(Math.min(need, account.workspace.burst()));
     }
 
-    // What is borrowed ahead of need lies idle for up to two seconds. With two dozen routers that
-    // borrow for each request, a request's worth at each of them would be the whole burst.
+    // Tokens borrowed ahead of need lie idle for up to two seconds. With two dozen routers that
+    // borrow for each request, one request's worth at each of them would be the whole burst.
     private double ahead(Account account, Instant now) {
         boolean exact = keeper.owned(account) || borrows(account);
         return exact ? 0 : account.demand(now) * LOOK_AHEAD_SECONDS;
@@ -135,7 +142,7 @@
         return account.row != null && !keeper.joined(account);
     }
 
-    /** Tells lenders which of their loans are used up or over. */
+    /** Reports to lenders which of their transfers are spent or expired. */
     void tellSpent(Account account, List<RateAction> actions) {
         account.spent.forEach(
                 (lender, loans) ->
@@ -149,12 +156,12 @@
         account.spent.clear();
     }
 
-    /** True if nobody can lend, now or soon. */
+    /** Returns whether no router can lend, now or soon. */
     boolean noneToAsk(Account account) {
         return keeper.lenders(account).isEmpty() && !keeper.awaitsOthers(account);
     }
 
-    /** True if all lenders were asked, and the last round brought nothing. */
+    /** Returns whether all lenders were asked and the last round brought nothing. */
     boolean nothingCame(Account account) {
         boolean allAsked = account.dryAsks >= keeper.lenders(account).size();
         return account.unanswered.isEmpty() && account.brought == 0 && allAsked;
@@ -174,14 +181,14 @@
         return all;
     }
 
-    // Lenders come in the order of their shares.
+    // Lenders are sorted by share, so those with a large part come first.
     private static boolean large(Account account, VmId lender) {
         return account.row.table().shares().values().stream()
                 .anyMatch(share -> share.vm().equals(lender) && share.part() >= LARGE_PART);
     }
 
-    // Each time the next few of them. With dozens of routers a share is less than one request;
-    // those asked first each time would be empty while the others are full.
+    // Round robin over the lenders. With dozens of routers one share is less than one request: if
+    // the same lenders were always asked first, they would be empty while the others are full.
     private static List<VmId> nextFew(Account account, List<VmId> all) {
         if (all.size() <= MOST_ASKED) {
             return all;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Bucket.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/Bucket.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 
 /**
- * A token bucket on passed-in time: {@code bucket.refill(now); if (bucket.take(40)) ...}. Starts
- * empty, since a new bucket that is full would make tokens out of nothing.
+ * A token bucket whose clock is passed in: {@code bucket.refill(now); if (bucket.take(40)) ...}. It
+ * starts empty, because a new bucket that is full would create tokens.
  */
 final class Bucket {
     private static final double NANOS = 1e9;
@@ -19,7 +19,7 @@
         last = now;
     }
 
-    /** Adds what has come in since the last call; the tokens never exceed the cap. */
+    /** Adds the tokens that accrued since the last call, up to the cap. */
     void refill(Instant now) {
         if (now.isAfter(last)) {
             double seconds = Duration.between(last, now).toNanos() / NANOS;
@@ -29,7 +29,8 @@
     }
 
     /**
-     * Changes rate and cap from now on. A larger cap brings no tokens, a smaller one takes some.
+     * Sets the rate, in tokens per second, and the cap. A larger cap adds no tokens, a smaller one
+     * discards the excess.
      */
     void resize(double newRate, double newCap) {
         rate = newRate;
@@ -37,22 +38,25 @@
         tokens = Math.min(tokens, cap);
     }
 
-    /** Gives tokens back, up to the cap; a negative amount is debt, paid before new admissions. */
+    /**
+     * Returns tokens to the bucket, up to the cap. A negative amount is debt, which is paid before
+     * new admissions.
+     */
     void giveBack(double amount) {
         tokens = Math.min(cap, tokens + amount);
     }
 
-    /** Takes that many whatever is there; the caller has checked. */
+    /** Removes tokens without checking the balance; the caller has checked it. */
     void take(double amount) {
         tokens -= amount;
     }
 
-    /** Tokens that come in a second. */
+    /** Returns the refill rate in tokens per second. */
     double rate() {
         return rate;
     }
 
-    /** Tokens that it holds at the most. */
+    /** Returns the maximum number of tokens. */
     double cap() {
         return cap;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/FairQueue.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/FairQueue.java
@@ -5,15 +5,18 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Lets in and refuses the requests that wait for tokens at this router, in their order. */
+/**
+ * Admits or refuses the requests in this router's queue, in queue order: its own callers' and those
+ * that other routers queued here.
+ */
 final class FairQueue {
-    /** A bucket as full as this runs over before long. */
+    /** A bucket filled to this fraction of its cap will overflow before long. */
     private static final double PLENTY = 0.7;
 
-    /** Of what the owner may spend, what one router may get ahead. */
+    /** Largest fraction of the owner's spendable tokens that one router may get ahead of need. */
     private static final double AHEAD_PART = 0.25;
 
-    /** A loan lasts two seconds, and hardly more requests come to one router in that time. */
+    /** A transfer lasts two seconds, and one router rarely gets more requests in that time. */
     private static final int REQUESTS_AHEAD = 3;
 
     private final Incarnation self;
@@ -35,7 +38,7 @@
         this.borrowing = borrowing;
     }
 
-    /** Lets in those who have their tokens now, in their order. */
+    /** Admits queued requests in order for as long as there are tokens for the next one. */
     void admit(Account account, Instant now, List<RateAction> actions) {
         if (!right.usable(account, self, now)) {
             return;
@@ -65,8 +68,9 @@
         return true;
     }
 
-    // With plenty here, the next requests of the same router need not ask. What it doesn't spend in
-    // time is lost, which costs nothing as long as what comes in here would run over.
+    // While tokens are plentiful, the borrower also gets tokens for its next requests, which then
+    // need no token request. Tokens that it does not spend in time are lost, which costs nothing as
+    // long as they would have overflowed here.
     private static long ahead(Account account, Held request) {
         boolean plenty = account.bucket.tokens() >= account.bucket.cap() * PLENTY;
         double left = account.available() - request.tokens();
@@ -77,7 +81,7 @@
         return (long) Math.min(few, left * AHEAD_PART);
     }
 
-    /** Refuses those who wait in vain. */
+    /** Refuses the requests that have timed out or cannot get tokens. */
     void refuse(Account account, Instant now, List<RateAction> actions) {
         if (keeper.owns(account) && right.usable(account, self, now)) {
             refuseLate(account, now, actions);
@@ -107,8 +111,9 @@
         }
     }
 
-    // Its own rate and what is here tell an owner when each request can have its tokens. Who can't
-    // have them in time is told so now, with when to come back, and not at the end of its wait.
+    // An owner knows from its rate and balance when each request can have its tokens. A request
+    // that cannot have them in time is refused now, with the time to retry after, and not at the
+    // end of its wait.
     private void refuseLate(Account account, Instant now, List<RateAction> actions) {
         if (borrowing.awaits(account, now)) {
             return;
@@ -127,9 +132,9 @@
         }
     }
 
-    // What fills up here within the holding time needs no loan. A router that has just started
-    // holds no tokens yet; without this it would refuse for as long as it takes to fill for one
-    // request, though callers are well within their rate.
+    // Tokens that accrue here within the queue timeout need no transfer. A router that has just
+    // started holds no tokens; without this check it would refuse requests for as long as it takes
+    // to fill for one, though callers are well within their rate.
     private boolean filling(Account account, Instant now) {
         Held first = account.held.first(now);
         if (first == null) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Held.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/Held.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * A request that waits for tokens: one of this router's callers, or one that another router asks
- * for.
+ * A request that waits for tokens: from a caller of this router, or from another router.
  *
- * @param id of the caller's request; empty if another router asks
- * @param borrower who asks, if that is another router
- * @param number in the order of arrival
- * @param inTimeUntil until then its answer can still come in time
- * @param until then it is refused
+ * @param id the caller's request; empty if another router requests the tokens
+ * @param borrower the other router, if one requests the tokens
+ * @param number the position in the order of arrival
+ * @param tokens the tokens that it needs
+ * @param inTimeUntil the time until which its answer can still meet the caller's objective
+ * @param until the time at which it is refused
  */
 record Held(
         Optional<ExchangeId> id,
@@ -23,25 +23,25 @@
         long tokens,
         Instant inTimeUntil,
         Instant until) {
-    /** Another router, and the name that its loan will bear. */
+    /** The router that requests the tokens, and the id that the transfer to it will have. */
     record Borrower(VmId vm, String loan) {}
 
     static Held own(ExchangeId id, long number, long tokens, Instant inTimeUntil, Instant until) {
         return new Held(Optional.of(id), Optional.empty(), number, tokens, inTimeUntil, until);
     }
 
-    /** The same request, to wait no longer than this. */
+    /** Returns this request with a deadline no later than the given time. */
     Held until(Instant latest) {
         Instant end = latest.isBefore(until) ? latest : until;
         return new Held(id, borrower, number, tokens, inTimeUntil, end);
     }
 
-    /** True if it has waited as long as it may. */
+    /** Returns whether its deadline has passed. */
     boolean over(Instant now) {
         return !now.isBefore(until);
     }
 
-    /** How long it may still wait. */
+    /** Returns how long it may still wait. */
     Wait waitFrom(Instant now) {
         return new Wait(left(now, inTimeUntil), left(now, until));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Lender.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/Lender.java
@@ -7,9 +7,12 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** Answers other routers that ask for tokens. */
+/** Answers token requests of other routers. */
 final class Lender {
-    /** A loan counts here for so many times as long as at its borrower, whose clock may be slow. */
+    /**
+     * A transfer counts here for this many times its lifetime at the borrower, whose clock may run
+     * slow.
+     */
     private static final double MARGIN = 1.1;
 
     private final Incarnation self;
@@ -31,17 +34,17 @@
         this.keeper = keeper;
     }
 
-    /** When a loan that is made now no longer counts here. */
+    /** Returns when a transfer made now stops counting at its lender. */
     static Instant loanEnd(RateSettings settings, Instant now) {
         return now.plusNanos((long) (settings.loan().toNanos() * MARGIN));
     }
 
     /**
-     * Puts what another router asks for into the line of this one, if this is the owner and the
-     * other waits; false if that can't be, or it is there already.
+     * Queues a token request of another router here if this router is the owner and the request may
+     * wait. Returns false if it cannot be queued or is known already.
      *
-     * <p>Lent out in parts as they ask, the last tokens of a burst would lie at several routers,
-     * too few at each for a request.
+     * <p>If the owner lent in parts on demand instead, the last tokens of a burst would end up at
+     * several routers, too few at each for a request.
      */
     boolean queues(Account account, RateInput.Asked asked, LongSupplier numbers, Instant now) {
         String loan = loan(asked);
@@ -57,10 +60,11 @@
     }
 
     /**
-     * Answers one that isn't answered yet: it waits in line, or gets what is to spare now.
+     * Answers a token request that is not answered yet: with a note that it is queued, or with the
+     * tokens that can be spared now.
      *
-     * <p>A request for tokens that comes twice is answered once. A second loan under the same name
-     * would take the first one's place, and the lender would refill what the borrower still holds.
+     * <p>A token request that arrives twice is answered once. A second transfer under the same id
+     * would replace the first, and the lender would refill what the borrower still holds.
      */
     void answer(Account account, RateInput.Asked asked, Instant now, List<RateAction> actions) {
         String loan = loan(asked);
@@ -77,7 +81,7 @@
         long tokens = right.usable(account, self, now) ? spare(account, asked.tokens(), now) : 0;
         if (tokens < asked.tokens()) {
             account.shortAt = now;
-            // A request that waits can do nothing with a part of its tokens.
+            // A request that waits cannot use a part of its tokens.
             tokens = asked.within().isPresent() ? 0 : tokens;
         }
         if (tokens > 0) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/OwnerAsks.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/OwnerAsks.java
@@ -10,11 +10,13 @@
 import java.util.Map;
 
 /**
- * Requests of one workspace for which this router has asked the one that has most of its tokens, or
- * another one, each on its own.
+ * The requests of one workspace for which this router has sent a token request and awaits the
+ * answer, one token request for each, to the owner or to another lender.
  */
 final class OwnerAsks {
-    /** An owner that did not answer is left alone for this; others are asked meanwhile. */
+    /**
+     * An owner that did not answer is not asked again for this long; others are asked meanwhile.
+     */
     static final Duration AFTER_SILENCE = Duration.ofMillis(200);
 
     private final Map<String, Ask> open = new LinkedHashMap<>();
@@ -24,13 +26,14 @@
     private boolean doubted;
 
     /**
-     * One request.
+     * One request and the token request sent for it.
      *
-     * @param lender who is asked
-     * @param next who is asked after that
-     * @param ofOwner whether the lender has most of the workspace
-     * @param aside tokens that were here, set aside for it
-     * @param queued whether the lender has said that the tokens will follow
+     * @param lender the router that was asked
+     * @param next the routers to ask after that
+     * @param ofOwner whether the lender is the owner of the workspace
+     * @param aside the local tokens that are set aside for the request
+     * @param askedAt when the token request was sent
+     * @param queued whether the lender has answered that the tokens will follow
      */
     record Ask(
             Held request,
@@ -65,7 +68,7 @@
         return open.get(loan);
     }
 
-    /** The lender has answered with tokens, or that there are none. */
+    /** Records that the lender answered with tokens, or that it has none. */
     void answered(String loan, Instant now) {
         Ask ask = open.remove(loan);
         heard(ask);
@@ -74,7 +77,7 @@
         }
     }
 
-    /** The owner has answered that the request waits there. */
+    /** Records that the owner queued the request. */
     void queued(String loan, Instant now) {
         Ask ask = open.get(loan);
         heard(ask);
@@ -82,7 +85,10 @@
         open.put(loan, ask.queuedThere());
     }
 
-    /** The ask that was given up and is answered after all; null if there is none. */
+    /**
+     * Returns the token request that had timed out and is answered after all, or null if there is
+     * none.
+     */
     Ask late(String loan, Instant now) {
         Ask ask = lapsed.remove(loan);
         if (ask != null) {
@@ -99,7 +105,7 @@
         }
     }
 
-    /** Tokens that are set aside for all of them. */
+    /** Returns the tokens set aside for all pending requests. */
     double aside() {
         return open.values().stream().mapToDouble(Ask::aside).sum();
     }
@@ -108,7 +114,10 @@
         return open.size();
     }
 
-    /** True if the owner may be asked: after a silence for one request, until it answers. */
+    /**
+     * Returns whether the owner may be asked. After a timeout it is asked for one request only,
+     * until it answers.
+     */
     boolean mayAskOwner(Instant now) {
         return !now.isBefore(silentUntil) && !(doubted && ownerAsked());
     }
@@ -117,7 +126,10 @@
         return open.values().stream().anyMatch(Ask::ofOwner);
     }
 
-    /** Takes out those that were not answered in time; late answers count for so long. */
+    /**
+     * Removes and returns the requests that were not answered in time. A late answer to them is
+     * still accepted for the given time after the request was sent.
+     */
     List<Ask> givenUp(Instant now, Duration lapses) {
         lapsed.values().removeIf(each -> !now.isBefore(each.askedAt().plus(lapses)));
         List<Ask> late = new ArrayList<>();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Owners.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/Owners.java
@@ -8,18 +8,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * Asks the router that has most of a workspace's tokens, a request at a time, and while that one is
- * silent the others in turn.
+ * Borrows tokens for one request at a time from the workspace's owner, and while the owner does not
+ * answer from the other lenders in turn.
  *
- * <p>The pattern: requests of a tenth to a half of a workspace's burst, over half a dozen routers
- * and more. Divided among them, nearly each request would need the loans of several routers, and
- * tokens run over where nobody asks while requests are refused elsewhere. So one router has most of
- * it, and all wait in its queue. The others have a little each, for what they are asked while the
- * owner is lost.
+ * <p>This serves workspaces whose requests need a tenth to a half of the burst, over half a dozen
+ * routers and more. If the burst were divided evenly, nearly each request would need transfers from
+ * several routers, and tokens would overflow at idle routers while requests are refused elsewhere.
+ * So one router holds most of the tokens and queues all requests. The others hold a little each,
+ * for requests that arrive while the owner is lost.
  *
- * <p>Each router is asked once for a request, and lends all that it lacks or nothing. Asked again
- * and again for whatever there is, by dozens of routers at once, an owner that is only slow would
- * be slower still, and the tokens would lie in small pieces at all of them.
+ * <p>Each router is asked once for a request, and lends all missing tokens or none. If dozens of
+ * routers kept asking for whatever there is, an owner that is only slow would become slower still,
+ * and the tokens would be scattered in small amounts over all of them.
  */
 final class Owners {
     private final Incarnation self;
@@ -32,7 +32,10 @@
         this.keeper = keeper;
     }
 
-    /** Asks the owner for what the request lacks, or the others if the owner is silent. */
+    /**
+     * Requests the missing tokens from the owner, or from the other lenders if the owner does not
+     * answer.
+     */
     void ask(
             Account account,
             Held request,
@@ -94,7 +97,7 @@
         return (long) Math.ceil(request.tokens() - aside);
     }
 
-    /** Takes in an answer; false if it answers none of these asks. */
+    /** Processes a token transfer. Returns false if it answers none of these token requests. */
     boolean answered(
             Account account,
             RateInput.Lent lent,
@@ -126,8 +129,8 @@
         return true;
     }
 
-    // The lender counts these tokens as lent until the loan ends; dropped here, nobody would have
-    // them until then.
+    // The lender counts these tokens as lent until the transfer expires. If they were dropped here,
+    // nobody would have them until then.
     private boolean late(Account account, RateInput.Lent lent, Instant now) {
         OwnerAsks.Ask ask = account.asksOfOwner.late(lent.loan(), now);
         if (ask == null) {
@@ -153,7 +156,7 @@
         askFirst(account, shortened, next, numbers, now, actions);
     }
 
-    // What the owner lent beyond the request is for the next ones.
+    // Tokens that the owner lent beyond the request are kept for the next requests.
     private void keep(Account account, OwnerAsks.Ask ask, String loan, long ahead) {
         if (ahead == 0) {
             account.spentAtOnce(ask.lender(), loan);
@@ -163,8 +166,8 @@
     }
 
     /**
-     * Hands over those to which a router says nothing: they ask the next. Where all routers have
-     * just started the owner is about to come, and they wait for it as long as they may.
+     * Asks the next lender for each request whose lender did not answer in time. Where all routers
+     * have just started the owner is about to join, and requests wait for it as long as they may.
      */
     void check(Account account, LongSupplier numbers, Instant now, List<RateAction> actions) {
         for (OwnerAsks.Ask ask : account.asksOfOwner.givenUp(now, settings.loan())) {
@@ -173,7 +176,10 @@
         }
     }
 
-    /** Asks the owner again for those that were handed over, once it may be there. */
+    /**
+     * Asks the owner again for requests that were moved to the local queue, once the owner may be
+     * asked.
+     */
     void askAgain(Account account, LongSupplier numbers, Instant now, List<RateAction> actions) {
         for (Held request : account.held.inOrder(now)) {
             boolean own = request.id().isPresent() && !request.over(now);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateAction.java
@@ -8,21 +8,28 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a router is to do for the rates. */
+/** The actions that the rate state machine wants carried out. */
 public sealed interface RateAction {
-    /** Let the request in; its estimate is charged. */
+    /** Admit the request. Its estimated tokens are already charged. */
     record Admit(ExchangeId id) implements RateAction {}
 
     /** Refuse the request. */
     record Refuse(ExchangeId id, Refusal refusal) implements RateAction {}
 
-    /** Read all tables; a {@link RateInput.Read} or {@code NotRead} must follow. */
+    /** Read all share tables. A {@link RateInput.Read} or {@link RateInput.NotRead} must follow. */
     record Read() implements RateAction {}
 
-    /** Write the table if the stored one has this revision (0: if there is none); then read. */
+    /** Write the table if the stored one has this revision (0: if there is none), then read it. */
     record Write(WorkspaceId workspace, ShareTable table, long revision) implements RateAction {}
 
-    /** Ask that router for tokens: for what it has now, or for all of them within a wait. */
+    /**
+     * Request tokens from another router: those it can spare now, or all of them within a wait.
+     *
+     * @param tokens the number of tokens; 0 to only report spent transfers
+     * @param ask the id of the token request
+     * @param spent the ids of transfers from that router that are spent or expired
+     * @param within how long the request may wait for the tokens; empty to take what there is now
+     */
     record Ask(
             VmId to,
             WorkspaceId workspace,
@@ -31,17 +38,18 @@
             List<String> spent,
             Optional<Wait> within)
             implements RateAction {
-        /** Asks for what it has now. */
+        /** Requests the tokens that the other router can spare now. */
         public Ask(VmId to, WorkspaceId workspace, long tokens, String ask, List<String> spent) {
             this(to, workspace, tokens, ask, spent, Optional.empty());
         }
     }
 
     /**
-     * Lend tokens to that router; they are subtracted already.
+     * Transfer tokens to another router. They are already subtracted here.
      *
-     * @param queued if there are none yet, and they will follow
-     * @param comeBack when there may be enough, if these are none
+     * @param loan the id of the transfer
+     * @param queued whether there are no tokens yet, and they will follow
+     * @param comeBack how long until there may be enough, if none are lent
      */
     record Lend(
             VmId to,
@@ -51,7 +59,7 @@
             boolean queued,
             Duration comeBack)
             implements RateAction {
-        /** An answer that is final. */
+        /** Answers a token request finally. */
         public Lend(VmId to, WorkspaceId workspace, long tokens, String loan) {
             this(to, workspace, tokens, loan, false, Duration.ZERO);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateInput.java
@@ -11,41 +11,56 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What can happen to a router's part in the rates. */
+/** The events that the rate state machine of a router reacts to. */
 public sealed interface RateInput {
-    /** What operators have set. */
+    /** Operators have configured the workspaces. */
     record Configured(Map<WorkspaceId, Workspace> workspaces) implements RateInput {}
 
-    /** All tables, as the store had them at some time after {@code askedAt}. */
+    /** The store returned all share tables, as they were at some time after {@code askedAt}. */
     record Read(Map<WorkspaceId, Row> rows, Instant askedAt) implements RateInput {}
 
-    /** The store has this row, as the answer to a write of ours shows. */
+    /** The answer to a write of this router showed that the store has this row. */
     record RowSeen(WorkspaceId workspace, Row row) implements RateInput {}
 
     /** The store did not answer a read. */
     record NotRead() implements RateInput {}
 
-    /** The VMs of routers that the platform lists. */
+    /** The platform listed these VMs as routers. */
     record Listed(Set<VmId> routers) implements RateInput {}
 
-    /** Another router was heard of. */
+    /**
+     * A message from another router arrived that says nothing about tokens. It shows that the
+     * router is reachable.
+     */
     record Heard(VmId from) implements RateInput {}
 
-    /** A request wants in; without a wait of its own it may wait for the usual holding time. */
+    /**
+     * A request asks to be admitted.
+     *
+     * @param tokens the estimated tokens that it is charged
+     * @param within how long it may wait for tokens; empty for the default queue timeout
+     */
     record Arrived(ExchangeId id, WorkspaceId workspace, long tokens, Optional<Wait> within)
             implements RateInput {
-        /** A request that may wait for the usual holding time. */
+        /** A request that may wait for the default queue timeout. */
         public Arrived(ExchangeId id, WorkspaceId workspace, long tokens) {
             this(id, workspace, tokens, Optional.empty());
         }
     }
 
-    /** A request is over; it was charged the one and used the other. */
+    /**
+     * A request has finished: it was charged {@code charged} tokens and used {@code used} tokens.
+     */
     record Settled(WorkspaceId workspace, long charged, long used) implements RateInput {}
 
     /**
-     * Another router is short of tokens; {@code spent} are loans of ours that are used up. One that
-     * waits wants all the tokens or none, and will wait so long for them.
+     * Another router requested tokens.
+     *
+     * @param tokens the number of tokens; 0 to only report spent transfers
+     * @param ask the id of the token request
+     * @param spent the ids of transfers from this router that are spent or expired
+     * @param within how long the other router waits for all of the tokens; empty if it takes what
+     *     there is now
      */
     record Asked(
             VmId from,
@@ -55,7 +70,7 @@
             List<String> spent,
             Optional<Wait> within)
             implements RateInput {
-        /** A router that takes what there is now. */
+        /** Another router requested the tokens that can be spared now. */
         public Asked(
                 VmId from, WorkspaceId workspace, long tokens, String ask, List<String> spent) {
             this(from, workspace, tokens, ask, spent, Optional.empty());
@@ -63,10 +78,11 @@
     }
 
     /**
-     * Another router lends tokens, perhaps none, as an answer to what we asked.
+     * Another router answered a token request, with tokens or with none.
      *
-     * @param queued if the tokens will follow, and these are none
-     * @param comeBack when there may be enough, if these are none
+     * @param loan the id of the transfer
+     * @param queued whether there are no tokens yet, and they will follow
+     * @param comeBack how long until there may be enough, if none are lent
      */
     record Lent(
             VmId from,
@@ -76,7 +92,7 @@
             boolean queued,
             Duration comeBack)
             implements RateInput {
-        /** An answer that is final. */
+        /** Another router answered a token request finally. */
         public Lent(VmId from, WorkspaceId workspace, long tokens, String loan) {
             this(from, workspace, tokens, loan, false, Duration.ZERO);
         }
@@ -85,9 +101,9 @@
     /** Time has passed. */
     record Tick() implements RateInput {}
 
-    /** This router stops for good: it gives its shares back. */
+    /** This router stops for good and is to return its shares. */
     record Leave() implements RateInput {}
 
-    /** A table and where it stands in the store. */
+    /** A share table and its revision in the store. */
     record Row(ShareTable table, long revision) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
@@ -13,15 +13,15 @@
 import java.util.TreeMap;
 
 /**
- * One router's part in keeping every workspace within its rate over all routers.
+ * The state machine of one router that keeps every workspace within its rate over all routers.
  *
- * <p>It spends its share from a bucket of its own, asks other routers for tokens where that is
- * short and lends to them where it is not, and lets its share follow its demand. Each request that
- * arrives leads to exactly one {@code Admit} or {@code Refuse}, at the latest at the first tick
- * after the holding time.
+ * <p>It spends its share from a token bucket of its own, borrows tokens from other routers where
+ * that is short, lends tokens where it is not, and adjusts its share to its demand. Each request
+ * that arrives leads to exactly one {@code Admit} or {@code Refuse}, at the latest at the first
+ * tick after its queue timeout.
  */
 public final class RateMachine implements Machine<RateInput, RateAction> {
-    /** A workspace that others must found is looked for this often. */
+    /** How often the store is read for a workspace whose first table another router must write. */
     private static final Duration FOUNDING = Duration.ofMillis(200);
 
     private static final int MOST_HELD = 256;
@@ -52,12 +52,15 @@
         this.lender = new Lender(self, vm, settings, right, keeper);
     }
 
-    /** A machine for this life of the router on this VM, reached at this {@code host:port}. */
+    /**
+     * Creates the state machine for this router incarnation on this VM, reached at this {@code
+     * host:port}.
+     */
     public static RateMachine of(Incarnation self, VmId vm, String address, RateSettings settings) {
         return new RateMachine(self, vm, address, settings);
     }
 
-    /** Tells when this life began to run, if that was before its first input. */
+    /** Sets when this incarnation started to run, if that was before its first input. */
     public void began(Instant at) {
         keeper.running(at);
     }
@@ -95,19 +98,19 @@
         return actions;
     }
 
-    /** Tokens that this router could spend now, for operators to see. */
+    /** Returns the tokens that this router could spend now. */
     public double available(WorkspaceId workspace) {
         Account account = accounts.get(workspace);
         return account == null ? 0 : account.available();
     }
 
-    /** Its part of the workspace's whole, in {@link ShareTable#WHOLE}ths. */
+    /** Returns this router's part of the workspace, in {@link ShareTable#WHOLE}ths. */
     public int part(WorkspaceId workspace) {
         Account account = accounts.get(workspace);
         return account == null ? 0 : keeper.part(account);
     }
 
-    /** Requests that wait for tokens here. */
+    /** Returns the number of requests that wait for tokens. */
     public int held() {
         int held = 0;
         for (Account account : accounts.values()) {
@@ -116,12 +119,15 @@
         return held;
     }
 
-    /** True while ticks matter: requests wait, shares are being founded, or this router leaves. */
+    /**
+     * Returns whether frequent ticks are needed: requests wait, shares are being created, or this
+     * router is leaving.
+     */
     public boolean busy(Instant now) {
         return held() > 0 || keeper.awaitsOwners(now) || keeper.leaving();
     }
 
-    /** True once a router that leaves has given all its shares back. */
+    /** Returns whether this router holds no share any more, so that a leaving router may stop. */
     public boolean left() {
         return accounts.values().stream().allMatch(account -> keeper.part(account) == 0);
     }
@@ -140,7 +146,7 @@
         readAt = Instant.MIN;
     }
 
-    // Routers that borrow begin with different lenders.
+    // Different routers start the round robin at different lenders.
     private Account account(Workspace workspace, Instant now) {
         Account account = new Account(workspace, now);
         account.turn = vm.value().hashCode();
@@ -154,7 +160,8 @@
         keeper.balance(List.copyOf(accounts.values()), now, actions);
     }
 
-    // One row says nothing of the others, so it isn't a read that lets shares be spent again.
+    // One row says nothing about the others, so it does not count as a read that lets shares be
+    // spent again.
     private void rowSeen(RateInput.RowSeen one, Instant now, List<RateAction> actions) {
         Account account = accounts.get(one.workspace());
         if (account != null) {
@@ -222,14 +229,15 @@
         }
         account.held.add(request);
         if (keeper.owns(account)) {
-            // It may have to go before those who wait already.
+            // It may have to be admitted before the requests that already wait.
             queue.admit(account, now, actions);
         }
         askForHeld(account, now, actions);
         queue.refuse(account, now, actions);
     }
 
-    // Lets in who can be, asks others for what those who wait lack, and refuses who waits in vain.
+    // Admits the requests that have their tokens, requests tokens for the rest, and refuses those
+    // that cannot get any.
     private void work(Account account, Instant now, List<RateAction> actions) {
         queue.admit(account, now, actions);
         askForHeld(account, now, actions);
@@ -239,7 +247,7 @@
     private Held held(Account account, RateInput.Arrived arrived, Instant now) {
         Instant until = now.plus(hold(now));
         if (!keeper.owned(account) || arrived.within().isEmpty()) {
-            // All of them wait equally long, and go in the order in which they came.
+            // All of them wait equally long and are admitted in the order of arrival.
             return Held.own(arrived.id(), ++counter, arrived.tokens(), Instant.MIN, until);
         }
         Wait wait = arrived.within().get();
@@ -281,9 +289,9 @@
         lender.answer(account, asked, now, actions);
     }
 
-    // A loan counts from our asking, not from its coming: the lender's cap is lowered for a little
-    // longer than that, so that a loan which was long on its way is never spent a second time.
-    // An answer that comes twice finds its lender no longer awaited.
+    // A transfer counts from the time of the token request, not from its arrival. The lender's cap
+    // is lowered for slightly longer than that, so that a delayed transfer is never spent twice. A
+    // duplicate answer finds its lender no longer awaited.
     private void lent(RateInput.Lent lent, Instant now, List<RateAction> actions) {
         right.heard(lent.from(), now);
         Account account = accounts.get(lent.workspace());
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateRefusals.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateRefusals.java
@@ -5,7 +5,7 @@
 import io.damaskyoke.id.ExchangeId;
 import java.time.Duration;
 
-/** What callers are told whose requests the rate doesn't let in; none of them has run. */
+/** Builds the refusals of requests that the rate does not admit. None of these requests has run. */
 final class RateRefusals {
     private static final Duration COME_BACK = Duration.ofSeconds(1);
 
@@ -25,14 +25,16 @@
     }
 
     static RateAction tooMany(ExchangeId id) {
-        return exceeded(id, "too many requests wait for the rate", COME_BACK);
+        return exceeded(id, "the queue for the workspace's rate is full", COME_BACK);
     }
 
     static RateAction usedUp(ExchangeId id, Duration wait) {
         return exceeded(id, "the workspace has used up its rate and burst", wait);
     }
 
-    /** Coming back can't help here, so no time is given for it. */
+    /**
+     * Refuses a request that can never be admitted. A retry cannot help, so there is no retry time.
+     */
     static RateAction tooLarge(ExchangeId id) {
         return new RateAction.Refuse(
                 id,
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateSettings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateSettings.java
@@ -3,21 +3,22 @@
 import java.time.Duration;
 
 /**
- * The times that rates go by.
+ * The timing of rate sharing.
  *
  * @param validity how long shares may be spent without a read of the store
- * @param freeze a gap between two ticks after which the store is read before anything is spent
- * @param isolation how long shares are spent with no word from store, list or any other router
+ * @param freeze gap between two ticks after which the store is read before anything is spent
+ * @param isolation how long shares are spent without contact to the store, the VM list or any other
+ *     router
  * @param gone how long a VM must be off the list and silent before its share is marked
- * @param takeBack how long a mark must stand before the share is taken
- * @param loan how long a lent token may be spent, from the asking on
+ * @param takeBack how long a mark must stand before the share is reclaimed
+ * @param loan how long a lent token may be spent, from the token request on
  * @param hold how long a request may wait for tokens from other routers
  * @param joiningHold the same in the first two seconds, when shares are joined one after the other
- * @param readPeriod between two reads of all tables
- * @param keeps whether half of a full bucket is kept for the next life on the VM
- * @param writeGap between two writes of one router that let shares follow demand
- * @param owned whether one router has most of a workspace and queues what the others ask for; else
- *     shares follow demand
+ * @param readPeriod time between two reads of all tables
+ * @param keeps whether half of a full bucket is reserved for the next incarnation on the VM
+ * @param writeGap time between two writes of one router that adjust shares to demand
+ * @param owned whether one router holds most of a workspace and queues the others' token requests;
+ *     otherwise shares follow demand
  */
 public record RateSettings(
         Duration validity,
@@ -32,7 +33,7 @@
         boolean keeps,
         Duration writeGap,
         boolean owned) {
-    /** What the daemons use; docs/design/rates.md says why. */
+    /** Returns the settings of the daemons; docs/design/rates.md gives the reasons. */
     public static RateSettings usual() {
         return new RateSettings(
                 Duration.ofMinutes(10),
@@ -50,16 +51,17 @@
     }
 
     /**
-     * What routers use that reach upstreams themselves.
+     * Returns the settings of routers that reach upstreams themselves.
      *
      * <p>A router that is lost for good may have been the owner of a workspace, which is served
-     * from the small parts of the others until its part is taken back; so that is soon. Nobody
-     * takes it before a router that is only cut off must have stopped spending: gone and takeBack
-     * together are longer than isolation. Links to other routers are heard of every second or two,
-     * so that an outage of the store alone isolates nobody. A killed router's next life takes its
-     * share over at once. Holding is half of what callers want an answer in, and longer after a
-     * start, when a refusal would meet callers who are well within their rate; a loan takes a few
-     * milliseconds, and so shares need not follow demand at every turn: each write has its price.
+     * from the small parts of the others until the owner's part is reclaimed; so that happens soon.
+     * No router reclaims it before a router that is only cut off must have stopped spending: {@code
+     * gone} and {@code takeBack} together are longer than {@code isolation}. Other routers are
+     * heard from every second or two, so an outage of the store alone isolates no router. The next
+     * incarnation of a killed router takes its share over at once. The queue timeout is half of the
+     * time in which callers want an answer. It is longer after a start, when a refusal would hit
+     * callers who are well within their rate. A transfer takes a few milliseconds, so shares need
+     * not follow every change of demand; each write has its price.
      */
     public static RateSettings direct() {
         return new RateSettings(
@@ -77,7 +79,7 @@
                 true);
     }
 
-    /** The same with shares that follow demand, and no owners. */
+    /** Returns these settings with shares that follow demand, and without owners. */
     public RateSettings withoutOwners() {
         return new RateSettings(
                 validity,
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareHolders.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareHolders.java
@@ -11,19 +11,22 @@
 import java.util.zip.CRC32;
 
 /**
- * Which routers have shares of a workspace: {@code ShareHolders.of(workspace, routers)}.
+ * Selects the routers that hold shares of a workspace: {@code ShareHolders.of(workspace, routers)}.
  *
- * <p>With a handful of routers all have one. With dozens, a share would be smaller than a usual
- * request, so that most requests would need the loans of many routers, and each start would be
- * dozens of routers writing to one row in turn. So a few routers have all of it, and the others
- * borrow from them. Rendezvous hashing picks them: who reads the same list picks the same, and a
- * router that comes or goes changes few. Two that read different lists only make one home more.
+ * <p>With a handful of routers all of them hold one. With dozens, a share would be smaller than a
+ * usual request, so that most requests would need transfers from many routers, and at each start
+ * dozens of routers would write to one row in turn. So a few routers hold all of it, and the others
+ * borrow from them. Rendezvous hashing selects them: routers that read the same list select the
+ * same, and a router that joins or leaves changes few selections. Two routers that read different
+ * lists only add one more holder.
  */
 final class ShareHolders {
-    /** Routers of a deployment of today; each has a share large enough for several requests. */
+    /**
+     * Size of a present-day deployment; each router has a share large enough for several requests.
+     */
     private static final int ALL_UP_TO = 6;
 
-    /** One may be killed and another cut off, and two still lend. */
+    /** One may be killed and another cut off, and two can still lend. */
     private static final int OF_MANY = 4;
 
     private ShareHolders() {}
@@ -33,12 +36,12 @@
         return routers.stream().sorted(order(workspace)).limit(most).collect(Collectors.toSet());
     }
 
-    /** The router that has most of the workspace, where one has. */
+    /** Returns the designated owner, which should hold most of the workspace. */
     static VmId owner(WorkspaceId workspace, Collection<VmId> routers) {
         return routers.stream().min(order(workspace)).orElseThrow();
     }
 
-    /** These routers, the one that has most first. */
+    /** Returns these routers with the designated owner first. */
     static List<VmId> inOrder(WorkspaceId workspace, Collection<VmId> routers) {
         return routers.stream().sorted(order(workspace)).toList();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareKeeper.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareKeeper.java
@@ -13,19 +13,25 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Lets one router's shares follow its demand, and gives back the shares of those that are gone. */
+/**
+ * Adjusts one router's shares in the store to its demand, and reclaims the shares of routers that
+ * are gone.
+ */
 final class ShareKeeper {
     private static final double HEADROOM = 1.25;
 
     /**
-     * A share follows demand up to here; the rest is borrowed. What is lost with a router is less.
+     * Largest part of the whole to which a share follows demand; the rest is borrowed. This limits
+     * what is lost with a router.
      */
     private static final double MOST_WANTED = 0.334;
 
-    /** After this, all routers that started together are on the list. */
+    /** Time after which all routers that started together are on the list. */
     private static final Duration SETTLING = Duration.ofSeconds(3);
 
-    /** The owner of a workspace has this long to take its part before the others take theirs. */
+    /**
+     * Head start in which the owner of a workspace takes its part before the others take theirs.
+     */
     private static final Duration STANDBY_PAUSE = Duration.ofSeconds(3);
 
     /** How long after its start a router may still be about to get its shares. */
@@ -36,13 +42,13 @@
 
     private static final int JITTER_MILLIS = 1_000;
 
-    /** A bucket that was nearly full for so long is likely to stay so. */
+    /** A bucket that was nearly full for this long is likely to stay so. */
     private static final Duration PLENTY_FOR = Duration.ofSeconds(1);
 
-    /** From here on an even share holds a few of the largest usual requests. */
+    /** An even share of this many tokens holds a few of the largest usual requests. */
     private static final double EVEN_SHARE_TOKENS = 6_000;
 
-    /** All routers but the owner together have no more than one part of so many. */
+    /** All routers but the owner together hold at most this fraction (1/n) of the whole. */
     private static final int STANDBY_FRACTION = 4;
 
     private static final int STEP = ShareTable.WHOLE / 8;
@@ -71,42 +77,49 @@
         this.right = right;
     }
 
-    /** This life runs; nobody else spends on this VM from the first call on. */
+    /** Records that this incarnation runs. Nobody else spends on this VM from the first call on. */
     void running(Instant now) {
         if (began == null) {
             began = now;
         }
     }
 
-    /** How long this life has run. */
+    /** Returns how long this incarnation has run. */
     Duration age(Instant now) {
         return Duration.between(began, now);
     }
 
-    /** True while it may still be about to get its shares, and be short for that reason. */
+    /**
+     * Returns whether this router may still be about to get its shares, and lack tokens for that
+     * reason.
+     */
     boolean joining(Instant now) {
         return age(now).compareTo(JOINING) < 0;
     }
 
-    /** True while owners that started along with it may still be about to take their parts. */
+    /**
+     * Returns whether owners that started along with this router may still be about to take their
+     * parts.
+     */
     boolean awaitsOwners(Instant now) {
         return age(now).compareTo(OWNERS_JOINING) < 0;
     }
 
-    /** True if this router should have a share. */
+    /** Returns whether this router should hold a share. */
     boolean home(Account account) {
         return right.homes(account.workspace.id()).contains(vm);
     }
 
-    /** True if the store shows a share of ours. */
+    /** Returns whether the store shows a share of this incarnation. */
     boolean joined(Account account) {
         return account.row != null && account.row.table().share(self).isPresent();
     }
 
     /**
-     * True if one router is to have most of the workspace: an even share would be too small, or
-     * most routers have none. Those would ask the few that have, each for a part of what they lack,
-     * and what is left over would lie at dozens of routers, too little at each for a request.
+     * Returns whether one router should own the workspace: an even share would be too small, or
+     * most routers hold none. Otherwise the routers without a share would ask the few holders, each
+     * for a part of what they lack, and the remainders would be spread over dozens of routers, too
+     * little at each for a request.
      */
     boolean owned(Account account) {
         int homes = right.homes(account.workspace.id()).size();
@@ -115,12 +128,15 @@
         return settings.owned() && (few || small);
     }
 
-    /** True if this router has most of the workspace, and the others ask it. */
+    /**
+     * Returns whether this router is the owner: it holds most of the workspace, and the others
+     * request tokens from it.
+     */
     boolean owns(Account account) {
         return settings.owned() && part(account) > ShareTable.WHOLE / 2;
     }
 
-    /** The other router that has most of the workspace, if one has. */
+    /** Returns the other router that owns the workspace, if one does. */
     Optional<VmId> otherOwner(Account account) {
         if (!settings.owned() || account.row == null) {
             return Optional.empty();
@@ -128,17 +144,20 @@
         return account.row.table().owner().filter(owner -> !owner.equals(vm));
     }
 
-    /** True if this router asks others for each request: one of them has most, or should have. */
+    /**
+     * Returns whether this router requests tokens for each request, because another router owns the
+     * workspace or should own it.
+     */
     boolean borrowsFromOwner(Account account) {
         return (otherOwner(account).isPresent() || owned(account)) && !owns(account);
     }
 
     /**
-     * The others that may have tokens, the largest part first.
+     * Returns the other routers that may have tokens, the largest part first.
      *
-     * <p>A router that starts while the store is out has never seen a share. It has none to spend,
-     * so nothing can be spent twice; but without loans from those that have, it would refuse every
-     * request for as long as the outage lasts.
+     * <p>A router that starts during an outage of the store has never seen a share. It has none to
+     * spend, so nothing can be spent twice; but without transfers from routers that hold shares, it
+     * would refuse every request for as long as the outage lasts.
      */
     List<VmId> lenders(Account account) {
         if (account.row == null) {
@@ -163,7 +182,10 @@
         next = Instant.MIN;
     }
 
-    /** Our part as it counts now: a lowering counts at once, a rise once the store shows it. */
+    /**
+     * Returns this router's part as it counts now, in millionths. A decrease counts at once, an
+     * increase once the store shows it.
+     */
     int part(Account account) {
         if (account.row == null) {
             return 0;
@@ -173,8 +195,9 @@
     }
 
     /**
-     * What of our burst may not be spent: the next life on this VM will find it. Less is kept once
-     * the store shows it; more from the sending on, since that write may land at any time.
+     * Returns the part of the burst, in millionths, that may not be spent because the next
+     * incarnation on this VM will find it. A decrease counts once the store shows it; an increase
+     * counts when its write is sent, since that write may be applied at any time.
      */
     int kept(Account account) {
         if (account.row == null) {
@@ -185,8 +208,8 @@
     }
 
     /**
-     * Takes in what the store has. A lowering whose answer was lost may still land as long as the
-     * row has the revision that it was meant for, and counts until it can no longer.
+     * Applies a row of the store. A decrease whose answer was lost may still be applied as long as
+     * the row has the revision that it replaces, and counts until it no longer can.
      */
     void seen(Account account, RateInput.Row row, Instant now) {
         if (row == null || account.row != null && row.revision() < account.row.revision()) {
@@ -206,9 +229,9 @@
                 .forEach(mark -> marks.putIfAbsent(mark, now));
     }
 
-    // Nobody has spent this part of the burst. Without it, the workspace of a new ticket would be
-    // refused within its rate until its buckets have filled, and so would all workspaces after a
-    // restart of all routers.
+    // Nobody has spent this part of the burst. Without it, a new workspace would be refused within
+    // its rate until its buckets have filled, and so would all workspaces after a restart of all
+    // routers.
     private void fill(Account account, ShareTable.Share own, Instant now) {
         if (filled.add(account.workspace.id())) {
             account.advance(part(account), kept(account), now);
@@ -218,8 +241,9 @@
     }
 
     /**
-     * Writes what should change, within this router's part of the store's calls. It goes on where
-     * it stopped: from the front each time, the last workspaces' shares would hardly ever move.
+     * Writes the tables that should change, within this router's part of the store's call budget.
+     * It continues where it stopped: if it always started at the first workspace, the shares of the
+     * last ones would hardly ever change.
      */
     void balance(List<Account> accounts, Instant now, List<RateAction> actions) {
         for (int step = 0; step < accounts.size(); step++) {
@@ -257,7 +281,7 @@
         return even.compareTo(settings.writeGap()) > 0 ? even : settings.writeGap();
     }
 
-    /** The table as it should be, or null if it may stay. */
+    /** Returns the table as it should be, or null if it may stay. */
     private ShareTable wanted(Account account, Instant now) {
         if (!right.fresh(now)) {
             return null;
@@ -280,8 +304,8 @@
         return moved(account, table, table.share(self).get(), now);
     }
 
-    // At a start of all routers each would write its small part into each row. The owners, whose
-    // parts everybody waits for, would lose one race after the other.
+    // At a start of all routers each would write its small part into each row, and the owners,
+    // whose parts all routers wait for, would lose one compare-and-set race after another.
     private boolean standsBack(Account account, Instant now) {
         Duration pause = STANDBY_PAUSE.plusMillis(Math.floorMod(vm.hashCode(), JITTER_MILLIS));
         return owned(account)
@@ -300,7 +324,8 @@
         return table.joinWith(self, vm, address, part, grown);
     }
 
-    // What routers have beside the owner, so that small requests find something when it is lost.
+    // The part of a router that is not the owner, so that small requests find some tokens when the
+    // owner is lost.
     private static int standbyPart(int homes) {
         return ShareTable.WHOLE / (STANDBY_FRACTION * homes);
     }
@@ -320,16 +345,16 @@
                 : table.keep(self, Math.min(own.part() / 2, inBucket(account)));
     }
 
-    // At a start routers see only a part of the list, and more of them take shares than should
-    // have one. Left there, a workspace's tokens would lie in parts at all of them again, and where
-    // nobody has most of them, all others ask each of them in turn.
+    // At a start routers see only a part of the list, and more of them take shares than should hold
+    // one. If they kept them, the tokens of a workspace would be scattered over all of them, and
+    // without an owner each router would ask every other in turn.
     private boolean strays(Account account, Instant now) {
         Duration settling = SETTLING.plusMillis(Math.floorMod(vm.hashCode(), JITTER_MILLIS));
         return !home(account) && joined(account) && age(now).compareTo(settling) >= 0;
     }
 
-    // What is lent stays until it is back. A router that is asked all the time has always lent
-    // something; the rest goes at once.
+    // Lent tokens stay in the part until they are returned. A router that gets token requests all
+    // the time has always lent something, so the rest is withdrawn at once.
     private ShareTable withdrawn(Account account, ShareTable table, int homes) {
         Optional<ShareTable.Share> own = table.share(self);
         if (own.isEmpty()) {
@@ -348,16 +373,16 @@
         return (int) (Math.max(0, Math.min(1, part)) * ShareTable.WHOLE);
     }
 
-    // Whoever waits, here or at a router that borrows, needs what is kept now; a next life on this
-    // VM has to do without.
+    // A request that waits, here or at a borrower, needs the reserved tokens now. The next
+    // incarnation on this VM has to do without them.
     private boolean releases(Account account, Instant now) {
         return account.wasShort(now) && kept(account) > 0;
     }
 
-    // Unspent for a second, half of the burst can be promised to the next life. A router that is
-    // killed would else take it along, and with all routers killed at once every workspace would
-    // be refused within its rate for seconds. What routers beside an owner have isn't worth a
-    // write.
+    // If unspent for a second, half of the burst can be reserved for the next incarnation.
+    // Otherwise a killed router would take it along, and with all routers killed at once every
+    // workspace would be refused within its rate for seconds. The parts of routers other than the
+    // owner are not worth a write.
     private boolean keepsMore(Account account, ShareTable.Share own, Instant now) {
         boolean worthKeeping = !owned(account) || owns(account);
         return settings.keeps()
@@ -369,7 +394,8 @@
                 && own.part() > 0;
     }
 
-    // Of a full burst, what has come in since this life began: nobody spent on this VM since then.
+    // The fraction of a full burst that accrued since this incarnation started: nobody spent on
+    // this VM since then.
     private double grown(Account account, Instant now) {
         double seconds = Duration.between(began, now).toMillis() / 1000.0;
         return Math.min(1, seconds * account.workspace.rate() / account.workspace.burst());
@@ -407,15 +433,16 @@
         return wantChanged || moved > LEAST_MOVE ? dealt : null;
     }
 
-    // A router that founds a table and takes the whole takes it along when it dies: the others,
-    // which had nothing yet, then refuse the workspace within its rate until the share is taken
-    // back. So what is untouched waits for those on the list that have not joined.
+    // A router that creates a table and takes the whole would take it along when it dies: the
+    // others, which had nothing yet, would refuse the workspace within its rate until the share is
+    // reclaimed. So the untouched part is reserved for listed routers that have not joined.
     private static int reserve(ShareTable table, int homes) {
         return table.shares().size() < homes ? table.untouched() : 0;
     }
 
     /**
-     * True while routers on the list have still to take their untouched part, and can lend then.
+     * Returns whether routers on the list have still to take their untouched part, and can lend
+     * then.
      */
     boolean awaitsOthers(Account account) {
         int homes = right.homes(account.workspace.id()).size();
@@ -431,13 +458,14 @@
                                         && entry.getValue().part() < entry.getValue().want());
     }
 
-    // What is lent stays within our part until it is back, or its taker could fill up beside it.
+    // Lent tokens stay within this router's part until they are returned. Otherwise the router that
+    // took the part could fill up beside them.
     private static int lentPart(Account account) {
         double part = account.lentOut() / account.workspace.burst();
         return (int) Math.min(ShareTable.WHOLE, Math.ceil(part * ShareTable.WHOLE));
     }
 
-    // Everybody wants a little, so that first requests find something where the store is out.
+    // Each router wants a little, so that first requests find tokens during an outage of the store.
     private int want(Account account, int routers, Instant now) {
         int least = standbyPart(routers);
         if (owned(account)) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareTable.java
@@ -16,13 +16,14 @@
 import java.util.TreeMap;
 
 /**
- * How one workspace's rate and burst are divided among router incarnations, as the store keeps it.
- * Immutable; each step gives a new table, and no step can make the parts add up to more than {@link
- * #WHOLE}. Parts are of the whole and not tokens, so a ticket that changes the rate rescales all.
+ * How one workspace's rate and burst are divided among router incarnations, as stored. It is
+ * immutable: each step returns a new table, and no step can make the parts add up to more than
+ * {@link #WHOLE}. Parts are fractions of the whole and not tokens, so a ticket that changes the
+ * rate rescales all of them.
  *
- * @param founder who wrote the first table, when nobody could have spent yet
- * @param untouched what nobody has ever had, of {@link #WHOLE}; no more than is free
- * @param shares by incarnation
+ * @param founder the incarnation that wrote the first table, when nobody could have spent yet
+ * @param untouched the part that nobody has ever had, of {@link #WHOLE}; at most the free part
+ * @param shares the shares by incarnation
  */
 public record ShareTable(Incarnation founder, int untouched, Map<Incarnation, Share> shares) {
     /** All of a workspace's rate and burst, in parts. */
@@ -31,14 +32,16 @@
     /**
      * One incarnation's share.
      *
+     * @param vm the VM of the incarnation
      * @param address where the other routers reach it, {@code host:port}
      * @param part how much it has, of {@link #WHOLE}
-     * @param want how much it would use
-     * @param mark empty, or who wants to take it back from a router that seems gone
-     * @param fresh how much of it came with its burst: nobody had ever had it, or an earlier life
-     *     on the same VM had left it unspent
-     * @param kept of its burst, what it never spends before the store has a smaller figure here;
-     *     the next life on its VM finds that much
+     * @param want how much it would use, of {@link #WHOLE}
+     * @param mark the id of the router that wants to reclaim the share because its holder seems
+     *     gone; empty if none does
+     * @param fresh how much of the part came with its burst, because nobody had ever had it or an
+     *     earlier incarnation on the same VM had left it unspent
+     * @param kept how much of its burst it never spends before the store shows a smaller value
+     *     here; the next incarnation on its VM finds that much
      */
     public record Share(
             VmId vm, String address, int part, int want, String mark, int fresh, int kept) {
@@ -55,36 +58,37 @@
         }
     }
 
-    /** Refuses parts that are negative or add up to more than the whole. */
+    /** Checks that no part is negative and that they add up to at most the whole. */
     public ShareTable {
         shares = Collections.unmodifiableMap(new TreeMap<>(shares));
         long sum = 0;
         for (Share share : shares.values()) {
             if (share.part() < 0) {
-                throw new IllegalArgumentException("a part is negative: " + share);
+                throw new IllegalArgumentException("a share has a negative part: " + share);
             }
             sum += share.part();
         }
         if (sum > WHOLE) {
-            throw new IllegalArgumentException("the parts exceed the whole: " + sum);
+            throw new IllegalArgumentException(
+                    "the parts of the shares must add up to at most " + WHOLE + ", but are " + sum);
         }
         untouched = (int) Math.max(0, Math.min(untouched, WHOLE - sum));
     }
 
     /**
-     * The first table of a workspace among this many routers: its writer has an even part with the
-     * whole burst of that, and the others find theirs untouched.
+     * Creates the first table of a workspace among this many routers. Its writer holds an even part
+     * with the whole burst of that, and the others find theirs untouched.
      */
     public static ShareTable founded(Incarnation who, VmId vm, String address, int routers) {
         return unfounded(who).join(who, vm, address, routers, 0);
     }
 
-    /** A table that nobody has joined yet, for its first writer. */
+    /** Creates a table without shares, for its first writer. */
     static ShareTable unfounded(Incarnation who) {
         return new ShareTable(who, WHOLE, Map.of());
     }
 
-    /** The VM that has most of the whole and isn't taken for gone, if one has. */
+    /** Returns the VM that holds most of the whole and is not marked as gone, if there is one. */
     Optional<VmId> owner() {
         return shares.values().stream()
                 .filter(share -> share.part() > WHOLE / 2 && share.mark().isEmpty())
@@ -92,26 +96,26 @@
                 .findFirst();
     }
 
-    /** What nobody has. */
+    /** Returns the part that no incarnation holds. */
     public int free() {
         return WHOLE - shares.values().stream().mapToInt(Share::part).sum();
     }
 
-    /** This incarnation's part; 0 if it has none. */
+    /** Returns the part of this incarnation, or 0 if it has none. */
     public int part(Incarnation who) {
         return share(who).map(Share::part).orElse(0);
     }
 
-    /** This incarnation's share. */
+    /** Returns the share of this incarnation. */
     public Optional<Share> share(Incarnation who) {
         return Optional.ofNullable(shares.get(who));
     }
 
     /**
-     * Adds a new incarnation among this many routers. It takes the place of earlier ones on its VM:
-     * that it runs shows that they are gone. It takes no more than is then free.
+     * Adds a new incarnation among this many routers. It replaces earlier ones on its VM, since its
+     * running shows that they are gone. It takes at most what is then free.
      *
-     * @param grown the part of a full burst, from 0 to 1, that has come in since it began to run
+     * @param grown the fraction of a full burst, from 0 to 1, that accrued since it started to run
      */
     public ShareTable join(Incarnation who, VmId vm, String address, int routers, double grown) {
         long others = shares.values().stream().filter(share -> !share.vm().equals(vm)).count();
@@ -119,7 +123,9 @@
         return joinWith(who, vm, address, fair, grown);
     }
 
-    /** The same with this part for the new incarnation, as far as it is free. */
+    /**
+     * Adds a new incarnation with this part, as far as it is free. Otherwise like {@link #join}.
+     */
     public ShareTable joinWith(Incarnation who, VmId vm, String address, int fair, double grown) {
         Map<Incarnation, Share> next = new TreeMap<>(shares);
         next.values().removeIf(share -> share.vm().equals(vm));
@@ -131,8 +137,8 @@
         return new ShareTable(founder, untouched - first, next);
     }
 
-    // Earlier lives on the VM kept this much at least until they ended, and nobody has spent what
-    // their parts brought since.
+    // Earlier incarnations on the VM reserved at least this much until they stopped, and nobody has
+    // spent what their parts accrued since.
     private int leftOn(VmId vm, double grown) {
         long left = 0;
         for (Share share : shares.values()) {
@@ -143,14 +149,17 @@
         return (int) left;
     }
 
-    /** Changes how much of its burst an incarnation keeps for the next life on its VM. */
+    /** Sets how much of its burst an incarnation reserves for the next one on its VM. */
     public ShareTable keep(Incarnation who, int kept) {
         Map<Incarnation, Share> next = new TreeMap<>(shares);
         next.put(who, shares.get(who).keeping(kept));
         return new ShareTable(founder, untouched, next);
     }
 
-    /** Sets its own part and want; a rise takes at most what is free. Shows that it is alive. */
+    /**
+     * Sets an incarnation's own part and want. An increase takes at most what is free. The write
+     * also clears the mark, since it shows that the incarnation is alive.
+     */
     public ShareTable set(Incarnation who, int part, int want) {
         Share old = shares.get(who);
         int most = old.part() + free();
@@ -160,9 +169,9 @@
     }
 
     /**
-     * Sets its own want, lowers its own part to its target, and deals out that and what is free to
-     * those furthest below theirs, but for the reserve. Only the writer's own part can fall, which
-     * it has seen to.
+     * Sets the writer's own part and want, and distributes the free part, apart from the reserve,
+     * to the shares furthest below their targets. Only the writer's own part can decrease, which it
+     * has accounted for.
      */
     public ShareTable dealt(Incarnation who, int part, int want, int reserve) {
         Map<Incarnation, Share> next = new TreeMap<>(shares);
@@ -170,7 +179,7 @@
         return new ShareTable(founder, untouched, next).dealtOut(reserve);
     }
 
-    /** Takes an incarnation out and deals out what was its, as {@link #dealt} does. */
+    /** Removes an incarnation and distributes its part as {@link #dealt} does. */
     public ShareTable withdrawn(Incarnation who, int reserve) {
         return remove(who).dealtOut(reserve);
     }
@@ -207,7 +216,7 @@
         return target(who, share.want()) - share.part();
     }
 
-    /** Says that this incarnation seems gone; only it can say otherwise. */
+    /** Marks an incarnation as seemingly gone. Only that incarnation can clear the mark. */
     public ShareTable mark(Incarnation gone, String by) {
         Share old = shares.get(gone);
         Map<Incarnation, Share> next = new TreeMap<>(shares);
@@ -215,7 +224,7 @@
         return new ShareTable(founder, untouched, next);
     }
 
-    /** Takes an incarnation out; its part becomes free. */
+    /** Removes an incarnation. Its part becomes free. */
     public ShareTable remove(Incarnation gone) {
         Map<Incarnation, Share> next = new TreeMap<>(shares);
         next.remove(gone);
@@ -223,8 +232,9 @@
     }
 
     /**
-     * What an incarnation should have: all wants met if they fit, the rest spread evenly; else
-     * small wants in full and the larger ones cut to one level, so that nobody's want starves.
+     * Returns the part that an incarnation should have. If all wants fit, each is met in full and
+     * the rest is spread evenly. Otherwise small wants are met in full and larger ones are capped
+     * at one level, so that no want starves.
      */
     public int target(Incarnation who, int ownWant) {
         Map<Incarnation, Integer> wants = new TreeMap<>();
@@ -244,7 +254,7 @@
         return ownWant + left / sorted.size();
     }
 
-    /** The stored form. */
+    /** Returns the stored form. */
     public byte[] toJson() {
         ObjectNode table = JsonTrees.object();
         table.put("founder", founder.value()).put("untouched", untouched);
@@ -263,7 +273,11 @@
         return JsonTrees.write(table);
     }
 
-    /** Reads the stored form, or throws an {@link IllegalArgumentException}. */
+    /**
+     * Parses the stored form.
+     *
+     * @throws IllegalArgumentException if it is no valid share table
+     */
     public static ShareTable parse(byte[] json) {
         try {
             JsonNode table = JsonTrees.read(json);
@@ -274,7 +288,7 @@
             Incarnation founder = Incarnation.of(text(table, "founder"));
             return new ShareTable(founder, whole(table, "untouched"), shares);
         } catch (IOException e) {
-            throw new IllegalArgumentException("can't read a share table", e);
+            throw new IllegalArgumentException("a share table is not valid JSON", e);
         }
     }
 
@@ -292,7 +306,7 @@
     private static String text(JsonNode from, String field) {
         String text = from.path(field).textValue();
         if (text == null) {
-            throw new IllegalArgumentException("a share table has no " + field);
+            throw new IllegalArgumentException("a share table lacks the text field " + field);
         }
         return text;
     }
@@ -300,7 +314,8 @@
     private static int whole(JsonNode from, String field) {
         JsonNode node = from.path(field);
         if (!node.isMissingNode() && !node.canConvertToInt()) {
-            throw new IllegalArgumentException("a share table's " + field + " is no whole number");
+            throw new IllegalArgumentException(
+                    "the field " + field + " of a share table must be an integer");
         }
         return node.asInt();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/SpendingRight.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/SpendingRight.java
@@ -11,11 +11,12 @@
 import java.util.Set;
 
 /**
- * Whether this router may still spend its shares, and which others seem gone.
+ * Decides whether this router may still spend its shares, and which other routers seem gone.
  *
- * <p>A router that was frozen or cut off may have had its share taken back meanwhile. If it spent
- * on after its thaw, the workspace would get its rate twice over; so it stops by itself, on its own
- * clock, before anybody may take the share, and goes on only after a read of the store.
+ * <p>The shares of a router that was frozen or cut off may have been reclaimed meanwhile. If it
+ * continued spending afterwards, the workspace would get its rate twice. So it stops by itself, on
+ * its own clock, before any other router may reclaim the share, and continues only after a read of
+ * the store.
  */
 final class SpendingRight {
     private final VmId self;
@@ -35,7 +36,7 @@
         this.settings = settings;
     }
 
-    /** Notes that this process is running, and whether it was frozen up to now. */
+    /** Records that this process runs, and detects whether it was frozen until now. */
     void awake(Instant now) {
         if (ticked != null && now.isAfter(ticked.plus(settings.freeze()))) {
             needed = now;
@@ -66,32 +67,34 @@
         missing.keySet().removeAll(routers);
     }
 
-    /** True if this router has not read the store since its start, and so can have no share. */
+    /**
+     * Returns whether this router has not read the store since its start, and so can have no share.
+     */
     boolean neverRead() {
         return read == null;
     }
 
-    /** The other routers on the list, in order. */
+    /** Returns the other routers on the list, in order. */
     List<VmId> otherRouters() {
         return listed.stream().filter(vm -> !vm.equals(self)).sorted().toList();
     }
 
     /**
-     * The routers that have shares of the workspace, as far as the list says. They are asked for at
-     * every tick, and picked anew only when the list has changed.
+     * Returns the routers that should hold shares of the workspace according to the list. The
+     * result is cached until the list changes, because it is used at every tick.
      */
     Set<VmId> homes(WorkspaceId workspace) {
         return homes.computeIfAbsent(workspace, this::pickHomes);
     }
 
-    /** True if this router should have most of the workspace; false as long as there is no list. */
+    /** Returns whether this router should own the workspace; false as long as there is no list. */
     boolean ownerOf(WorkspaceId workspace) {
         return !listed.isEmpty()
                 && owners.computeIfAbsent(workspace, id -> ShareHolders.owner(id, routers()))
                         .equals(self);
     }
 
-    /** The other routers that should have shares of the workspace, the owner first. */
+    /** Returns the other routers that should hold shares of the workspace, the owner first. */
     List<VmId> otherHomes(WorkspaceId workspace) {
         return ShareHolders.inOrder(workspace, homes(workspace)).stream()
                 .filter(vm -> !vm.equals(self))
@@ -102,7 +105,7 @@
         return ShareHolders.of(workspace, routers());
     }
 
-    /** How many routers there are, as far as the list says, this one too. */
+    /** Returns the number of routers according to the list, including this one. */
     int routerCount() {
         return listed.contains(self) ? listed.size() : listed.size() + 1;
     }
@@ -113,7 +116,10 @@
         return all;
     }
 
-    /** True if this life may spend its share of the workspace, and what it borrows, now. */
+    /**
+     * Returns whether this incarnation may now spend its share of the workspace, and what it
+     * borrows.
+     */
     boolean usable(Account account, Incarnation life, Instant now) {
         if (account.row == null) {
             return neverRead();
@@ -123,7 +129,7 @@
         return !marked && holds(table.shares().size() <= 1, now);
     }
 
-    /** True if shares may be spent; {@code alone} if no other router has any. */
+    /** Returns whether shares may be spent; {@code alone} says that no other router has any. */
     private boolean holds(boolean alone, Instant now) {
         if (read == null
                 || read.isBefore(needed)
@@ -137,14 +143,14 @@
         return !delisted && now.isBefore(contact.plus(settings.isolation()));
     }
 
-    /** True if the store was read lately enough to decide on a write. */
+    /** Returns whether the store was read recently enough to decide on a write. */
     boolean fresh(Instant now) {
         return read != null
                 && !read.isBefore(needed)
                 && now.isBefore(read.plus(settings.isolation()));
     }
 
-    /** True if that router has been off the list and silent for long enough. */
+    /** Returns whether that router has been off the list and silent for long enough. */
     boolean seemsGone(VmId other, Instant now) {
         if (listed.isEmpty() || listed.contains(other)) {
             return false;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenQueue.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenQueue.java
@@ -6,25 +6,26 @@
 import java.util.List;
 
 /**
- * Requests that wait for a workspace's tokens: {@code queue.first(now)} goes next.
+ * The requests that wait for a workspace's tokens, ordered by urgency: {@code queue.first(now)} is
+ * served next.
  *
- * <p>The pattern: requests of some thousand tokens, of which some can wait for seconds, beside
- * small ones that are late after a tenth of a second. Each has a turn: when it must be let in for
- * its answer to be in time, and as long after that as its tokens take to come in. So a small urgent
- * request doesn't wait until a large patient one has gathered its tokens, and a large one comes to
- * the front as its own time draws near. Those that can no longer be in time come after all that
- * can, as they came.
+ * <p>Requests of several thousand tokens, some of which can wait for seconds, compete with small
+ * ones that are late after a tenth of a second. Each request has a due time: the latest time at
+ * which it can be admitted for its answer to be in time, plus the time in which its tokens accrue.
+ * So a small urgent request does not wait until a large patient one has its tokens, and a large one
+ * moves to the front as its own deadline draws near. Requests that can no longer be in time come
+ * after all others, in the order of arrival.
  */
 final class TokenQueue {
     private static final double NANOS = 1e9;
 
-    /** In tokens a second; a workspace without a rate still has an order. */
+    /** In tokens per second. It keeps the order defined for a workspace without a rate. */
     private static final double LEAST_RATE = 1;
 
     private final List<Held> waiting = new ArrayList<>();
     private double rate;
 
-    /** Says how many tokens come in a second. */
+    /** Sets the rate, in tokens per second. */
     void rate(double tokensPerSecond) {
         rate = tokensPerSecond;
     }
@@ -33,7 +34,7 @@
         waiting.add(request);
     }
 
-    /** Takes it out; false if it is here no more. */
+    /** Removes a request. Returns false if it is not queued. */
     boolean remove(Held request) {
         return waiting.remove(request);
     }
@@ -46,17 +47,17 @@
         return waiting.size();
     }
 
-    /** Tokens that all of them need together. */
+    /** Returns the tokens that all queued requests need together. */
     long tokens() {
         return waiting.stream().mapToLong(Held::tokens).sum();
     }
 
-    /** Who goes next, or null if nobody waits. */
+    /** Returns the request to serve next, or null if the queue is empty. */
     Held first(Instant now) {
         return waiting.stream().min(order(now)).orElse(null);
     }
 
-    /** All of them, in the order in which they go. */
+    /** Returns all requests in the order in which they are served. */
     List<Held> inOrder(Instant now) {
         return waiting.stream().sorted(order(now)).toList();
     }
@@ -67,7 +68,7 @@
                 .thenComparingLong(Held::number);
     }
 
-    /** True if another router's request with this name waits. */
+    /** Returns whether another router's request for the transfer with this id is queued. */
     boolean holds(String loan) {
         return waiting.stream()
                 .anyMatch(
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Wait.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/Wait.java
@@ -3,16 +3,17 @@
 import java.time.Duration;
 
 /**
- * How long a request may wait for tokens, from now on.
+ * Limits how long a request may wait for tokens, counted from now.
  *
- * @param inTime so long that its answer can still come within the caller's objective
- * @param longest so long at all; then it is refused
+ * @param inTime longest wait after which its answer can still meet the caller's latency objective
+ * @param longest longest wait at all, after which it is refused
  */
 public record Wait(Duration inTime, Duration longest) {
-    /** Refuses negative times. */
+    /** Checks that both times are not negative. */
     public Wait {
         if (inTime.isNegative() || longest.isNegative()) {
-            throw new IllegalArgumentException("a wait is never negative: " + inTime + longest);
+            throw new IllegalArgumentException(
+                    "a wait must not be negative: in time " + inTime + ", longest " + longest);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/package-info.java
@@ -1,2 +1,5 @@
-/** Who may spend how much of a workspace's rate and burst, so that all routers together keep it. */
+/**
+ * Distributes the rate and burst of each workspace over the routers, so that all routers together
+ * stay within them.
+ */
 package io.damaskyoke.control.rates;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/AnswerTimeTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/AnswerTimeTest.java
@@ -17,8 +17,8 @@
         assertEquals(Duration.ofMillis(40), time.patience());
     }
 
-    // Guards against asks given up while a slow router is about to answer: the tokens that come
-    // after all are lost until the loan ends.
+    // Guards against a timeout while a slow router is about to answer: the tokens that still arrive
+    // are lost until the transfer expires.
     @Test
     void routersOnATenthOfACoreAreWaitedForAsLongAsTheyTake() {
         for (int i = 0; i < 20; i++) {
@@ -27,7 +27,7 @@
         assertTrue(time.patience().toMillis() > 150, time.patience().toString());
     }
 
-    // Guards against a patience that never grows, since answers that come later are not heard.
+    // Guards against a timeout that never grows because answers after it are not measured.
     @Test
     void patienceGrowsWhereNothingIsHeardInTimeAndHasAnEnd() {
         for (int i = 0; i < 20; i++) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/OwnerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/OwnerTest.java
@@ -49,9 +49,9 @@
 
     @Test
     void aRequestOfHalfABurstIsServedAtAnyRouterAtOnce() {
-        // Six routers and a burst of 6,000. A request for 3,000 is three times an even part; with
-        // the tokens spread evenly it needs the loans of four routers, and two such requests at two
-        // routers would each get a part of what both need, and neither be served.
+        // Guards against even shares: a request for 3,000 of a burst of 6,000 is three times an
+        // even part and needs transfers from four routers. Two such requests at two routers would
+        // each get a part of what both need, and neither be served.
         start(six());
         pass(6_000);
         long one = arrive(other(0), 3_000, PATIENT);
@@ -61,9 +61,9 @@
 
     @Test
     void aRequestWaitsInTheOwnersLineUntilItsTokensHaveComeIn() {
-        // The burst is spent. The next request lacks 1,000 tokens, which come in within a second
-        // and
-        // a half, while its caller can wait. Refused, it would come back a second later.
+        // Guards against an early refusal. The burst is spent and the next request lacks 1,000
+        // tokens, which accrue within 1.5 seconds while its caller can wait. If refused, it would
+        // be retried a second later.
         start(six());
         pass(6_000);
         spendAll();
@@ -76,8 +76,9 @@
 
     @Test
     void whatIsSetAsideForARequestIsNotFilledUpMeanwhile() {
-        // A router sets its few tokens aside for a request that waits at the owner for the rest. If
-        // its bucket filled up beside them, both would be spent in one moment, beyond the burst.
+        // Guards against spending beyond the burst: a router sets its few tokens aside for a
+        // request that waits at the owner for the rest. If its bucket refilled beside them, both
+        // would be spent at the same moment.
         start(six());
         pass(6_000);
         VmId router = other(0);
@@ -90,10 +91,9 @@
 
     @Test
     void aRequestThatWaitsAtTheOwnerIsAnsweredThoughItsWorkspaceIsTakenAway() {
-        // A ticket takes the workspace away while a request waits in the owner's line. If its
-        // router
-        // forgot the workspace at once, the owner's answer would meet nobody, and the caller wait
-        // until its own time is over.
+        // Guards against a lost answer: a ticket removes the workspace while a request waits in the
+        // owner's queue. If its router dropped the workspace at once, the owner's answer would be
+        // ignored and the caller would wait until its own timeout.
         start(six());
         pass(6_000);
         spendAll();
@@ -107,9 +107,9 @@
 
     @Test
     void aSmallUrgentRequestIsNotPutBehindALargePatientOne() {
-        // A report for 1,000 tokens waits at one router; a payment for 50 comes in at another and
-        // is
-        // late after a tenth of a second. Behind the report it would be refused.
+        // Guards against head-of-line blocking: a request for 1,000 tokens waits at one router, and
+        // one for 50 that is late after a tenth of a second arrives at another. Behind the large
+        // one it would be refused.
         start(six());
         pass(6_000);
         spendAll();
@@ -125,8 +125,9 @@
 
     @Test
     void whatCannotComeInTimeIsRefusedAtOnceWithWhenItCan() {
-        // The burst is spent and 5,000 tokens take five seconds and more. Held until its wait is
-        // over, the caller would learn the same thing two seconds later.
+        // Guards against a late refusal: the burst is spent and 5,000 tokens take at least five
+        // seconds. If the request were queued until its timeout, the caller would learn the same
+        // two seconds later.
         start(six());
         pass(6_000);
         spendAll();
@@ -138,8 +139,8 @@
 
     @Test
     void aSmallRequestIsServedFromStandbyPartsWhileTheOwnerIsLost() {
-        // The owner dies. The others can't ask it, and nobody may take its part yet; each has a
-        // little of its own.
+        // The owner dies: the others cannot borrow from it, and nobody may reclaim its part yet.
+        // Each has a small part of its own.
         start(six());
         pass(6_000);
         VmId router = other(0);
@@ -151,8 +152,8 @@
 
     @Test
     void theOwnerIsFollowedSoonAfterItIsGoneForGood() {
-        // The owner's VM is gone and off the list. As long as its part is not taken back, all large
-        // requests of the workspace are refused.
+        // Guards against an outage after the owner's VM is gone and off the list: as long as its
+        // part is not reclaimed, all large requests of the workspace are refused.
         start(six());
         pass(6_000);
         VmId gone = owner();
@@ -166,7 +167,8 @@
         assertEquals(true, verdicts.get(large));
     }
 
-    // Guards against a workspace that is refused for a dozen seconds, as its owner's VM is gone.
+    // Guards against a workspace that is refused for a dozen seconds because its owner's VM is
+    // gone.
     @Test
     void aWorkspaceIsServedAgainSoonAfterItsOwnersVmIsGone() {
         start(many());
@@ -181,9 +183,9 @@
 
     @Test
     void afterARestartOfAllTheOwnerTakesItsPartFirst() {
-        // All routers are killed and start at once. If each wrote its small part into the row
-        // first,
-        // the owner would lose one race after the other, and everybody would wait for it.
+        // Guards against lost writes after all routers are killed and start at once: if each wrote
+        // its small part into the row first, the owner would lose one race after another, and all
+        // routers would wait for it.
         start(six());
         pass(6_000);
         VmId before = owner();
@@ -195,8 +197,8 @@
         assertEquals(true, verdicts.get(after));
     }
 
-    // Guards against leftovers at dozens of routers, too little at each for a request, while the
-    // workspace is within its rate.
+    // Guards against refusals within the rate because the remaining tokens are spread over dozens
+    // of routers, too few at each for a request.
     @Test
     void withManyRoutersRequestsWithinTheRateAreServedThoughAnEvenShareIsLarge() {
         workspace = new Workspace(GROWERS, 9_000, 33_000, 1);
@@ -212,7 +214,8 @@
         assertEquals(0, asked.stream().filter(each -> !verdicts.get(each)).count());
     }
 
-    // Guards against an ask of the owner for each request, which a weak owner answers late.
+    // Guards against a token request to the owner for each request, which a slow owner answers
+    // late.
     @Test
     void anOwnerWithPlentyLendsWhatTheNextRequestsOfARouterNeed() {
         start(six());
@@ -223,8 +226,8 @@
         assertEquals(true, verdict(arrive(router, 400, PATIENT)));
     }
 
-    // Guards against requests refused within the rate after a restart of all routers, while the
-    // workspace's owner is on the slowest VM and starts last.
+    // Guards against refusals within the rate after a restart of all routers, when the workspace's
+    // owner is on the slowest VM and starts last.
     @Test
     void afterARestartOfAllRequestsWaitForAnOwnerThatStartsSlowly() {
         start(many());
@@ -280,7 +283,8 @@
                 .get(number);
     }
 
-    // What an owner keeps for its next life is released once a request needs it.
+    // The tokens that an owner reserves for its next incarnation are released once a request needs
+    // them.
     private void spendAll() {
         Boolean served = true;
         while (Boolean.TRUE.equals(served)) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/RateSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/RateSessionTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void aWholeSession() {
-        say("The first of two routers founds the table and may spend the burst of its half");
+        say("The first of two routers creates the table and may spend the burst of its half");
         Workspace workspace = new Workspace(KITCHENS, 100, 500, 1);
         feed("configured", new RateInput.Configured(Map.of(KITCHENS, workspace)));
         feed("listed", new RateInput.Listed(Set.of(ONE, TWO)));
@@ -38,36 +38,44 @@
         read();
         read();
         arrive(1, 200);
-        say("Another one joins and has its half untouched; this one says what it wants");
+        say(
+                "A second router joins and finds its half untouched; the first writes how much it"
+                        + " wants");
         change(stored.join(OTHER, TWO, "127.0.0.1:2", 2, 0));
         read();
         tick(2_000);
         read();
-        say("The other asks; it gets what is to spare, and tells when that is spent");
-        feed("asked for 50", new RateInput.Asked(TWO, KITCHENS, 50, "router-2:1.1", List.of()));
+        say(
+                "The second router requests tokens, gets what can be spared, and reports when they"
+                        + " are spent");
         feed(
-                "told that it is spent",
+                "token request for 50",
+                new RateInput.Asked(TWO, KITCHENS, 50, "router-2:1.1", List.of()));
+        feed(
+                "transfer reported as spent",
                 new RateInput.Asked(TWO, KITCHENS, 0, "", List.of("router-2:1.1/router-1")));
-        say("A request beyond what is here is held until the other has lent; a copy is ignored");
+        say(
+                "A request that needs more than the own tokens is queued until a transfer arrives;"
+                        + " a duplicate is ignored");
         arrive(2, 300);
-        lent("lent 200", 200);
-        lent("the same once more", 200);
-        say("Nothing is lent for the next one: refused with the time to come back");
+        lent("transfer of 200", 200);
+        lent("duplicate of the transfer", 200);
+        say("The next request gets no transfer: it is refused with the time to retry after");
         after(100);
         arrive(3, 400);
-        lent("lent nothing", 0);
-        say("Larger than the burst: never");
+        lent("transfer of 0", 0);
+        say("A request larger than the burst is refused for good");
         arrive(4, 501);
-        say("A freeze of ten seconds: nothing is spent before the store is read");
+        say("After a freeze of ten seconds nothing is spent before the store is read");
         after(10_000);
         arrive(5, 10);
         tick(0);
         read();
-        say("The store is out: shares stay good");
+        say("Shares stay valid during an outage of the store");
         tick(2_000);
         feed("not read", new RateInput.NotRead());
         arrive(6, 10);
-        say("It stops and gives its share back");
+        say("The router stops and returns its share");
         feed("leave", new RateInput.Leave());
         tick(2_000);
         read();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/YoungWorkspaceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/YoungWorkspaceTest.java
@@ -29,9 +29,9 @@
 
     @Test
     void aRouterServesAYoungWorkspaceThoughItsFounderDied() {
-        // A ticket brings a workspace, one of two routers writes its first shares and dies at once.
-        // The caller repeats its payment at the other router, far below the workspace's rate, and
-        // would be refused for it for as long as the dead router's share counts.
+        // Guards against refusals of a new workspace: one of two routers writes its first shares
+        // and dies at once. The caller retries at the other router, far below the rate, and would
+        // be refused for as long as the dead router's share counts.
         start("a", "b");
         settle("a", "b");
         routers.remove("a");
@@ -40,8 +40,8 @@
 
     @Test
     void allRoutersTogetherHaveOneBurstOfAYoungWorkspace() {
-        // Each router finds its part untouched and starts with that part's burst. Together they may
-        // let in one burst at the first moment, and no more.
+        // Each router finds its part untouched and starts with the burst of that part. Together
+        // they may admit exactly one burst at the first moment.
         start("a", "b", "c", "d");
         settle("a", "b", "c", "d");
         int admitted = 0;
@@ -53,8 +53,9 @@
 
     @Test
     void aRequestLargerThanEveryShareIsPaidByAllRoutersTogether() {
-        // Twenty routers share a burst of 600, thirty each. A request for 500 needs the loans of
-        // nearly all of them; asked of the same eight only, it would be refused within the rate.
+        // Guards against always asking the same eight lenders: twenty routers share a burst of 600,
+        // thirty each. A request for 500 needs transfers from nearly all of them, and would be
+        // refused within the rate.
         String[] names = names(20);
         start(names);
         settle(names);
@@ -63,10 +64,10 @@
 
     @Test
     void ofManyRoutersAFewHaveTheSharesAndTheOthersBorrow() {
-        // Twenty-four routers share a burst of 600. A usual request is 100, four times an even part
-        // of 25; most requests would need the loans of several routers, asked in turn, and many be
-        // refused within the rate. A few routers have all of it instead. The last of the burst may
-        // be lent in parts that are each too small.
+        // Guards against shares smaller than a request: an even part of 600 among twenty-four
+        // routers is 25, and a usual request needs 100. Most requests would need several transfers
+        // and many would be refused within the rate, so a few routers hold everything. The last of
+        // the burst may be lent in parts that are each too small.
         String[] names = names(24);
         start(names);
         settle(names);
@@ -80,8 +81,8 @@
 
     @Test
     void whatWasKeptIsThereForTheNextLifeOnTheSameVm() {
-        // All routers are killed at once and start again a moment later. Their buckets were full,
-        // so the workspace is well within its rate, and would be refused until they have filled.
+        // Guards against refusals within the rate after all routers are killed and restart with
+        // empty buckets, though the buckets were full before.
         start("a", "b");
         settle("a", "b");
         letThreeSecondsPass("a", "b");
@@ -93,8 +94,9 @@
 
     @Test
     void whatIsKeptIsReleasedInTheStoreBeforeItIsSpent() {
-        // A router has kept half of its bucket for its next life, and a request needs more than the
-        // other half. Spent at once and killed then, its next life would spend it a second time.
+        // Guards against spending twice: a router has reserved half of its bucket for its next
+        // incarnation, and a request needs more than the other half. If it spent the reserve at
+        // once and was killed, its next incarnation would spend it again.
         start("a", "b");
         settle("a", "b");
         letThreeSecondsPass("a", "b");
@@ -113,8 +115,8 @@
 
     @Test
     void aRestartedRouterFindsNothingUntouched() {
-        // A router spends its burst, dies and starts again on the same VM. Its new life gets the
-        // part back, but not the burst, which has been spent.
+        // Guards against spending the burst twice: a router spends it, dies and restarts on the
+        // same VM. Its new incarnation gets the part back, but not the burst.
         start("a", "b");
         settle("a", "b");
         assertTrue(admitted("b", 300));
@@ -196,8 +198,8 @@
         return actions.contains(new RateAction.Admit(id));
     }
 
-    // Asks are answered a few milliseconds later, round after round, as long as the request is
-    // held.
+    // Token requests are answered a few milliseconds later, round after round, as long as the
+    // request is queued.
     private boolean admittedWithLoans(String name, long tokens) {
         ExchangeId id = new ExchangeId(Incarnation.of(name + ":1"), ++now);
         RateMachine borrower = routers.get(name);
