--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/RatePolicy.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/RatePolicy.java
@@ -183,12 +183,12 @@
             RateWorld.Router there = there(router);
             var id = new ExchangeId(there.incarnation, ++counter);
             waiting.put(id, verdict);
-            world.feed(there, new RateInput.Arrived(id, workspace, tokens));
+            world.feed(there, new RateInput.RequestArrived(id, workspace, tokens));
         }
 
         @Override
         public void refund(int router, WorkspaceId workspace, long tokens) {
-            world.feed(there(router), new RateInput.Settled(workspace, tokens, 0));
+            world.feed(there(router), new RateInput.RequestSettled(workspace, tokens, 0));
         }
 
         @Override
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/RateWorld.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/RateWorld.java
@@ -40,7 +40,7 @@
     private final RateSettings settings;
     final Map<VmId, Router> routers = new TreeMap<>();
     final Map<WorkspaceId, Workspace> workspaces;
-    final Map<WorkspaceId, RateInput.Row> rows = new HashMap<>();
+    final Map<WorkspaceId, RateInput.ShareRow> rows = new HashMap<>();
     final Set<VmId> listed = new TreeSet<>();
     final Set<VmId> neverListed = new TreeSet<>();
     final Set<VmId> cutOff = new TreeSet<>();
@@ -70,7 +70,7 @@
             long seed,
             Map<WorkspaceId, Workspace> workspaces,
             BiConsumer<ExchangeId, Boolean> verdicts) {
-        this(seed, RateSettings.usual(), workspaces, verdicts);
+        this(seed, RateSettings.defaults(), workspaces, verdicts);
     }
 
     RateWorld(
@@ -124,10 +124,13 @@
         if (!neverListed.contains(vm)) {
             listed.add(vm);
         }
-        feed(router, new RateInput.Configured(workspaces));
-        feed(router, new RateInput.Listed(Set.copyOf(listed)));
+        feed(router, new RateInput.WorkspacesConfigured(workspaces));
+        feed(router, new RateInput.RoutersListed(Set.copyOf(listed)));
         every(router, TICK, () -> feed(router, new RateInput.Tick()));
-        every(router, LIST_PERIOD, () -> feed(router, new RateInput.Listed(Set.copyOf(listed))));
+        every(
+                router,
+                LIST_PERIOD,
+                () -> feed(router, new RateInput.RoutersListed(Set.copyOf(listed))));
         every(router, Duration.ofSeconds(2), () -> heartbeats(router));
     }
 
@@ -174,7 +177,7 @@
         for (RateAction action : router.machine.on(input, local)) {
             carryOut(router, action, local);
         }
-        if (ticksWhileWaiting && !router.tickPlanned && router.machine.held() > 0) {
+        if (ticksWhileWaiting && !router.tickPlanned && router.machine.waitingRequests() > 0) {
             router.tickPlanned = true;
             after(WAITING_TICK, () -> waitingTick(router));
         }
@@ -217,47 +220,47 @@
     private void heartbeats(Router router) {
         for (Router other : routers.values()) {
             if (other != router) {
-                frame(router.vm, other.vm, new RateInput.Heard(router.vm));
+                frame(router.vm, other.vm, new RateInput.PeerMessageReceived(router.vm));
             }
         }
     }
 
     private void carryOut(Router router, RateAction action, Instant local) {
-        if (action instanceof RateAction.Admit admit) {
+        if (action instanceof RateAction.AdmitRequest admit) {
             verdicts.accept(admit.id(), true);
-        } else if (action instanceof RateAction.Refuse refuse) {
+        } else if (action instanceof RateAction.RefuseRequest refuse) {
             verdicts.accept(refuse.id(), false);
-        } else if (action instanceof RateAction.Read) {
+        } else if (action instanceof RateAction.ReadShares) {
             read(router, local);
-        } else if (action instanceof RateAction.Write write) {
+        } else if (action instanceof RateAction.WriteShares write) {
             write(router, write);
-        } else if (action instanceof RateAction.Ask ask) {
+        } else if (action instanceof RateAction.SendTokenRequest ask) {
             frame(
                     router.vm,
                     ask.to(),
-                    new RateInput.Asked(
+                    new RateInput.TokensRequested(
                             router.vm,
                             ask.workspace(),
                             ask.tokens(),
-                            ask.ask(),
-                            ask.spent(),
-                            ask.within()));
-        } else if (action instanceof RateAction.Lend lend) {
+                            ask.requestId(),
+                            ask.spentTransfers(),
+                            ask.waitLimits()));
+        } else if (action instanceof RateAction.SendTokenTransfer lend) {
             frame(
                     router.vm,
                     lend.to(),
-                    new RateInput.Lent(
+                    new RateInput.TransferReceived(
                             router.vm,
                             lend.workspace(),
                             lend.tokens(),
-                            lend.loan(),
+                            lend.transferId(),
                             lend.queued(),
-                            lend.comeBack()));
+                            lend.retryAfter()));
         }
     }
 
     private void frame(VmId from, VmId to, RateInput frame) {
-        messages += frame instanceof RateInput.Heard ? 0 : 1;
+        messages += frame instanceof RateInput.PeerMessageReceived ? 0 : 1;
         if (cutOff.contains(from) || cutOff.contains(to)) {
             return;
         }
@@ -281,20 +284,20 @@
         calls++;
         if (storeDown || lostReads > 0 && random.nextDouble() < lostReads) {
             Duration timeout = Duration.ofMillis(STORE_TIMEOUT_MILLIS);
-            after(timeout, () -> feed(router, new RateInput.NotRead()));
+            after(timeout, () -> feed(router, new RateInput.SharesReadFailed()));
             return;
         }
         after(
                 Duration.ofMillis(STORE_MILLIS / 2),
                 () -> {
-                    Map<WorkspaceId, RateInput.Row> seen = Map.copyOf(rows);
+                    Map<WorkspaceId, RateInput.ShareRow> seen = Map.copyOf(rows);
                     after(
                             Duration.ofMillis(STORE_MILLIS / 2),
-                            () -> feed(router, new RateInput.Read(seen, askedAt)));
+                            () -> feed(router, new RateInput.SharesRead(seen, askedAt)));
                 });
     }
 
-    private void write(Router router, RateAction.Write write) {
+    private void write(Router router, RateAction.WriteShares write) {
         calls++;
         boolean lost = random.nextDouble() < lostAnswers;
         int millis = lost ? random.nextInt(STORE_TIMEOUT_MILLIS) : STORE_MILLIS / 2;
@@ -303,12 +306,12 @@
         after(Duration.ofMillis(answer), () -> read(router, now.plus(router.clockAhead)));
     }
 
-    private void commit(RateAction.Write write) {
-        RateInput.Row row = rows.get(write.workspace());
+    private void commit(RateAction.WriteShares write) {
+        RateInput.ShareRow row = rows.get(write.workspace());
         long found = row == null ? 0 : row.revision();
         if (!storeDown && found == write.revision()) {
             ShareTable stored = ShareTable.parse(write.table().toJson());
-            rows.put(write.workspace(), new RateInput.Row(stored, ++revision));
+            rows.put(write.workspace(), new RateInput.ShareRow(stored, ++revision));
         }
     }
 }
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/ControlBenchmark.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/ControlBenchmark.java
@@ -57,7 +57,7 @@
     private Planner.View view;
     private byte[] storedShard;
     private byte[] storedShares;
-    private Map<WorkspaceId, RateInput.Row> rows;
+    private Map<WorkspaceId, RateInput.ShareRow> rows;
     private RateMachine rates;
     private long counter;
 
@@ -91,7 +91,7 @@
     /** Taking in all shares, as every two seconds. */
     @Benchmark
     public List<RateAction> takeShares() {
-        return rates.on(new RateInput.Read(rows, NOW), NOW);
+        return rates.on(new RateInput.SharesRead(rows, NOW), NOW);
     }
 
     /** Letting a request in and settling it. */
@@ -99,8 +99,8 @@
     public List<RateAction> admit() {
         ExchangeId id = new ExchangeId(Incarnation.of("router-0:1"), counter++);
         WorkspaceId workspace = WorkspaceId.of("workspace-0");
-        rates.on(new RateInput.Arrived(id, workspace, 1), NOW);
-        return rates.on(new RateInput.Settled(workspace, 1, 0), NOW);
+        rates.on(new RateInput.RequestArrived(id, workspace, 1), NOW);
+        return rates.on(new RateInput.RequestSettled(workspace, 1, 0), NOW);
     }
 
     private void buildPlacement(int count) {
@@ -137,18 +137,18 @@
             table = table.join(router(i), VmId.of("router-" + i), "10.0.0.1:7400", routers, 0);
         }
         int part = ShareTable.WHOLE / routers;
-        table = table.set(router(0), part, part);
+        table = table.withPartAndWant(router(0), part, part);
         storedShares = table.toJson();
         rows = new HashMap<>();
         var workspaces = Samples.configuration(WORKSPACES).workspaces();
         for (WorkspaceId workspace : workspaces.keySet()) {
-            rows.put(workspace, new RateInput.Row(table, 1));
+            rows.put(workspace, new RateInput.ShareRow(table, 1));
         }
         rates =
                 RateMachine.of(
-                        router(0), VmId.of("router-0"), "10.0.0.1:7400", RateSettings.usual());
-        rates.on(new RateInput.Configured(workspaces), NOW);
-        rates.on(new RateInput.Read(rows, NOW), NOW);
+                        router(0), VmId.of("router-0"), "10.0.0.1:7400", RateSettings.defaults());
+        rates.on(new RateInput.WorkspacesConfigured(workspaces), NOW);
+        rates.on(new RateInput.SharesRead(rows, NOW), NOW);
     }
 
     private static Incarnation router(int number) {
--- a/damaskyoke-lab/src/test/java/io/damaskyoke/lab/RateCrowd.java
+++ b/damaskyoke-lab/src/test/java/io/damaskyoke/lab/RateCrowd.java
@@ -3,7 +3,7 @@
 import io.damaskyoke.control.configuration.Workspace;
 import io.damaskyoke.control.rates.RateInput;
 import io.damaskyoke.control.rates.RateSettings;
-import io.damaskyoke.control.rates.Wait;
+import io.damaskyoke.control.rates.WaitLimits;
 import io.damaskyoke.id.ExchangeId;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.id.WorkspaceId;
@@ -43,11 +43,11 @@
     private static final int SLOW_OF_FIVE = 4;
     private static final Duration AGAIN = Duration.ofSeconds(1);
 
-    private static final List<Wait> WAITS =
+    private static final List<WaitLimits> WAITS =
             List.of(
-                    new Wait(Duration.ofMillis(300), Duration.ofMillis(1_800)),
-                    new Wait(Duration.ofMillis(1_250), Duration.ofMillis(1_800)),
-                    new Wait(Duration.ofMillis(60), Duration.ofMillis(300)));
+                    new WaitLimits(Duration.ofMillis(300), Duration.ofMillis(1_800)),
+                    new WaitLimits(Duration.ofMillis(1_250), Duration.ofMillis(1_800)),
+                    new WaitLimits(Duration.ofMillis(60), Duration.ofMillis(300)));
 
     private final Random arrivals;
     private final Random places;
@@ -62,7 +62,7 @@
     private Instant begins;
     private Instant ends;
 
-    private record Ask(WorkspaceId workspace, long tokens, Wait within, boolean again) {}
+    private record Ask(WorkspaceId workspace, long tokens, WaitLimits within, boolean again) {}
 
     private RateCrowd(int routers, long seed) {
         this.routers = routers;
@@ -120,7 +120,7 @@
                 () -> {
                     if (world.now().isBefore(ends)) {
                         long size = LEAST_TOKENS + arrivals.nextInt(TOKENS_RANGE);
-                        Wait wait = WAITS.get(arrivals.nextInt(WAITS.size()));
+                        WaitLimits wait = WAITS.get(arrivals.nextInt(WAITS.size()));
                         int router = places.nextInt(routers);
                         requests++;
                         tokens += size;
@@ -136,7 +136,7 @@
         open.put(id, ask);
         world.feed(
                 there,
-                new RateInput.Arrived(
+                new RateInput.RequestArrived(
                         id, ask.workspace(), ask.tokens(), Optional.of(ask.within())));
     }
 
--- a/damaskyoke-lab/src/test/java/io/damaskyoke/lab/RateWorldTest.java
+++ b/damaskyoke-lab/src/test/java/io/damaskyoke/lab/RateWorldTest.java
@@ -7,7 +7,7 @@
 import io.damaskyoke.control.rates.RateInput;
 import io.damaskyoke.control.rates.RateSettings;
 import io.damaskyoke.control.rates.ShareTable;
-import io.damaskyoke.control.rates.Wait;
+import io.damaskyoke.control.rates.WaitLimits;
 import io.damaskyoke.id.ExchangeId;
 import io.damaskyoke.id.Incarnation;
 import io.damaskyoke.id.VmId;
@@ -33,11 +33,12 @@
     private static final double ROUNDING = 1e-3;
 
     /** Counts only where there are owners. */
-    private static final Wait WAIT = new Wait(Duration.ofMillis(300), Duration.ofMillis(1_500));
+    private static final WaitLimits WAIT =
+            new WaitLimits(Duration.ofMillis(300), Duration.ofMillis(1_500));
 
     private final Map<ExchangeId, Long> waiting = new HashMap<>();
     private final Set<ExchangeId> answered = new HashSet<>();
-    private RateSettings settings = RateSettings.usual();
+    private RateSettings settings = RateSettings.defaults();
     private SpendLog spent;
     private int admitted;
     private int doubled;
@@ -272,9 +273,9 @@
         world.start("router-1");
         world.run(Duration.ofSeconds(10));
         RateWorld.Router leaving = world.routers.get(VmId.of("router-0"));
-        world.feed(leaving, new RateInput.Leave());
+        world.feed(leaving, new RateInput.LeaveRequested());
         world.run(Duration.ofSeconds(1));
-        assertTrue(leaving.machine.left());
+        assertTrue(leaving.machine.holdsNoShares());
         Incarnation left = leaving.incarnation;
         assertTrue(world.rows.get(KITCHENS).table().share(left).isEmpty());
     }
@@ -358,7 +359,7 @@
         RateWorld.Router there = world.routers.get(VmId.of(router));
         ExchangeId id = new ExchangeId(there.incarnation, ++counter);
         waiting.put(id, tokens);
-        world.feed(there, new RateInput.Arrived(id, KITCHENS, tokens, Optional.of(WAIT)));
+        world.feed(there, new RateInput.RequestArrived(id, KITCHENS, tokens, Optional.of(WAIT)));
     }
 
     private void load(Random random) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/AnswerTime.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/AnswerTimeEstimate.java
@@ -11,7 +11,7 @@
  * tokens that still arrive are unusable for everybody until the transfer expires. If it is too
  * long, a router that died holds up every request that asked it.
  */
-final class AnswerTime {
+final class AnswerTimeEstimate {
     /** Routers with spare CPU answer in a few milliseconds. */
     private static final Duration SHORTEST = Duration.ofMillis(40);
 
@@ -30,20 +30,20 @@
     private double usualMillis;
 
     /** Adds a measured answer time to the moving average. */
-    void heardAfter(Duration took) {
+    void recordAnswer(Duration took) {
         usualMillis += NEWEST * (took.toNanos() / NANOS_PER_MILLI - usualMillis);
     }
 
     /**
-     * Records that no answer came within {@link #patience()}. The lender may only be slow, so the
+     * Records that no answer came within {@link #timeout()}. The lender may only be slow, so the
      * estimate grows.
      */
-    void unheard() {
-        heardAfter(patience());
+    void recordTimeout() {
+        recordAnswer(timeout());
     }
 
     /** Returns how long to wait for an answer. */
-    Duration patience() {
+    Duration timeout() {
         Duration wait = Duration.ofNanos((long) (usualMillis * FACTOR * NANOS_PER_MILLI));
         if (wait.compareTo(SHORTEST) < 0) {
             return SHORTEST;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Borrowing.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/BatchedBorrower.java
@@ -17,7 +17,7 @@
  * lends, and all lenders only after that. If it asked all at once, each would set aside the tokens
  * that only one of them has to lend.
  */
-final class Borrowing {
+final class BatchedBorrower {
     /** Tokens for the expected demand of this time are requested along with the present need. */
     static final double LOOK_AHEAD_SECONDS = 0.25;
 
@@ -37,9 +37,9 @@
 
     private final Incarnation self;
     private final RateSettings settings;
-    private final ShareKeeper keeper;
+    private final ShareBalancer keeper;
 
-    Borrowing(Incarnation self, RateSettings settings, ShareKeeper keeper) {
+    BatchedBorrower(Incarnation self, RateSettings settings, ShareBalancer keeper) {
         this.self = self;
         this.settings = settings;
         this.keeper = keeper;
@@ -49,43 +49,45 @@
      * Requests the tokens that queued requests lack, unless answers are pending or the last token
      * request is very recent.
      */
-    void ask(Account account, LongSupplier numbers, Instant now, List<RateAction> actions) {
-        boolean soon = now.isBefore(account.askedAt.plus(gap(account)));
-        boolean awaited = !account.unanswered.isEmpty() && !stale(account, now);
+    void requestMissing(
+            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
+        boolean soon = now.isBefore(account.askedAt.plus(requestInterval(account)));
+        boolean awaited = !account.unanswered.isEmpty() && !answersOverdue(account, now);
         if (!account.held.isEmpty() && !soon && !awaited) {
-            askNext(account, numbers, now, actions);
+            requestNextRound(account, numbers, now, actions);
         }
     }
 
     // An owner waits for its own rate, and the shares of the others are small. Until they have
     // refilled enough for one request, asking them again brings nothing. Their buckets take longer
     // than this to overflow.
-    private Duration gap(Account account) {
-        return keeper.owns(account) ? OWNER_ASK_GAP : ASK_GAP;
+    private Duration requestInterval(WorkspaceAccount account) {
+        return keeper.isOwner(account) ? OWNER_ASK_GAP : ASK_GAP;
     }
 
     /** Asks the other lenders at once when the single lender that was asked had too few tokens. */
-    void askOthers(Account account, LongSupplier numbers, Instant now, List<RateAction> actions) {
+    void requestFromOthers(
+            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
         boolean had = account.askedOne && account.unanswered.isEmpty();
         if (had && !account.held.isEmpty()) {
-            askNext(account, numbers, now, actions);
+            requestNextRound(account, numbers, now, actions);
         }
     }
 
-    private void askNext(
-            Account account, LongSupplier numbers, Instant now, List<RateAction> actions) {
-        boolean fresh = account.held.first(now).number() > account.askedUpTo;
+    private void requestNextRound(
+            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
+        boolean fresh = account.held.first(now).arrivalNumber() > account.askedUpTo;
         List<VmId> others = nextLenders(account, fresh);
-        long tokens = lacking(account, now);
+        long tokens = missingTokens(account, now);
         if (others.isEmpty() || tokens <= 0) {
             return;
         }
-        note(account, others, fresh, numbers.getAsLong(), now);
-        boolean split = account.asks == 2 && borrows(account);
+        recordRound(account, others, fresh, numbers.getAsLong(), now);
+        boolean split = account.asks == 2 && hasNoShare(account);
         for (VmId other : others) {
-            long part = split ? portion(account, other, tokens) : tokens;
+            long part = split ? proportionalPart(account, other, tokens) : tokens;
             actions.add(
-                    new RateAction.Ask(
+                    new RateAction.SendTokenRequest(
                             other, account.workspace.id(), part, account.ask, List.of()));
         }
     }
@@ -93,7 +95,7 @@
     // After the single lender had too few tokens, the first round asks each lender for its
     // proportional part. Whatever one of them lacks, the next round asks for in full from each; it
     // is little by then.
-    private long portion(Account account, VmId lender, long tokens) {
+    private long proportionalPart(WorkspaceAccount account, VmId lender, long tokens) {
         long all = 0;
         long own = 0;
         for (ShareTable.Share share : account.row.table().shares().values()) {
@@ -103,13 +105,14 @@
         return Math.max(1, (tokens * own + all - 1) / Math.max(1, all));
     }
 
-    private void note(Account account, List<VmId> asked, boolean fresh, long number, Instant now) {
+    private void recordRound(
+            WorkspaceAccount account, List<VmId> asked, boolean fresh, long number, Instant now) {
         boolean dry = !fresh && account.brought == 0;
         account.ask = self.value() + '.' + number;
         account.askedAt = now;
         account.askedUpTo = number;
         account.asks = fresh ? 1 : account.asks + 1;
-        account.askedOne = fresh && borrows(account);
+        account.askedOne = fresh && hasNoShare(account);
         account.dryAsks = dry ? account.dryAsks + asked.size() : asked.size();
         account.brought = 0;
         account.unanswered.clear();
@@ -117,37 +120,38 @@
     }
 
     /** Returns whether answers to the last round may still arrive. */
-    boolean awaits(Account account, Instant now) {
+    boolean awaitsAnswers(WorkspaceAccount account, Instant now) {
         return !account.unanswered.isEmpty() && now.isBefore(account.askedAt.plus(LENDER_PATIENCE));
     }
 
-    private long lacking(Account account, Instant now) {
-        double need = account.held.tokens() + ahead(account, now) - account.available();
+    private long missingTokens(WorkspaceAccount account, Instant now) {
+        double need =
+                account.held.totalTokens() + lookAheadTokens(account, now) - account.available();
         return (long) Math.ceil(Math.min(need, account.workspace.burst()));
     }
 
     // Tokens borrowed ahead of need lie idle for up to two seconds. With two dozen routers that
     // borrow for each request, one request's worth at each of them would be the whole burst.
-    private double ahead(Account account, Instant now) {
-        boolean exact = keeper.owned(account) || borrows(account);
+    private double lookAheadTokens(WorkspaceAccount account, Instant now) {
+        boolean exact = keeper.needsOwner(account) || hasNoShare(account);
         return exact ? 0 : account.demand(now) * LOOK_AHEAD_SECONDS;
     }
 
-    private boolean stale(Account account, Instant now) {
-        Duration patience = borrows(account) ? LENDER_PATIENCE : settings.hold();
+    private boolean answersOverdue(WorkspaceAccount account, Instant now) {
+        Duration patience = hasNoShare(account) ? LENDER_PATIENCE : settings.queueTimeout();
         return now.isAfter(account.askedAt.plus(patience));
     }
 
-    private boolean borrows(Account account) {
-        return account.row != null && !keeper.joined(account);
+    private boolean hasNoShare(WorkspaceAccount account) {
+        return account.row != null && !keeper.hasShare(account);
     }
 
     /** Reports to lenders which of their transfers are spent or expired. */
-    void tellSpent(Account account, List<RateAction> actions) {
+    void reportSpent(WorkspaceAccount account, List<RateAction> actions) {
         account.spent.forEach(
                 (lender, loans) ->
                         actions.add(
-                                new RateAction.Ask(
+                                new RateAction.SendTokenRequest(
                                         lender,
                                         account.workspace.id(),
                                         0,
@@ -157,23 +161,23 @@
     }
 
     /** Returns whether no router can lend, now or soon. */
-    boolean noneToAsk(Account account) {
-        return keeper.lenders(account).isEmpty() && !keeper.awaitsOthers(account);
+    boolean hasNoLenders(WorkspaceAccount account) {
+        return keeper.lenders(account).isEmpty() && !keeper.awaitsJoiningRouters(account);
     }
 
     /** Returns whether all lenders were asked and the last round brought nothing. */
-    boolean nothingCame(Account account) {
+    boolean allLendersEmpty(WorkspaceAccount account) {
         boolean allAsked = account.dryAsks >= keeper.lenders(account).size();
         return account.unanswered.isEmpty() && account.brought == 0 && allAsked;
     }
 
-    private List<VmId> nextLenders(Account account, boolean fresh) {
+    private List<VmId> nextLenders(WorkspaceAccount account, boolean fresh) {
         List<VmId> all = keeper.lenders(account);
-        if (all.isEmpty() || !borrows(account)) {
-            return nextFew(account, all);
+        if (all.isEmpty() || !hasNoShare(account)) {
+            return nextRoundRobin(account, all);
         }
         if (fresh) {
-            long large = all.stream().filter(lender -> large(account, lender)).count();
+            long large = all.stream().filter(lender -> hasLargePart(account, lender)).count();
             int first = Math.floorMod(account.turn, (int) Math.max(1, large));
             return List.of(all.get(first));
         }
@@ -182,14 +186,14 @@
     }
 
     // Lenders are sorted by share, so those with a large part come first.
-    private static boolean large(Account account, VmId lender) {
+    private static boolean hasLargePart(WorkspaceAccount account, VmId lender) {
         return account.row.table().shares().values().stream()
                 .anyMatch(share -> share.vm().equals(lender) && share.part() >= LARGE_PART);
     }
 
     // Round robin over the lenders. With dozens of routers one share is less than one request: if
     // the same lenders were always asked first, they would be empty while the others are full.
-    private static List<VmId> nextFew(Account account, List<VmId> all) {
+    private static List<VmId> nextRoundRobin(WorkspaceAccount account, List<VmId> all) {
         if (all.size() <= MOST_ASKED) {
             return all;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Owners.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/PerRequestBorrower.java
@@ -21,12 +21,12 @@
  * routers kept asking for whatever there is, an owner that is only slow would become slower still,
  * and the tokens would be scattered in small amounts over all of them.
  */
-final class Owners {
+final class PerRequestBorrower {
     private final Incarnation self;
     private final RateSettings settings;
-    private final ShareKeeper keeper;
+    private final ShareBalancer keeper;
 
-    Owners(Incarnation self, RateSettings settings, ShareKeeper keeper) {
+    PerRequestBorrower(Incarnation self, RateSettings settings, ShareBalancer keeper) {
         this.self = self;
         this.settings = settings;
         this.keeper = keeper;
@@ -36,36 +36,36 @@
      * Requests the missing tokens from the owner, or from the other lenders if the owner does not
      * answer.
      */
-    void ask(
-            Account account,
-            Held request,
+    void requestTokens(
+            WorkspaceAccount account,
+            QueuedRequest request,
             LongSupplier numbers,
             Instant now,
             List<RateAction> actions) {
-        Optional<VmId> owner = owner(account, now);
-        List<VmId> lenders = owner.map(List::of).orElseGet(() -> standbys(account));
-        askFirst(account, request, lenders, numbers, now, actions);
+        Optional<VmId> owner = availableOwner(account, now);
+        List<VmId> lenders = owner.map(List::of).orElseGet(() -> otherLenders(account));
+        requestFromFirst(account, request, lenders, numbers, now, actions);
     }
 
-    private Optional<VmId> owner(Account account, Instant now) {
+    private Optional<VmId> availableOwner(WorkspaceAccount account, Instant now) {
         return keeper.otherOwner(account).filter(any -> account.asksOfOwner.mayAskOwner(now));
     }
 
-    private List<VmId> standbys(Account account) {
+    private List<VmId> otherLenders(WorkspaceAccount account) {
         Optional<VmId> owner = keeper.otherOwner(account);
         return keeper.lenders(account).stream()
                 .filter(lender -> owner.filter(lender::equals).isEmpty())
                 .toList();
     }
 
-    private void askFirst(
-            Account account,
-            Held request,
+    private void requestFromFirst(
+            WorkspaceAccount account,
+            QueuedRequest request,
             List<VmId> lenders,
             LongSupplier numbers,
             Instant now,
             List<RateAction> actions) {
-        if (lenders.isEmpty() || request.over(now)) {
+        if (lenders.isEmpty() || request.isExpired(now)) {
             account.held.add(request);
             return;
         }
@@ -75,7 +75,7 @@
         boolean ofOwner = keeper.otherOwner(account).filter(lender::equals).isPresent();
         account.asksOfOwner.add(
                 ask + '/' + lender,
-                new OwnerAsks.Ask(
+                new PendingTokenRequests.PendingRequest(
                         request,
                         lender,
                         lenders.subList(1, lenders.size()),
@@ -84,84 +84,93 @@
                         now,
                         false));
         actions.add(
-                new RateAction.Ask(
+                new RateAction.SendTokenRequest(
                         lender,
                         account.workspace.id(),
-                        lacking(request, aside),
+                        missingTokens(request, aside),
                         ask,
                         List.of(),
-                        Optional.of(request.waitFrom(now))));
+                        Optional.of(request.remainingWait(now))));
     }
 
-    private static long lacking(Held request, double aside) {
+    private static long missingTokens(QueuedRequest request, double aside) {
         return (long) Math.ceil(request.tokens() - aside);
     }
 
     /** Processes a token transfer. Returns false if it answers none of these token requests. */
-    boolean answered(
-            Account account,
-            RateInput.Lent lent,
+    boolean handleTransfer(
+            WorkspaceAccount account,
+            RateInput.TransferReceived lent,
             LongSupplier numbers,
             Instant now,
             List<RateAction> actions) {
-        OwnerAsks.Ask ask = account.asksOfOwner.find(lent.loan());
+        PendingTokenRequests.PendingRequest ask = account.asksOfOwner.find(lent.transferId());
         if (ask == null) {
-            return late(account, lent, now);
+            return handleLateTransfer(account, lent, now);
         }
         if (lent.queued()) {
-            account.asksOfOwner.queued(lent.loan(), now);
+            account.asksOfOwner.recordQueued(lent.transferId(), now);
             return true;
         }
-        account.asksOfOwner.answered(lent.loan(), now);
-        boolean valid = now.isBefore(ask.askedAt().plus(settings.loan()));
-        long ahead = lent.tokens() - lacking(ask.request(), ask.aside());
+        account.asksOfOwner.recordAnswer(lent.transferId(), now);
+        boolean valid = now.isBefore(ask.requestedAt().plus(settings.transferLifetime()));
+        long ahead = lent.tokens() - missingTokens(ask.request(), ask.setAside());
         if (valid && ahead >= 0) {
-            keep(account, ask, lent.loan(), ahead);
-            actions.add(new RateAction.Admit(ask.request().id().orElseThrow()));
+            keepExtra(account, ask, lent.transferId(), ahead);
+            actions.add(new RateAction.AdmitRequest(ask.request().id().orElseThrow()));
             return true;
         }
-        account.bucket.giveBack(ask.aside());
-        if (lent.comeBack().isZero()) {
-            askNext(account, ask, numbers, now, actions);
+        account.bucket.refund(ask.setAside());
+        if (lent.retryAfter().isZero()) {
+            requestFromNext(account, ask, numbers, now, actions);
         } else {
-            actions.add(RateRefusals.usedUp(ask.request().id().orElseThrow(), lent.comeBack()));
+            actions.add(
+                    RateRefusals.rateExceeded(ask.request().id().orElseThrow(), lent.retryAfter()));
         }
         return true;
     }
 
     // The lender counts these tokens as lent until the transfer expires. If they were dropped here,
     // nobody would have them until then.
-    private boolean late(Account account, RateInput.Lent lent, Instant now) {
-        OwnerAsks.Ask ask = account.asksOfOwner.late(lent.loan(), now);
+    private boolean handleLateTransfer(
+            WorkspaceAccount account, RateInput.TransferReceived lent, Instant now) {
+        PendingTokenRequests.PendingRequest ask =
+                account.asksOfOwner.recordLateAnswer(lent.transferId(), now);
         if (ask == null) {
             return false;
         }
-        Instant end = ask.askedAt().plus(settings.loan());
+        Instant end = ask.requestedAt().plus(settings.transferLifetime());
         if (lent.tokens() > 0 && now.isBefore(end)) {
-            account.borrow(ask.lender(), lent.loan(), lent.tokens(), end);
+            account.borrow(ask.lender(), lent.transferId(), lent.tokens(), end);
         }
         return true;
     }
 
-    private void askNext(
-            Account account,
-            OwnerAsks.Ask ask,
+    private void requestFromNext(
+            WorkspaceAccount account,
+            PendingTokenRequests.PendingRequest ask,
             LongSupplier numbers,
             Instant now,
             List<RateAction> actions) {
-        List<VmId> next = ask.ofOwner() ? standbys(account) : ask.next();
-        Held request = ask.request();
+        List<VmId> next = ask.lenderIsOwner() ? otherLenders(account) : ask.nextLenders();
+        QueuedRequest request = ask.request();
         boolean waitsOn = !next.isEmpty() || keeper.awaitsOwners(now);
-        Held shortened = waitsOn ? request : request.until(now.plus(settings.hold()));
-        askFirst(account, shortened, next, numbers, now, actions);
+        QueuedRequest shortened =
+                waitsOn ? request : request.withDeadline(now.plus(settings.queueTimeout()));
+        requestFromFirst(account, shortened, next, numbers, now, actions);
     }
 
     // Tokens that the owner lent beyond the request are kept for the next requests.
-    private void keep(Account account, OwnerAsks.Ask ask, String loan, long ahead) {
+    private void keepExtra(
+            WorkspaceAccount account,
+            PendingTokenRequests.PendingRequest ask,
+            String loan,
+            long ahead) {
         if (ahead == 0) {
-            account.spentAtOnce(ask.lender(), loan);
+            account.recordSpent(ask.lender(), loan);
         } else {
-            account.borrow(ask.lender(), loan, ahead, ask.askedAt().plus(settings.loan()));
+            account.borrow(
+                    ask.lender(), loan, ahead, ask.requestedAt().plus(settings.transferLifetime()));
         }
     }
 
@@ -169,10 +178,12 @@
      * Asks the next lender for each request whose lender did not answer in time. Where all routers
      * have just started the owner is about to join, and requests wait for it as long as they may.
      */
-    void check(Account account, LongSupplier numbers, Instant now, List<RateAction> actions) {
-        for (OwnerAsks.Ask ask : account.asksOfOwner.givenUp(now, settings.loan())) {
-            account.bucket.giveBack(ask.aside());
-            askNext(account, ask, numbers, now, actions);
+    void handleTimeouts(
+            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
+        for (PendingTokenRequests.PendingRequest ask :
+                account.asksOfOwner.removeTimedOut(now, settings.transferLifetime())) {
+            account.bucket.refund(ask.setAside());
+            requestFromNext(account, ask, numbers, now, actions);
         }
     }
 
@@ -180,12 +191,13 @@
      * Asks the owner again for requests that were moved to the local queue, once the owner may be
      * asked.
      */
-    void askAgain(Account account, LongSupplier numbers, Instant now, List<RateAction> actions) {
-        for (Held request : account.held.inOrder(now)) {
-            boolean own = request.id().isPresent() && !request.over(now);
-            if (own && owner(account, now).isPresent()) {
+    void retryOwner(
+            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
+        for (QueuedRequest request : account.held.inOrder(now)) {
+            boolean own = request.id().isPresent() && !request.isExpired(now);
+            if (own && availableOwner(account, now).isPresent()) {
                 account.held.remove(request);
-                ask(account, request, numbers, now, actions);
+                requestTokens(account, request, numbers, now, actions);
             }
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
@@ -29,13 +29,13 @@
     private final Incarnation self;
     private final VmId vm;
     private final RateSettings settings;
-    private final SpendingRight right;
-    private final ShareKeeper keeper;
-    private final Borrowing borrowing;
-    private final Owners owners;
-    private final FairQueue queue;
-    private final Lender lender;
-    private final Map<WorkspaceId, Account> accounts = new TreeMap<>();
+    private final SpendingPermission right;
+    private final ShareBalancer keeper;
+    private final BatchedBorrower borrowing;
+    private final PerRequestBorrower owners;
+    private final QueueAdmission queue;
+    private final TokenLender lender;
+    private final Map<WorkspaceId, WorkspaceAccount> accounts = new TreeMap<>();
     private long counter;
     private boolean reading;
     private Instant readAt = Instant.MIN;
@@ -44,12 +44,12 @@
         this.self = self;
         this.vm = vm;
         this.settings = settings;
-        this.right = new SpendingRight(vm, settings);
-        this.keeper = new ShareKeeper(self, vm, address, settings, right);
-        this.borrowing = new Borrowing(self, settings, keeper);
-        this.owners = new Owners(self, settings, keeper);
-        this.queue = new FairQueue(self, settings, right, keeper, borrowing);
-        this.lender = new Lender(self, vm, settings, right, keeper);
+        this.right = new SpendingPermission(vm, settings);
+        this.keeper = new ShareBalancer(self, vm, address, settings, right);
+        this.borrowing = new BatchedBorrower(self, settings, keeper);
+        this.owners = new PerRequestBorrower(self, settings, keeper);
+        this.queue = new QueueAdmission(self, settings, right, keeper, borrowing);
+        this.lender = new TokenLender(self, vm, settings, right, keeper);
     }
 
     /**
@@ -61,36 +61,36 @@
     }
 
     /** Sets when this incarnation started to run, if that was before its first input. */
-    public void began(Instant at) {
-        keeper.running(at);
+    public void setStartTime(Instant at) {
+        keeper.recordRunning(at);
     }
 
     @Override
     public List<RateAction> on(RateInput input, Instant now) {
         List<RateAction> actions = new ArrayList<>();
-        right.awake(now);
-        keeper.running(now);
-        if (input instanceof RateInput.Arrived arrived) {
+        right.recordRunning(now);
+        keeper.recordRunning(now);
+        if (input instanceof RateInput.RequestArrived arrived) {
             arrive(arrived, now, actions);
-        } else if (input instanceof RateInput.Settled settled) {
+        } else if (input instanceof RateInput.RequestSettled settled) {
             settle(settled, now, actions);
-        } else if (input instanceof RateInput.Asked asked) {
-            asked(asked, now, actions);
-        } else if (input instanceof RateInput.Lent lent) {
-            lent(lent, now, actions);
-        } else if (input instanceof RateInput.Heard heard) {
-            right.heard(heard.from(), now);
-        } else if (input instanceof RateInput.Listed listed) {
-            right.listed(listed.routers(), now);
-        } else if (input instanceof RateInput.Configured configured) {
-            configured(configured.workspaces(), now);
-        } else if (input instanceof RateInput.Read read) {
-            read(read, now, actions);
-        } else if (input instanceof RateInput.RowSeen rowSeen) {
-            rowSeen(rowSeen, now, actions);
-        } else if (input instanceof RateInput.NotRead) {
+        } else if (input instanceof RateInput.TokensRequested asked) {
+            handleTokenRequest(asked, now, actions);
+        } else if (input instanceof RateInput.TransferReceived lent) {
+            handleTransfer(lent, now, actions);
+        } else if (input instanceof RateInput.PeerMessageReceived heard) {
+            right.recordContact(heard.from(), now);
+        } else if (input instanceof RateInput.RoutersListed listed) {
+            right.updateRouters(listed.routers(), now);
+        } else if (input instanceof RateInput.WorkspacesConfigured configured) {
+            configure(configured.workspaces(), now);
+        } else if (input instanceof RateInput.SharesRead read) {
+            handleRead(read, now, actions);
+        } else if (input instanceof RateInput.ShareRowReceived rowSeen) {
+            handleRow(rowSeen, now, actions);
+        } else if (input instanceof RateInput.SharesReadFailed) {
             reading = false;
-        } else if (input instanceof RateInput.Leave) {
+        } else if (input instanceof RateInput.LeaveRequested) {
             keeper.leave();
         } else {
             tick(now, actions);
@@ -100,21 +100,21 @@
 
     /** Returns the tokens that this router could spend now. */
     public double available(WorkspaceId workspace) {
-        Account account = accounts.get(workspace);
+        WorkspaceAccount account = accounts.get(workspace);
         return account == null ? 0 : account.available();
     }
 
     /** Returns this router's part of the workspace, in {@link ShareTable#WHOLE}ths. */
     public int part(WorkspaceId workspace) {
-        Account account = accounts.get(workspace);
+        WorkspaceAccount account = accounts.get(workspace);
         return account == null ? 0 : keeper.part(account);
     }
 
     /** Returns the number of requests that wait for tokens. */
-    public int held() {
+    public int waitingRequests() {
         int held = 0;
-        for (Account account : accounts.values()) {
-            held += account.waiting();
+        for (WorkspaceAccount account : accounts.values()) {
+            held += account.waitingRequests();
         }
         return held;
     }
@@ -123,73 +123,78 @@
      * Returns whether frequent ticks are needed: requests wait, shares are being created, or this
      * router is leaving.
      */
-    public boolean busy(Instant now) {
-        return held() > 0 || keeper.awaitsOwners(now) || keeper.leaving();
+    public boolean needsFrequentTicks(Instant now) {
+        return waitingRequests() > 0 || keeper.awaitsOwners(now) || keeper.isLeaving();
     }
 
     /** Returns whether this router holds no share any more, so that a leaving router may stop. */
-    public boolean left() {
+    public boolean holdsNoShares() {
         return accounts.values().stream().allMatch(account -> keeper.part(account) == 0);
     }
 
-    private void configured(Map<WorkspaceId, Workspace> workspaces, Instant now) {
+    private void configure(Map<WorkspaceId, Workspace> workspaces, Instant now) {
         accounts.entrySet()
                 .removeIf(
                         entry ->
                                 !workspaces.containsKey(entry.getKey())
-                                        && entry.getValue().waiting() == 0);
+                                        && entry.getValue().waitingRequests() == 0);
         workspaces.forEach(
                 (id, workspace) ->
-                        accounts.computeIfAbsent(id, unused -> account(workspace, now)).workspace =
+                        accounts.computeIfAbsent(id, unused -> newAccount(workspace, now))
+                                        .workspace =
                                 workspace);
         accounts.values().forEach(account -> advance(account, now));
         readAt = Instant.MIN;
     }
 
     // Different routers start the round robin at different lenders.
-    private Account account(Workspace workspace, Instant now) {
-        Account account = new Account(workspace, now);
+    private WorkspaceAccount newAccount(Workspace workspace, Instant now) {
+        WorkspaceAccount account = new WorkspaceAccount(workspace, now);
         account.turn = vm.value().hashCode();
         return account;
     }
 
-    private void read(RateInput.Read read, Instant now, List<RateAction> actions) {
+    private void handleRead(RateInput.SharesRead read, Instant now, List<RateAction> actions) {
         reading = false;
-        right.read(read.askedAt(), now);
-        accounts.forEach((id, account) -> seen(account, read.rows().get(id), now, actions));
+        right.recordRead(read.requestedAt(), now);
+        accounts.forEach((id, account) -> applyRow(account, read.rows().get(id), now, actions));
         keeper.balance(List.copyOf(accounts.values()), now, actions);
     }
 
     // One row says nothing about the others, so it does not count as a read that lets shares be
     // spent again.
-    private void rowSeen(RateInput.RowSeen one, Instant now, List<RateAction> actions) {
-        Account account = accounts.get(one.workspace());
+    private void handleRow(RateInput.ShareRowReceived one, Instant now, List<RateAction> actions) {
+        WorkspaceAccount account = accounts.get(one.workspace());
         if (account != null) {
-            seen(account, one.row(), now, actions);
+            applyRow(account, one.row(), now, actions);
             keeper.balance(List.copyOf(accounts.values()), now, actions);
         }
     }
 
-    private void seen(Account account, RateInput.Row row, Instant now, List<RateAction> actions) {
-        keeper.seen(account, row, now);
+    private void applyRow(
+            WorkspaceAccount account,
+            RateInput.ShareRow row,
+            Instant now,
+            List<RateAction> actions) {
+        keeper.applyRow(account, row, now);
         advance(account, now);
         queue.admit(account, now, actions);
     }
 
     private void tick(Instant now, List<RateAction> actions) {
-        for (Account account : accounts.values()) {
+        for (WorkspaceAccount account : accounts.values()) {
             advance(account, now);
-            owners.check(account, () -> ++counter, now, actions);
-            if (right.usable(account, self, now)) {
-                owners.askAgain(account, () -> ++counter, now, actions);
+            owners.handleTimeouts(account, () -> ++counter, now, actions);
+            if (right.maySpend(account, self, now)) {
+                owners.retryOwner(account, () -> ++counter, now, actions);
             }
-            work(account, now, actions);
+            processQueue(account, now, actions);
         }
         keeper.balance(List.copyOf(accounts.values()), now, actions);
         if (!reading && !now.isBefore(readAt)) {
             reading = true;
             readAt = now.plus(readPeriod());
-            actions.add(new RateAction.Read());
+            actions.add(new RateAction.ReadShares());
         }
     }
 
@@ -197,62 +202,65 @@
     private Duration readPeriod() {
         boolean awaits =
                 accounts.values().stream()
-                        .anyMatch(account -> account.row == null && !keeper.home(account));
+                        .anyMatch(
+                                account -> account.row == null && !keeper.shouldHoldShare(account));
         return awaits ? FOUNDING : settings.readPeriod();
     }
 
-    private void arrive(RateInput.Arrived arrived, Instant now, List<RateAction> actions) {
-        Account account = accounts.get(arrived.workspace());
+    private void arrive(RateInput.RequestArrived arrived, Instant now, List<RateAction> actions) {
+        WorkspaceAccount account = accounts.get(arrived.workspace());
         if (account == null) {
             actions.add(RateRefusals.notConfigured(arrived.id()));
             return;
         }
         advance(account, now);
-        account.wanted(arrived.tokens(), now);
+        account.recordDemand(arrived.tokens(), now);
         if (arrived.tokens() > account.workspace.burst()) {
-            actions.add(RateRefusals.tooLarge(arrived.id()));
+            actions.add(RateRefusals.exceedsBurst(arrived.id()));
             return;
         }
         boolean first = account.held.isEmpty();
-        if (first && right.usable(account, self, now) && account.take(arrived.tokens())) {
-            actions.add(new RateAction.Admit(arrived.id()));
+        if (first && right.maySpend(account, self, now) && account.take(arrived.tokens())) {
+            actions.add(new RateAction.AdmitRequest(arrived.id()));
             return;
         }
-        if (account.waiting() >= MOST_HELD) {
-            actions.add(RateRefusals.tooMany(arrived.id()));
+        if (account.waitingRequests() >= MOST_HELD) {
+            actions.add(RateRefusals.queueFull(arrived.id()));
             return;
         }
-        Held request = held(account, arrived, now);
-        if (keeper.borrowsFromOwner(account) && right.usable(account, self, now)) {
-            owners.ask(account, request, () -> ++counter, now, actions);
+        QueuedRequest request = queuedRequest(account, arrived, now);
+        if (keeper.borrowsPerRequest(account) && right.maySpend(account, self, now)) {
+            owners.requestTokens(account, request, () -> ++counter, now, actions);
             return;
         }
         account.held.add(request);
-        if (keeper.owns(account)) {
+        if (keeper.isOwner(account)) {
             // It may have to be admitted before the requests that already wait.
             queue.admit(account, now, actions);
         }
-        askForHeld(account, now, actions);
-        queue.refuse(account, now, actions);
+        requestTokens(account, now, actions);
+        queue.refuseUnservable(account, now, actions);
     }
 
     // Admits the requests that have their tokens, requests tokens for the rest, and refuses those
     // that cannot get any.
-    private void work(Account account, Instant now, List<RateAction> actions) {
+    private void processQueue(WorkspaceAccount account, Instant now, List<RateAction> actions) {
         queue.admit(account, now, actions);
-        askForHeld(account, now, actions);
-        queue.refuse(account, now, actions);
+        requestTokens(account, now, actions);
+        queue.refuseUnservable(account, now, actions);
     }
 
-    private Held held(Account account, RateInput.Arrived arrived, Instant now) {
-        Instant until = now.plus(hold(now));
-        if (!keeper.owned(account) || arrived.within().isEmpty()) {
+    private QueuedRequest queuedRequest(
+            WorkspaceAccount account, RateInput.RequestArrived arrived, Instant now) {
+        Instant until = now.plus(queueTimeout(now));
+        if (!keeper.needsOwner(account) || arrived.waitLimits().isEmpty()) {
             // All of them wait equally long and are admitted in the order of arrival.
-            return Held.own(arrived.id(), ++counter, arrived.tokens(), Instant.MIN, until);
+            return QueuedRequest.fromCaller(
+                    arrived.id(), ++counter, arrived.tokens(), Instant.MIN, until);
         }
-        Wait wait = arrived.within().get();
+        WaitLimits wait = arrived.waitLimits().get();
         Instant longest = now.plus(wait.longest());
-        return Held.own(
+        return QueuedRequest.fromCaller(
                 arrived.id(),
                 ++counter,
                 arrived.tokens(),
@@ -260,31 +268,32 @@
                 longest.isBefore(until) ? until : longest);
     }
 
-    private Duration hold(Instant now) {
-        return keeper.joining(now) ? settings.joiningHold() : settings.hold();
+    private Duration queueTimeout(Instant now) {
+        return keeper.isJoining(now) ? settings.startupQueueTimeout() : settings.queueTimeout();
     }
 
-    private void settle(RateInput.Settled settled, Instant now, List<RateAction> actions) {
-        Account account = accounts.get(settled.workspace());
+    private void settle(RateInput.RequestSettled settled, Instant now, List<RateAction> actions) {
+        WorkspaceAccount account = accounts.get(settled.workspace());
         if (account == null) {
             return;
         }
         advance(account, now);
-        account.wanted(settled.used() - settled.charged(), now);
-        account.bucket.giveBack(settled.charged() - settled.used());
+        account.recordDemand(settled.used() - settled.charged(), now);
+        account.bucket.refund(settled.charged() - settled.used());
         queue.admit(account, now, actions);
     }
 
-    private void asked(RateInput.Asked asked, Instant now, List<RateAction> actions) {
-        right.heard(asked.from(), now);
-        Account account = accounts.get(asked.workspace());
+    private void handleTokenRequest(
+            RateInput.TokensRequested asked, Instant now, List<RateAction> actions) {
+        right.recordContact(asked.from(), now);
+        WorkspaceAccount account = accounts.get(asked.workspace());
         if (account == null) {
             return;
         }
-        asked.spent().forEach(account::repaid);
+        asked.spentTransfers().forEach(account::removeLent);
         advance(account, now);
-        if (asked.tokens() > 0 && lender.queues(account, asked, () -> ++counter, now)) {
-            work(account, now, actions);
+        if (asked.tokens() > 0 && lender.tryQueue(account, asked, () -> ++counter, now)) {
+            processQueue(account, now, actions);
         }
         lender.answer(account, asked, now, actions);
     }
@@ -292,41 +301,42 @@
     // A transfer counts from the time of the token request, not from its arrival. The lender's cap
     // is lowered for slightly longer than that, so that a delayed transfer is never spent twice. A
     // duplicate answer finds its lender no longer awaited.
-    private void lent(RateInput.Lent lent, Instant now, List<RateAction> actions) {
-        right.heard(lent.from(), now);
-        Account account = accounts.get(lent.workspace());
+    private void handleTransfer(
+            RateInput.TransferReceived lent, Instant now, List<RateAction> actions) {
+        right.recordContact(lent.from(), now);
+        WorkspaceAccount account = accounts.get(lent.workspace());
         if (account == null) {
             return;
         }
         advance(account, now);
-        if (owners.answered(account, lent, () -> ++counter, now, actions)) {
+        if (owners.handleTransfer(account, lent, () -> ++counter, now, actions)) {
             queue.admit(account, now, actions);
             return;
         }
         boolean awaited =
-                lent.loan().equals(account.ask + '/' + lent.from())
+                lent.transferId().equals(account.ask + '/' + lent.from())
                         && account.unanswered.remove(lent.from());
         Instant until = account.askedAt.equals(Instant.MIN) ? now : account.askedAt;
-        until = until.plus(settings.loan());
+        until = until.plus(settings.transferLifetime());
         if (awaited && now.isBefore(until) && lent.tokens() > 0) {
             account.brought += lent.tokens();
-            account.borrow(lent.from(), lent.loan(), lent.tokens(), until);
+            account.borrow(lent.from(), lent.transferId(), lent.tokens(), until);
         }
         queue.admit(account, now, actions);
-        if (right.usable(account, self, now) && !keeper.borrowsFromOwner(account)) {
-            borrowing.askOthers(account, () -> ++counter, now, actions);
+        if (right.maySpend(account, self, now) && !keeper.borrowsPerRequest(account)) {
+            borrowing.requestFromOthers(account, () -> ++counter, now, actions);
         }
-        queue.refuse(account, now, actions);
+        queue.refuseUnservable(account, now, actions);
     }
 
-    private void askForHeld(Account account, Instant now, List<RateAction> actions) {
-        borrowing.tellSpent(account, actions);
-        if (right.usable(account, self, now) && !keeper.borrowsFromOwner(account)) {
-            borrowing.ask(account, () -> ++counter, now, actions);
+    private void requestTokens(WorkspaceAccount account, Instant now, List<RateAction> actions) {
+        borrowing.reportSpent(account, actions);
+        if (right.maySpend(account, self, now) && !keeper.borrowsPerRequest(account)) {
+            borrowing.requestMissing(account, () -> ++counter, now, actions);
         }
     }
 
-    private void advance(Account account, Instant now) {
-        account.advance(keeper.part(account), keeper.kept(account), now);
+    private void advance(WorkspaceAccount account, Instant now) {
+        account.advance(keeper.part(account), keeper.reservedPart(account), now);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateRefusals.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateRefusals.java
@@ -17,26 +17,26 @@
                                 RefusalCode.STORE_UNAVAILABLE,
                                 "this router can't confirm its share of the rate")
                         .retryAfter(COME_BACK);
-        return new RateAction.Refuse(id, refusal);
+        return new RateAction.RefuseRequest(id, refusal);
     }
 
     static RateAction notConfigured(ExchangeId id) {
         return exceeded(id, "the workspace is not configured here", COME_BACK);
     }
 
-    static RateAction tooMany(ExchangeId id) {
+    static RateAction queueFull(ExchangeId id) {
         return exceeded(id, "the queue for the workspace's rate is full", COME_BACK);
     }
 
-    static RateAction usedUp(ExchangeId id, Duration wait) {
+    static RateAction rateExceeded(ExchangeId id, Duration wait) {
         return exceeded(id, "the workspace has used up its rate and burst", wait);
     }
 
     /**
      * Refuses a request that can never be admitted. A retry cannot help, so there is no retry time.
      */
-    static RateAction tooLarge(ExchangeId id) {
-        return new RateAction.Refuse(
+    static RateAction exceedsBurst(ExchangeId id) {
+        return new RateAction.RefuseRequest(
                 id,
                 Refusal.notRun(
                         RefusalCode.RATE_EXCEEDED,
@@ -44,7 +44,7 @@
     }
 
     private static RateAction exceeded(ExchangeId id, String message, Duration wait) {
-        return new RateAction.Refuse(
+        return new RateAction.RefuseRequest(
                 id, Refusal.notRun(RefusalCode.RATE_EXCEEDED, message).retryAfter(wait));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareKeeper.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareBalancer.java
@@ -17,7 +17,7 @@
  * Adjusts one router's shares in the store to its demand, and reclaims the shares of routers that
  * are gone.
  */
-final class ShareKeeper {
+final class ShareBalancer {
     private static final double HEADROOM = 1.25;
 
     /**
@@ -60,7 +60,7 @@
     private final VmId vm;
     private final String address;
     private final RateSettings settings;
-    private final SpendingRight right;
+    private final SpendingPermission right;
     private final Map<String, Instant> marks = new HashMap<>();
     private final Set<WorkspaceId> filled = new HashSet<>();
     private Instant next = Instant.MIN;
@@ -68,8 +68,12 @@
     private int turn;
     private boolean leaving;
 
-    ShareKeeper(
-            Incarnation self, VmId vm, String address, RateSettings settings, SpendingRight right) {
+    ShareBalancer(
+            Incarnation self,
+            VmId vm,
+            String address,
+            RateSettings settings,
+            SpendingPermission right) {
         this.self = self;
         this.vm = vm;
         this.address = address;
@@ -78,7 +82,7 @@
     }
 
     /** Records that this incarnation runs. Nobody else spends on this VM from the first call on. */
-    void running(Instant now) {
+    void recordRunning(Instant now) {
         if (began == null) {
             began = now;
         }
@@ -93,7 +97,7 @@
      * Returns whether this router may still be about to get its shares, and lack tokens for that
      * reason.
      */
-    boolean joining(Instant now) {
+    boolean isJoining(Instant now) {
         return age(now).compareTo(JOINING) < 0;
     }
 
@@ -106,12 +110,12 @@
     }
 
     /** Returns whether this router should hold a share. */
-    boolean home(Account account) {
-        return right.homes(account.workspace.id()).contains(vm);
+    boolean shouldHoldShare(WorkspaceAccount account) {
+        return right.shareHolders(account.workspace.id()).contains(vm);
     }
 
     /** Returns whether the store shows a share of this incarnation. */
-    boolean joined(Account account) {
+    boolean hasShare(WorkspaceAccount account) {
         return account.row != null && account.row.table().share(self).isPresent();
     }
 
@@ -121,24 +125,24 @@
      * for a part of what they lack, and the remainders would be spread over dozens of routers, too
      * little at each for a request.
      */
-    boolean owned(Account account) {
-        int homes = right.homes(account.workspace.id()).size();
+    boolean needsOwner(WorkspaceAccount account) {
+        int homes = right.shareHolders(account.workspace.id()).size();
         boolean few = homes < right.routerCount();
         boolean small = account.workspace.burst() / homes < EVEN_SHARE_TOKENS;
-        return settings.owned() && (few || small);
+        return settings.usesOwners() && (few || small);
     }
 
     /**
      * Returns whether this router is the owner: it holds most of the workspace, and the others
      * request tokens from it.
      */
-    boolean owns(Account account) {
-        return settings.owned() && part(account) > ShareTable.WHOLE / 2;
+    boolean isOwner(WorkspaceAccount account) {
+        return settings.usesOwners() && part(account) > ShareTable.WHOLE / 2;
     }
 
     /** Returns the other router that owns the workspace, if one does. */
-    Optional<VmId> otherOwner(Account account) {
-        if (!settings.owned() || account.row == null) {
+    Optional<VmId> otherOwner(WorkspaceAccount account) {
+        if (!settings.usesOwners() || account.row == null) {
             return Optional.empty();
         }
         return account.row.table().owner().filter(owner -> !owner.equals(vm));
@@ -148,8 +152,8 @@
      * Returns whether this router requests tokens for each request, because another router owns the
      * workspace or should own it.
      */
-    boolean borrowsFromOwner(Account account) {
-        return (otherOwner(account).isPresent() || owned(account)) && !owns(account);
+    boolean borrowsPerRequest(WorkspaceAccount account) {
+        return (otherOwner(account).isPresent() || needsOwner(account)) && !isOwner(account);
     }
 
     /**
@@ -159,10 +163,10 @@
      * spend, so nothing can be spent twice; but without transfers from routers that hold shares, it
      * would refuse every request for as long as the outage lasts.
      */
-    List<VmId> lenders(Account account) {
+    List<VmId> lenders(WorkspaceAccount account) {
         if (account.row == null) {
-            return settings.owned()
-                    ? right.otherHomes(account.workspace.id())
+            return settings.usesOwners()
+                    ? right.otherShareHolders(account.workspace.id())
                     : right.otherRouters();
         }
         return account.row.table().shares().values().stream()
@@ -173,7 +177,7 @@
                 .toList();
     }
 
-    boolean leaving() {
+    boolean isLeaving() {
         return leaving;
     }
 
@@ -186,7 +190,7 @@
      * Returns this router's part as it counts now, in millionths. A decrease counts at once, an
      * increase once the store shows it.
      */
-    int part(Account account) {
+    int part(WorkspaceAccount account) {
         if (account.row == null) {
             return 0;
         }
@@ -199,7 +203,7 @@
      * incarnation on this VM will find it. A decrease counts once the store shows it; an increase
      * counts when its write is sent, since that write may be applied at any time.
      */
-    int kept(Account account) {
+    int reservedPart(WorkspaceAccount account) {
         if (account.row == null) {
             return 0;
         }
@@ -211,7 +215,7 @@
      * Applies a row of the store. A decrease whose answer was lost may still be applied as long as
      * the row has the revision that it replaces, and counts until it no longer can.
      */
-    void seen(Account account, RateInput.Row row, Instant now) {
+    void applyRow(WorkspaceAccount account, RateInput.ShareRow row, Instant now) {
         if (row == null || account.row != null && row.revision() < account.row.revision()) {
             return;
         }
@@ -222,7 +226,7 @@
         if (account.raise != null && account.raise.revision() != row.revision()) {
             account.raise = null;
         }
-        row.table().share(self).ifPresent(share -> fill(account, share, now));
+        row.table().share(self).ifPresent(share -> addFreshTokens(account, share, now));
         row.table().shares().values().stream()
                 .map(ShareTable.Share::mark)
                 .filter(mark -> !mark.isEmpty())
@@ -232,11 +236,11 @@
     // Nobody has spent this part of the burst. Without it, a new workspace would be refused within
     // its rate until its buckets have filled, and so would all workspaces after a restart of all
     // routers.
-    private void fill(Account account, ShareTable.Share own, Instant now) {
+    private void addFreshTokens(WorkspaceAccount account, ShareTable.Share own, Instant now) {
         if (filled.add(account.workspace.id())) {
-            account.advance(part(account), kept(account), now);
+            account.advance(part(account), reservedPart(account), now);
             double fresh = own.fresh() / (double) ShareTable.WHOLE;
-            account.bucket.giveBack(fresh * account.workspace.burst());
+            account.bucket.refund(fresh * account.workspace.burst());
         }
     }
 
@@ -245,83 +249,88 @@
      * It continues where it stopped: if it always started at the first workspace, the shares of the
      * last ones would hardly ever change.
      */
-    void balance(List<Account> accounts, Instant now, List<RateAction> actions) {
+    void balance(List<WorkspaceAccount> accounts, Instant now, List<RateAction> actions) {
         for (int step = 0; step < accounts.size(); step++) {
-            Account account = accounts.get((turn + step) % accounts.size());
-            ShareTable wanted = account.writing(now) ? null : wanted(account, now);
+            WorkspaceAccount account = accounts.get((turn + step) % accounts.size());
+            ShareTable wanted = account.hasWriteInFlight(now) ? null : nextTable(account, now);
             if (wanted == null) {
                 continue;
             }
-            boolean urgent = !joined(account) || releases(account, now) || strays(account, now);
+            boolean urgent =
+                    !hasShare(account)
+                            || shouldReleaseReserve(account, now)
+                            || holdsSurplusShare(account, now);
             if (urgent || !now.isBefore(next)) {
-                next = now.plus(gap(wanted));
+                next = now.plus(writeInterval(wanted));
                 turn = (turn + step + 1) % accounts.size();
                 write(account, wanted, now, actions);
             }
         }
     }
 
-    private void write(Account account, ShareTable wanted, Instant now, List<RateAction> actions) {
+    private void write(
+            WorkspaceAccount account, ShareTable wanted, Instant now, List<RateAction> actions) {
         long revision = account.row == null ? 0 : account.row.revision();
         if (wanted.part(self) < part(account)) {
-            account.lowering = new Account.Lowering(wanted.part(self), revision);
-            account.advance(part(account), kept(account), now);
+            account.lowering = new WorkspaceAccount.PendingDecrease(wanted.part(self), revision);
+            account.advance(part(account), reservedPart(account), now);
         }
         int keeps = wanted.share(self).map(ShareTable.Share::kept).orElse(0);
-        if (keeps > kept(account)) {
-            account.raise = new Account.Raise(keeps, revision);
+        if (keeps > reservedPart(account)) {
+            account.raise = new WorkspaceAccount.PendingReserve(keeps, revision);
             account.advance(part(account), keeps, now);
         }
-        account.written(revision, now.plus(WRITE_LIMIT));
-        actions.add(new RateAction.Write(account.workspace.id(), wanted, revision));
+        account.recordWrite(revision, now.plus(WRITE_LIMIT));
+        actions.add(new RateAction.WriteShares(account.workspace.id(), wanted, revision));
     }
 
-    private Duration gap(ShareTable table) {
+    private Duration writeInterval(ShareTable table) {
         Duration even = Duration.ofMillis(1000L * table.shares().size() / FLEET_WRITES_PER_SECOND);
-        return even.compareTo(settings.writeGap()) > 0 ? even : settings.writeGap();
+        return even.compareTo(settings.writeInterval()) > 0 ? even : settings.writeInterval();
     }
 
     /** Returns the table as it should be, or null if it may stay. */
-    private ShareTable wanted(Account account, Instant now) {
-        if (!right.fresh(now)) {
+    private ShareTable nextTable(WorkspaceAccount account, Instant now) {
+        if (!right.isReadRecent(now)) {
             return null;
         }
-        if (standsBack(account, now)) {
+        if (yieldsToOwner(account, now)) {
             return null;
         }
-        Set<VmId> homes = right.homes(account.workspace.id());
+        Set<VmId> homes = right.shareHolders(account.workspace.id());
         boolean stays = !leaving && homes.contains(vm);
         if (account.row == null) {
-            return stays ? joined(ShareTable.unfounded(self), account, homes, 0) : null;
+            return stays ? joinTable(ShareTable.empty(self), account, homes, 0) : null;
         }
         ShareTable table = account.row.table();
-        if (leaving || strays(account, now)) {
-            return withdrawn(account, table, homes.size());
+        if (leaving || holdsSurplusShare(account, now)) {
+            return withdrawOwnShare(account, table, homes.size());
         }
         if (table.share(self).isEmpty()) {
-            return stays ? joined(table, account, homes, grown(account, now)) : null;
+            return stays ? joinTable(table, account, homes, accruedFraction(account, now)) : null;
         }
-        return moved(account, table, table.share(self).get(), now);
+        return adjusted(account, table, table.share(self).get(), now);
     }
 
     // At a start of all routers each would write its small part into each row, and the owners,
     // whose parts all routers wait for, would lose one compare-and-set race after another.
-    private boolean standsBack(Account account, Instant now) {
+    private boolean yieldsToOwner(WorkspaceAccount account, Instant now) {
         Duration pause = STANDBY_PAUSE.plusMillis(Math.floorMod(vm.hashCode(), JITTER_MILLIS));
-        return owned(account)
-                && !joined(account)
-                && !right.ownerOf(account.workspace.id())
+        return needsOwner(account)
+                && !hasShare(account)
+                && !right.isDesignatedOwner(account.workspace.id())
                 && age(now).compareTo(pause) < 0;
     }
 
-    private ShareTable joined(ShareTable table, Account account, Set<VmId> homes, double grown) {
-        if (!owned(account)) {
+    private ShareTable joinTable(
+            ShareTable table, WorkspaceAccount account, Set<VmId> homes, double grown) {
+        if (!needsOwner(account)) {
             return table.join(self, vm, address, homes.size(), grown);
         }
         int standby = standbyPart(homes.size());
-        boolean owner = right.ownerOf(account.workspace.id());
+        boolean owner = right.isDesignatedOwner(account.workspace.id());
         int part = owner ? ShareTable.WHOLE - standby * (homes.size() - 1) : standby;
-        return table.joinWith(self, vm, address, part, grown);
+        return table.joinWithPart(self, vm, address, part, grown);
     }
 
     // The part of a router that is not the owner, so that small requests find some tokens when the
@@ -330,78 +339,79 @@
         return ShareTable.WHOLE / (STANDBY_FRACTION * homes);
     }
 
-    private ShareTable moved(Account account, ShareTable table, ShareTable.Share own, Instant now) {
-        int want = want(account, table.shares().size(), now);
+    private ShareTable adjusted(
+            WorkspaceAccount account, ShareTable table, ShareTable.Share own, Instant now) {
+        int want = wantedPart(account, table.shares().size(), now);
         if (!own.mark().isEmpty()) {
-            return table.set(self, own.part(), want);
+            return table.withPartAndWant(self, own.part(), want);
         }
-        if (releases(account, now)) {
-            return table.keep(self, 0);
+        if (shouldReleaseReserve(account, now)) {
+            return table.withKept(self, 0);
         }
-        ShareTable without = withoutGone(table, account, now);
-        ShareTable next = without != null ? without : dealt(account, table, own, want);
-        return next != null || !keepsMore(account, own, now)
+        ShareTable without = markOrRemoveGone(table, account, now);
+        ShareTable next = without != null ? without : redistributed(account, table, own, want);
+        return next != null || !shouldReserve(account, own, now)
                 ? next
-                : table.keep(self, Math.min(own.part() / 2, inBucket(account)));
+                : table.withKept(self, Math.min(own.part() / 2, bucketPart(account)));
     }
 
     // At a start routers see only a part of the list, and more of them take shares than should hold
     // one. If they kept them, the tokens of a workspace would be scattered over all of them, and
     // without an owner each router would ask every other in turn.
-    private boolean strays(Account account, Instant now) {
+    private boolean holdsSurplusShare(WorkspaceAccount account, Instant now) {
         Duration settling = SETTLING.plusMillis(Math.floorMod(vm.hashCode(), JITTER_MILLIS));
-        return !home(account) && joined(account) && age(now).compareTo(settling) >= 0;
+        return !shouldHoldShare(account) && hasShare(account) && age(now).compareTo(settling) >= 0;
     }
 
     // Lent tokens stay in the part until they are returned. A router that gets token requests all
     // the time has always lent something, so the rest is withdrawn at once.
-    private ShareTable withdrawn(Account account, ShareTable table, int homes) {
+    private ShareTable withdrawOwnShare(WorkspaceAccount account, ShareTable table, int homes) {
         Optional<ShareTable.Share> own = table.share(self);
         if (own.isEmpty()) {
             return null;
         }
         int lent = lentPart(account);
         if (lent == 0) {
-            return table.withdrawn(self, reserve(table, homes));
+            return table.withdrawn(self, untouchedReserve(table, homes));
         }
         boolean much = own.get().part() - lent > LEAST_MOVE;
-        return much ? table.dealt(self, lent, 0, reserve(table, homes)) : null;
+        return much ? table.redistributed(self, lent, 0, untouchedReserve(table, homes)) : null;
     }
 
-    private static int inBucket(Account account) {
+    private static int bucketPart(WorkspaceAccount account) {
         double part = account.bucket.tokens() / account.workspace.burst();
         return (int) (Math.max(0, Math.min(1, part)) * ShareTable.WHOLE);
     }
 
     // A request that waits, here or at a borrower, needs the reserved tokens now. The next
     // incarnation on this VM has to do without them.
-    private boolean releases(Account account, Instant now) {
-        return account.wasShort(now) && kept(account) > 0;
+    private boolean shouldReleaseReserve(WorkspaceAccount account, Instant now) {
+        return account.lackedTokensRecently(now) && reservedPart(account) > 0;
     }
 
     // If unspent for a second, half of the burst can be reserved for the next incarnation.
     // Otherwise a killed router would take it along, and with all routers killed at once every
     // workspace would be refused within its rate for seconds. The parts of routers other than the
     // owner are not worth a write.
-    private boolean keepsMore(Account account, ShareTable.Share own, Instant now) {
-        boolean worthKeeping = !owned(account) || owns(account);
-        return settings.keeps()
+    private boolean shouldReserve(WorkspaceAccount account, ShareTable.Share own, Instant now) {
+        boolean worthKeeping = !needsOwner(account) || isOwner(account);
+        return settings.reservesForRestart()
                 && worthKeeping
                 && account.held.isEmpty()
                 && account.fullSince != null
                 && !now.isBefore(account.fullSince.plus(PLENTY_FOR))
-                && kept(account) < own.part() / 4
+                && reservedPart(account) < own.part() / 4
                 && own.part() > 0;
     }
 
     // The fraction of a full burst that accrued since this incarnation started: nobody spent on
     // this VM since then.
-    private double grown(Account account, Instant now) {
+    private double accruedFraction(WorkspaceAccount account, Instant now) {
         double seconds = Duration.between(began, now).toMillis() / 1000.0;
         return Math.min(1, seconds * account.workspace.rate() / account.workspace.burst());
     }
 
-    private ShareTable withoutGone(ShareTable table, Account account, Instant now) {
+    private ShareTable markOrRemoveGone(ShareTable table, WorkspaceAccount account, Instant now) {
         for (Map.Entry<Incarnation, ShareTable.Share> entry : table.shares().entrySet()) {
             ShareTable.Share share = entry.getValue();
             boolean other = !entry.getKey().equals(self);
@@ -413,18 +423,19 @@
                 return table.mark(entry.getKey(), mark);
             }
             Instant since = marks.getOrDefault(share.mark(), now);
-            if (!now.isBefore(since.plus(settings.takeBack()))) {
+            if (!now.isBefore(since.plus(settings.reclaimDelay()))) {
                 return table.remove(entry.getKey());
             }
         }
         return null;
     }
 
-    private ShareTable dealt(Account account, ShareTable table, ShareTable.Share own, int want) {
+    private ShareTable redistributed(
+            WorkspaceAccount account, ShareTable table, ShareTable.Share own, int want) {
         int target = Math.max(table.target(self, want), lentPart(account));
-        boolean give = target < own.part() && othersWant(table);
-        int reserve = reserve(table, right.homes(account.workspace.id()).size());
-        ShareTable dealt = table.dealt(self, give ? target : own.part(), want, reserve);
+        boolean give = target < own.part() && othersBelowWant(table);
+        int reserve = untouchedReserve(table, right.shareHolders(account.workspace.id()).size());
+        ShareTable dealt = table.redistributed(self, give ? target : own.part(), want, reserve);
         boolean wantChanged = Math.abs(want - own.want()) > STEP;
         int moved = 0;
         for (Map.Entry<Incarnation, ShareTable.Share> entry : dealt.shares().entrySet()) {
@@ -436,7 +447,7 @@
     // A router that creates a table and takes the whole would take it along when it dies: the
     // others, which had nothing yet, would refuse the workspace within its rate until the share is
     // reclaimed. So the untouched part is reserved for listed routers that have not joined.
-    private static int reserve(ShareTable table, int homes) {
+    private static int untouchedReserve(ShareTable table, int homes) {
         return table.shares().size() < homes ? table.untouched() : 0;
     }
 
@@ -444,12 +455,12 @@
      * Returns whether routers on the list have still to take their untouched part, and can lend
      * then.
      */
-    boolean awaitsOthers(Account account) {
-        int homes = right.homes(account.workspace.id()).size();
-        return account.row != null && reserve(account.row.table(), homes) > 0;
+    boolean awaitsJoiningRouters(WorkspaceAccount account) {
+        int homes = right.shareHolders(account.workspace.id()).size();
+        return account.row != null && untouchedReserve(account.row.table(), homes) > 0;
     }
 
-    private boolean othersWant(ShareTable table) {
+    private boolean othersBelowWant(ShareTable table) {
         return table.shares().entrySet().stream()
                 .anyMatch(
                         entry ->
@@ -460,16 +471,16 @@
 
     // Lent tokens stay within this router's part until they are returned. Otherwise the router that
     // took the part could fill up beside them.
-    private static int lentPart(Account account) {
-        double part = account.lentOut() / account.workspace.burst();
+    private static int lentPart(WorkspaceAccount account) {
+        double part = account.lentTokens() / account.workspace.burst();
         return (int) Math.min(ShareTable.WHOLE, Math.ceil(part * ShareTable.WHOLE));
     }
 
     // Each router wants a little, so that first requests find tokens during an outage of the store.
-    private int want(Account account, int routers, Instant now) {
+    private int wantedPart(WorkspaceAccount account, int routers, Instant now) {
         int least = standbyPart(routers);
-        if (owned(account)) {
-            return right.ownerOf(account.workspace.id()) ? ShareTable.WHOLE : least;
+        if (needsOwner(account)) {
+            return right.isDesignatedOwner(account.workspace.id()) ? ShareTable.WHOLE : least;
         }
         double part = HEADROOM * account.demand(now) / account.workspace.rate();
         return Math.max(least, (int) (Math.min(MOST_WANTED, part) * ShareTable.WHOLE));
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareHolders.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareHolders.java
@@ -31,7 +31,7 @@
 
     private ShareHolders() {}
 
-    static Set<VmId> of(WorkspaceId workspace, Collection<VmId> routers) {
+    static Set<VmId> select(WorkspaceId workspace, Collection<VmId> routers) {
         int most = routers.size() <= ALL_UP_TO ? routers.size() : OF_MANY;
         return routers.stream().sorted(order(workspace)).limit(most).collect(Collectors.toSet());
     }
@@ -42,7 +42,7 @@
     }
 
     /** Returns these routers with the designated owner first. */
-    static List<VmId> inOrder(WorkspaceId workspace, Collection<VmId> routers) {
+    static List<VmId> ownerFirst(WorkspaceId workspace, Collection<VmId> routers) {
         return routers.stream().sorted(order(workspace)).toList();
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareTable.java
@@ -45,7 +45,7 @@
      */
     public record Share(
             VmId vm, String address, int part, int want, String mark, int fresh, int kept) {
-        Share with(int newPart, int newWant) {
+        Share withPartAndWant(int newPart, int newWant) {
             return new Share(vm, address, newPart, newWant, "", fresh, Math.min(kept, newPart));
         }
 
@@ -53,7 +53,7 @@
             return new Share(vm, address, part, want, by, fresh, kept);
         }
 
-        Share keeping(int newKept) {
+        Share withKept(int newKept) {
             return new Share(vm, address, part, want, "", fresh, Math.min(newKept, part));
         }
     }
@@ -80,11 +80,11 @@
      * with the whole burst of that, and the others find theirs untouched.
      */
     public static ShareTable founded(Incarnation who, VmId vm, String address, int routers) {
-        return unfounded(who).join(who, vm, address, routers, 0);
+        return empty(who).join(who, vm, address, routers, 0);
     }
 
     /** Creates a table without shares, for its first writer. */
-    static ShareTable unfounded(Incarnation who) {
+    static ShareTable empty(Incarnation who) {
         return new ShareTable(who, WHOLE, Map.of());
     }
 
@@ -120,26 +120,27 @@
     public ShareTable join(Incarnation who, VmId vm, String address, int routers, double grown) {
         long others = shares.values().stream().filter(share -> !share.vm().equals(vm)).count();
         int fair = WHOLE / (int) Math.max(others + 1, routers);
-        return joinWith(who, vm, address, fair, grown);
+        return joinWithPart(who, vm, address, fair, grown);
     }
 
     /**
      * Adds a new incarnation with this part, as far as it is free. Otherwise like {@link #join}.
      */
-    public ShareTable joinWith(Incarnation who, VmId vm, String address, int fair, double grown) {
+    public ShareTable joinWithPart(
+            Incarnation who, VmId vm, String address, int fair, double grown) {
         Map<Incarnation, Share> next = new TreeMap<>(shares);
         next.values().removeIf(share -> share.vm().equals(vm));
         ShareTable without = new ShareTable(founder, untouched, next);
         int part = Math.min(fair, without.free());
         int first = Math.min(part, untouched);
-        int fresh = first + Math.min(part - first, leftOn(vm, grown));
+        int fresh = first + Math.min(part - first, unspentOn(vm, grown));
         next.put(who, new Share(vm, address, part, fair, "", fresh, 0));
         return new ShareTable(founder, untouched - first, next);
     }
 
     // Earlier incarnations on the VM reserved at least this much until they stopped, and nobody has
     // spent what their parts accrued since.
-    private int leftOn(VmId vm, double grown) {
+    private int unspentOn(VmId vm, double grown) {
         long left = 0;
         for (Share share : shares.values()) {
             if (share.vm().equals(vm)) {
@@ -150,9 +151,9 @@
     }
 
     /** Sets how much of its burst an incarnation reserves for the next one on its VM. */
-    public ShareTable keep(Incarnation who, int kept) {
+    public ShareTable withKept(Incarnation who, int kept) {
         Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(who, shares.get(who).keeping(kept));
+        next.put(who, shares.get(who).withKept(kept));
         return new ShareTable(founder, untouched, next);
     }
 
@@ -160,11 +161,11 @@
      * Sets an incarnation's own part and want. An increase takes at most what is free. The write
      * also clears the mark, since it shows that the incarnation is alive.
      */
-    public ShareTable set(Incarnation who, int part, int want) {
+    public ShareTable withPartAndWant(Incarnation who, int part, int want) {
         Share old = shares.get(who);
         int most = old.part() + free();
         Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(who, old.with(Math.min(part, most), want));
+        next.put(who, old.withPartAndWant(Math.min(part, most), want));
         return new ShareTable(founder, untouched, next);
     }
 
@@ -173,45 +174,45 @@
      * to the shares furthest below their targets. Only the writer's own part can decrease, which it
      * has accounted for.
      */
-    public ShareTable dealt(Incarnation who, int part, int want, int reserve) {
+    public ShareTable redistributed(Incarnation who, int part, int want, int reserve) {
         Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(who, shares.get(who).with(part, want));
-        return new ShareTable(founder, untouched, next).dealtOut(reserve);
+        next.put(who, shares.get(who).withPartAndWant(part, want));
+        return new ShareTable(founder, untouched, next).distributeFree(reserve);
     }
 
-    /** Removes an incarnation and distributes its part as {@link #dealt} does. */
+    /** Removes an incarnation and distributes its part as {@link #redistributed} does. */
     public ShareTable withdrawn(Incarnation who, int reserve) {
-        return remove(who).dealtOut(reserve);
+        return remove(who).distributeFree(reserve);
     }
 
-    private ShareTable dealtOut(int reserve) {
+    private ShareTable distributeFree(int reserve) {
         Map<Incarnation, Share> next = new TreeMap<>(shares);
         ShareTable dealt = this;
         int free = free() - reserve;
         while (free > 0) {
-            Incarnation neediest = dealt.neediest();
-            int lack = neediest == null ? 0 : dealt.lack(neediest);
+            Incarnation neediest = dealt.furthestBelowTarget();
+            int lack = neediest == null ? 0 : dealt.shortfall(neediest);
             if (lack <= 0) {
                 break;
             }
             Share share = next.get(neediest);
             int more = Math.min(lack, free);
-            next.put(neediest, share.with(share.part() + more, share.want()));
+            next.put(neediest, share.withPartAndWant(share.part() + more, share.want()));
             free -= more;
             dealt = new ShareTable(founder, untouched, next);
         }
         return dealt;
     }
 
-    private Incarnation neediest() {
+    private Incarnation furthestBelowTarget() {
         return shares.entrySet().stream()
                 .filter(entry -> entry.getValue().mark().isEmpty())
                 .map(Map.Entry::getKey)
-                .max(Comparator.comparingInt(this::lack))
+                .max(Comparator.comparingInt(this::shortfall))
                 .orElse(null);
     }
 
-    private int lack(Incarnation who) {
+    private int shortfall(Incarnation who) {
         Share share = shares.get(who);
         return target(who, share.want()) - share.part();
     }
@@ -283,10 +284,10 @@
             JsonNode table = JsonTrees.read(json);
             Map<Incarnation, Share> shares = new TreeMap<>();
             for (JsonNode line : table.path("shares")) {
-                shares.put(Incarnation.of(text(line, "incarnation")), share(line));
+                shares.put(Incarnation.of(textField(line, "incarnation")), share(line));
             }
-            Incarnation founder = Incarnation.of(text(table, "founder"));
-            return new ShareTable(founder, whole(table, "untouched"), shares);
+            Incarnation founder = Incarnation.of(textField(table, "founder"));
+            return new ShareTable(founder, intField(table, "untouched"), shares);
         } catch (IOException e) {
             throw new IllegalArgumentException("a share table is not valid JSON", e);
         }
@@ -294,16 +295,16 @@
 
     private static Share share(JsonNode line) {
         return new Share(
-                VmId.of(text(line, "vm")),
-                text(line, "address"),
-                whole(line, "part"),
-                whole(line, "want"),
-                text(line, "mark"),
-                whole(line, "fresh"),
-                whole(line, "kept"));
+                VmId.of(textField(line, "vm")),
+                textField(line, "address"),
+                intField(line, "part"),
+                intField(line, "want"),
+                textField(line, "mark"),
+                intField(line, "fresh"),
+                intField(line, "kept"));
     }
 
-    private static String text(JsonNode from, String field) {
+    private static String textField(JsonNode from, String field) {
         String text = from.path(field).textValue();
         if (text == null) {
             throw new IllegalArgumentException("a share table lacks the text field " + field);
@@ -311,7 +312,7 @@
         return text;
     }
 
-    private static int whole(JsonNode from, String field) {
+    private static int intField(JsonNode from, String field) {
         JsonNode node = from.path(field);
         if (!node.isMissingNode() && !node.canConvertToInt()) {
             throw new IllegalArgumentException(
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/SpendingRight.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/SpendingPermission.java
@@ -18,7 +18,7 @@
  * its own clock, before any other router may reclaim the share, and continues only after a read of
  * the store.
  */
-final class SpendingRight {
+final class SpendingPermission {
     private final VmId self;
     private final RateSettings settings;
     private final Map<VmId, Instant> missing = new HashMap<>();
@@ -31,30 +31,30 @@
     private Instant contact = Instant.MIN;
     private Instant ticked;
 
-    SpendingRight(VmId self, RateSettings settings) {
+    SpendingPermission(VmId self, RateSettings settings) {
         this.self = self;
         this.settings = settings;
     }
 
     /** Records that this process runs, and detects whether it was frozen until now. */
-    void awake(Instant now) {
-        if (ticked != null && now.isAfter(ticked.plus(settings.freeze()))) {
+    void recordRunning(Instant now) {
+        if (ticked != null && now.isAfter(ticked.plus(settings.freezeThreshold()))) {
             needed = now;
         }
         ticked = now;
     }
 
-    void read(Instant askedAt, Instant now) {
+    void recordRead(Instant askedAt, Instant now) {
         read = askedAt;
         contact = now;
     }
 
-    void heard(VmId other, Instant now) {
+    void recordContact(VmId other, Instant now) {
         contact = now;
         missing.remove(other);
     }
 
-    void listed(Set<VmId> routers, Instant now) {
+    void updateRouters(Set<VmId> routers, Instant now) {
         if (!routers.equals(listed)) {
             listed = routers;
             homes.clear();
@@ -83,26 +83,26 @@
      * Returns the routers that should hold shares of the workspace according to the list. The
      * result is cached until the list changes, because it is used at every tick.
      */
-    Set<VmId> homes(WorkspaceId workspace) {
-        return homes.computeIfAbsent(workspace, this::pickHomes);
+    Set<VmId> shareHolders(WorkspaceId workspace) {
+        return homes.computeIfAbsent(workspace, this::selectShareHolders);
     }
 
     /** Returns whether this router should own the workspace; false as long as there is no list. */
-    boolean ownerOf(WorkspaceId workspace) {
+    boolean isDesignatedOwner(WorkspaceId workspace) {
         return !listed.isEmpty()
                 && owners.computeIfAbsent(workspace, id -> ShareHolders.owner(id, routers()))
                         .equals(self);
     }
 
     /** Returns the other routers that should hold shares of the workspace, the owner first. */
-    List<VmId> otherHomes(WorkspaceId workspace) {
-        return ShareHolders.inOrder(workspace, homes(workspace)).stream()
+    List<VmId> otherShareHolders(WorkspaceId workspace) {
+        return ShareHolders.ownerFirst(workspace, shareHolders(workspace)).stream()
                 .filter(vm -> !vm.equals(self))
                 .toList();
     }
 
-    private Set<VmId> pickHomes(WorkspaceId workspace) {
-        return ShareHolders.of(workspace, routers());
+    private Set<VmId> selectShareHolders(WorkspaceId workspace) {
+        return ShareHolders.select(workspace, routers());
     }
 
     /** Returns the number of routers according to the list, including this one. */
@@ -120,34 +120,34 @@
      * Returns whether this incarnation may now spend its share of the workspace, and what it
      * borrows.
      */
-    boolean usable(Account account, Incarnation life, Instant now) {
+    boolean maySpend(WorkspaceAccount account, Incarnation life, Instant now) {
         if (account.row == null) {
             return neverRead();
         }
         ShareTable table = account.row.table();
         boolean marked = table.share(life).filter(share -> !share.mark().isEmpty()).isPresent();
-        return !marked && holds(table.shares().size() <= 1, now);
+        return !marked && isConfirmed(table.shares().size() <= 1, now);
     }
 
     /** Returns whether shares may be spent; {@code alone} says that no other router has any. */
-    private boolean holds(boolean alone, Instant now) {
+    private boolean isConfirmed(boolean alone, Instant now) {
         if (read == null
                 || read.isBefore(needed)
-                || !now.isBefore(read.plus(settings.validity()))) {
+                || !now.isBefore(read.plus(settings.readValidity()))) {
             return false;
         }
         if (alone) {
             return true;
         }
         boolean delisted = everListed && !listed.contains(self);
-        return !delisted && now.isBefore(contact.plus(settings.isolation()));
+        return !delisted && now.isBefore(contact.plus(settings.isolationLimit()));
     }
 
     /** Returns whether the store was read recently enough to decide on a write. */
-    boolean fresh(Instant now) {
+    boolean isReadRecent(Instant now) {
         return read != null
                 && !read.isBefore(needed)
-                && now.isBefore(read.plus(settings.isolation()));
+                && now.isBefore(read.plus(settings.isolationLimit()));
     }
 
     /** Returns whether that router has been off the list and silent for long enough. */
@@ -156,6 +156,6 @@
             return false;
         }
         Instant since = missing.computeIfAbsent(other, vm -> now);
-        return !now.isBefore(since.plus(settings.gone()));
+        return !now.isBefore(since.plus(settings.goneAfter()));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Bucket.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenBucket.java
@@ -7,7 +7,7 @@
  * A token bucket whose clock is passed in: {@code bucket.refill(now); if (bucket.take(40)) ...}. It
  * starts empty, because a new bucket that is full would create tokens.
  */
-final class Bucket {
+final class TokenBucket {
     private static final double NANOS = 1e9;
 
     private double rate;
@@ -15,7 +15,7 @@
     private double tokens;
     private Instant last;
 
-    Bucket(Instant now) {
+    TokenBucket(Instant now) {
         last = now;
     }
 
@@ -42,7 +42,7 @@
      * Returns tokens to the bucket, up to the cap. A negative amount is debt, which is paid before
      * new admissions.
      */
-    void giveBack(double amount) {
+    void refund(double amount) {
         tokens = Math.min(cap, tokens + amount);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenQueue.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenQueue.java
@@ -22,20 +22,20 @@
     /** In tokens per second. It keeps the order defined for a workspace without a rate. */
     private static final double LEAST_RATE = 1;
 
-    private final List<Held> waiting = new ArrayList<>();
+    private final List<QueuedRequest> waiting = new ArrayList<>();
     private double rate;
 
     /** Sets the rate, in tokens per second. */
-    void rate(double tokensPerSecond) {
+    void setRate(double tokensPerSecond) {
         rate = tokensPerSecond;
     }
 
-    void add(Held request) {
+    void add(QueuedRequest request) {
         waiting.add(request);
     }
 
     /** Removes a request. Returns false if it is not queued. */
-    boolean remove(Held request) {
+    boolean remove(QueuedRequest request) {
         return waiting.remove(request);
     }
 
@@ -48,42 +48,42 @@
     }
 
     /** Returns the tokens that all queued requests need together. */
-    long tokens() {
-        return waiting.stream().mapToLong(Held::tokens).sum();
+    long totalTokens() {
+        return waiting.stream().mapToLong(QueuedRequest::tokens).sum();
     }
 
     /** Returns the request to serve next, or null if the queue is empty. */
-    Held first(Instant now) {
+    QueuedRequest first(Instant now) {
         return waiting.stream().min(order(now)).orElse(null);
     }
 
     /** Returns all requests in the order in which they are served. */
-    List<Held> inOrder(Instant now) {
+    List<QueuedRequest> inOrder(Instant now) {
         return waiting.stream().sorted(order(now)).toList();
     }
 
-    private Comparator<Held> order(Instant now) {
-        return Comparator.comparing((Held request) -> late(request, now))
-                .thenComparing(request -> late(request, now) ? Instant.MIN : turn(request))
-                .thenComparingLong(Held::number);
+    private Comparator<QueuedRequest> order(Instant now) {
+        return Comparator.comparing((QueuedRequest request) -> isLate(request, now))
+                .thenComparing(request -> isLate(request, now) ? Instant.MIN : dueTime(request))
+                .thenComparingLong(QueuedRequest::arrivalNumber);
     }
 
     /** Returns whether another router's request for the transfer with this id is queued. */
-    boolean holds(String loan) {
+    boolean containsTransfer(String loan) {
         return waiting.stream()
                 .anyMatch(
                         request ->
                                 request.borrower()
-                                        .filter(by -> by.loan().equals(loan))
+                                        .filter(by -> by.transferId().equals(loan))
                                         .isPresent());
     }
 
-    private Instant turn(Held request) {
+    private Instant dueTime(QueuedRequest request) {
         double seconds = request.tokens() / Math.max(LEAST_RATE, rate);
-        return request.inTimeUntil().plusNanos((long) (seconds * NANOS));
+        return request.inTimeDeadline().plusNanos((long) (seconds * NANOS));
     }
 
-    private static boolean late(Held request, Instant now) {
-        return !now.isBefore(request.inTimeUntil());
+    private static boolean isLate(QueuedRequest request, Instant now) {
+        return !now.isBefore(request.inTimeDeadline());
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Wait.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/WaitLimits.java
@@ -8,9 +8,9 @@
  * @param inTime longest wait after which its answer can still meet the caller's latency objective
  * @param longest longest wait at all, after which it is refused
  */
-public record Wait(Duration inTime, Duration longest) {
+public record WaitLimits(Duration inTime, Duration longest) {
     /** Checks that both times are not negative. */
-    public Wait {
+    public WaitLimits {
         if (inTime.isNegative() || longest.isNegative()) {
             throw new IllegalArgumentException(
                     "a wait must not be negative: in time " + inTime + ", longest " + longest);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/Account.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/WorkspaceAccount.java
@@ -21,7 +21,7 @@
  * until it is spent or has expired. Tokens set aside for a request that waits for the rest lower
  * the cap as well.
  */
-final class Account {
+final class WorkspaceAccount {
     private static final double DEMAND_SECONDS = 4.0;
     private static final double NANOS = 1e9;
 
@@ -34,16 +34,16 @@
      */
     private static final double PLENTY = 0.75;
 
-    final Bucket bucket;
+    final TokenBucket bucket;
     final TokenQueue held = new TokenQueue();
-    final AnswerTime answerTime = new AnswerTime();
-    final OwnerAsks asksOfOwner = new OwnerAsks(answerTime);
+    final AnswerTimeEstimate answerTime = new AnswerTimeEstimate();
+    final PendingTokenRequests asksOfOwner = new PendingTokenRequests(answerTime);
     final Map<VmId, List<String>> spent = new HashMap<>();
     final Set<VmId> unanswered = new HashSet<>();
     Workspace workspace;
-    RateInput.Row row;
-    Lowering lowering;
-    Raise raise;
+    RateInput.ShareRow row;
+    WorkspaceAccount.PendingDecrease lowering;
+    WorkspaceAccount.PendingReserve raise;
     Instant fullSince;
     Instant shortAt = Instant.MIN;
     private double floor;
@@ -55,16 +55,16 @@
     long brought;
     int dryAsks;
     int turn;
-    private final ArrayDeque<Borrowed> borrowed = new ArrayDeque<>();
-    private final Map<String, Lent> lent = new HashMap<>();
+    private final ArrayDeque<WorkspaceAccount.IncomingTransfer> borrowed = new ArrayDeque<>();
+    private final Map<String, WorkspaceAccount.OutgoingTransfer> lent = new HashMap<>();
     private double demand;
     private Instant demandAt;
     private long writtenOver = -1;
     private Instant writtenUntil = Instant.MIN;
 
-    Account(Workspace workspace, Instant now) {
+    WorkspaceAccount(Workspace workspace, Instant now) {
         this.workspace = workspace;
-        this.bucket = new Bucket(now);
+        this.bucket = new TokenBucket(now);
         this.demandAt = now;
     }
 
@@ -72,20 +72,20 @@
      * A write in flight that lowers this router's part. It counts before the store has confirmed
      * it.
      */
-    record Lowering(int part, long revision) {}
+    record PendingDecrease(int part, long revision) {}
 
     /** A write in flight that raises the reserved part. It binds from the moment it is sent. */
-    record Raise(int kept, long revision) {}
+    record PendingReserve(int kept, long revision) {}
 
-    private record Lent(double tokens, Instant until) {}
+    private record OutgoingTransfer(double tokens, Instant until) {}
 
-    private static final class Borrowed {
+    private static final class IncomingTransfer {
         private final VmId from;
         private final String loan;
         private final Instant until;
         private double tokens;
 
-        Borrowed(VmId from, String loan, double tokens, Instant until) {
+        IncomingTransfer(VmId from, String loan, double tokens, Instant until) {
             this.from = from;
             this.loan = loan;
             this.tokens = tokens;
@@ -102,31 +102,31 @@
     void advance(int part, int kept, Instant now) {
         bucket.refill(now);
         lent.values().removeIf(loan -> !now.isBefore(loan.until()));
-        borrowed.removeIf(loan -> usedUp(loan, now));
+        borrowed.removeIf(loan -> settleIfUsedUp(loan, now));
         double portion = part / (double) ShareTable.WHOLE;
-        double elsewhere = lentOut() + asksOfOwner.aside();
+        double elsewhere = lentTokens() + asksOfOwner.setAsideTokens();
         double cap = Math.max(0, portion * workspace.burst() - elsewhere);
         bucket.resize(portion * workspace.rate(), cap);
-        held.rate(workspace.rate());
+        held.setRate(workspace.rate());
         floor = kept / (double) ShareTable.WHOLE * workspace.burst();
-        notePlenty(cap, now);
+        updateFullSince(cap, now);
     }
 
     /** Returns the number of requests that wait for tokens, in the local queue or at a lender. */
-    int waiting() {
+    int waitingRequests() {
         return held.size() + asksOfOwner.size();
     }
 
     /**
      * Returns whether a request here, or a router that requested tokens, lacked tokens recently.
      */
-    boolean wasShort(Instant now) {
+    boolean lackedTokensRecently(Instant now) {
         return !held.isEmpty()
                 || !shortAt.equals(Instant.MIN) && now.isBefore(shortAt.plus(SHORT_TIME));
     }
 
-    private void notePlenty(double cap, Instant now) {
-        boolean plenty = cap > 0 && bucket.tokens() >= cap * PLENTY && !wasShort(now);
+    private void updateFullSince(double cap, Instant now) {
+        boolean plenty = cap > 0 && bucket.tokens() >= cap * PLENTY && !lackedTokensRecently(now);
         if (!plenty) {
             fullSince = null;
         } else if (fullSince == null) {
@@ -138,21 +138,21 @@
      * Returns the own tokens that may be spent, without those reserved for the next incarnation on
      * this VM.
      */
-    double own() {
+    double spendableOwnTokens() {
         return Math.max(Math.min(0, bucket.tokens()), bucket.tokens() - floor);
     }
 
-    private boolean usedUp(Borrowed loan, Instant now) {
+    private boolean settleIfUsedUp(WorkspaceAccount.IncomingTransfer loan, Instant now) {
         if (loan.tokens > 0 && now.isBefore(loan.until)) {
             return false;
         }
-        bucket.giveBack(loan.tokens);
-        spentAtOnce(loan.from, loan.loan);
+        bucket.refund(loan.tokens);
+        recordSpent(loan.from, loan.loan);
         return true;
     }
 
     double available() {
-        return own() + borrowed.stream().mapToDouble(loan -> loan.tokens).sum();
+        return spendableOwnTokens() + borrowed.stream().mapToDouble(loan -> loan.tokens).sum();
     }
 
     /**
@@ -169,7 +169,7 @@
 
     private void spend(double tokens) {
         double left = tokens;
-        for (Borrowed loan : borrowed) {
+        for (WorkspaceAccount.IncomingTransfer loan : borrowed) {
             double part = Math.min(left, loan.tokens);
             loan.tokens -= part;
             left -= part;
@@ -188,58 +188,58 @@
     }
 
     /** Records that a transfer was spent on arrival, to be reported to its lender. */
-    void spentAtOnce(VmId from, String loan) {
+    void recordSpent(VmId from, String loan) {
         spent.computeIfAbsent(from, vm -> new ArrayList<>()).add(loan);
     }
 
     void borrow(VmId from, String loan, long tokens, Instant until) {
-        borrowed.add(new Borrowed(from, loan, tokens, until));
+        borrowed.add(new WorkspaceAccount.IncomingTransfer(from, loan, tokens, until));
     }
 
     /** Lends own tokens until the given time. */
     void lend(String loan, long tokens, Instant until) {
         bucket.take(tokens);
-        lent.put(loan, new Lent(tokens, until));
+        lent.put(loan, new WorkspaceAccount.OutgoingTransfer(tokens, until));
     }
 
     /**
      * Lends own and borrowed tokens. All of them count as lent here, and the first lender may
      * refill: the borrowed tokens exist only in the new transfer.
      */
-    void lendOn(String loan, long tokens, Instant until) {
+    void lendIncludingBorrowed(String loan, long tokens, Instant until) {
         spend(tokens);
-        lent.put(loan, new Lent(tokens, until));
+        lent.put(loan, new WorkspaceAccount.OutgoingTransfer(tokens, until));
     }
 
     boolean hasLent(String loan) {
         return lent.containsKey(loan);
     }
 
-    double lentOut() {
-        return lent.values().stream().mapToDouble(Lent::tokens).sum();
+    double lentTokens() {
+        return lent.values().stream().mapToDouble(WorkspaceAccount.OutgoingTransfer::tokens).sum();
     }
 
     /**
      * Records a write that replaces this revision. No other write is sent before its result is
      * known or the time has passed.
      */
-    void written(long revision, Instant until) {
+    void recordWrite(long revision, Instant until) {
         writtenOver = revision;
         writtenUntil = until;
     }
 
     /** Returns whether a write is in flight that may still be applied. */
-    boolean writing(Instant now) {
+    boolean hasWriteInFlight(Instant now) {
         long revision = row == null ? 0 : row.revision();
         return writtenOver == revision && now.isBefore(writtenUntil);
     }
 
-    void repaid(String loan) {
+    void removeLent(String loan) {
         lent.remove(loan);
     }
 
     /** Adds requested tokens to the demand, whether or not the request is admitted. */
-    void wanted(double tokens, Instant now) {
+    void recordDemand(double tokens, Instant now) {
         demand = Math.max(0, demand(now) + tokens / DEMAND_SECONDS);
         demandAt = now;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
@@ -2,7 +2,7 @@
 
 import io.damaskyoke.control.direct.Route;
 import io.damaskyoke.control.direct.RouteKind;
-import io.damaskyoke.control.rates.Wait;
+import io.damaskyoke.control.rates.WaitLimits;
 import java.time.Duration;
 import java.util.Optional;
 
@@ -82,13 +82,13 @@
     }
 
     /** How long it may wait for its workspace's tokens, {@code age} after its first byte. */
-    Wait forTokens(Duration age) {
+    WaitLimits forTokens(Duration age) {
         Duration inTime = part(route.objective(), TOKENS_PART);
         Duration byTime = part(whole, TOKENS_TIME_PART);
         Duration longest = route.objective().multipliedBy(TOKENS_OBJECTIVES);
         longest = longest.compareTo(byTime) < 0 ? longest : byTime;
         longest = longest.compareTo(LONGEST_FOR_TOKENS) < 0 ? longest : LONGEST_FOR_TOKENS;
-        return new Wait(left(inTime, age), left(longest, age));
+        return new WaitLimits(left(inTime, age), left(longest, age));
     }
 
     private static Duration left(Duration whole, Duration age) {
--- a/damaskyoke/src/main/java/io/damaskyoke/rates/RateAdmission.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/rates/RateAdmission.java
@@ -7,7 +7,7 @@
 import io.damaskyoke.control.rates.RateMachine;
 import io.damaskyoke.control.rates.RateSettings;
 import io.damaskyoke.control.rates.ShareTable;
-import io.damaskyoke.control.rates.Wait;
+import io.damaskyoke.control.rates.WaitLimits;
 import io.damaskyoke.exchange.Refusal;
 import io.damaskyoke.exchange.Request;
 import io.damaskyoke.id.ExchangeId;
@@ -96,7 +96,7 @@
             Instant began) {
         peers = given;
         machine = RateMachine.of(incarnation, vm, address, settings);
-        machine.began(began);
+        machine.setStartTime(began);
         configured(workspaces);
         tickAgain();
         control.every(listPeriod, this::readList);
@@ -105,7 +105,7 @@
 
     /** Takes in what operators have set, and asks for the shares at once; control thread. */
     public void configured(Map<WorkspaceId, Workspace> workspaces) {
-        feed(new RateInput.Configured(workspaces));
+        feed(new RateInput.WorkspacesConfigured(workspaces));
         feed(new RateInput.Tick());
     }
 
@@ -121,7 +121,7 @@
             long tokens,
             Consumer<Optional<Refusal>> verdict) {
         verdicts.put(id, verdict);
-        feed(new RateInput.Arrived(id, workspace, tokens));
+        feed(new RateInput.RequestArrived(id, workspace, tokens));
     }
 
     /** Lets a request in for this many tokens, now or within its wait, or refuses it. */
@@ -129,10 +129,10 @@
             ExchangeId id,
             WorkspaceId workspace,
             long tokens,
-            Wait wait,
+            WaitLimits wait,
             Consumer<Optional<Refusal>> verdict) {
         verdicts.put(id, verdict);
-        feed(new RateInput.Arrived(id, workspace, tokens, Optional.of(wait)));
+        feed(new RateInput.RequestArrived(id, workspace, tokens, Optional.of(wait)));
     }
 
     @Override
@@ -142,7 +142,7 @@
 
     /** A request was charged the one and used the other. */
     public void settle(WorkspaceId workspace, long charged, long used) {
-        feed(new RateInput.Settled(workspace, charged, used));
+        feed(new RateInput.RequestSettled(workspace, charged, used));
     }
 
     /** Tokens that this router could spend now. */
@@ -157,7 +157,7 @@
 
     /** Gives all shares back, as far as that goes within the limit. */
     public void leave(Duration limit) {
-        control.run(() -> feed(new RateInput.Leave()));
+        control.run(() -> feed(new RateInput.LeaveRequested()));
         long end = System.nanoTime() + limit.toNanos();
         while (System.nanoTime() < end && !left()) {
             try {
@@ -184,12 +184,14 @@
     // workspace twenty times a second would be most of what an idle router costs.
     private void tickAgain() {
         feed(new RateInput.Tick());
-        control.after(machine.busy(control.clock().instant()) ? TICK : QUIET_TICK, this::tickAgain);
+        control.after(
+                machine.needsFrequentTicks(control.clock().instant()) ? TICK : QUIET_TICK,
+                this::tickAgain);
     }
 
     // Between two ticks tokens come in for those who wait, and half of an urgent wait goes by.
     private void tickSoonIfWaited() {
-        if (!tickPlanned && machine.held() > 0) {
+        if (!tickPlanned && machine.waitingRequests() > 0) {
             tickPlanned = true;
             control.after(WAITING_TICK, this::plannedTick);
         }
@@ -201,27 +203,27 @@
     }
 
     private boolean left() {
-        return control.ask(machine::left).toCompletableFuture().join();
+        return control.ask(machine::holdsNoShares).toCompletableFuture().join();
     }
 
     private void carryOut(RateAction action) {
-        if (action instanceof RateAction.Admit admit) {
+        if (action instanceof RateAction.AdmitRequest admit) {
             verdicts.remove(admit.id()).accept(Optional.empty());
-        } else if (action instanceof RateAction.Refuse refuse) {
+        } else if (action instanceof RateAction.RefuseRequest refuse) {
             verdicts.remove(refuse.id()).accept(Optional.of(refuse.refusal()));
-        } else if (action instanceof RateAction.Read) {
+        } else if (action instanceof RateAction.ReadShares) {
             read();
-        } else if (action instanceof RateAction.Write write) {
+        } else if (action instanceof RateAction.WriteShares write) {
             write(write);
-        } else if (action instanceof RateAction.Ask ask) {
+        } else if (action instanceof RateAction.SendTokenRequest ask) {
             peers.ask(ask);
-        } else if (action instanceof RateAction.Lend lend) {
+        } else if (action instanceof RateAction.SendTokenTransfer lend) {
             metrics.count("rate_loans");
             peers.lend(lend);
         }
     }
 
-    private void write(RateAction.Write write) {
+    private void write(RateAction.WriteShares write) {
         metrics.count("rate_share_writes");
         String key = prefix + write.workspace();
         Condition condition =
@@ -232,17 +234,17 @@
                 .whenComplete((result, failure) -> control.run(() -> written(write, result)));
     }
 
-    private void written(RateAction.Write write, KeyValueStore.TxnResult result) {
+    private void written(RateAction.WriteShares write, KeyValueStore.TxnResult result) {
         if (result == null) {
             read();
         } else if (result.committed()) {
             timeline.add(EventType.SHARE_MOVED, write.workspace().value());
-            RateInput.Row row = new RateInput.Row(write.table(), result.revision());
-            feed(new RateInput.RowSeen(write.workspace(), row));
+            RateInput.ShareRow row = new RateInput.ShareRow(write.table(), result.revision());
+            feed(new RateInput.ShareRowReceived(write.workspace(), row));
         } else {
-            Map<WorkspaceId, RateInput.Row> found = rows(result.found());
+            Map<WorkspaceId, RateInput.ShareRow> found = rows(result.found());
             peers.alsoKnown(found.values());
-            found.forEach((id, row) -> feed(new RateInput.RowSeen(id, row)));
+            found.forEach((id, row) -> feed(new RateInput.ShareRowReceived(id, row)));
         }
     }
 
@@ -255,21 +257,21 @@
     private void took(KeyValueStore.Listing found, Instant askedAt) {
         if (found == null) {
             metrics.count("rate_share_read_failures");
-            feed(new RateInput.NotRead());
+            feed(new RateInput.SharesReadFailed());
             return;
         }
-        Map<WorkspaceId, RateInput.Row> rows = rows(found.entries());
+        Map<WorkspaceId, RateInput.ShareRow> rows = rows(found.entries());
         peers.known(rows.values());
-        feed(new RateInput.Read(rows, askedAt));
+        feed(new RateInput.SharesRead(rows, askedAt));
     }
 
-    private Map<WorkspaceId, RateInput.Row> rows(List<KeyValueStore.Entry> entries) {
-        Map<WorkspaceId, RateInput.Row> rows = new HashMap<>();
+    private Map<WorkspaceId, RateInput.ShareRow> rows(List<KeyValueStore.Entry> entries) {
+        Map<WorkspaceId, RateInput.ShareRow> rows = new HashMap<>();
         for (KeyValueStore.Entry entry : entries) {
             try {
                 WorkspaceId workspace = WorkspaceId.of(entry.key().substring(prefix.length()));
                 ShareTable table = ShareTable.parse(entry.value());
-                rows.put(workspace, new RateInput.Row(table, entry.modRevision()));
+                rows.put(workspace, new RateInput.ShareRow(table, entry.modRevision()));
             } catch (IllegalArgumentException e) {
                 metrics.count("rate_shares_unreadable");
             }
@@ -296,7 +298,7 @@
                 vms.stream().filter(vm -> vm.role() == VmList.Role.ROUTER).toList();
         peers.listed(routers);
         feed(
-                new RateInput.Listed(
+                new RateInput.RoutersListed(
                         routers.stream().<VmId>map(VmList.Vm::id).collect(Collectors.toSet())));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/rates/RatePeers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/rates/RatePeers.java
@@ -4,7 +4,7 @@
 import io.damaskyoke.control.rates.RateAction;
 import io.damaskyoke.control.rates.RateInput;
 import io.damaskyoke.control.rates.ShareTable;
-import io.damaskyoke.control.rates.Wait;
+import io.damaskyoke.control.rates.WaitLimits;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.id.WorkspaceId;
 import io.damaskyoke.peer.PeerAddress;
@@ -44,13 +44,13 @@
     }
 
     /** Takes in where the routers are that have shares. */
-    void known(Collection<RateInput.Row> rows) {
+    void known(Collection<RateInput.ShareRow> rows) {
         addresses.clear();
         alsoKnown(rows);
     }
 
     /** The same of one row; of the others' routers it says nothing. */
-    void alsoKnown(Collection<RateInput.Row> rows) {
+    void alsoKnown(Collection<RateInput.ShareRow> rows) {
         rows.forEach(row -> row.table().shares().values().forEach(this::known));
     }
 
@@ -62,14 +62,14 @@
                                 vm.id(), new PeerAddress(vm.id(), vm.address(), vm.peerPort())));
     }
 
-    void ask(RateAction.Ask ask) {
+    void ask(RateAction.SendTokenRequest ask) {
         TokenRequest.Builder request =
                 TokenRequest.newBuilder()
                         .setWorkspace(ask.workspace().value())
                         .setTokens(ask.tokens())
-                        .setRequestId(ask.ask())
-                        .addAllSpent(ask.spent());
-        ask.within()
+                        .setRequestId(ask.requestId())
+                        .addAllSpent(ask.spentTransfers());
+        ask.waitLimits()
                 .ifPresent(
                         wait ->
                                 request.setInTimeMs((int) wait.inTime().toMillis())
@@ -77,14 +77,14 @@
         send(ask.to(), Frame.newBuilder().setTokenRequest(request).build());
     }
 
-    void lend(RateAction.Lend lend) {
+    void lend(RateAction.SendTokenTransfer lend) {
         TokenTransfer transfer =
                 TokenTransfer.newBuilder()
                         .setWorkspace(lend.workspace().value())
                         .setTokens(lend.tokens())
-                        .setTransferId(lend.loan())
+                        .setTransferId(lend.transferId())
                         .setQueued(lend.queued())
-                        .setComeBackMs((int) lend.comeBack().toMillis())
+                        .setComeBackMs((int) lend.retryAfter().toMillis())
                         .build();
         send(lend.to(), Frame.newBuilder().setTokenTransfer(transfer).build());
     }
@@ -103,7 +103,7 @@
         if (frame.hasTokenRequest()) {
             TokenRequest request = frame.getTokenRequest();
             rates.feed(
-                    new RateInput.Asked(
+                    new RateInput.TokensRequested(
                             from,
                             WorkspaceId.of(request.getWorkspace()),
                             request.getTokens(),
@@ -113,7 +113,7 @@
         } else if (frame.hasTokenTransfer()) {
             TokenTransfer transfer = frame.getTokenTransfer();
             rates.feed(
-                    new RateInput.Lent(
+                    new RateInput.TransferReceived(
                             from,
                             WorkspaceId.of(transfer.getWorkspace()),
                             transfer.getTokens(),
@@ -121,16 +121,16 @@
                             transfer.getQueued(),
                             Duration.ofMillis(transfer.getComeBackMs())));
         } else {
-            rates.feed(new RateInput.Heard(from));
+            rates.feed(new RateInput.PeerMessageReceived(from));
         }
     }
 
-    private static Optional<Wait> wait(TokenRequest request) {
+    private static Optional<WaitLimits> wait(TokenRequest request) {
         if (request.getLongestMs() == 0) {
             return Optional.empty();
         }
         Duration inTime = Duration.ofMillis(request.getInTimeMs());
-        return Optional.of(new Wait(inTime, Duration.ofMillis(request.getLongestMs())));
+        return Optional.of(new WaitLimits(inTime, Duration.ofMillis(request.getLongestMs())));
     }
 
     private void known(ShareTable.Share share) {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
@@ -75,7 +75,7 @@
         this.placement = placement(heard);
         this.rates =
                 new RateAdmission(
-                        rateParts(node), node.vm(), node.incarnation(), RateSettings.usual());
+                        rateParts(node), node.vm(), node.incarnation(), RateSettings.defaults());
         RatePeers ratePeers = new RatePeers(node.control(), rates);
         this.network =
                 node.network(settings.peer())
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/AnswerTimeTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/AnswerTimeEstimateTest.java
@@ -6,15 +6,15 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class AnswerTimeTest {
-    private final AnswerTime time = new AnswerTime();
+class AnswerTimeEstimateTest {
+    private final AnswerTimeEstimate time = new AnswerTimeEstimate();
 
     @Test
     void routersThatAnswerAtOnceAreWaitedForShortly() {
         for (int i = 0; i < 50; i++) {
-            time.heardAfter(Duration.ofMillis(3));
+            time.recordAnswer(Duration.ofMillis(3));
         }
-        assertEquals(Duration.ofMillis(40), time.patience());
+        assertEquals(Duration.ofMillis(40), time.timeout());
     }
 
     // Guards against a timeout while a slow router is about to answer: the tokens that still arrive
@@ -22,17 +22,17 @@
     @Test
     void routersOnATenthOfACoreAreWaitedForAsLongAsTheyTake() {
         for (int i = 0; i < 20; i++) {
-            time.heardAfter(Duration.ofMillis(45));
+            time.recordAnswer(Duration.ofMillis(45));
         }
-        assertTrue(time.patience().toMillis() > 150, time.patience().toString());
+        assertTrue(time.timeout().toMillis() > 150, time.timeout().toString());
     }
 
     // Guards against a timeout that never grows because answers after it are not measured.
     @Test
     void patienceGrowsWhereNothingIsHeardInTimeAndHasAnEnd() {
         for (int i = 0; i < 20; i++) {
-            time.unheard();
+            time.recordTimeout();
         }
-        assertEquals(Duration.ofMillis(250), time.patience());
+        assertEquals(Duration.ofMillis(250), time.timeout());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/YoungWorkspaceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/NewWorkspaceTest.java
@@ -16,7 +16,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-class YoungWorkspaceTest {
+class NewWorkspaceTest {
     private static final WorkspaceId GROWERS = WorkspaceId.of("growers");
     private static final long BURST = 600;
 
@@ -102,15 +102,17 @@
         letThreeSecondsPass("a", "b");
         ExchangeId id = new ExchangeId(Incarnation.of("a:1"), ++now);
         RateMachine router = routers.get("a");
-        List<RateAction> before = router.on(new RateInput.Arrived(id, GROWERS, 250), at());
-        assertTrue(before.stream().noneMatch(new RateAction.Admit(id)::equals), before.toString());
+        List<RateAction> before = router.on(new RateInput.RequestArrived(id, GROWERS, 250), at());
+        assertTrue(
+                before.stream().noneMatch(new RateAction.AdmitRequest(id)::equals),
+                before.toString());
         carryOut(router.on(new RateInput.Tick(), at()));
         List<RateAction> after =
                 router.on(
-                        new RateInput.Read(
-                                Map.of(GROWERS, new RateInput.Row(stored, revision)), at()),
+                        new RateInput.SharesRead(
+                                Map.of(GROWERS, new RateInput.ShareRow(stored, revision)), at()),
                         at());
-        assertTrue(after.contains(new RateAction.Admit(id)), after.toString());
+        assertTrue(after.contains(new RateAction.AdmitRequest(id)), after.toString());
     }
 
     @Test
@@ -163,8 +165,8 @@
 
     private void configure(RateMachine router, Set<VmId> listed) {
         Workspace workspace = new Workspace(GROWERS, 1, BURST, 1);
-        router.on(new RateInput.Listed(listed), at());
-        router.on(new RateInput.Configured(Map.of(GROWERS, workspace)), at());
+        router.on(new RateInput.RoutersListed(listed), at());
+        router.on(new RateInput.WorkspacesConfigured(Map.of(GROWERS, workspace)), at());
     }
 
     private void settle(String... names) {
@@ -177,14 +179,16 @@
     }
 
     private void read(RateMachine router) {
-        Map<WorkspaceId, RateInput.Row> rows =
-                stored == null ? Map.of() : Map.of(GROWERS, new RateInput.Row(stored, revision));
-        carryOut(router.on(new RateInput.Read(rows, at()), at()));
+        Map<WorkspaceId, RateInput.ShareRow> rows =
+                stored == null
+                        ? Map.of()
+                        : Map.of(GROWERS, new RateInput.ShareRow(stored, revision));
+        carryOut(router.on(new RateInput.SharesRead(rows, at()), at()));
     }
 
     private void carryOut(List<RateAction> actions) {
         for (RateAction action : actions) {
-            if (action instanceof RateAction.Write write && write.revision() == revision) {
+            if (action instanceof RateAction.WriteShares write && write.revision() == revision) {
                 stored = ShareTable.parse(write.table().toJson());
                 revision++;
             }
@@ -194,8 +198,9 @@
     private boolean admitted(String name, long tokens) {
         ExchangeId id = new ExchangeId(Incarnation.of(name + ":1"), ++now);
         List<RateAction> actions = new ArrayList<>();
-        actions.addAll(routers.get(name).on(new RateInput.Arrived(id, GROWERS, tokens), at()));
-        return actions.contains(new RateAction.Admit(id));
+        actions.addAll(
+                routers.get(name).on(new RateInput.RequestArrived(id, GROWERS, tokens), at()));
+        return actions.contains(new RateAction.AdmitRequest(id));
     }
 
     // Token requests are answered a few milliseconds later, round after round, as long as the
@@ -204,33 +209,41 @@
         ExchangeId id = new ExchangeId(Incarnation.of(name + ":1"), ++now);
         RateMachine borrower = routers.get(name);
         List<RateAction> actions =
-                new ArrayList<>(borrower.on(new RateInput.Arrived(id, GROWERS, tokens), at()));
+                new ArrayList<>(
+                        borrower.on(new RateInput.RequestArrived(id, GROWERS, tokens), at()));
         for (int round = 0; round < 5; round++) {
             millis += 25;
             List<RateAction> next = new ArrayList<>();
             for (RateAction action : actions) {
-                if (action instanceof RateAction.Admit) {
+                if (action instanceof RateAction.AdmitRequest) {
                     return true;
                 }
-                if (action instanceof RateAction.Ask ask) {
+                if (action instanceof RateAction.SendTokenRequest ask) {
                     next.addAll(answered(name, borrower, ask));
                 }
             }
             next.addAll(borrower.on(new RateInput.Tick(), at()));
             actions = next;
         }
-        return actions.contains(new RateAction.Admit(id));
+        return actions.contains(new RateAction.AdmitRequest(id));
     }
 
-    private List<RateAction> answered(String name, RateMachine borrower, RateAction.Ask ask) {
-        RateInput.Asked asked =
-                new RateInput.Asked(VmId.of(name), GROWERS, ask.tokens(), ask.ask(), ask.spent());
+    private List<RateAction> answered(
+            String name, RateMachine borrower, RateAction.SendTokenRequest ask) {
+        RateInput.TokensRequested asked =
+                new RateInput.TokensRequested(
+                        VmId.of(name),
+                        GROWERS,
+                        ask.tokens(),
+                        ask.requestId(),
+                        ask.spentTransfers());
         List<RateAction> actions = new ArrayList<>();
         for (RateAction lent : routers.get(ask.to().value()).on(asked, at())) {
-            if (lent instanceof RateAction.Lend lend) {
+            if (lent instanceof RateAction.SendTokenTransfer lend) {
                 actions.addAll(
                         borrower.on(
-                                new RateInput.Lent(ask.to(), GROWERS, lend.tokens(), lend.loan()),
+                                new RateInput.TransferReceived(
+                                        ask.to(), GROWERS, lend.tokens(), lend.transferId()),
                                 at()));
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/RateSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/RateSessionTest.java
@@ -21,19 +21,19 @@
     private static final Incarnation OTHER = Incarnation.of("router-2:1");
 
     private final RateMachine router =
-            RateMachine.of(SELF, ONE, "127.0.0.1:1", RateSettings.usual());
+            RateMachine.of(SELF, ONE, "127.0.0.1:1", RateSettings.defaults());
     private final StringBuilder lines = new StringBuilder();
     private ShareTable stored;
     private long revision;
-    private RateAction.Ask asked;
+    private RateAction.SendTokenRequest asked;
     private long now;
 
     @Test
     void aWholeSession() {
         say("The first of two routers creates the table and may spend the burst of its half");
         Workspace workspace = new Workspace(KITCHENS, 100, 500, 1);
-        feed("configured", new RateInput.Configured(Map.of(KITCHENS, workspace)));
-        feed("listed", new RateInput.Listed(Set.of(ONE, TWO)));
+        feed("configured", new RateInput.WorkspacesConfigured(Map.of(KITCHENS, workspace)));
+        feed("listed", new RateInput.RoutersListed(Set.of(ONE, TWO)));
         tick(50);
         read();
         read();
@@ -50,10 +50,11 @@
                         + " are spent");
         feed(
                 "token request for 50",
-                new RateInput.Asked(TWO, KITCHENS, 50, "router-2:1.1", List.of()));
+                new RateInput.TokensRequested(TWO, KITCHENS, 50, "router-2:1.1", List.of()));
         feed(
                 "transfer reported as spent",
-                new RateInput.Asked(TWO, KITCHENS, 0, "", List.of("router-2:1.1/router-1")));
+                new RateInput.TokensRequested(
+                        TWO, KITCHENS, 0, "", List.of("router-2:1.1/router-1")));
         say(
                 "A request that needs more than the own tokens is queued until a transfer arrives;"
                         + " a duplicate is ignored");
@@ -73,31 +74,33 @@
         read();
         say("Shares stay valid during an outage of the store");
         tick(2_000);
-        feed("not read", new RateInput.NotRead());
+        feed("not read", new RateInput.SharesReadFailed());
         arrive(6, 10);
         say("The router stops and returns its share");
-        feed("leave", new RateInput.Leave());
+        feed("leave", new RateInput.LeaveRequested());
         tick(2_000);
         read();
-        lines.append("left: ").append(router.left()).append('\n');
+        lines.append("left: ").append(router.holdsNoShares()).append('\n');
         Approvals.verify(lines);
     }
 
     private void arrive(long number, long tokens) {
         feed(
                 "arrives " + number + ", " + tokens + " tokens",
-                new RateInput.Arrived(new ExchangeId(SELF, number), KITCHENS, tokens));
+                new RateInput.RequestArrived(new ExchangeId(SELF, number), KITCHENS, tokens));
     }
 
     private void lent(String what, long tokens) {
-        String loan = asked == null ? "none" : asked.ask() + "/router-2";
-        feed(what, new RateInput.Lent(TWO, KITCHENS, tokens, loan));
+        String loan = asked == null ? "none" : asked.requestId() + "/router-2";
+        feed(what, new RateInput.TransferReceived(TWO, KITCHENS, tokens, loan));
     }
 
     private void read() {
-        Map<WorkspaceId, RateInput.Row> rows =
-                stored == null ? Map.of() : Map.of(KITCHENS, new RateInput.Row(stored, revision));
-        feed("read", new RateInput.Read(rows, Instant.ofEpochMilli(now)));
+        Map<WorkspaceId, RateInput.ShareRow> rows =
+                stored == null
+                        ? Map.of()
+                        : Map.of(KITCHENS, new RateInput.ShareRow(stored, revision));
+        feed("read", new RateInput.SharesRead(rows, Instant.ofEpochMilli(now)));
     }
 
     private void change(ShareTable table) {
@@ -122,16 +125,16 @@
         lines.append(now).append(" ms ").append(what).append('\n');
         for (RateAction action : router.on(input, Instant.ofEpochMilli(now))) {
             lines.append("    ").append(text(action)).append('\n');
-            if (action instanceof RateAction.Write write && write.revision() == revision) {
+            if (action instanceof RateAction.WriteShares write && write.revision() == revision) {
                 change(write.table());
-            } else if (action instanceof RateAction.Ask ask && ask.tokens() > 0) {
+            } else if (action instanceof RateAction.SendTokenRequest ask && ask.tokens() > 0) {
                 asked = ask;
             }
         }
     }
 
     private static String text(RateAction action) {
-        if (action instanceof RateAction.Write write) {
+        if (action instanceof RateAction.WriteShares write) {
             String json = new String(write.table().toJson(), StandardCharsets.UTF_8);
             return "write over " + write.revision() + ": " + json;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/OwnerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/WorkspaceOwnerTest.java
@@ -21,12 +21,12 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-class OwnerTest {
+class WorkspaceOwnerTest {
     private static final WorkspaceId GROWERS = WorkspaceId.of("growers");
     private static final long RATE = 1_000;
     private static final long BURST = 6_000;
-    private static final Wait PATIENT = within(1_250, 1_800);
-    private static final Wait URGENT = within(75, 450);
+    private static final WaitLimits PATIENT = within(1_250, 1_800);
+    private static final WaitLimits URGENT = within(75, 450);
 
     private final Map<VmId, RateMachine> routers = new TreeMap<>();
     private final Set<VmId> lost = new TreeSet<>();
@@ -100,7 +100,7 @@
         VmId router = other(0);
         long waits = arrive(router, 1_000, PATIENT);
         pass(20);
-        feed(router, new RateInput.Configured(Map.of()));
+        feed(router, new RateInput.WorkspacesConfigured(Map.of()));
         pass(2_500);
         assertTrue(verdicts.containsKey(waits));
     }
@@ -260,8 +260,8 @@
         return names;
     }
 
-    private static Wait within(long inTime, long longest) {
-        return new Wait(Duration.ofMillis(inTime), Duration.ofMillis(longest));
+    private static WaitLimits within(long inTime, long longest) {
+        return new WaitLimits(Duration.ofMillis(inTime), Duration.ofMillis(longest));
     }
 
     private static List<VmId> six() {
@@ -302,7 +302,7 @@
         }
         list();
         for (VmId vm : names) {
-            feed(vm, new RateInput.Configured(Map.of(GROWERS, workspace)));
+            feed(vm, new RateInput.WorkspacesConfigured(Map.of(GROWERS, workspace)));
         }
     }
 
@@ -310,7 +310,7 @@
         Set<VmId> listed = new TreeSet<>(routers.keySet());
         listed.removeAll(lost);
         for (VmId vm : listed) {
-            feed(vm, new RateInput.Listed(listed));
+            feed(vm, new RateInput.RoutersListed(listed));
         }
     }
 
@@ -322,9 +322,9 @@
         }
     }
 
-    private long arrive(VmId router, long tokens, Wait wait) {
+    private long arrive(VmId router, long tokens, WaitLimits wait) {
         ExchangeId id = new ExchangeId(Incarnation.of("caller:1"), ++counter);
-        feed(router, new RateInput.Arrived(id, GROWERS, tokens, Optional.of(wait)));
+        feed(router, new RateInput.RequestArrived(id, GROWERS, tokens, Optional.of(wait)));
         return id.counter();
     }
 
@@ -338,36 +338,41 @@
     }
 
     private void carryOut(VmId router, RateAction action) {
-        if (action instanceof RateAction.Admit admit) {
+        if (action instanceof RateAction.AdmitRequest admit) {
             verdicts.put(admit.id().counter(), true);
-        } else if (action instanceof RateAction.Refuse refuse) {
+        } else if (action instanceof RateAction.RefuseRequest refuse) {
             verdicts.put(refuse.id().counter(), false);
             refuse.refusal()
                     .retryAfter()
                     .ifPresent(time -> comeBack.put(refuse.id().counter(), time));
-        } else if (action instanceof RateAction.Read) {
+        } else if (action instanceof RateAction.ReadShares) {
             read(router);
-        } else if (action instanceof RateAction.Write write) {
+        } else if (action instanceof RateAction.WriteShares write) {
             write(router, write);
-        } else if (action instanceof RateAction.Ask ask) {
+        } else if (action instanceof RateAction.SendTokenRequest ask) {
             feed(
                     ask.to(),
-                    new RateInput.Asked(
-                            router, GROWERS, ask.tokens(), ask.ask(), ask.spent(), ask.within()));
-        } else if (action instanceof RateAction.Lend lend) {
+                    new RateInput.TokensRequested(
+                            router,
+                            GROWERS,
+                            ask.tokens(),
+                            ask.requestId(),
+                            ask.spentTransfers(),
+                            ask.waitLimits()));
+        } else if (action instanceof RateAction.SendTokenTransfer lend) {
             feed(
                     lend.to(),
-                    new RateInput.Lent(
+                    new RateInput.TransferReceived(
                             router,
                             GROWERS,
                             lend.tokens(),
-                            lend.loan(),
+                            lend.transferId(),
                             lend.queued(),
-                            lend.comeBack()));
+                            lend.retryAfter()));
         }
     }
 
-    private void write(VmId router, RateAction.Write write) {
+    private void write(VmId router, RateAction.WriteShares write) {
         if (write.revision() == revision) {
             stored = ShareTable.parse(write.table().toJson());
             revision++;
@@ -376,9 +381,11 @@
     }
 
     private void read(VmId router) {
-        Map<WorkspaceId, RateInput.Row> rows =
-                stored == null ? Map.of() : Map.of(GROWERS, new RateInput.Row(stored, revision));
-        feed(router, new RateInput.Read(rows, at()));
+        Map<WorkspaceId, RateInput.ShareRow> rows =
+                stored == null
+                        ? Map.of()
+                        : Map.of(GROWERS, new RateInput.ShareRow(stored, revision));
+        feed(router, new RateInput.SharesRead(rows, at()));
     }
 
     private Instant at() {
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
@@ -157,7 +157,7 @@
         if (from.life.frozen() || from == to) {
             return;
         }
-        to.rates.received(new RateInput.Heard(from.vm));
+        to.rates.received(new RateInput.PeerMessageReceived(from.vm));
         if (random.nextInt(4) == 0) {
             var snapshot = from.log.snapshot();
             messages.send(() -> to.log.restore(snapshot));
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/RateRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/RateRouter.java
@@ -55,16 +55,16 @@
         this.outside = outside;
         this.incarnation = incarnation;
         this.vm = vm;
-        this.machine = RateMachine.of(incarnation, vm, vm.value() + ":1", RateSettings.usual());
+        this.machine = RateMachine.of(incarnation, vm, vm.value() + ":1", RateSettings.defaults());
         control.every(TICK, () -> feed(new RateInput.Tick()));
     }
 
     void configured(Configuration configuration) {
-        feed(new RateInput.Configured(configuration.workspaces()));
+        feed(new RateInput.WorkspacesConfigured(configuration.workspaces()));
     }
 
     void listed(Set<VmId> routers) {
-        control.run(() -> feed(new RateInput.Listed(routers)));
+        control.run(() -> feed(new RateInput.RoutersListed(routers)));
     }
 
     void received(RateInput message) {
@@ -75,14 +75,15 @@
         ExchangeId id = new ExchangeId(incarnation, ++counter);
         control.run(
                 () -> {
-                    Instant answerBy = now().plus(RateSettings.usual().hold()).plus(TICK);
+                    Instant answerBy =
+                            now().plus(RateSettings.defaults().queueTimeout()).plus(TICK);
                     waiting.put(id, new Waiting(tokens, answerBy));
-                    feed(new RateInput.Arrived(id, workspace, tokens));
+                    feed(new RateInput.RequestArrived(id, workspace, tokens));
                 });
     }
 
     void settle(WorkspaceId workspace, long charged, long used) {
-        feed(new RateInput.Settled(workspace, charged, used));
+        feed(new RateInput.RequestSettled(workspace, charged, used));
     }
 
     /** The requests that should have had their answer by now. */
@@ -106,26 +107,32 @@
     }
 
     private void carryOut(RateAction action) {
-        if (action instanceof RateAction.Admit admit) {
+        if (action instanceof RateAction.AdmitRequest admit) {
             outside.admitted(this, MixedWorld.WORKSPACE, waiting.remove(admit.id()).tokens());
-        } else if (action instanceof RateAction.Refuse refuse) {
+        } else if (action instanceof RateAction.RefuseRequest refuse) {
             waiting.remove(refuse.id());
-        } else if (action instanceof RateAction.Read) {
+        } else if (action instanceof RateAction.ReadShares) {
             read();
-        } else if (action instanceof RateAction.Write write) {
+        } else if (action instanceof RateAction.WriteShares write) {
             write(write);
-        } else if (action instanceof RateAction.Ask ask) {
+        } else if (action instanceof RateAction.SendTokenRequest ask) {
             outside.send(
                     ask.to(),
-                    new RateInput.Asked(vm, ask.workspace(), ask.tokens(), ask.ask(), ask.spent()));
-        } else if (action instanceof RateAction.Lend lend) {
+                    new RateInput.TokensRequested(
+                            vm,
+                            ask.workspace(),
+                            ask.tokens(),
+                            ask.requestId(),
+                            ask.spentTransfers()));
+        } else if (action instanceof RateAction.SendTokenTransfer lend) {
             outside.send(
                     lend.to(),
-                    new RateInput.Lent(vm, lend.workspace(), lend.tokens(), lend.loan()));
+                    new RateInput.TransferReceived(
+                            vm, lend.workspace(), lend.tokens(), lend.transferId()));
         }
     }
 
-    private void write(RateAction.Write write) {
+    private void write(RateAction.WriteShares write) {
         String key = PREFIX + write.workspace();
         Condition condition =
                 write.revision() == 0
@@ -143,15 +150,15 @@
 
     private void took(KeyValueStore.Listing found, Instant askedAt) {
         if (found == null) {
-            feed(new RateInput.NotRead());
+            feed(new RateInput.SharesReadFailed());
             return;
         }
-        Map<WorkspaceId, RateInput.Row> rows = new HashMap<>();
+        Map<WorkspaceId, RateInput.ShareRow> rows = new HashMap<>();
         for (KeyValueStore.Entry entry : found.entries()) {
             WorkspaceId workspace = WorkspaceId.of(entry.key().substring(PREFIX.length()));
             ShareTable table = ShareTable.parse(entry.value());
-            rows.put(workspace, new RateInput.Row(table, entry.modRevision()));
+            rows.put(workspace, new RateInput.ShareRow(table, entry.modRevision()));
         }
-        feed(new RateInput.Read(rows, askedAt));
+        feed(new RateInput.SharesRead(rows, askedAt));
     }
 }
