--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/AnswerTimeEstimate.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/AnswerTimeEstimate.java
@@ -4,7 +4,7 @@
 
 /**
  * Estimates how long other routers take to answer a token request, and derives the timeout of the
- * next: {@code time.heardAfter(took); wait(time.patience())}.
+ * next: {@code time.recordAnswer(took); wait(time.timeout())}.
  *
  * <p>Routers on a tenth of a core answer after tens of milliseconds, others after two. If the
  * timeout is too short, a late answer is followed by token requests to all other routers, and the
@@ -13,25 +13,25 @@
  */
 final class AnswerTimeEstimate {
     /** Routers with spare CPU answer in a few milliseconds. */
-    private static final Duration SHORTEST = Duration.ofMillis(40);
+    private static final Duration MIN_TIMEOUT = Duration.ofMillis(40);
 
     /** About the whole latency objective of the most urgent callers. */
-    private static final Duration LONGEST = Duration.ofMillis(250);
+    private static final Duration MAX_TIMEOUT = Duration.ofMillis(250);
 
     /**
      * Answer times vary: about one in several dozen exceeds the average by more than this factor.
      */
-    private static final double FACTOR = 4;
+    private static final double TIMEOUT_FACTOR = 4;
 
-    private static final double NEWEST = 0.15;
+    private static final double NEWEST_WEIGHT = 0.15;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    private double usualMillis;
+    private double averageMillis;
 
     /** Adds a measured answer time to the moving average. */
     void recordAnswer(Duration took) {
-        usualMillis += NEWEST * (took.toNanos() / NANOS_PER_MILLI - usualMillis);
+        averageMillis += NEWEST_WEIGHT * (took.toNanos() / NANOS_PER_MILLI - averageMillis);
     }
 
     /**
@@ -44,10 +44,11 @@
 
     /** Returns how long to wait for an answer. */
     Duration timeout() {
-        Duration wait = Duration.ofNanos((long) (usualMillis * FACTOR * NANOS_PER_MILLI));
-        if (wait.compareTo(SHORTEST) < 0) {
-            return SHORTEST;
+        Duration timeout =
+                Duration.ofNanos((long) (averageMillis * TIMEOUT_FACTOR * NANOS_PER_MILLI));
+        if (timeout.compareTo(MIN_TIMEOUT) < 0) {
+            return MIN_TIMEOUT;
         }
-        return wait.compareTo(LONGEST) < 0 ? wait : LONGEST;
+        return timeout.compareTo(MAX_TIMEOUT) < 0 ? timeout : MAX_TIMEOUT;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/BatchedBorrower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/BatchedBorrower.java
@@ -24,25 +24,25 @@
     /** A lender with a smaller part than this, in millionths, is not asked first. */
     private static final int LARGE_PART = ShareTable.WHOLE / 8;
 
-    private static final Duration ASK_GAP = Duration.ofMillis(20);
-    private static final Duration OWNER_ASK_GAP = Duration.ofMillis(400);
-    private static final int MOST_ASKED = 8;
+    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(20);
+    private static final Duration OWNER_REQUEST_INTERVAL = Duration.ofMillis(400);
+    private static final int MAX_LENDERS_PER_ROUND = 8;
 
     /**
      * Time after which an unanswered lender no longer holds up further token requests. A transfer
      * takes a few milliseconds. The queue timeout is a few times this value, so that time remains
      * to ask the other lenders.
      */
-    private static final Duration LENDER_PATIENCE = Duration.ofMillis(40);
+    private static final Duration LENDER_TIMEOUT = Duration.ofMillis(40);
 
     private final Incarnation self;
     private final RateSettings settings;
-    private final ShareBalancer keeper;
+    private final ShareBalancer balancer;
 
-    BatchedBorrower(Incarnation self, RateSettings settings, ShareBalancer keeper) {
+    BatchedBorrower(Incarnation self, RateSettings settings, ShareBalancer balancer) {
         this.self = self;
         this.settings = settings;
-        this.keeper = keeper;
+        this.balancer = balancer;
     }
 
     /**
@@ -50,11 +50,14 @@
      * request is very recent.
      */
     void requestMissing(
-            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
-        boolean soon = now.isBefore(account.askedAt.plus(requestInterval(account)));
-        boolean awaited = !account.unanswered.isEmpty() && !answersOverdue(account, now);
-        if (!account.held.isEmpty() && !soon && !awaited) {
-            requestNextRound(account, numbers, now, actions);
+            WorkspaceAccount account,
+            LongSupplier sequence,
+            Instant now,
+            List<RateAction> actions) {
+        boolean tooSoon = now.isBefore(account.requestedAt.plus(requestInterval(account)));
+        boolean answersPending = !account.awaitedLenders.isEmpty() && !answersOverdue(account, now);
+        if (!account.queue.isEmpty() && !tooSoon && !answersPending) {
+            requestNextRound(account, sequence, now, actions);
         }
     }
 
@@ -62,33 +65,40 @@
     // refilled enough for one request, asking them again brings nothing. Their buckets take longer
     // than this to overflow.
     private Duration requestInterval(WorkspaceAccount account) {
-        return keeper.isOwner(account) ? OWNER_ASK_GAP : ASK_GAP;
+        return balancer.isOwner(account) ? OWNER_REQUEST_INTERVAL : REQUEST_INTERVAL;
     }
 
     /** Asks the other lenders at once when the single lender that was asked had too few tokens. */
     void requestFromOthers(
-            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
-        boolean had = account.askedOne && account.unanswered.isEmpty();
-        if (had && !account.held.isEmpty()) {
-            requestNextRound(account, numbers, now, actions);
+            WorkspaceAccount account,
+            LongSupplier sequence,
+            Instant now,
+            List<RateAction> actions) {
+        boolean singleLenderAnswered =
+                account.askedSingleLender && account.awaitedLenders.isEmpty();
+        if (singleLenderAnswered && !account.queue.isEmpty()) {
+            requestNextRound(account, sequence, now, actions);
         }
     }
 
     private void requestNextRound(
-            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
-        boolean fresh = account.held.first(now).arrivalNumber() > account.askedUpTo;
-        List<VmId> others = nextLenders(account, fresh);
+            WorkspaceAccount account,
+            LongSupplier sequence,
+            Instant now,
+            List<RateAction> actions) {
+        boolean newRequest = account.queue.first(now).arrivalNumber() > account.lastCoveredArrival;
+        List<VmId> others = nextLenders(account, newRequest);
         long tokens = missingTokens(account, now);
         if (others.isEmpty() || tokens <= 0) {
             return;
         }
-        recordRound(account, others, fresh, numbers.getAsLong(), now);
-        boolean split = account.asks == 2 && hasNoShare(account);
+        recordRound(account, others, newRequest, sequence.getAsLong(), now);
+        boolean split = account.rounds == 2 && hasNoShare(account);
         for (VmId other : others) {
             long part = split ? proportionalPart(account, other, tokens) : tokens;
             actions.add(
                     new RateAction.SendTokenRequest(
-                            other, account.workspace.id(), part, account.ask, List.of()));
+                            other, account.workspace.id(), part, account.requestId, List.of()));
         }
     }
 
@@ -96,93 +106,100 @@
     // proportional part. Whatever one of them lacks, the next round asks for in full from each; it
     // is little by then.
     private long proportionalPart(WorkspaceAccount account, VmId lender, long tokens) {
-        long all = 0;
-        long own = 0;
+        long totalPart = 0;
+        long lenderPart = 0;
         for (ShareTable.Share share : account.row.table().shares().values()) {
-            all += share.part();
-            own += share.vm().equals(lender) ? share.part() : 0;
+            totalPart += share.part();
+            lenderPart += share.vm().equals(lender) ? share.part() : 0;
         }
-        return Math.max(1, (tokens * own + all - 1) / Math.max(1, all));
+        return Math.max(1, (tokens * lenderPart + totalPart - 1) / Math.max(1, totalPart));
     }
 
     private void recordRound(
-            WorkspaceAccount account, List<VmId> asked, boolean fresh, long number, Instant now) {
-        boolean dry = !fresh && account.brought == 0;
-        account.ask = self.value() + '.' + number;
-        account.askedAt = now;
-        account.askedUpTo = number;
-        account.asks = fresh ? 1 : account.asks + 1;
-        account.askedOne = fresh && hasNoShare(account);
-        account.dryAsks = dry ? account.dryAsks + asked.size() : asked.size();
-        account.brought = 0;
-        account.unanswered.clear();
-        account.unanswered.addAll(asked);
+            WorkspaceAccount account,
+            List<VmId> lenders,
+            boolean newRequest,
+            long number,
+            Instant now) {
+        boolean broughtNothing = !newRequest && account.receivedTokens == 0;
+        account.requestId = self.value() + '.' + number;
+        account.requestedAt = now;
+        account.lastCoveredArrival = number;
+        account.rounds = newRequest ? 1 : account.rounds + 1;
+        account.askedSingleLender = newRequest && hasNoShare(account);
+        account.lendersWithoutTokens =
+                broughtNothing ? account.lendersWithoutTokens + lenders.size() : lenders.size();
+        account.receivedTokens = 0;
+        account.awaitedLenders.clear();
+        account.awaitedLenders.addAll(lenders);
     }
 
     /** Returns whether answers to the last round may still arrive. */
     boolean awaitsAnswers(WorkspaceAccount account, Instant now) {
-        return !account.unanswered.isEmpty() && now.isBefore(account.askedAt.plus(LENDER_PATIENCE));
+        return !account.awaitedLenders.isEmpty()
+                && now.isBefore(account.requestedAt.plus(LENDER_TIMEOUT));
     }
 
     private long missingTokens(WorkspaceAccount account, Instant now) {
-        double need =
-                account.held.totalTokens() + lookAheadTokens(account, now) - account.available();
-        return (long) Math.ceil(Math.min(need, account.workspace.burst()));
+        double needed =
+                account.queue.totalTokens() + lookAheadTokens(account, now) - account.available();
+        return (long) Math.ceil(Math.min(needed, account.workspace.burst()));
     }
 
     // Tokens borrowed ahead of need lie idle for up to two seconds. With two dozen routers that
     // borrow for each request, one request's worth at each of them would be the whole burst.
     private double lookAheadTokens(WorkspaceAccount account, Instant now) {
-        boolean exact = keeper.needsOwner(account) || hasNoShare(account);
-        return exact ? 0 : account.demand(now) * LOOK_AHEAD_SECONDS;
+        boolean noLookAhead = balancer.needsOwner(account) || hasNoShare(account);
+        return noLookAhead ? 0 : account.demand(now) * LOOK_AHEAD_SECONDS;
     }
 
     private boolean answersOverdue(WorkspaceAccount account, Instant now) {
-        Duration patience = hasNoShare(account) ? LENDER_PATIENCE : settings.queueTimeout();
-        return now.isAfter(account.askedAt.plus(patience));
+        Duration timeout = hasNoShare(account) ? LENDER_TIMEOUT : settings.queueTimeout();
+        return now.isAfter(account.requestedAt.plus(timeout));
     }
 
     private boolean hasNoShare(WorkspaceAccount account) {
-        return account.row != null && !keeper.hasShare(account);
+        return account.row != null && !balancer.hasShare(account);
     }
 
     /** Reports to lenders which of their transfers are spent or expired. */
     void reportSpent(WorkspaceAccount account, List<RateAction> actions) {
-        account.spent.forEach(
-                (lender, loans) ->
+        account.spentTransfers.forEach(
+                (lender, transferIds) ->
                         actions.add(
                                 new RateAction.SendTokenRequest(
                                         lender,
                                         account.workspace.id(),
                                         0,
                                         "",
-                                        List.copyOf(loans))));
-        account.spent.clear();
+                                        List.copyOf(transferIds))));
+        account.spentTransfers.clear();
     }
 
     /** Returns whether no router can lend, now or soon. */
     boolean hasNoLenders(WorkspaceAccount account) {
-        return keeper.lenders(account).isEmpty() && !keeper.awaitsJoiningRouters(account);
+        return balancer.lenders(account).isEmpty() && !balancer.awaitsJoiningRouters(account);
     }
 
     /** Returns whether all lenders were asked and the last round brought nothing. */
     boolean allLendersEmpty(WorkspaceAccount account) {
-        boolean allAsked = account.dryAsks >= keeper.lenders(account).size();
-        return account.unanswered.isEmpty() && account.brought == 0 && allAsked;
+        boolean allAsked = account.lendersWithoutTokens >= balancer.lenders(account).size();
+        return account.awaitedLenders.isEmpty() && account.receivedTokens == 0 && allAsked;
     }
 
-    private List<VmId> nextLenders(WorkspaceAccount account, boolean fresh) {
-        List<VmId> all = keeper.lenders(account);
-        if (all.isEmpty() || !hasNoShare(account)) {
-            return nextRoundRobin(account, all);
+    private List<VmId> nextLenders(WorkspaceAccount account, boolean newRequest) {
+        List<VmId> lenders = balancer.lenders(account);
+        if (lenders.isEmpty() || !hasNoShare(account)) {
+            return nextRoundRobin(account, lenders);
         }
-        if (fresh) {
-            long large = all.stream().filter(lender -> hasLargePart(account, lender)).count();
-            int first = Math.floorMod(account.turn, (int) Math.max(1, large));
-            return List.of(all.get(first));
+        if (newRequest) {
+            long largeLenders =
+                    lenders.stream().filter(lender -> hasLargePart(account, lender)).count();
+            int first = Math.floorMod(account.nextLender, (int) Math.max(1, largeLenders));
+            return List.of(lenders.get(first));
         }
-        account.turn++;
-        return all;
+        account.nextLender++;
+        return lenders;
     }
 
     // Lenders are sorted by share, so those with a large part come first.
@@ -193,13 +210,13 @@
 
     // Round robin over the lenders. With dozens of routers one share is less than one request: if
     // the same lenders were always asked first, they would be empty while the others are full.
-    private static List<VmId> nextRoundRobin(WorkspaceAccount account, List<VmId> all) {
-        if (all.size() <= MOST_ASKED) {
-            return all;
+    private static List<VmId> nextRoundRobin(WorkspaceAccount account, List<VmId> lenders) {
+        if (lenders.size() <= MAX_LENDERS_PER_ROUND) {
+            return lenders;
         }
         List<VmId> next = new ArrayList<>();
-        for (int i = 0; i < MOST_ASKED; i++) {
-            next.add(all.get(Math.floorMod(account.turn++, all.size())));
+        for (int i = 0; i < MAX_LENDERS_PER_ROUND; i++) {
+            next.add(lenders.get(Math.floorMod(account.nextLender++, lenders.size())));
         }
         return next;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/PendingTokenRequests.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/PendingTokenRequests.java
@@ -17,13 +17,13 @@
     /**
      * An owner that did not answer is not asked again for this long; others are asked meanwhile.
      */
-    static final Duration AFTER_SILENCE = Duration.ofMillis(200);
+    static final Duration OWNER_RETRY_DELAY = Duration.ofMillis(200);
 
-    private final Map<String, PendingTokenRequests.PendingRequest> open = new LinkedHashMap<>();
-    private final Map<String, PendingTokenRequests.PendingRequest> lapsed = new LinkedHashMap<>();
+    private final Map<String, PendingRequest> pending = new LinkedHashMap<>();
+    private final Map<String, PendingRequest> timedOut = new LinkedHashMap<>();
     private final AnswerTimeEstimate answerTime;
-    private Instant silentUntil = Instant.MIN;
-    private boolean doubted;
+    private Instant ownerRetryAt = Instant.MIN;
+    private boolean ownerUnconfirmed;
 
     /**
      * One request and the token request sent for it.
@@ -43,17 +43,17 @@
             double setAside,
             Instant requestedAt,
             boolean queued) {
-        private PendingTokenRequests.PendingRequest asQueued() {
-            return new PendingTokenRequests.PendingRequest(
+        private PendingRequest asQueued() {
+            return new PendingRequest(
                     request, lender, nextLenders, lenderIsOwner, setAside, requestedAt, true);
         }
 
-        private boolean isUnanswered(Instant now, Duration patience) {
-            return !queued && !now.isBefore(requestedAt.plus(patience));
+        private boolean isUnanswered(Instant now, Duration timeout) {
+            return !queued && !now.isBefore(requestedAt.plus(timeout));
         }
 
-        private boolean isExpired(Instant now, Duration patience) {
-            return !now.isBefore(request.deadline().plus(patience));
+        private boolean isExpired(Instant now, Duration timeout) {
+            return !now.isBefore(request.deadline().plus(timeout));
         }
     }
 
@@ -61,60 +61,58 @@
         this.answerTime = answerTime;
     }
 
-    void add(String loan, PendingTokenRequests.PendingRequest ask) {
-        open.put(loan, ask);
+    void add(String transferId, PendingRequest request) {
+        pending.put(transferId, request);
     }
 
-    PendingTokenRequests.PendingRequest find(String loan) {
-        return open.get(loan);
+    PendingRequest find(String transferId) {
+        return pending.get(transferId);
     }
 
     /** Records that the lender answered with tokens, or that it has none. */
-    void recordAnswer(String loan, Instant now) {
-        PendingTokenRequests.PendingRequest ask = open.remove(loan);
-        clearOwnerSilence(ask);
-        if (!ask.queued()) {
-            answerTime.recordAnswer(Duration.between(ask.requestedAt(), now));
+    void recordAnswer(String transferId, Instant now) {
+        PendingRequest request = pending.remove(transferId);
+        clearOwnerSilence(request);
+        if (!request.queued()) {
+            answerTime.recordAnswer(Duration.between(request.requestedAt(), now));
         }
     }
 
     /** Records that the owner queued the request. */
-    void recordQueued(String loan, Instant now) {
-        PendingTokenRequests.PendingRequest ask = open.get(loan);
-        clearOwnerSilence(ask);
-        answerTime.recordAnswer(Duration.between(ask.requestedAt(), now));
-        open.put(loan, ask.asQueued());
+    void recordQueued(String transferId, Instant now) {
+        PendingRequest request = pending.get(transferId);
+        clearOwnerSilence(request);
+        answerTime.recordAnswer(Duration.between(request.requestedAt(), now));
+        pending.put(transferId, request.asQueued());
     }
 
     /**
      * Returns the token request that had timed out and is answered after all, or null if there is
      * none.
      */
-    PendingTokenRequests.PendingRequest recordLateAnswer(String loan, Instant now) {
-        PendingTokenRequests.PendingRequest ask = lapsed.remove(loan);
-        if (ask != null) {
-            clearOwnerSilence(ask);
-            answerTime.recordAnswer(Duration.between(ask.requestedAt(), now));
+    PendingRequest recordLateAnswer(String transferId, Instant now) {
+        PendingRequest request = timedOut.remove(transferId);
+        if (request != null) {
+            clearOwnerSilence(request);
+            answerTime.recordAnswer(Duration.between(request.requestedAt(), now));
         }
-        return ask;
+        return request;
     }
 
-    private void clearOwnerSilence(PendingTokenRequests.PendingRequest ask) {
-        if (ask.lenderIsOwner()) {
-            doubted = false;
-            silentUntil = Instant.MIN;
+    private void clearOwnerSilence(PendingRequest request) {
+        if (request.lenderIsOwner()) {
+            ownerUnconfirmed = false;
+            ownerRetryAt = Instant.MIN;
         }
     }
 
     /** Returns the tokens set aside for all pending requests. */
     double setAsideTokens() {
-        return open.values().stream()
-                .mapToDouble(PendingTokenRequests.PendingRequest::setAside)
-                .sum();
+        return pending.values().stream().mapToDouble(PendingRequest::setAside).sum();
     }
 
     int size() {
-        return open.size();
+        return pending.size();
     }
 
     /**
@@ -122,45 +120,43 @@
      * until it answers.
      */
     boolean mayAskOwner(Instant now) {
-        return !now.isBefore(silentUntil) && !(doubted && hasOwnerRequest());
+        return !now.isBefore(ownerRetryAt) && !(ownerUnconfirmed && hasOwnerRequest());
     }
 
     private boolean hasOwnerRequest() {
-        return open.values().stream().anyMatch(PendingTokenRequests.PendingRequest::lenderIsOwner);
+        return pending.values().stream().anyMatch(PendingRequest::lenderIsOwner);
     }
 
     /**
      * Removes and returns the requests that were not answered in time. A late answer to them is
      * still accepted for the given time after the request was sent.
      */
-    List<PendingTokenRequests.PendingRequest> removeTimedOut(Instant now, Duration lapses) {
-        lapsed.values().removeIf(each -> !now.isBefore(each.requestedAt().plus(lapses)));
-        List<PendingTokenRequests.PendingRequest> late = new ArrayList<>();
-        Duration patience = answerTime.timeout();
-        Iterator<Map.Entry<String, PendingTokenRequests.PendingRequest>> all =
-                open.entrySet().iterator();
+    List<PendingRequest> removeTimedOut(Instant now, Duration acceptLateFor) {
+        timedOut.values().removeIf(each -> !now.isBefore(each.requestedAt().plus(acceptLateFor)));
+        List<PendingRequest> removed = new ArrayList<>();
+        Duration timeout = answerTime.timeout();
+        Iterator<Map.Entry<String, PendingRequest>> all = pending.entrySet().iterator();
         while (all.hasNext()) {
-            Map.Entry<String, PendingTokenRequests.PendingRequest> entry = all.next();
-            PendingTokenRequests.PendingRequest ask = entry.getValue();
-            boolean unheard = ask.isUnanswered(now, patience);
-            if (unheard || ask.isExpired(now, patience)) {
+            Map.Entry<String, PendingRequest> entry = all.next();
+            PendingRequest request = entry.getValue();
+            boolean unanswered = request.isUnanswered(now, timeout);
+            if (unanswered || request.isExpired(now, timeout)) {
                 all.remove();
-                late.add(ask);
-                lapsed.put(entry.getKey(), ask);
-                recordSilence(ask, unheard, now);
+                removed.add(request);
+                timedOut.put(entry.getKey(), request);
+                recordSilence(request, unanswered, now);
             }
         }
-        return late;
+        return removed;
     }
 
-    private void recordSilence(
-            PendingTokenRequests.PendingRequest ask, boolean unheard, Instant now) {
-        if (unheard) {
+    private void recordSilence(PendingRequest request, boolean unanswered, Instant now) {
+        if (unanswered) {
             answerTime.recordTimeout();
         }
-        if (ask.lenderIsOwner()) {
-            silentUntil = now.plus(AFTER_SILENCE);
-            doubted = true;
+        if (request.lenderIsOwner()) {
+            ownerRetryAt = now.plus(OWNER_RETRY_DELAY);
+            ownerUnconfirmed = true;
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/PerRequestBorrower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/PerRequestBorrower.java
@@ -24,12 +24,12 @@
 final class PerRequestBorrower {
     private final Incarnation self;
     private final RateSettings settings;
-    private final ShareBalancer keeper;
+    private final ShareBalancer balancer;
 
-    PerRequestBorrower(Incarnation self, RateSettings settings, ShareBalancer keeper) {
+    PerRequestBorrower(Incarnation self, RateSettings settings, ShareBalancer balancer) {
         this.self = self;
         this.settings = settings;
-        this.keeper = keeper;
+        this.balancer = balancer;
     }
 
     /**
@@ -39,21 +39,22 @@
     void requestTokens(
             WorkspaceAccount account,
             QueuedRequest request,
-            LongSupplier numbers,
+            LongSupplier sequence,
             Instant now,
             List<RateAction> actions) {
         Optional<VmId> owner = availableOwner(account, now);
         List<VmId> lenders = owner.map(List::of).orElseGet(() -> otherLenders(account));
-        requestFromFirst(account, request, lenders, numbers, now, actions);
+        requestFromFirst(account, request, lenders, sequence, now, actions);
     }
 
     private Optional<VmId> availableOwner(WorkspaceAccount account, Instant now) {
-        return keeper.otherOwner(account).filter(any -> account.asksOfOwner.mayAskOwner(now));
+        return balancer.otherOwner(account)
+                .filter(other -> account.pendingRequests.mayAskOwner(now));
     }
 
     private List<VmId> otherLenders(WorkspaceAccount account) {
-        Optional<VmId> owner = keeper.otherOwner(account);
-        return keeper.lenders(account).stream()
+        Optional<VmId> owner = balancer.otherOwner(account);
+        return balancer.lenders(account).stream()
                 .filter(lender -> owner.filter(lender::equals).isEmpty())
                 .toList();
     }
@@ -62,70 +63,72 @@
             WorkspaceAccount account,
             QueuedRequest request,
             List<VmId> lenders,
-            LongSupplier numbers,
+            LongSupplier sequence,
             Instant now,
             List<RateAction> actions) {
         if (lenders.isEmpty() || request.isExpired(now)) {
-            account.held.add(request);
+            account.queue.add(request);
             return;
         }
         VmId lender = lenders.get(0);
-        double aside = account.setAside(request.tokens());
-        String ask = self.value() + '.' + numbers.getAsLong();
-        boolean ofOwner = keeper.otherOwner(account).filter(lender::equals).isPresent();
-        account.asksOfOwner.add(
-                ask + '/' + lender,
+        double setAside = account.setAside(request.tokens());
+        String requestId = self.value() + '.' + sequence.getAsLong();
+        boolean lenderIsOwner = balancer.otherOwner(account).filter(lender::equals).isPresent();
+        account.pendingRequests.add(
+                requestId + '/' + lender,
                 new PendingTokenRequests.PendingRequest(
                         request,
                         lender,
                         lenders.subList(1, lenders.size()),
-                        ofOwner,
-                        aside,
+                        lenderIsOwner,
+                        setAside,
                         now,
                         false));
         actions.add(
                 new RateAction.SendTokenRequest(
                         lender,
                         account.workspace.id(),
-                        missingTokens(request, aside),
-                        ask,
+                        missingTokens(request, setAside),
+                        requestId,
                         List.of(),
                         Optional.of(request.remainingWait(now))));
     }
 
-    private static long missingTokens(QueuedRequest request, double aside) {
-        return (long) Math.ceil(request.tokens() - aside);
+    private static long missingTokens(QueuedRequest request, double setAside) {
+        return (long) Math.ceil(request.tokens() - setAside);
     }
 
     /** Processes a token transfer. Returns false if it answers none of these token requests. */
     boolean handleTransfer(
             WorkspaceAccount account,
-            RateInput.TransferReceived lent,
-            LongSupplier numbers,
+            RateInput.TransferReceived transfer,
+            LongSupplier sequence,
             Instant now,
             List<RateAction> actions) {
-        PendingTokenRequests.PendingRequest ask = account.asksOfOwner.find(lent.transferId());
-        if (ask == null) {
-            return handleLateTransfer(account, lent, now);
+        PendingTokenRequests.PendingRequest pending =
+                account.pendingRequests.find(transfer.transferId());
+        if (pending == null) {
+            return handleLateTransfer(account, transfer, now);
         }
-        if (lent.queued()) {
-            account.asksOfOwner.recordQueued(lent.transferId(), now);
+        if (transfer.queued()) {
+            account.pendingRequests.recordQueued(transfer.transferId(), now);
             return true;
         }
-        account.asksOfOwner.recordAnswer(lent.transferId(), now);
-        boolean valid = now.isBefore(ask.requestedAt().plus(settings.transferLifetime()));
-        long ahead = lent.tokens() - missingTokens(ask.request(), ask.setAside());
-        if (valid && ahead >= 0) {
-            keepExtra(account, ask, lent.transferId(), ahead);
-            actions.add(new RateAction.AdmitRequest(ask.request().id().orElseThrow()));
+        account.pendingRequests.recordAnswer(transfer.transferId(), now);
+        boolean valid = now.isBefore(pending.requestedAt().plus(settings.transferLifetime()));
+        long extra = transfer.tokens() - missingTokens(pending.request(), pending.setAside());
+        if (valid && extra >= 0) {
+            keepExtra(account, pending, transfer.transferId(), extra);
+            actions.add(new RateAction.AdmitRequest(pending.request().id().orElseThrow()));
             return true;
         }
-        account.bucket.refund(ask.setAside());
-        if (lent.retryAfter().isZero()) {
-            requestFromNext(account, ask, numbers, now, actions);
+        account.bucket.refund(pending.setAside());
+        if (transfer.retryAfter().isZero()) {
+            requestFromNext(account, pending, sequence, now, actions);
         } else {
             actions.add(
-                    RateRefusals.rateExceeded(ask.request().id().orElseThrow(), lent.retryAfter()));
+                    RateRefusals.rateExceeded(
+                            pending.request().id().orElseThrow(), transfer.retryAfter()));
         }
         return true;
     }
@@ -133,44 +136,47 @@
     // The lender counts these tokens as lent until the transfer expires. If they were dropped here,
     // nobody would have them until then.
     private boolean handleLateTransfer(
-            WorkspaceAccount account, RateInput.TransferReceived lent, Instant now) {
-        PendingTokenRequests.PendingRequest ask =
-                account.asksOfOwner.recordLateAnswer(lent.transferId(), now);
-        if (ask == null) {
+            WorkspaceAccount account, RateInput.TransferReceived transfer, Instant now) {
+        PendingTokenRequests.PendingRequest pending =
+                account.pendingRequests.recordLateAnswer(transfer.transferId(), now);
+        if (pending == null) {
             return false;
         }
-        Instant end = ask.requestedAt().plus(settings.transferLifetime());
-        if (lent.tokens() > 0 && now.isBefore(end)) {
-            account.borrow(ask.lender(), lent.transferId(), lent.tokens(), end);
+        Instant expiry = pending.requestedAt().plus(settings.transferLifetime());
+        if (transfer.tokens() > 0 && now.isBefore(expiry)) {
+            account.borrow(pending.lender(), transfer.transferId(), transfer.tokens(), expiry);
         }
         return true;
     }
 
     private void requestFromNext(
             WorkspaceAccount account,
-            PendingTokenRequests.PendingRequest ask,
-            LongSupplier numbers,
+            PendingTokenRequests.PendingRequest pending,
+            LongSupplier sequence,
             Instant now,
             List<RateAction> actions) {
-        List<VmId> next = ask.lenderIsOwner() ? otherLenders(account) : ask.nextLenders();
-        QueuedRequest request = ask.request();
-        boolean waitsOn = !next.isEmpty() || keeper.awaitsOwners(now);
+        List<VmId> next = pending.lenderIsOwner() ? otherLenders(account) : pending.nextLenders();
+        QueuedRequest request = pending.request();
+        boolean keepsDeadline = !next.isEmpty() || balancer.awaitsOwners(now);
         QueuedRequest shortened =
-                waitsOn ? request : request.withDeadline(now.plus(settings.queueTimeout()));
-        requestFromFirst(account, shortened, next, numbers, now, actions);
+                keepsDeadline ? request : request.withDeadline(now.plus(settings.queueTimeout()));
+        requestFromFirst(account, shortened, next, sequence, now, actions);
     }
 
     // Tokens that the owner lent beyond the request are kept for the next requests.
     private void keepExtra(
             WorkspaceAccount account,
-            PendingTokenRequests.PendingRequest ask,
-            String loan,
-            long ahead) {
-        if (ahead == 0) {
-            account.recordSpent(ask.lender(), loan);
+            PendingTokenRequests.PendingRequest pending,
+            String transferId,
+            long extra) {
+        if (extra == 0) {
+            account.recordSpent(pending.lender(), transferId);
         } else {
             account.borrow(
-                    ask.lender(), loan, ahead, ask.requestedAt().plus(settings.transferLifetime()));
+                    pending.lender(),
+                    transferId,
+                    extra,
+                    pending.requestedAt().plus(settings.transferLifetime()));
         }
     }
 
@@ -179,11 +185,14 @@
      * have just started the owner is about to join, and requests wait for it as long as they may.
      */
     void handleTimeouts(
-            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
-        for (PendingTokenRequests.PendingRequest ask :
-                account.asksOfOwner.removeTimedOut(now, settings.transferLifetime())) {
-            account.bucket.refund(ask.setAside());
-            requestFromNext(account, ask, numbers, now, actions);
+            WorkspaceAccount account,
+            LongSupplier sequence,
+            Instant now,
+            List<RateAction> actions) {
+        for (PendingTokenRequests.PendingRequest pending :
+                account.pendingRequests.removeTimedOut(now, settings.transferLifetime())) {
+            account.bucket.refund(pending.setAside());
+            requestFromNext(account, pending, sequence, now, actions);
         }
     }
 
@@ -192,12 +201,15 @@
      * asked.
      */
     void retryOwner(
-            WorkspaceAccount account, LongSupplier numbers, Instant now, List<RateAction> actions) {
-        for (QueuedRequest request : account.held.inOrder(now)) {
+            WorkspaceAccount account,
+            LongSupplier sequence,
+            Instant now,
+            List<RateAction> actions) {
+        for (QueuedRequest request : account.queue.inOrder(now)) {
             boolean own = request.id().isPresent() && !request.isExpired(now);
             if (own && availableOwner(account, now).isPresent()) {
-                account.held.remove(request);
-                requestTokens(account, request, numbers, now, actions);
+                account.queue.remove(request);
+                requestTokens(account, request, sequence, now, actions);
             }
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/QueueAdmission.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/QueueAdmission.java
@@ -11,42 +11,42 @@
  */
 final class QueueAdmission {
     /** A bucket filled to this fraction of its cap will overflow before long. */
-    private static final double PLENTY = 0.7;
+    private static final double NEARLY_FULL = 0.7;
 
     /** Largest fraction of the owner's spendable tokens that one router may get ahead of need. */
-    private static final double AHEAD_PART = 0.25;
+    private static final double MAX_EXTRA_FRACTION = 0.25;
 
     /** A transfer lasts two seconds, and one router rarely gets more requests in that time. */
-    private static final int REQUESTS_AHEAD = 3;
+    private static final int MAX_EXTRA_REQUESTS = 3;
 
     private final Incarnation self;
     private final RateSettings settings;
-    private final SpendingPermission right;
-    private final ShareBalancer keeper;
-    private final BatchedBorrower borrowing;
+    private final SpendingPermission permission;
+    private final ShareBalancer balancer;
+    private final BatchedBorrower batchedBorrower;
 
     QueueAdmission(
             Incarnation self,
             RateSettings settings,
-            SpendingPermission right,
-            ShareBalancer keeper,
-            BatchedBorrower borrowing) {
+            SpendingPermission permission,
+            ShareBalancer balancer,
+            BatchedBorrower batchedBorrower) {
         this.self = self;
         this.settings = settings;
-        this.right = right;
-        this.keeper = keeper;
-        this.borrowing = borrowing;
+        this.permission = permission;
+        this.balancer = balancer;
+        this.batchedBorrower = batchedBorrower;
     }
 
     /** Admits queued requests in order for as long as there are tokens for the next one. */
     void admit(WorkspaceAccount account, Instant now, List<RateAction> actions) {
-        if (!right.maySpend(account, self, now)) {
+        if (!permission.maySpend(account, self, now)) {
             return;
         }
-        QueuedRequest next = account.held.first(now);
+        QueuedRequest next = account.queue.first(now);
         while (next != null && tryServe(account, next, now, actions)) {
-            account.held.remove(next);
-            next = account.held.first(now);
+            account.queue.remove(next);
+            next = account.queue.first(now);
         }
     }
 
@@ -65,13 +65,13 @@
         if (account.available() < request.tokens()) {
             return false;
         }
-        QueuedRequest.Borrower to = request.borrower().get();
+        QueuedRequest.Borrower borrower = request.borrower().get();
         long tokens = request.tokens() + extraTokens(account, request);
         account.lendIncludingBorrowed(
-                to.transferId(), tokens, TokenLender.transferExpiry(settings, now));
+                borrower.transferId(), tokens, TokenLender.transferExpiry(settings, now));
         actions.add(
                 new RateAction.SendTokenTransfer(
-                        to.vm(), account.workspace.id(), tokens, to.transferId()));
+                        borrower.vm(), account.workspace.id(), tokens, borrower.transferId()));
         return true;
     }
 
@@ -79,31 +79,31 @@
     // need no token request. Tokens that it does not spend in time are lost, which costs nothing as
     // long as they would have overflowed here.
     private static long extraTokens(WorkspaceAccount account, QueuedRequest request) {
-        boolean plenty = account.bucket.tokens() >= account.bucket.cap() * PLENTY;
-        double left = account.available() - request.tokens();
-        if (!plenty || left <= 0 || account.held.size() > 1) {
+        boolean nearlyFull = account.bucket.tokens() >= account.bucket.cap() * NEARLY_FULL;
+        double remaining = account.available() - request.tokens();
+        if (!nearlyFull || remaining <= 0 || account.queue.size() > 1) {
             return 0;
         }
-        double few = (double) request.tokens() * REQUESTS_AHEAD;
-        return (long) Math.min(few, left * AHEAD_PART);
+        double nextRequests = (double) request.tokens() * MAX_EXTRA_REQUESTS;
+        return (long) Math.min(nextRequests, remaining * MAX_EXTRA_FRACTION);
     }
 
     /** Refuses the requests that have timed out or cannot get tokens. */
     void refuseUnservable(WorkspaceAccount account, Instant now, List<RateAction> actions) {
-        if (keeper.isOwner(account) && right.maySpend(account, self, now)) {
+        if (balancer.isOwner(account) && permission.maySpend(account, self, now)) {
             refuseUnservableInTime(account, now, actions);
             return;
         }
-        boolean noneToAsk = borrowing.hasNoLenders(account);
-        boolean hopeless =
-                right.maySpend(account, self, now)
-                        && (noneToAsk || borrowing.allLendersEmpty(account))
+        boolean noLenders = batchedBorrower.hasNoLenders(account);
+        boolean cannotBeServed =
+                permission.maySpend(account, self, now)
+                        && (noLenders || batchedBorrower.allLendersEmpty(account))
                         && !accruesInTime(account, now)
-                        && !(keeper.isJoining(now) && !keeper.hasShare(account));
-        for (QueuedRequest request : account.held.inOrder(now)) {
-            boolean askedFor = noneToAsk || request.arrivalNumber() <= account.askedUpTo;
-            boolean due = !now.isBefore(request.deadline()) || hopeless && askedFor;
-            if (due && account.held.remove(request)) {
+                        && !(balancer.isJoining(now) && !balancer.hasShare(account));
+        for (QueuedRequest request : account.queue.inOrder(now)) {
+            boolean covered = noLenders || request.arrivalNumber() <= account.lastCoveredArrival;
+            boolean refused = !now.isBefore(request.deadline()) || cannotBeServed && covered;
+            if (refused && account.queue.remove(request)) {
                 refuseQueued(account, request, now, actions);
                 admit(account, now, actions);
             }
@@ -115,7 +115,7 @@
             QueuedRequest request,
             Instant now,
             List<RateAction> actions) {
-        if (right.maySpend(account, self, now)) {
+        if (permission.maySpend(account, self, now)) {
             refuseRateExceeded(account, request, accrualTime(account, request), actions);
         } else {
             refuseUnconfirmed(account, request, actions);
@@ -127,16 +127,16 @@
     // end of its wait.
     private void refuseUnservableInTime(
             WorkspaceAccount account, Instant now, List<RateAction> actions) {
-        if (borrowing.awaitsAnswers(account, now)) {
+        if (batchedBorrower.awaitsAnswers(account, now)) {
             return;
         }
         double rate = account.bucket.rate();
         double needed = -account.available();
-        for (QueuedRequest request : account.held.inOrder(now)) {
+        for (QueuedRequest request : account.queue.inOrder(now)) {
             double seconds = Math.max(0, needed + request.tokens()) / rate;
             Duration wait = Duration.ofMillis((long) Math.ceil(seconds * 1000));
             if (now.plus(wait).isAfter(request.deadline())) {
-                account.held.remove(request);
+                account.queue.remove(request);
                 refuseRateExceeded(account, request, wait, actions);
             } else {
                 needed += request.tokens();
@@ -148,14 +148,14 @@
     // started holds no tokens; without this check it would refuse requests for as long as it takes
     // to fill for one, though callers are well within their rate.
     private boolean accruesInTime(WorkspaceAccount account, Instant now) {
-        QueuedRequest first = account.held.first(now);
+        QueuedRequest first = account.queue.first(now);
         if (first == null) {
             return false;
         }
         double missing = first.tokens() - account.available();
         double seconds = Duration.between(now, first.deadline()).toMillis() / 1000.0;
-        double part = keeper.part(account) / (double) ShareTable.WHOLE;
-        return missing <= part * account.workspace.rate() * seconds;
+        double fraction = balancer.part(account) / (double) ShareTable.WHOLE;
+        return missing <= fraction * account.workspace.rate() * seconds;
     }
 
     private static void refuseRateExceeded(
@@ -165,13 +165,13 @@
             List<RateAction> actions) {
         request.borrower()
                 .ifPresent(
-                        by ->
+                        borrower ->
                                 actions.add(
                                         new RateAction.SendTokenTransfer(
-                                                by.vm(),
+                                                borrower.vm(),
                                                 account.workspace.id(),
                                                 0,
-                                                by.transferId(),
+                                                borrower.transferId(),
                                                 false,
                                                 wait)));
         request.id().ifPresent(id -> actions.add(RateRefusals.rateExceeded(id, wait)));
@@ -181,13 +181,13 @@
             WorkspaceAccount account, QueuedRequest request, List<RateAction> actions) {
         request.borrower()
                 .ifPresent(
-                        by ->
+                        borrower ->
                                 actions.add(
                                         new RateAction.SendTokenTransfer(
-                                                by.vm(),
+                                                borrower.vm(),
                                                 account.workspace.id(),
                                                 0,
-                                                by.transferId())));
+                                                borrower.transferId())));
         request.id().ifPresent(id -> actions.add(RateRefusals.unconfirmed(id)));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/QueuedRequest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/QueuedRequest.java
@@ -57,10 +57,10 @@
     }
 
     static QueuedRequest fromRouter(
-            Borrower by, long arrivalNumber, long tokens, WaitLimits wait, Instant now) {
+            Borrower borrower, long arrivalNumber, long tokens, WaitLimits wait, Instant now) {
         return new QueuedRequest(
                 Optional.empty(),
-                Optional.of(by),
+                Optional.of(borrower),
                 arrivalNumber,
                 tokens,
                 now.plus(wait.inTime()),
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateAction.java
@@ -43,7 +43,7 @@
             List<String> spentTransfers,
             Optional<WaitLimits> waitLimits)
             implements RateAction {
-        /** Requests the tokens that the other router can spare now. */
+        /** Creates a request for the tokens that the other router can spare now. */
         public SendTokenRequest(
                 VmId to,
                 WorkspaceId workspace,
@@ -69,7 +69,7 @@
             boolean queued,
             Duration retryAfter)
             implements RateAction {
-        /** Answers a token request finally. */
+        /** Creates a final answer to a token request. */
         public SendTokenTransfer(VmId to, WorkspaceId workspace, long tokens, String transferId) {
             this(to, workspace, tokens, transferId, false, Duration.ZERO);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateInput.java
@@ -17,11 +17,10 @@
     record WorkspacesConfigured(Map<WorkspaceId, Workspace> workspaces) implements RateInput {}
 
     /** The store returned all share tables, as they were at some time after {@code requestedAt}. */
-    record SharesRead(Map<WorkspaceId, RateInput.ShareRow> rows, Instant requestedAt)
-            implements RateInput {}
+    record SharesRead(Map<WorkspaceId, ShareRow> rows, Instant requestedAt) implements RateInput {}
 
     /** The answer to a write of this router showed that the store has this row. */
-    record ShareRowReceived(WorkspaceId workspace, RateInput.ShareRow row) implements RateInput {}
+    record ShareRowReceived(WorkspaceId workspace, ShareRow row) implements RateInput {}
 
     /** The store did not answer a read. */
     record SharesReadFailed() implements RateInput {}
@@ -44,7 +43,7 @@
     record RequestArrived(
             ExchangeId id, WorkspaceId workspace, long tokens, Optional<WaitLimits> waitLimits)
             implements RateInput {
-        /** A request that may wait for the default queue timeout. */
+        /** Creates the arrival of a request that may wait for the default queue timeout. */
         public RequestArrived(ExchangeId id, WorkspaceId workspace, long tokens) {
             this(id, workspace, tokens, Optional.empty());
         }
@@ -72,7 +71,7 @@
             List<String> spentTransfers,
             Optional<WaitLimits> waitLimits)
             implements RateInput {
-        /** Another router requested the tokens that can be spared now. */
+        /** Creates a request of another router for the tokens that can be spared now. */
         public TokensRequested(
                 VmId from,
                 WorkspaceId workspace,
@@ -98,7 +97,7 @@
             boolean queued,
             Duration retryAfter)
             implements RateInput {
-        /** Another router answered a token request finally. */
+        /** Creates a final answer of another router to a token request. */
         public TransferReceived(VmId from, WorkspaceId workspace, long tokens, String transferId) {
             this(from, workspace, tokens, transferId, false, Duration.ZERO);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateRefusals.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateRefusals.java
@@ -7,7 +7,7 @@
 
 /** Builds the refusals of requests that the rate does not admit. None of these requests has run. */
 final class RateRefusals {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private RateRefusals() {}
 
@@ -16,20 +16,20 @@
                 Refusal.notRun(
                                 RefusalCode.STORE_UNAVAILABLE,
                                 "this router can't confirm its share of the rate")
-                        .retryAfter(COME_BACK);
+                        .retryAfter(RETRY_AFTER);
         return new RateAction.RefuseRequest(id, refusal);
     }
 
     static RateAction notConfigured(ExchangeId id) {
-        return exceeded(id, "the workspace is not configured here", COME_BACK);
+        return exceeded(id, "the workspace is not configured here", RETRY_AFTER);
     }
 
     static RateAction queueFull(ExchangeId id) {
-        return exceeded(id, "the queue for the workspace's rate is full", COME_BACK);
+        return exceeded(id, "the queue for the workspace's rate is full", RETRY_AFTER);
     }
 
-    static RateAction rateExceeded(ExchangeId id, Duration wait) {
-        return exceeded(id, "the workspace has used up its rate and burst", wait);
+    static RateAction rateExceeded(ExchangeId id, Duration retryAfter) {
+        return exceeded(id, "the workspace has used up its rate and burst", retryAfter);
     }
 
     /**
@@ -43,8 +43,8 @@
                         "the request needs more tokens than the workspace's whole burst"));
     }
 
-    private static RateAction exceeded(ExchangeId id, String message, Duration wait) {
+    private static RateAction exceeded(ExchangeId id, String message, Duration retryAfter) {
         return new RateAction.RefuseRequest(
-                id, Refusal.notRun(RefusalCode.RATE_EXCEEDED, message).retryAfter(wait));
+                id, Refusal.notRun(RefusalCode.RATE_EXCEEDED, message).retryAfter(retryAfter));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateSettings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateSettings.java
@@ -59,12 +59,12 @@
      * <p>A router that is lost for good may have been the owner of a workspace, which is served
      * from the small parts of the others until the owner's part is reclaimed; so that happens soon.
      * No router reclaims it before a router that is only cut off must have stopped spending: {@code
-     * gone} and {@code reclaimDelay} together are longer than {@code isolationLimit}. Other routers
-     * are heard from every second or two, so an outage of the store alone isolates no router. The
-     * next incarnation of a killed router takes its share over at once. The queue timeout is half
-     * of the time in which callers want an answer. It is longer after a start, when a refusal would
-     * hit callers who are well within their rate. A transfer takes a few milliseconds, so shares
-     * need not follow every change of demand; each write has its price.
+     * goneAfter} and {@code reclaimDelay} together are longer than {@code isolationLimit}. Other
+     * routers are heard from every second or two, so an outage of the store alone isolates no
+     * router. The next incarnation of a killed router takes its share over at once. The queue
+     * timeout is half of the time in which callers want an answer. It is longer after a start, when
+     * a refusal would hit callers who are well within their rate. A transfer takes a few
+     * milliseconds, so shares need not follow every change of demand; each write has its price.
      */
     public static RateSettings direct() {
         return new RateSettings(
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareBalancer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareBalancer.java
@@ -18,54 +18,54 @@
  * are gone.
  */
 final class ShareBalancer {
-    private static final double HEADROOM = 1.25;
+    private static final double DEMAND_HEADROOM = 1.25;
 
     /**
      * Largest part of the whole to which a share follows demand; the rest is borrowed. This limits
      * what is lost with a router.
      */
-    private static final double MOST_WANTED = 0.334;
+    private static final double MAX_WANTED_FRACTION = 0.334;
 
     /** Time after which all routers that started together are on the list. */
-    private static final Duration SETTLING = Duration.ofSeconds(3);
+    private static final Duration LIST_SETTLING_TIME = Duration.ofSeconds(3);
 
     /**
      * Head start in which the owner of a workspace takes its part before the others take theirs.
      */
-    private static final Duration STANDBY_PAUSE = Duration.ofSeconds(3);
+    private static final Duration OWNER_HEAD_START = Duration.ofSeconds(3);
 
     /** How long after its start a router may still be about to get its shares. */
-    private static final Duration JOINING = Duration.ofSeconds(2);
+    private static final Duration JOIN_TIME = Duration.ofSeconds(2);
 
     /** How long after a start of all routers an owner may still be about to take its part. */
-    private static final Duration OWNERS_JOINING = Duration.ofSeconds(4);
+    private static final Duration OWNER_JOIN_TIME = Duration.ofSeconds(4);
 
     private static final int JITTER_MILLIS = 1_000;
 
     /** A bucket that was nearly full for this long is likely to stay so. */
-    private static final Duration PLENTY_FOR = Duration.ofSeconds(1);
+    private static final Duration RESERVE_AFTER = Duration.ofSeconds(1);
 
     /** An even share of this many tokens holds a few of the largest usual requests. */
-    private static final double EVEN_SHARE_TOKENS = 6_000;
+    private static final double MIN_EVEN_SHARE_TOKENS = 6_000;
 
     /** All routers but the owner together hold at most this fraction (1/n) of the whole. */
-    private static final int STANDBY_FRACTION = 4;
+    private static final int STANDBY_DIVISOR = 4;
 
-    private static final int STEP = ShareTable.WHOLE / 8;
-    private static final int LEAST_MOVE = ShareTable.WHOLE / 20;
+    private static final int MIN_WANT_CHANGE = ShareTable.WHOLE / 8;
+    private static final int MIN_MOVED_PART = ShareTable.WHOLE / 20;
     private static final long FLEET_WRITES_PER_SECOND = 100;
-    private static final Duration WRITE_LIMIT = Duration.ofSeconds(10);
+    private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(10);
 
     private final Incarnation self;
     private final VmId vm;
     private final String address;
     private final RateSettings settings;
-    private final SpendingPermission right;
-    private final Map<String, Instant> marks = new HashMap<>();
-    private final Set<WorkspaceId> filled = new HashSet<>();
-    private Instant next = Instant.MIN;
-    private Instant began;
-    private int turn;
+    private final SpendingPermission permission;
+    private final Map<String, Instant> marksSeenAt = new HashMap<>();
+    private final Set<WorkspaceId> freshTokensAdded = new HashSet<>();
+    private Instant nextWriteAt = Instant.MIN;
+    private Instant startedAt;
+    private int nextAccount;
     private boolean leaving;
 
     ShareBalancer(
@@ -73,24 +73,24 @@
             VmId vm,
             String address,
             RateSettings settings,
-            SpendingPermission right) {
+            SpendingPermission permission) {
         this.self = self;
         this.vm = vm;
         this.address = address;
         this.settings = settings;
-        this.right = right;
+        this.permission = permission;
     }
 
     /** Records that this incarnation runs. Nobody else spends on this VM from the first call on. */
     void recordRunning(Instant now) {
-        if (began == null) {
-            began = now;
+        if (startedAt == null) {
+            startedAt = now;
         }
     }
 
     /** Returns how long this incarnation has run. */
     Duration age(Instant now) {
-        return Duration.between(began, now);
+        return Duration.between(startedAt, now);
     }
 
     /**
@@ -98,7 +98,7 @@
      * reason.
      */
     boolean isJoining(Instant now) {
-        return age(now).compareTo(JOINING) < 0;
+        return age(now).compareTo(JOIN_TIME) < 0;
     }
 
     /**
@@ -106,12 +106,12 @@
      * parts.
      */
     boolean awaitsOwners(Instant now) {
-        return age(now).compareTo(OWNERS_JOINING) < 0;
+        return age(now).compareTo(OWNER_JOIN_TIME) < 0;
     }
 
     /** Returns whether this router should hold a share. */
     boolean shouldHoldShare(WorkspaceAccount account) {
-        return right.shareHolders(account.workspace.id()).contains(vm);
+        return permission.shareHolders(account.workspace.id()).contains(vm);
     }
 
     /** Returns whether the store shows a share of this incarnation. */
@@ -126,10 +126,10 @@
      * little at each for a request.
      */
     boolean needsOwner(WorkspaceAccount account) {
-        int homes = right.shareHolders(account.workspace.id()).size();
-        boolean few = homes < right.routerCount();
-        boolean small = account.workspace.burst() / homes < EVEN_SHARE_TOKENS;
-        return settings.usesOwners() && (few || small);
+        int holders = permission.shareHolders(account.workspace.id()).size();
+        boolean fewHolders = holders < permission.routerCount();
+        boolean smallShares = account.workspace.burst() / holders < MIN_EVEN_SHARE_TOKENS;
+        return settings.usesOwners() && (fewHolders || smallShares);
     }
 
     /**
@@ -166,8 +166,8 @@
     List<VmId> lenders(WorkspaceAccount account) {
         if (account.row == null) {
             return settings.usesOwners()
-                    ? right.otherShareHolders(account.workspace.id())
-                    : right.otherRouters();
+                    ? permission.otherShareHolders(account.workspace.id())
+                    : permission.otherRouters();
         }
         return account.row.table().shares().values().stream()
                 .filter(share -> !share.vm().equals(vm) && share.part() > 0)
@@ -183,7 +183,7 @@
 
     void leave() {
         leaving = true;
-        next = Instant.MIN;
+        nextWriteAt = Instant.MIN;
     }
 
     /**
@@ -195,7 +195,9 @@
             return 0;
         }
         int stored = account.row.table().part(self);
-        return account.lowering == null ? stored : Math.min(stored, account.lowering.part());
+        return account.pendingDecrease == null
+                ? stored
+                : Math.min(stored, account.pendingDecrease.part());
     }
 
     /**
@@ -208,7 +210,9 @@
             return 0;
         }
         int stored = account.row.table().share(self).map(ShareTable.Share::kept).orElse(0);
-        return account.raise == null ? stored : Math.max(stored, account.raise.kept());
+        return account.pendingReserve == null
+                ? stored
+                : Math.max(stored, account.pendingReserve.reservedPart());
     }
 
     /**
@@ -220,24 +224,25 @@
             return;
         }
         account.row = row;
-        if (account.lowering != null && account.lowering.revision() != row.revision()) {
-            account.lowering = null;
+        if (account.pendingDecrease != null
+                && account.pendingDecrease.revision() != row.revision()) {
+            account.pendingDecrease = null;
         }
-        if (account.raise != null && account.raise.revision() != row.revision()) {
-            account.raise = null;
+        if (account.pendingReserve != null && account.pendingReserve.revision() != row.revision()) {
+            account.pendingReserve = null;
         }
         row.table().share(self).ifPresent(share -> addFreshTokens(account, share, now));
         row.table().shares().values().stream()
                 .map(ShareTable.Share::mark)
                 .filter(mark -> !mark.isEmpty())
-                .forEach(mark -> marks.putIfAbsent(mark, now));
+                .forEach(mark -> marksSeenAt.putIfAbsent(mark, now));
     }
 
     // Nobody has spent this part of the burst. Without it, a new workspace would be refused within
     // its rate until its buckets have filled, and so would all workspaces after a restart of all
     // routers.
     private void addFreshTokens(WorkspaceAccount account, ShareTable.Share own, Instant now) {
-        if (filled.add(account.workspace.id())) {
+        if (freshTokensAdded.add(account.workspace.id())) {
             account.advance(part(account), reservedPart(account), now);
             double fresh = own.fresh() / (double) ShareTable.WHOLE;
             account.bucket.refund(fresh * account.workspace.burst());
@@ -251,63 +256,69 @@
      */
     void balance(List<WorkspaceAccount> accounts, Instant now, List<RateAction> actions) {
         for (int step = 0; step < accounts.size(); step++) {
-            WorkspaceAccount account = accounts.get((turn + step) % accounts.size());
-            ShareTable wanted = account.hasWriteInFlight(now) ? null : nextTable(account, now);
-            if (wanted == null) {
+            WorkspaceAccount account = accounts.get((nextAccount + step) % accounts.size());
+            ShareTable nextTable = account.hasWriteInFlight(now) ? null : nextTable(account, now);
+            if (nextTable == null) {
                 continue;
             }
             boolean urgent =
                     !hasShare(account)
                             || shouldReleaseReserve(account, now)
                             || holdsSurplusShare(account, now);
-            if (urgent || !now.isBefore(next)) {
-                next = now.plus(writeInterval(wanted));
-                turn = (turn + step + 1) % accounts.size();
-                write(account, wanted, now, actions);
+            if (urgent || !now.isBefore(nextWriteAt)) {
+                nextWriteAt = now.plus(writeInterval(nextTable));
+                nextAccount = (nextAccount + step + 1) % accounts.size();
+                write(account, nextTable, now, actions);
             }
         }
     }
 
     private void write(
-            WorkspaceAccount account, ShareTable wanted, Instant now, List<RateAction> actions) {
+            WorkspaceAccount account, ShareTable nextTable, Instant now, List<RateAction> actions) {
         long revision = account.row == null ? 0 : account.row.revision();
-        if (wanted.part(self) < part(account)) {
-            account.lowering = new WorkspaceAccount.PendingDecrease(wanted.part(self), revision);
+        if (nextTable.part(self) < part(account)) {
+            account.pendingDecrease =
+                    new WorkspaceAccount.PendingDecrease(nextTable.part(self), revision);
             account.advance(part(account), reservedPart(account), now);
         }
-        int keeps = wanted.share(self).map(ShareTable.Share::kept).orElse(0);
-        if (keeps > reservedPart(account)) {
-            account.raise = new WorkspaceAccount.PendingReserve(keeps, revision);
-            account.advance(part(account), keeps, now);
+        int reserved = nextTable.share(self).map(ShareTable.Share::kept).orElse(0);
+        if (reserved > reservedPart(account)) {
+            account.pendingReserve = new WorkspaceAccount.PendingReserve(reserved, revision);
+            account.advance(part(account), reserved, now);
         }
-        account.recordWrite(revision, now.plus(WRITE_LIMIT));
-        actions.add(new RateAction.WriteShares(account.workspace.id(), wanted, revision));
+        account.recordWrite(revision, now.plus(WRITE_TIMEOUT));
+        actions.add(new RateAction.WriteShares(account.workspace.id(), nextTable, revision));
     }
 
     private Duration writeInterval(ShareTable table) {
-        Duration even = Duration.ofMillis(1000L * table.shares().size() / FLEET_WRITES_PER_SECOND);
-        return even.compareTo(settings.writeInterval()) > 0 ? even : settings.writeInterval();
+        Duration evenInterval =
+                Duration.ofMillis(1000L * table.shares().size() / FLEET_WRITES_PER_SECOND);
+        return evenInterval.compareTo(settings.writeInterval()) > 0
+                ? evenInterval
+                : settings.writeInterval();
     }
 
     /** Returns the table as it should be, or null if it may stay. */
     private ShareTable nextTable(WorkspaceAccount account, Instant now) {
-        if (!right.isReadRecent(now)) {
+        if (!permission.isReadRecent(now)) {
             return null;
         }
         if (yieldsToOwner(account, now)) {
             return null;
         }
-        Set<VmId> homes = right.shareHolders(account.workspace.id());
-        boolean stays = !leaving && homes.contains(vm);
+        Set<VmId> holders = permission.shareHolders(account.workspace.id());
+        boolean shouldHold = !leaving && holders.contains(vm);
         if (account.row == null) {
-            return stays ? joinTable(ShareTable.empty(self), account, homes, 0) : null;
+            return shouldHold ? joinTable(ShareTable.empty(self), account, holders, 0) : null;
         }
         ShareTable table = account.row.table();
         if (leaving || holdsSurplusShare(account, now)) {
-            return withdrawOwnShare(account, table, homes.size());
+            return withdrawOwnShare(account, table, holders.size());
         }
         if (table.share(self).isEmpty()) {
-            return stays ? joinTable(table, account, homes, accruedFraction(account, now)) : null;
+            return shouldHold
+                    ? joinTable(table, account, holders, accruedFraction(account, now))
+                    : null;
         }
         return adjusted(account, table, table.share(self).get(), now);
     }
@@ -315,28 +326,29 @@
     // At a start of all routers each would write its small part into each row, and the owners,
     // whose parts all routers wait for, would lose one compare-and-set race after another.
     private boolean yieldsToOwner(WorkspaceAccount account, Instant now) {
-        Duration pause = STANDBY_PAUSE.plusMillis(Math.floorMod(vm.hashCode(), JITTER_MILLIS));
+        Duration headStart =
+                OWNER_HEAD_START.plusMillis(Math.floorMod(vm.hashCode(), JITTER_MILLIS));
         return needsOwner(account)
                 && !hasShare(account)
-                && !right.isDesignatedOwner(account.workspace.id())
-                && age(now).compareTo(pause) < 0;
+                && !permission.isDesignatedOwner(account.workspace.id())
+                && age(now).compareTo(headStart) < 0;
     }
 
     private ShareTable joinTable(
-            ShareTable table, WorkspaceAccount account, Set<VmId> homes, double grown) {
+            ShareTable table, WorkspaceAccount account, Set<VmId> holders, double accrued) {
         if (!needsOwner(account)) {
-            return table.join(self, vm, address, homes.size(), grown);
+            return table.join(self, vm, address, holders.size(), accrued);
         }
-        int standby = standbyPart(homes.size());
-        boolean owner = right.isDesignatedOwner(account.workspace.id());
-        int part = owner ? ShareTable.WHOLE - standby * (homes.size() - 1) : standby;
-        return table.joinWithPart(self, vm, address, part, grown);
+        int standby = standbyPart(holders.size());
+        boolean owner = permission.isDesignatedOwner(account.workspace.id());
+        int part = owner ? ShareTable.WHOLE - standby * (holders.size() - 1) : standby;
+        return table.joinWithPart(self, vm, address, part, accrued);
     }
 
     // The part of a router that is not the owner, so that small requests find some tokens when the
     // owner is lost.
-    private static int standbyPart(int homes) {
-        return ShareTable.WHOLE / (STANDBY_FRACTION * homes);
+    private static int standbyPart(int holders) {
+        return ShareTable.WHOLE / (STANDBY_DIVISOR * holders);
     }
 
     private ShareTable adjusted(
@@ -349,9 +361,10 @@
             return table.withKept(self, 0);
         }
         ShareTable without = markOrRemoveGone(table, account, now);
-        ShareTable next = without != null ? without : redistributed(account, table, own, want);
-        return next != null || !shouldReserve(account, own, now)
-                ? next
+        ShareTable redistributed =
+                without != null ? without : redistributed(account, table, own, want);
+        return redistributed != null || !shouldReserve(account, own, now)
+                ? redistributed
                 : table.withKept(self, Math.min(own.part() / 2, bucketPart(account)));
     }
 
@@ -359,23 +372,28 @@
     // one. If they kept them, the tokens of a workspace would be scattered over all of them, and
     // without an owner each router would ask every other in turn.
     private boolean holdsSurplusShare(WorkspaceAccount account, Instant now) {
-        Duration settling = SETTLING.plusMillis(Math.floorMod(vm.hashCode(), JITTER_MILLIS));
-        return !shouldHoldShare(account) && hasShare(account) && age(now).compareTo(settling) >= 0;
+        Duration settlingTime =
+                LIST_SETTLING_TIME.plusMillis(Math.floorMod(vm.hashCode(), JITTER_MILLIS));
+        return !shouldHoldShare(account)
+                && hasShare(account)
+                && age(now).compareTo(settlingTime) >= 0;
     }
 
     // Lent tokens stay in the part until they are returned. A router that gets token requests all
     // the time has always lent something, so the rest is withdrawn at once.
-    private ShareTable withdrawOwnShare(WorkspaceAccount account, ShareTable table, int homes) {
+    private ShareTable withdrawOwnShare(WorkspaceAccount account, ShareTable table, int holders) {
         Optional<ShareTable.Share> own = table.share(self);
         if (own.isEmpty()) {
             return null;
         }
         int lent = lentPart(account);
         if (lent == 0) {
-            return table.withdrawn(self, untouchedReserve(table, homes));
+            return table.withdrawn(self, untouchedReserve(table, holders));
         }
-        boolean much = own.get().part() - lent > LEAST_MOVE;
-        return much ? table.redistributed(self, lent, 0, untouchedReserve(table, homes)) : null;
+        boolean worthWriting = own.get().part() - lent > MIN_MOVED_PART;
+        return worthWriting
+                ? table.redistributed(self, lent, 0, untouchedReserve(table, holders))
+                : null;
     }
 
     private static int bucketPart(WorkspaceAccount account) {
@@ -397,9 +415,9 @@
         boolean worthKeeping = !needsOwner(account) || isOwner(account);
         return settings.reservesForRestart()
                 && worthKeeping
-                && account.held.isEmpty()
-                && account.fullSince != null
-                && !now.isBefore(account.fullSince.plus(PLENTY_FOR))
+                && account.queue.isEmpty()
+                && account.nearlyFullSince != null
+                && !now.isBefore(account.nearlyFullSince.plus(RESERVE_AFTER))
                 && reservedPart(account) < own.part() / 4
                 && own.part() > 0;
     }
@@ -407,7 +425,7 @@
     // The fraction of a full burst that accrued since this incarnation started: nobody spent on
     // this VM since then.
     private double accruedFraction(WorkspaceAccount account, Instant now) {
-        double seconds = Duration.between(began, now).toMillis() / 1000.0;
+        double seconds = Duration.between(startedAt, now).toMillis() / 1000.0;
         return Math.min(1, seconds * account.workspace.rate() / account.workspace.burst());
     }
 
@@ -415,14 +433,14 @@
         for (Map.Entry<Incarnation, ShareTable.Share> entry : table.shares().entrySet()) {
             ShareTable.Share share = entry.getValue();
             boolean other = !entry.getKey().equals(self);
-            if (!other || !right.seemsGone(share.vm(), now)) {
+            if (!other || !permission.seemsGone(share.vm(), now)) {
                 continue;
             }
             if (share.mark().isEmpty()) {
                 String mark = self.value() + '#' + account.row.revision();
                 return table.mark(entry.getKey(), mark);
             }
-            Instant since = marks.getOrDefault(share.mark(), now);
+            Instant since = marksSeenAt.getOrDefault(share.mark(), now);
             if (!now.isBefore(since.plus(settings.reclaimDelay()))) {
                 return table.remove(entry.getKey());
             }
@@ -433,22 +451,24 @@
     private ShareTable redistributed(
             WorkspaceAccount account, ShareTable table, ShareTable.Share own, int want) {
         int target = Math.max(table.target(self, want), lentPart(account));
-        boolean give = target < own.part() && othersBelowWant(table);
-        int reserve = untouchedReserve(table, right.shareHolders(account.workspace.id()).size());
-        ShareTable dealt = table.redistributed(self, give ? target : own.part(), want, reserve);
-        boolean wantChanged = Math.abs(want - own.want()) > STEP;
+        boolean giveAway = target < own.part() && othersBelowWant(table);
+        int reserve =
+                untouchedReserve(table, permission.shareHolders(account.workspace.id()).size());
+        ShareTable redistributed =
+                table.redistributed(self, giveAway ? target : own.part(), want, reserve);
+        boolean wantChanged = Math.abs(want - own.want()) > MIN_WANT_CHANGE;
         int moved = 0;
-        for (Map.Entry<Incarnation, ShareTable.Share> entry : dealt.shares().entrySet()) {
+        for (Map.Entry<Incarnation, ShareTable.Share> entry : redistributed.shares().entrySet()) {
             moved += Math.max(0, entry.getValue().part() - table.part(entry.getKey()));
         }
-        return wantChanged || moved > LEAST_MOVE ? dealt : null;
+        return wantChanged || moved > MIN_MOVED_PART ? redistributed : null;
     }
 
     // A router that creates a table and takes the whole would take it along when it dies: the
     // others, which had nothing yet, would refuse the workspace within its rate until the share is
     // reclaimed. So the untouched part is reserved for listed routers that have not joined.
-    private static int untouchedReserve(ShareTable table, int homes) {
-        return table.shares().size() < homes ? table.untouched() : 0;
+    private static int untouchedReserve(ShareTable table, int holders) {
+        return table.shares().size() < holders ? table.untouched() : 0;
     }
 
     /**
@@ -456,8 +476,8 @@
      * then.
      */
     boolean awaitsJoiningRouters(WorkspaceAccount account) {
-        int homes = right.shareHolders(account.workspace.id()).size();
-        return account.row != null && untouchedReserve(account.row.table(), homes) > 0;
+        int holders = permission.shareHolders(account.workspace.id()).size();
+        return account.row != null && untouchedReserve(account.row.table(), holders) > 0;
     }
 
     private boolean othersBelowWant(ShareTable table) {
@@ -480,9 +500,9 @@
     private int wantedPart(WorkspaceAccount account, int routers, Instant now) {
         int least = standbyPart(routers);
         if (needsOwner(account)) {
-            return right.isDesignatedOwner(account.workspace.id()) ? ShareTable.WHOLE : least;
+            return permission.isDesignatedOwner(account.workspace.id()) ? ShareTable.WHOLE : least;
         }
-        double part = HEADROOM * account.demand(now) / account.workspace.rate();
-        return Math.max(least, (int) (Math.min(MOST_WANTED, part) * ShareTable.WHOLE));
+        double part = DEMAND_HEADROOM * account.demand(now) / account.workspace.rate();
+        return Math.max(least, (int) (Math.min(MAX_WANTED_FRACTION, part) * ShareTable.WHOLE));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareHolders.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareHolders.java
@@ -11,7 +11,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Selects the routers that hold shares of a workspace: {@code ShareHolders.of(workspace, routers)}.
+ * Selects the routers that hold shares of a workspace: {@code ShareHolders.select(workspace,
+ * routers)}.
  *
  * <p>With a handful of routers all of them hold one. With dozens, a share would be smaller than a
  * usual request, so that most requests would need transfers from many routers, and at each start
@@ -24,16 +25,16 @@
     /**
      * Size of a present-day deployment; each router has a share large enough for several requests.
      */
-    private static final int ALL_UP_TO = 6;
+    private static final int MAX_ROUTERS_ALL_HOLDERS = 6;
 
     /** One may be killed and another cut off, and two can still lend. */
-    private static final int OF_MANY = 4;
+    private static final int HOLDERS_OF_MANY = 4;
 
     private ShareHolders() {}
 
     static Set<VmId> select(WorkspaceId workspace, Collection<VmId> routers) {
-        int most = routers.size() <= ALL_UP_TO ? routers.size() : OF_MANY;
-        return routers.stream().sorted(order(workspace)).limit(most).collect(Collectors.toSet());
+        int count = routers.size() <= MAX_ROUTERS_ALL_HOLDERS ? routers.size() : HOLDERS_OF_MANY;
+        return routers.stream().sorted(order(workspace)).limit(count).collect(Collectors.toSet());
     }
 
     /** Returns the designated owner, which should hold most of the workspace. */
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareTable.java
@@ -36,8 +36,8 @@
      * @param address where the other routers reach it, {@code host:port}
      * @param part how much it has, of {@link #WHOLE}
      * @param want how much it would use, of {@link #WHOLE}
-     * @param mark the id of the router that wants to reclaim the share because its holder seems
-     *     gone; empty if none does
+     * @param mark the incarnation that wants to reclaim the share because its holder seems gone,
+     *     and the revision that it saw; empty if none does
      * @param fresh how much of the part came with its burst, because nobody had ever had it or an
      *     earlier incarnation on the same VM had left it unspent
      * @param kept how much of its burst it never spends before the store shows a smaller value
@@ -49,8 +49,8 @@
             return new Share(vm, address, newPart, newWant, "", fresh, Math.min(kept, newPart));
         }
 
-        Share marked(String by) {
-            return new Share(vm, address, part, want, by, fresh, kept);
+        Share marked(String markedBy) {
+            return new Share(vm, address, part, want, markedBy, fresh, kept);
         }
 
         Share withKept(int newKept) {
@@ -79,13 +79,14 @@
      * Creates the first table of a workspace among this many routers. Its writer holds an even part
      * with the whole burst of that, and the others find theirs untouched.
      */
-    public static ShareTable founded(Incarnation who, VmId vm, String address, int routers) {
-        return empty(who).join(who, vm, address, routers, 0);
+    public static ShareTable founded(
+            Incarnation incarnation, VmId vm, String address, int routers) {
+        return empty(incarnation).join(incarnation, vm, address, routers, 0);
     }
 
     /** Creates a table without shares, for its first writer. */
-    static ShareTable empty(Incarnation who) {
-        return new ShareTable(who, WHOLE, Map.of());
+    static ShareTable empty(Incarnation incarnation) {
+        return new ShareTable(incarnation, WHOLE, Map.of());
     }
 
     /** Returns the VM that holds most of the whole and is not marked as gone, if there is one. */
@@ -102,71 +103,73 @@
     }
 
     /** Returns the part of this incarnation, or 0 if it has none. */
-    public int part(Incarnation who) {
-        return share(who).map(Share::part).orElse(0);
+    public int part(Incarnation incarnation) {
+        return share(incarnation).map(Share::part).orElse(0);
     }
 
     /** Returns the share of this incarnation. */
-    public Optional<Share> share(Incarnation who) {
-        return Optional.ofNullable(shares.get(who));
+    public Optional<Share> share(Incarnation incarnation) {
+        return Optional.ofNullable(shares.get(incarnation));
     }
 
     /**
      * Adds a new incarnation among this many routers. It replaces earlier ones on its VM, since its
      * running shows that they are gone. It takes at most what is then free.
      *
-     * @param grown the fraction of a full burst, from 0 to 1, that accrued since it started to run
+     * @param accrued the fraction of a full burst, from 0 to 1, that accrued since it started to
+     *     run
      */
-    public ShareTable join(Incarnation who, VmId vm, String address, int routers, double grown) {
+    public ShareTable join(
+            Incarnation incarnation, VmId vm, String address, int routers, double accrued) {
         long others = shares.values().stream().filter(share -> !share.vm().equals(vm)).count();
-        int fair = WHOLE / (int) Math.max(others + 1, routers);
-        return joinWithPart(who, vm, address, fair, grown);
+        int fairPart = WHOLE / (int) Math.max(others + 1, routers);
+        return joinWithPart(incarnation, vm, address, fairPart, accrued);
     }
 
     /**
      * Adds a new incarnation with this part, as far as it is free. Otherwise like {@link #join}.
      */
     public ShareTable joinWithPart(
-            Incarnation who, VmId vm, String address, int fair, double grown) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.values().removeIf(share -> share.vm().equals(vm));
-        ShareTable without = new ShareTable(founder, untouched, next);
-        int part = Math.min(fair, without.free());
-        int first = Math.min(part, untouched);
-        int fresh = first + Math.min(part - first, unspentOn(vm, grown));
-        next.put(who, new Share(vm, address, part, fair, "", fresh, 0));
-        return new ShareTable(founder, untouched - first, next);
+            Incarnation incarnation, VmId vm, String address, int wantedPart, double accrued) {
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.values().removeIf(share -> share.vm().equals(vm));
+        ShareTable without = new ShareTable(founder, untouched, updated);
+        int part = Math.min(wantedPart, without.free());
+        int fromUntouched = Math.min(part, untouched);
+        int fresh = fromUntouched + Math.min(part - fromUntouched, unspentOn(vm, accrued));
+        updated.put(incarnation, new Share(vm, address, part, wantedPart, "", fresh, 0));
+        return new ShareTable(founder, untouched - fromUntouched, updated);
     }
 
     // Earlier incarnations on the VM reserved at least this much until they stopped, and nobody has
     // spent what their parts accrued since.
-    private int unspentOn(VmId vm, double grown) {
-        long left = 0;
+    private int unspentOn(VmId vm, double accrued) {
+        long remaining = 0;
         for (Share share : shares.values()) {
             if (share.vm().equals(vm)) {
-                left += Math.min(share.part(), share.kept() + (long) (grown * share.part()));
+                remaining += Math.min(share.part(), share.kept() + (long) (accrued * share.part()));
             }
         }
-        return (int) left;
+        return (int) remaining;
     }
 
     /** Sets how much of its burst an incarnation reserves for the next one on its VM. */
-    public ShareTable withKept(Incarnation who, int kept) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(who, shares.get(who).withKept(kept));
-        return new ShareTable(founder, untouched, next);
+    public ShareTable withKept(Incarnation incarnation, int kept) {
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.put(incarnation, shares.get(incarnation).withKept(kept));
+        return new ShareTable(founder, untouched, updated);
     }
 
     /**
      * Sets an incarnation's own part and want. An increase takes at most what is free. The write
      * also clears the mark, since it shows that the incarnation is alive.
      */
-    public ShareTable withPartAndWant(Incarnation who, int part, int want) {
-        Share old = shares.get(who);
-        int most = old.part() + free();
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(who, old.withPartAndWant(Math.min(part, most), want));
-        return new ShareTable(founder, untouched, next);
+    public ShareTable withPartAndWant(Incarnation incarnation, int part, int want) {
+        Share current = shares.get(incarnation);
+        int max = current.part() + free();
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.put(incarnation, current.withPartAndWant(Math.min(part, max), want));
+        return new ShareTable(founder, untouched, updated);
     }
 
     /**
@@ -174,34 +177,34 @@
      * to the shares furthest below their targets. Only the writer's own part can decrease, which it
      * has accounted for.
      */
-    public ShareTable redistributed(Incarnation who, int part, int want, int reserve) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(who, shares.get(who).withPartAndWant(part, want));
-        return new ShareTable(founder, untouched, next).distributeFree(reserve);
+    public ShareTable redistributed(Incarnation incarnation, int part, int want, int reserve) {
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.put(incarnation, shares.get(incarnation).withPartAndWant(part, want));
+        return new ShareTable(founder, untouched, updated).distributeFree(reserve);
     }
 
     /** Removes an incarnation and distributes its part as {@link #redistributed} does. */
-    public ShareTable withdrawn(Incarnation who, int reserve) {
-        return remove(who).distributeFree(reserve);
+    public ShareTable withdrawn(Incarnation incarnation, int reserve) {
+        return remove(incarnation).distributeFree(reserve);
     }
 
     private ShareTable distributeFree(int reserve) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        ShareTable dealt = this;
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        ShareTable distributed = this;
         int free = free() - reserve;
         while (free > 0) {
-            Incarnation neediest = dealt.furthestBelowTarget();
-            int lack = neediest == null ? 0 : dealt.shortfall(neediest);
-            if (lack <= 0) {
+            Incarnation neediest = distributed.furthestBelowTarget();
+            int shortfall = neediest == null ? 0 : distributed.shortfall(neediest);
+            if (shortfall <= 0) {
                 break;
             }
-            Share share = next.get(neediest);
-            int more = Math.min(lack, free);
-            next.put(neediest, share.withPartAndWant(share.part() + more, share.want()));
-            free -= more;
-            dealt = new ShareTable(founder, untouched, next);
+            Share share = updated.get(neediest);
+            int added = Math.min(shortfall, free);
+            updated.put(neediest, share.withPartAndWant(share.part() + added, share.want()));
+            free -= added;
+            distributed = new ShareTable(founder, untouched, updated);
         }
-        return dealt;
+        return distributed;
     }
 
     private Incarnation furthestBelowTarget() {
@@ -212,24 +215,24 @@
                 .orElse(null);
     }
 
-    private int shortfall(Incarnation who) {
-        Share share = shares.get(who);
-        return target(who, share.want()) - share.part();
+    private int shortfall(Incarnation incarnation) {
+        Share share = shares.get(incarnation);
+        return target(incarnation, share.want()) - share.part();
     }
 
     /** Marks an incarnation as seemingly gone. Only that incarnation can clear the mark. */
-    public ShareTable mark(Incarnation gone, String by) {
-        Share old = shares.get(gone);
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(gone, old.marked(by));
-        return new ShareTable(founder, untouched, next);
+    public ShareTable mark(Incarnation gone, String markedBy) {
+        Share current = shares.get(gone);
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.put(gone, current.marked(markedBy));
+        return new ShareTable(founder, untouched, updated);
     }
 
     /** Removes an incarnation. Its part becomes free. */
     public ShareTable remove(Incarnation gone) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.remove(gone);
-        return new ShareTable(founder, untouched, next);
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.remove(gone);
+        return new ShareTable(founder, untouched, updated);
     }
 
     /**
@@ -237,33 +240,34 @@
      * the rest is spread evenly. Otherwise small wants are met in full and larger ones are capped
      * at one level, so that no want starves.
      */
-    public int target(Incarnation who, int ownWant) {
+    public int target(Incarnation incarnation, int ownWant) {
         Map<Incarnation, Integer> wants = new TreeMap<>();
-        shares.forEach((id, share) -> wants.put(id, share.want()));
-        wants.put(who, ownWant);
+        shares.forEach((holder, share) -> wants.put(holder, share.want()));
+        wants.put(incarnation, ownWant);
         List<Integer> sorted = new ArrayList<>(wants.values());
         sorted.sort(Comparator.naturalOrder());
-        int left = WHOLE;
+        int remaining = WHOLE;
         int others = sorted.size();
         for (int want : sorted) {
-            if ((long) want * others > left) {
-                return Math.min(ownWant, left / others);
+            if ((long) want * others > remaining) {
+                return Math.min(ownWant, remaining / others);
             }
-            left -= want;
+            remaining -= want;
             others--;
         }
-        return ownWant + left / sorted.size();
+        return ownWant + remaining / sorted.size();
     }
 
     /** Returns the stored form. */
     public byte[] toJson() {
         ObjectNode table = JsonTrees.object();
         table.put("founder", founder.value()).put("untouched", untouched);
-        ArrayNode lines = table.putArray("shares");
+        ArrayNode shareNodes = table.putArray("shares");
         shares.forEach(
-                (id, share) ->
-                        lines.addObject()
-                                .put("incarnation", id.value())
+                (holder, share) ->
+                        shareNodes
+                                .addObject()
+                                .put("incarnation", holder.value())
                                 .put("vm", share.vm().value())
                                 .put("address", share.address())
                                 .put("part", share.part())
@@ -283,8 +287,8 @@
         try {
             JsonNode table = JsonTrees.read(json);
             Map<Incarnation, Share> shares = new TreeMap<>();
-            for (JsonNode line : table.path("shares")) {
-                shares.put(Incarnation.of(textField(line, "incarnation")), share(line));
+            for (JsonNode node : table.path("shares")) {
+                shares.put(Incarnation.of(textField(node, "incarnation")), share(node));
             }
             Incarnation founder = Incarnation.of(textField(table, "founder"));
             return new ShareTable(founder, intField(table, "untouched"), shares);
@@ -293,15 +297,15 @@
         }
     }
 
-    private static Share share(JsonNode line) {
+    private static Share share(JsonNode node) {
         return new Share(
-                VmId.of(textField(line, "vm")),
-                textField(line, "address"),
-                intField(line, "part"),
-                intField(line, "want"),
-                textField(line, "mark"),
-                intField(line, "fresh"),
-                intField(line, "kept"));
+                VmId.of(textField(node, "vm")),
+                textField(node, "address"),
+                intField(node, "part"),
+                intField(node, "want"),
+                textField(node, "mark"),
+                intField(node, "fresh"),
+                intField(node, "kept"));
     }
 
     private static String textField(JsonNode from, String field) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/SpendingPermission.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/SpendingPermission.java
@@ -21,15 +21,15 @@
 final class SpendingPermission {
     private final VmId self;
     private final RateSettings settings;
-    private final Map<VmId, Instant> missing = new HashMap<>();
-    private final Map<WorkspaceId, Set<VmId>> homes = new HashMap<>();
-    private final Map<WorkspaceId, VmId> owners = new HashMap<>();
-    private Set<VmId> listed = Set.of();
+    private final Map<VmId, Instant> missingSince = new HashMap<>();
+    private final Map<WorkspaceId, Set<VmId>> shareHolders = new HashMap<>();
+    private final Map<WorkspaceId, VmId> designatedOwners = new HashMap<>();
+    private Set<VmId> listedRouters = Set.of();
     private boolean everListed;
-    private Instant read;
-    private Instant needed = Instant.MIN;
-    private Instant contact = Instant.MIN;
-    private Instant ticked;
+    private Instant lastReadAt;
+    private Instant readNeededSince = Instant.MIN;
+    private Instant lastContactAt = Instant.MIN;
+    private Instant lastRunAt;
 
     SpendingPermission(VmId self, RateSettings settings) {
         this.self = self;
@@ -38,45 +38,45 @@
 
     /** Records that this process runs, and detects whether it was frozen until now. */
     void recordRunning(Instant now) {
-        if (ticked != null && now.isAfter(ticked.plus(settings.freezeThreshold()))) {
-            needed = now;
+        if (lastRunAt != null && now.isAfter(lastRunAt.plus(settings.freezeThreshold()))) {
+            readNeededSince = now;
         }
-        ticked = now;
+        lastRunAt = now;
     }
 
-    void recordRead(Instant askedAt, Instant now) {
-        read = askedAt;
-        contact = now;
+    void recordRead(Instant requestedAt, Instant now) {
+        lastReadAt = requestedAt;
+        lastContactAt = now;
     }
 
     void recordContact(VmId other, Instant now) {
-        contact = now;
-        missing.remove(other);
+        lastContactAt = now;
+        missingSince.remove(other);
     }
 
     void updateRouters(Set<VmId> routers, Instant now) {
-        if (!routers.equals(listed)) {
-            listed = routers;
-            homes.clear();
-            owners.clear();
+        if (!routers.equals(listedRouters)) {
+            listedRouters = routers;
+            shareHolders.clear();
+            designatedOwners.clear();
         }
         if (routers.contains(self)) {
             everListed = true;
-            contact = now;
+            lastContactAt = now;
         }
-        missing.keySet().removeAll(routers);
+        missingSince.keySet().removeAll(routers);
     }
 
     /**
      * Returns whether this router has not read the store since its start, and so can have no share.
      */
     boolean neverRead() {
-        return read == null;
+        return lastReadAt == null;
     }
 
     /** Returns the other routers on the list, in order. */
     List<VmId> otherRouters() {
-        return listed.stream().filter(vm -> !vm.equals(self)).sorted().toList();
+        return listedRouters.stream().filter(vm -> !vm.equals(self)).sorted().toList();
     }
 
     /**
@@ -84,13 +84,14 @@
      * result is cached until the list changes, because it is used at every tick.
      */
     Set<VmId> shareHolders(WorkspaceId workspace) {
-        return homes.computeIfAbsent(workspace, this::selectShareHolders);
+        return shareHolders.computeIfAbsent(workspace, this::selectShareHolders);
     }
 
     /** Returns whether this router should own the workspace; false as long as there is no list. */
     boolean isDesignatedOwner(WorkspaceId workspace) {
-        return !listed.isEmpty()
-                && owners.computeIfAbsent(workspace, id -> ShareHolders.owner(id, routers()))
+        return !listedRouters.isEmpty()
+                && designatedOwners
+                        .computeIfAbsent(workspace, id -> ShareHolders.owner(id, routers()))
                         .equals(self);
     }
 
@@ -107,11 +108,11 @@
 
     /** Returns the number of routers according to the list, including this one. */
     int routerCount() {
-        return listed.contains(self) ? listed.size() : listed.size() + 1;
+        return listedRouters.contains(self) ? listedRouters.size() : listedRouters.size() + 1;
     }
 
     private Set<VmId> routers() {
-        Set<VmId> all = new HashSet<>(listed);
+        Set<VmId> all = new HashSet<>(listedRouters);
         all.add(self);
         return all;
     }
@@ -120,42 +121,43 @@
      * Returns whether this incarnation may now spend its share of the workspace, and what it
      * borrows.
      */
-    boolean maySpend(WorkspaceAccount account, Incarnation life, Instant now) {
+    boolean maySpend(WorkspaceAccount account, Incarnation incarnation, Instant now) {
         if (account.row == null) {
             return neverRead();
         }
         ShareTable table = account.row.table();
-        boolean marked = table.share(life).filter(share -> !share.mark().isEmpty()).isPresent();
+        boolean marked =
+                table.share(incarnation).filter(share -> !share.mark().isEmpty()).isPresent();
         return !marked && isConfirmed(table.shares().size() <= 1, now);
     }
 
     /** Returns whether shares may be spent; {@code alone} says that no other router has any. */
     private boolean isConfirmed(boolean alone, Instant now) {
-        if (read == null
-                || read.isBefore(needed)
-                || !now.isBefore(read.plus(settings.readValidity()))) {
+        if (lastReadAt == null
+                || lastReadAt.isBefore(readNeededSince)
+                || !now.isBefore(lastReadAt.plus(settings.readValidity()))) {
             return false;
         }
         if (alone) {
             return true;
         }
-        boolean delisted = everListed && !listed.contains(self);
-        return !delisted && now.isBefore(contact.plus(settings.isolationLimit()));
+        boolean delisted = everListed && !listedRouters.contains(self);
+        return !delisted && now.isBefore(lastContactAt.plus(settings.isolationLimit()));
     }
 
     /** Returns whether the store was read recently enough to decide on a write. */
     boolean isReadRecent(Instant now) {
-        return read != null
-                && !read.isBefore(needed)
-                && now.isBefore(read.plus(settings.isolationLimit()));
+        return lastReadAt != null
+                && !lastReadAt.isBefore(readNeededSince)
+                && now.isBefore(lastReadAt.plus(settings.isolationLimit()));
     }
 
     /** Returns whether that router has been off the list and silent for long enough. */
     boolean seemsGone(VmId other, Instant now) {
-        if (listed.isEmpty() || listed.contains(other)) {
+        if (listedRouters.isEmpty() || listedRouters.contains(other)) {
             return false;
         }
-        Instant since = missing.computeIfAbsent(other, vm -> now);
+        Instant since = missingSince.computeIfAbsent(other, vm -> now);
         return !now.isBefore(since.plus(settings.goneAfter()));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenBucket.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenBucket.java
@@ -8,23 +8,23 @@
  * starts empty, because a new bucket that is full would create tokens.
  */
 final class TokenBucket {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private double rate;
     private double cap;
     private double tokens;
-    private Instant last;
+    private Instant lastRefill;
 
     TokenBucket(Instant now) {
-        last = now;
+        lastRefill = now;
     }
 
     /** Adds the tokens that accrued since the last call, up to the cap. */
     void refill(Instant now) {
-        if (now.isAfter(last)) {
-            double seconds = Duration.between(last, now).toNanos() / NANOS;
+        if (now.isAfter(lastRefill)) {
+            double seconds = Duration.between(lastRefill, now).toNanos() / NANOS_PER_SECOND;
             tokens = Math.min(cap, tokens + rate * seconds);
-            last = now;
+            lastRefill = now;
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenLender.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenLender.java
@@ -13,30 +13,30 @@
      * A transfer counts here for this many times its lifetime at the borrower, whose clock may run
      * slow.
      */
-    private static final double MARGIN = 1.1;
+    private static final double EXPIRY_MARGIN = 1.1;
 
     private final Incarnation self;
     private final VmId vm;
     private final RateSettings settings;
-    private final SpendingPermission right;
-    private final ShareBalancer keeper;
+    private final SpendingPermission permission;
+    private final ShareBalancer balancer;
 
     TokenLender(
             Incarnation self,
             VmId vm,
             RateSettings settings,
-            SpendingPermission right,
-            ShareBalancer keeper) {
+            SpendingPermission permission,
+            ShareBalancer balancer) {
         this.self = self;
         this.vm = vm;
         this.settings = settings;
-        this.right = right;
-        this.keeper = keeper;
+        this.permission = permission;
+        this.balancer = balancer;
     }
 
     /** Returns when a transfer made now stops counting at its lender. */
     static Instant transferExpiry(RateSettings settings, Instant now) {
-        return now.plusNanos((long) (settings.transferLifetime().toNanos() * MARGIN));
+        return now.plusNanos((long) (settings.transferLifetime().toNanos() * EXPIRY_MARGIN));
     }
 
     /**
@@ -48,21 +48,23 @@
      */
     boolean tryQueue(
             WorkspaceAccount account,
-            RateInput.TokensRequested asked,
-            LongSupplier numbers,
+            RateInput.TokensRequested request,
+            LongSupplier sequence,
             Instant now) {
-        String loan = transferId(asked);
-        if (asked.waitLimits().isEmpty() || !keeper.isOwner(account) || isKnown(account, loan)) {
+        String transferId = transferId(request);
+        if (request.waitLimits().isEmpty()
+                || !balancer.isOwner(account)
+                || isKnown(account, transferId)) {
             return false;
         }
-        QueuedRequest.Borrower borrower = new QueuedRequest.Borrower(asked.from(), loan);
-        account.recordDemand(asked.tokens(), now);
-        account.held.add(
+        QueuedRequest.Borrower borrower = new QueuedRequest.Borrower(request.from(), transferId);
+        account.recordDemand(request.tokens(), now);
+        account.queue.add(
                 QueuedRequest.fromRouter(
                         borrower,
-                        numbers.getAsLong(),
-                        asked.tokens(),
-                        asked.waitLimits().get(),
+                        sequence.getAsLong(),
+                        request.tokens(),
+                        request.waitLimits().get(),
                         now));
         return true;
     }
@@ -76,49 +78,57 @@
      */
     void answer(
             WorkspaceAccount account,
-            RateInput.TokensRequested asked,
+            RateInput.TokensRequested request,
             Instant now,
             List<RateAction> actions) {
-        String loan = transferId(asked);
-        if (account.held.containsTransfer(loan)) {
+        String transferId = transferId(request);
+        if (account.queue.containsTransfer(transferId)) {
             actions.add(
                     new RateAction.SendTokenTransfer(
-                            asked.from(), asked.workspace(), 0, loan, true, Duration.ZERO));
+                            request.from(),
+                            request.workspace(),
+                            0,
+                            transferId,
+                            true,
+                            Duration.ZERO));
             return;
         }
-        boolean inLine = asked.waitLimits().isPresent() && keeper.isOwner(account);
-        if (asked.tokens() == 0 || inLine || isKnown(account, loan)) {
+        boolean queueable = request.waitLimits().isPresent() && balancer.isOwner(account);
+        if (request.tokens() == 0 || queueable || isKnown(account, transferId)) {
             return;
         }
         long tokens =
-                right.maySpend(account, self, now) ? spareTokens(account, asked.tokens(), now) : 0;
-        if (tokens < asked.tokens()) {
-            account.shortAt = now;
+                permission.maySpend(account, self, now)
+                        ? spareTokens(account, request.tokens(), now)
+                        : 0;
+        if (tokens < request.tokens()) {
+            account.lastShortAt = now;
             // A request that waits cannot use a part of its tokens.
-            tokens = asked.waitLimits().isPresent() ? 0 : tokens;
+            tokens = request.waitLimits().isPresent() ? 0 : tokens;
         }
         if (tokens > 0) {
-            account.lend(loan, tokens, transferExpiry(settings, now));
+            account.lend(transferId, tokens, transferExpiry(settings, now));
         }
         actions.add(
-                new RateAction.SendTokenTransfer(asked.from(), asked.workspace(), tokens, loan));
+                new RateAction.SendTokenTransfer(
+                        request.from(), request.workspace(), tokens, transferId));
     }
 
-    private String transferId(RateInput.TokensRequested asked) {
-        return asked.requestId() + '/' + vm;
+    private String transferId(RateInput.TokensRequested request) {
+        return request.requestId() + '/' + vm;
     }
 
-    private static boolean isKnown(WorkspaceAccount account, String loan) {
-        return account.hasLent(loan) || account.held.containsTransfer(loan);
+    private static boolean isKnown(WorkspaceAccount account, String transferId) {
+        return account.hasLent(transferId) || account.queue.containsTransfer(transferId);
     }
 
-    private static long spareTokens(WorkspaceAccount account, long wanted, Instant now) {
-        if (!account.held.isEmpty()) {
+    private static long spareTokens(WorkspaceAccount account, long requested, Instant now) {
+        if (!account.queue.isEmpty()) {
             return 0;
         }
-        double own = account.demand(now) * BatchedBorrower.LOOK_AHEAD_SECONDS;
+        double ownNeed = account.demand(now) * BatchedBorrower.LOOK_AHEAD_SECONDS;
         double spare =
-                account.spendableOwnTokens() - Math.min(own, account.spendableOwnTokens() / 2);
-        return Math.max(0, (long) Math.min(wanted, spare));
+                account.spendableOwnTokens() - Math.min(ownNeed, account.spendableOwnTokens() / 2);
+        return Math.max(0, (long) Math.min(requested, spare));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenQueue.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenQueue.java
@@ -17,12 +17,12 @@
  * after all others, in the order of arrival.
  */
 final class TokenQueue {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     /** In tokens per second. It keeps the order defined for a workspace without a rate. */
-    private static final double LEAST_RATE = 1;
+    private static final double MIN_RATE = 1;
 
-    private final List<QueuedRequest> waiting = new ArrayList<>();
+    private final List<QueuedRequest> requests = new ArrayList<>();
     private double rate;
 
     /** Sets the rate, in tokens per second. */
@@ -31,35 +31,35 @@
     }
 
     void add(QueuedRequest request) {
-        waiting.add(request);
+        requests.add(request);
     }
 
     /** Removes a request. Returns false if it is not queued. */
     boolean remove(QueuedRequest request) {
-        return waiting.remove(request);
+        return requests.remove(request);
     }
 
     boolean isEmpty() {
-        return waiting.isEmpty();
+        return requests.isEmpty();
     }
 
     int size() {
-        return waiting.size();
+        return requests.size();
     }
 
     /** Returns the tokens that all queued requests need together. */
     long totalTokens() {
-        return waiting.stream().mapToLong(QueuedRequest::tokens).sum();
+        return requests.stream().mapToLong(QueuedRequest::tokens).sum();
     }
 
     /** Returns the request to serve next, or null if the queue is empty. */
     QueuedRequest first(Instant now) {
-        return waiting.stream().min(order(now)).orElse(null);
+        return requests.stream().min(order(now)).orElse(null);
     }
 
     /** Returns all requests in the order in which they are served. */
     List<QueuedRequest> inOrder(Instant now) {
-        return waiting.stream().sorted(order(now)).toList();
+        return requests.stream().sorted(order(now)).toList();
     }
 
     private Comparator<QueuedRequest> order(Instant now) {
@@ -69,18 +69,20 @@
     }
 
     /** Returns whether another router's request for the transfer with this id is queued. */
-    boolean containsTransfer(String loan) {
-        return waiting.stream()
+    boolean containsTransfer(String transferId) {
+        return requests.stream()
                 .anyMatch(
                         request ->
                                 request.borrower()
-                                        .filter(by -> by.transferId().equals(loan))
+                                        .filter(
+                                                borrower ->
+                                                        borrower.transferId().equals(transferId))
                                         .isPresent());
     }
 
     private Instant dueTime(QueuedRequest request) {
-        double seconds = request.tokens() / Math.max(LEAST_RATE, rate);
-        return request.inTimeDeadline().plusNanos((long) (seconds * NANOS));
+        double seconds = request.tokens() / Math.max(MIN_RATE, rate);
+        return request.inTimeDeadline().plusNanos((long) (seconds * NANOS_PER_SECOND));
     }
 
     private static boolean isLate(QueuedRequest request, Instant now) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/WorkspaceAccount.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/WorkspaceAccount.java
@@ -22,50 +22,50 @@
  * the cap as well.
  */
 final class WorkspaceAccount {
-    private static final double DEMAND_SECONDS = 4.0;
-    private static final double NANOS = 1e9;
+    private static final double DEMAND_WINDOW_SECONDS = 4.0;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     /** A workspace that lacked tokens is likely to lack them again within this time. */
-    private static final Duration SHORT_TIME = Duration.ofMillis(500);
+    private static final Duration RECENT_SHORTAGE = Duration.ofMillis(500);
 
     /**
      * Fill level, as a fraction of the cap, that a bucket must hold for some time before half of it
      * is reserved for the next incarnation.
      */
-    private static final double PLENTY = 0.75;
+    private static final double NEARLY_FULL = 0.75;
 
     final TokenBucket bucket;
-    final TokenQueue held = new TokenQueue();
+    final TokenQueue queue = new TokenQueue();
     final AnswerTimeEstimate answerTime = new AnswerTimeEstimate();
-    final PendingTokenRequests asksOfOwner = new PendingTokenRequests(answerTime);
-    final Map<VmId, List<String>> spent = new HashMap<>();
-    final Set<VmId> unanswered = new HashSet<>();
+    final PendingTokenRequests pendingRequests = new PendingTokenRequests(answerTime);
+    final Map<VmId, List<String>> spentTransfers = new HashMap<>();
+    final Set<VmId> awaitedLenders = new HashSet<>();
     Workspace workspace;
     RateInput.ShareRow row;
-    WorkspaceAccount.PendingDecrease lowering;
-    WorkspaceAccount.PendingReserve raise;
-    Instant fullSince;
-    Instant shortAt = Instant.MIN;
-    private double floor;
-    String ask = "";
-    Instant askedAt = Instant.MIN;
-    long askedUpTo;
-    boolean askedOne;
-    int asks;
-    long brought;
-    int dryAsks;
-    int turn;
-    private final ArrayDeque<WorkspaceAccount.IncomingTransfer> borrowed = new ArrayDeque<>();
-    private final Map<String, WorkspaceAccount.OutgoingTransfer> lent = new HashMap<>();
+    PendingDecrease pendingDecrease;
+    PendingReserve pendingReserve;
+    Instant nearlyFullSince;
+    Instant lastShortAt = Instant.MIN;
+    private double reservedTokens;
+    String requestId = "";
+    Instant requestedAt = Instant.MIN;
+    long lastCoveredArrival;
+    boolean askedSingleLender;
+    int rounds;
+    long receivedTokens;
+    int lendersWithoutTokens;
+    int nextLender;
+    private final ArrayDeque<IncomingTransfer> borrowed = new ArrayDeque<>();
+    private final Map<String, OutgoingTransfer> lent = new HashMap<>();
     private double demand;
-    private Instant demandAt;
-    private long writtenOver = -1;
-    private Instant writtenUntil = Instant.MIN;
+    private Instant demandUpdatedAt;
+    private long writtenRevision = -1;
+    private Instant writeDeadline = Instant.MIN;
 
     WorkspaceAccount(Workspace workspace, Instant now) {
         this.workspace = workspace;
         this.bucket = new TokenBucket(now);
-        this.demandAt = now;
+        this.demandUpdatedAt = now;
     }
 
     /**
@@ -75,21 +75,21 @@
     record PendingDecrease(int part, long revision) {}
 
     /** A write in flight that raises the reserved part. It binds from the moment it is sent. */
-    record PendingReserve(int kept, long revision) {}
+    record PendingReserve(int reservedPart, long revision) {}
 
-    private record OutgoingTransfer(double tokens, Instant until) {}
+    private record OutgoingTransfer(double tokens, Instant expiry) {}
 
     private static final class IncomingTransfer {
         private final VmId from;
-        private final String loan;
-        private final Instant until;
+        private final String transferId;
+        private final Instant expiry;
         private double tokens;
 
-        IncomingTransfer(VmId from, String loan, double tokens, Instant until) {
+        IncomingTransfer(VmId from, String transferId, double tokens, Instant expiry) {
             this.from = from;
-            this.loan = loan;
+            this.transferId = transferId;
             this.tokens = tokens;
-            this.until = until;
+            this.expiry = expiry;
         }
     }
 
@@ -97,40 +97,42 @@
      * Refills the bucket, drops expired transfers and applies the current share.
      *
      * @param part this router's part of the workspace, in millionths
-     * @param kept the part of it that is reserved for the next incarnation, in millionths
+     * @param reservedPart the part of it that is reserved for the next incarnation, in millionths
      */
-    void advance(int part, int kept, Instant now) {
+    void advance(int part, int reservedPart, Instant now) {
         bucket.refill(now);
-        lent.values().removeIf(loan -> !now.isBefore(loan.until()));
-        borrowed.removeIf(loan -> settleIfUsedUp(loan, now));
-        double portion = part / (double) ShareTable.WHOLE;
-        double elsewhere = lentTokens() + asksOfOwner.setAsideTokens();
-        double cap = Math.max(0, portion * workspace.burst() - elsewhere);
-        bucket.resize(portion * workspace.rate(), cap);
-        held.setRate(workspace.rate());
-        floor = kept / (double) ShareTable.WHOLE * workspace.burst();
-        updateFullSince(cap, now);
+        lent.values().removeIf(transfer -> !now.isBefore(transfer.expiry()));
+        borrowed.removeIf(transfer -> settleIfUsedUp(transfer, now));
+        double fraction = part / (double) ShareTable.WHOLE;
+        double unavailable = lentTokens() + pendingRequests.setAsideTokens();
+        double cap = Math.max(0, fraction * workspace.burst() - unavailable);
+        bucket.resize(fraction * workspace.rate(), cap);
+        queue.setRate(workspace.rate());
+        reservedTokens = reservedPart / (double) ShareTable.WHOLE * workspace.burst();
+        updateNearlyFullSince(cap, now);
     }
 
     /** Returns the number of requests that wait for tokens, in the local queue or at a lender. */
     int waitingRequests() {
-        return held.size() + asksOfOwner.size();
+        return queue.size() + pendingRequests.size();
     }
 
     /**
      * Returns whether a request here, or a router that requested tokens, lacked tokens recently.
      */
     boolean lackedTokensRecently(Instant now) {
-        return !held.isEmpty()
-                || !shortAt.equals(Instant.MIN) && now.isBefore(shortAt.plus(SHORT_TIME));
+        return !queue.isEmpty()
+                || !lastShortAt.equals(Instant.MIN)
+                        && now.isBefore(lastShortAt.plus(RECENT_SHORTAGE));
     }
 
-    private void updateFullSince(double cap, Instant now) {
-        boolean plenty = cap > 0 && bucket.tokens() >= cap * PLENTY && !lackedTokensRecently(now);
-        if (!plenty) {
-            fullSince = null;
-        } else if (fullSince == null) {
-            fullSince = now;
+    private void updateNearlyFullSince(double cap, Instant now) {
+        boolean nearlyFull =
+                cap > 0 && bucket.tokens() >= cap * NEARLY_FULL && !lackedTokensRecently(now);
+        if (!nearlyFull) {
+            nearlyFullSince = null;
+        } else if (nearlyFullSince == null) {
+            nearlyFullSince = now;
         }
     }
 
@@ -139,20 +141,21 @@
      * this VM.
      */
     double spendableOwnTokens() {
-        return Math.max(Math.min(0, bucket.tokens()), bucket.tokens() - floor);
+        return Math.max(Math.min(0, bucket.tokens()), bucket.tokens() - reservedTokens);
     }
 
-    private boolean settleIfUsedUp(WorkspaceAccount.IncomingTransfer loan, Instant now) {
-        if (loan.tokens > 0 && now.isBefore(loan.until)) {
+    private boolean settleIfUsedUp(IncomingTransfer transfer, Instant now) {
+        if (transfer.tokens > 0 && now.isBefore(transfer.expiry)) {
             return false;
         }
-        bucket.refund(loan.tokens);
-        recordSpent(loan.from, loan.loan);
+        bucket.refund(transfer.tokens);
+        recordSpent(transfer.from, transfer.transferId);
         return true;
     }
 
     double available() {
-        return spendableOwnTokens() + borrowed.stream().mapToDouble(loan -> loan.tokens).sum();
+        return spendableOwnTokens()
+                + borrowed.stream().mapToDouble(transfer -> transfer.tokens).sum();
     }
 
     /**
@@ -168,13 +171,13 @@
     }
 
     private void spend(double tokens) {
-        double left = tokens;
-        for (WorkspaceAccount.IncomingTransfer loan : borrowed) {
-            double part = Math.min(left, loan.tokens);
-            loan.tokens -= part;
-            left -= part;
+        double remaining = tokens;
+        for (IncomingTransfer transfer : borrowed) {
+            double part = Math.min(remaining, transfer.tokens);
+            transfer.tokens -= part;
+            remaining -= part;
         }
-        bucket.take(left);
+        bucket.take(remaining);
     }
 
     /**
@@ -182,71 +185,72 @@
      * rest. Returns the number of tokens set aside.
      */
     double setAside(long tokens) {
-        double here = Math.max(0, Math.min(tokens, available()));
-        spend(here);
-        return here;
+        double taken = Math.max(0, Math.min(tokens, available()));
+        spend(taken);
+        return taken;
     }
 
     /** Records that a transfer was spent on arrival, to be reported to its lender. */
-    void recordSpent(VmId from, String loan) {
-        spent.computeIfAbsent(from, vm -> new ArrayList<>()).add(loan);
+    void recordSpent(VmId from, String transferId) {
+        spentTransfers.computeIfAbsent(from, vm -> new ArrayList<>()).add(transferId);
     }
 
-    void borrow(VmId from, String loan, long tokens, Instant until) {
-        borrowed.add(new WorkspaceAccount.IncomingTransfer(from, loan, tokens, until));
+    void borrow(VmId from, String transferId, long tokens, Instant expiry) {
+        borrowed.add(new IncomingTransfer(from, transferId, tokens, expiry));
     }
 
     /** Lends own tokens until the given time. */
-    void lend(String loan, long tokens, Instant until) {
+    void lend(String transferId, long tokens, Instant expiry) {
         bucket.take(tokens);
-        lent.put(loan, new WorkspaceAccount.OutgoingTransfer(tokens, until));
+        lent.put(transferId, new OutgoingTransfer(tokens, expiry));
     }
 
     /**
      * Lends own and borrowed tokens. All of them count as lent here, and the first lender may
      * refill: the borrowed tokens exist only in the new transfer.
      */
-    void lendIncludingBorrowed(String loan, long tokens, Instant until) {
+    void lendIncludingBorrowed(String transferId, long tokens, Instant expiry) {
         spend(tokens);
-        lent.put(loan, new WorkspaceAccount.OutgoingTransfer(tokens, until));
+        lent.put(transferId, new OutgoingTransfer(tokens, expiry));
     }
 
-    boolean hasLent(String loan) {
-        return lent.containsKey(loan);
+    boolean hasLent(String transferId) {
+        return lent.containsKey(transferId);
     }
 
     double lentTokens() {
-        return lent.values().stream().mapToDouble(WorkspaceAccount.OutgoingTransfer::tokens).sum();
+        return lent.values().stream().mapToDouble(OutgoingTransfer::tokens).sum();
     }
 
     /**
      * Records a write that replaces this revision. No other write is sent before its result is
      * known or the time has passed.
      */
-    void recordWrite(long revision, Instant until) {
-        writtenOver = revision;
-        writtenUntil = until;
+    void recordWrite(long revision, Instant deadline) {
+        writtenRevision = revision;
+        writeDeadline = deadline;
     }
 
     /** Returns whether a write is in flight that may still be applied. */
     boolean hasWriteInFlight(Instant now) {
         long revision = row == null ? 0 : row.revision();
-        return writtenOver == revision && now.isBefore(writtenUntil);
+        return writtenRevision == revision && now.isBefore(writeDeadline);
     }
 
-    void removeLent(String loan) {
-        lent.remove(loan);
+    void removeLent(String transferId) {
+        lent.remove(transferId);
     }
 
     /** Adds requested tokens to the demand, whether or not the request is admitted. */
     void recordDemand(double tokens, Instant now) {
-        demand = Math.max(0, demand(now) + tokens / DEMAND_SECONDS);
-        demandAt = now;
+        demand = Math.max(0, demand(now) + tokens / DEMAND_WINDOW_SECONDS);
+        demandUpdatedAt = now;
     }
 
     /** Returns the recent demand here, in tokens per second. */
     double demand(Instant now) {
-        double seconds = Math.max(0, Duration.between(demandAt, now).toNanos() / NANOS);
-        return demand * Math.exp(-seconds / DEMAND_SECONDS);
+        double seconds =
+                Math.max(0, Duration.between(demandUpdatedAt, now).toNanos() / NANOS_PER_SECOND);
+        return demand * Math.exp(-seconds / DEMAND_WINDOW_SECONDS);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/AnswerTimeEstimateTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/AnswerTimeEstimateTest.java
@@ -7,32 +7,32 @@
 import org.junit.jupiter.api.Test;
 
 class AnswerTimeEstimateTest {
-    private final AnswerTimeEstimate time = new AnswerTimeEstimate();
+    private final AnswerTimeEstimate estimate = new AnswerTimeEstimate();
 
     @Test
-    void routersThatAnswerAtOnceAreWaitedForShortly() {
+    void routersThatAnswerFastGetTheShortestTimeout() {
         for (int i = 0; i < 50; i++) {
-            time.recordAnswer(Duration.ofMillis(3));
+            estimate.recordAnswer(Duration.ofMillis(3));
         }
-        assertEquals(Duration.ofMillis(40), time.timeout());
+        assertEquals(Duration.ofMillis(40), estimate.timeout());
     }
 
     // Guards against a timeout while a slow router is about to answer: the tokens that still arrive
     // are lost until the transfer expires.
     @Test
-    void routersOnATenthOfACoreAreWaitedForAsLongAsTheyTake() {
+    void slowRoutersGetATimeoutLongerThanTheirAnswerTime() {
         for (int i = 0; i < 20; i++) {
-            time.recordAnswer(Duration.ofMillis(45));
+            estimate.recordAnswer(Duration.ofMillis(45));
         }
-        assertTrue(time.timeout().toMillis() > 150, time.timeout().toString());
+        assertTrue(estimate.timeout().toMillis() > 150, estimate.timeout().toString());
     }
 
     // Guards against a timeout that never grows because answers after it are not measured.
     @Test
-    void patienceGrowsWhereNothingIsHeardInTimeAndHasAnEnd() {
+    void theTimeoutGrowsWithoutAnswersUpToALimit() {
         for (int i = 0; i < 20; i++) {
-            time.recordTimeout();
+            estimate.recordTimeout();
         }
-        assertEquals(Duration.ofMillis(250), time.timeout());
+        assertEquals(Duration.ofMillis(250), estimate.timeout());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/NewWorkspaceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/NewWorkspaceTest.java
@@ -23,12 +23,12 @@
     private final Map<String, RateMachine> routers = new TreeMap<>();
     private ShareTable stored;
     private long revision;
-    private long now;
-    private long millis;
-    private int lives;
+    private long lastRequest;
+    private long nowMillis;
+    private int incarnations;
 
     @Test
-    void aRouterServesAYoungWorkspaceThoughItsFounderDied() {
+    void aRouterServesANewWorkspaceThoughItsFirstWriterDied() {
         // Guards against refusals of a new workspace: one of two routers writes its first shares
         // and dies at once. The caller retries at the other router, far below the rate, and would
         // be refused for as long as the dead router's share counts.
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void allRoutersTogetherHaveOneBurstOfAYoungWorkspace() {
+    void allRoutersTogetherHaveOneBurstOfANewWorkspace() {
         // Each router finds its part untouched and starts with the burst of that part. Together
         // they may admit exactly one burst at the first moment.
         start("a", "b", "c", "d");
@@ -52,23 +52,23 @@
     }
 
     @Test
-    void aRequestLargerThanEveryShareIsPaidByAllRoutersTogether() {
+    void aRequestLargerThanEveryShareIsServedFromTheSharesOfAllRouters() {
         // Guards against always asking the same eight lenders: twenty routers share a burst of 600,
         // thirty each. A request for 500 needs transfers from nearly all of them, and would be
         // refused within the rate.
-        String[] names = names(20);
+        String[] names = routerNames(20);
         start(names);
         settle(names);
         assertTrue(admittedWithLoans("ra", 500));
     }
 
     @Test
-    void ofManyRoutersAFewHaveTheSharesAndTheOthersBorrow() {
+    void withManyRoutersAFewHoldTheSharesAndTheOthersBorrow() {
         // Guards against shares smaller than a request: an even part of 600 among twenty-four
         // routers is 25, and a usual request needs 100. Most requests would need several transfers
         // and many would be refused within the rate, so a few routers hold everything. The last of
         // the burst may be lent in parts that are each too small.
-        String[] names = names(24);
+        String[] names = routerNames(24);
         start(names);
         settle(names);
         assertEquals(4, stored.shares().size(), stored.shares().keySet().toString());
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void whatWasKeptIsThereForTheNextLifeOnTheSameVm() {
+    void reservedTokensAreAvailableToTheNextIncarnationOnTheSameVm() {
         // Guards against refusals within the rate after all routers are killed and restart with
         // empty buckets, though the buckets were full before.
         start("a", "b");
@@ -93,14 +93,14 @@
     }
 
     @Test
-    void whatIsKeptIsReleasedInTheStoreBeforeItIsSpent() {
+    void reservedTokensAreReleasedInTheStoreBeforeTheyAreSpent() {
         // Guards against spending twice: a router has reserved half of its bucket for its next
         // incarnation, and a request needs more than the other half. If it spent the reserve at
         // once and was killed, its next incarnation would spend it again.
         start("a", "b");
         settle("a", "b");
         letThreeSecondsPass("a", "b");
-        ExchangeId id = new ExchangeId(Incarnation.of("a:1"), ++now);
+        ExchangeId id = new ExchangeId(Incarnation.of("a:1"), ++lastRequest);
         RateMachine router = routers.get("a");
         List<RateAction> before = router.on(new RateInput.RequestArrived(id, GROWERS, 250), at());
         assertTrue(
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aRestartedRouterFindsNothingUntouched() {
+    void aRestartedRouterFindsNoUntouchedTokens() {
         // Guards against spending the burst twice: a router spends it, dies and restarts on the
         // same VM. Its new incarnation gets the part back, but not the burst.
         start("a", "b");
@@ -128,7 +128,7 @@
         assertEquals(0, routers.get("b").available(GROWERS));
     }
 
-    private static String[] names(int count) {
+    private static String[] routerNames(int count) {
         String[] names = new String[count];
         for (int i = 0; i < names.length; i++) {
             names[i] = "r" + (char) ('a' + i);
@@ -138,26 +138,26 @@
 
     private void letThreeSecondsPass(String... names) {
         for (int step = 0; step < 3; step++) {
-            millis += 1_000;
+            nowMillis += 1_000;
             settle(names);
         }
     }
 
     private void start(String... names) {
-        lives++;
+        incarnations++;
         Set<VmId> listed = new java.util.TreeSet<>();
         for (String name : names) {
             listed.add(VmId.of(name));
         }
         for (String name : names) {
-            routers.put(name, machine(name, name + ":" + lives));
+            routers.put(name, machine(name, name + ":" + incarnations));
             configure(routers.get(name), listed);
         }
     }
 
-    private static RateMachine machine(String name, String life) {
+    private static RateMachine machine(String name, String incarnation) {
         return RateMachine.of(
-                Incarnation.of(life),
+                Incarnation.of(incarnation),
                 VmId.of(name),
                 "127.0.0.1:1",
                 RateSettings.direct().withoutOwners());
@@ -196,7 +196,7 @@
     }
 
     private boolean admitted(String name, long tokens) {
-        ExchangeId id = new ExchangeId(Incarnation.of(name + ":1"), ++now);
+        ExchangeId id = new ExchangeId(Incarnation.of(name + ":1"), ++lastRequest);
         List<RateAction> actions = new ArrayList<>();
         actions.addAll(
                 routers.get(name).on(new RateInput.RequestArrived(id, GROWERS, tokens), at()));
@@ -206,20 +206,20 @@
     // Token requests are answered a few milliseconds later, round after round, as long as the
     // request is queued.
     private boolean admittedWithLoans(String name, long tokens) {
-        ExchangeId id = new ExchangeId(Incarnation.of(name + ":1"), ++now);
+        ExchangeId id = new ExchangeId(Incarnation.of(name + ":1"), ++lastRequest);
         RateMachine borrower = routers.get(name);
         List<RateAction> actions =
                 new ArrayList<>(
                         borrower.on(new RateInput.RequestArrived(id, GROWERS, tokens), at()));
         for (int round = 0; round < 5; round++) {
-            millis += 25;
+            nowMillis += 25;
             List<RateAction> next = new ArrayList<>();
             for (RateAction action : actions) {
                 if (action instanceof RateAction.AdmitRequest) {
                     return true;
                 }
-                if (action instanceof RateAction.SendTokenRequest ask) {
-                    next.addAll(answered(name, borrower, ask));
+                if (action instanceof RateAction.SendTokenRequest tokenRequest) {
+                    next.addAll(answerTo(name, borrower, tokenRequest));
                 }
             }
             next.addAll(borrower.on(new RateInput.Tick(), at()));
@@ -228,22 +228,25 @@
         return actions.contains(new RateAction.AdmitRequest(id));
     }
 
-    private List<RateAction> answered(
-            String name, RateMachine borrower, RateAction.SendTokenRequest ask) {
-        RateInput.TokensRequested asked =
+    private List<RateAction> answerTo(
+            String name, RateMachine borrower, RateAction.SendTokenRequest tokenRequest) {
+        RateInput.TokensRequested request =
                 new RateInput.TokensRequested(
                         VmId.of(name),
                         GROWERS,
-                        ask.tokens(),
-                        ask.requestId(),
-                        ask.spentTransfers());
+                        tokenRequest.tokens(),
+                        tokenRequest.requestId(),
+                        tokenRequest.spentTransfers());
         List<RateAction> actions = new ArrayList<>();
-        for (RateAction lent : routers.get(ask.to().value()).on(asked, at())) {
-            if (lent instanceof RateAction.SendTokenTransfer lend) {
+        for (RateAction answer : routers.get(tokenRequest.to().value()).on(request, at())) {
+            if (answer instanceof RateAction.SendTokenTransfer transfer) {
                 actions.addAll(
                         borrower.on(
                                 new RateInput.TransferReceived(
-                                        ask.to(), GROWERS, lend.tokens(), lend.transferId()),
+                                        tokenRequest.to(),
+                                        GROWERS,
+                                        transfer.tokens(),
+                                        transfer.transferId()),
                                 at()));
             }
         }
@@ -251,6 +254,6 @@
     }
 
     private Instant at() {
-        return Instant.ofEpochMilli(millis);
+        return Instant.ofEpochMilli(nowMillis);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/RateSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/RateSessionTest.java
@@ -22,15 +22,15 @@
 
     private final RateMachine router =
             RateMachine.of(SELF, ONE, "127.0.0.1:1", RateSettings.defaults());
-    private final StringBuilder lines = new StringBuilder();
-    private ShareTable stored;
+    private final StringBuilder transcript = new StringBuilder();
+    private ShareTable storedTable;
     private long revision;
-    private RateAction.SendTokenRequest asked;
-    private long now;
+    private RateAction.SendTokenRequest lastTokenRequest;
+    private long nowMillis;
 
     @Test
     void aWholeSession() {
-        say("The first of two routers creates the table and may spend the burst of its half");
+        section("The first of two routers creates the table and may spend the burst of its half");
         Workspace workspace = new Workspace(KITCHENS, 100, 500, 1);
         feed("configured", new RateInput.WorkspacesConfigured(Map.of(KITCHENS, workspace)));
         feed("listed", new RateInput.RoutersListed(Set.of(ONE, TWO)));
@@ -38,14 +38,14 @@
         read();
         read();
         arrive(1, 200);
-        say(
+        section(
                 "A second router joins and finds its half untouched; the first writes how much it"
                         + " wants");
-        change(stored.join(OTHER, TWO, "127.0.0.1:2", 2, 0));
+        store(storedTable.join(OTHER, TWO, "127.0.0.1:2", 2, 0));
         read();
         tick(2_000);
         read();
-        say(
+        section(
                 "The second router requests tokens, gets what can be spared, and reports when they"
                         + " are spent");
         feed(
@@ -55,33 +55,33 @@
                 "transfer reported as spent",
                 new RateInput.TokensRequested(
                         TWO, KITCHENS, 0, "", List.of("router-2:1.1/router-1")));
-        say(
+        section(
                 "A request that needs more than the own tokens is queued until a transfer arrives;"
                         + " a duplicate is ignored");
         arrive(2, 300);
-        lent("transfer of 200", 200);
-        lent("duplicate of the transfer", 200);
-        say("The next request gets no transfer: it is refused with the time to retry after");
-        after(100);
+        receiveTransfer("transfer of 200", 200);
+        receiveTransfer("duplicate of the transfer", 200);
+        section("The next request gets no transfer: it is refused with the time to retry after");
+        advance(100);
         arrive(3, 400);
-        lent("transfer of 0", 0);
-        say("A request larger than the burst is refused for good");
+        receiveTransfer("transfer of 0", 0);
+        section("A request larger than the burst is refused for good");
         arrive(4, 501);
-        say("After a freeze of ten seconds nothing is spent before the store is read");
-        after(10_000);
+        section("After a freeze of ten seconds nothing is spent before the store is read");
+        advance(10_000);
         arrive(5, 10);
         tick(0);
         read();
-        say("Shares stay valid during an outage of the store");
+        section("Shares stay valid during an outage of the store");
         tick(2_000);
         feed("not read", new RateInput.SharesReadFailed());
         arrive(6, 10);
-        say("The router stops and returns its share");
+        section("The router stops and returns its share");
         feed("leave", new RateInput.LeaveRequested());
         tick(2_000);
         read();
-        lines.append("left: ").append(router.holdsNoShares()).append('\n');
-        Approvals.verify(lines);
+        transcript.append("left: ").append(router.holdsNoShares()).append('\n');
+        Approvals.verify(transcript);
     }
 
     private void arrive(long number, long tokens) {
@@ -90,45 +90,46 @@
                 new RateInput.RequestArrived(new ExchangeId(SELF, number), KITCHENS, tokens));
     }
 
-    private void lent(String what, long tokens) {
-        String loan = asked == null ? "none" : asked.requestId() + "/router-2";
-        feed(what, new RateInput.TransferReceived(TWO, KITCHENS, tokens, loan));
+    private void receiveTransfer(String what, long tokens) {
+        String transferId =
+                lastTokenRequest == null ? "none" : lastTokenRequest.requestId() + "/router-2";
+        feed(what, new RateInput.TransferReceived(TWO, KITCHENS, tokens, transferId));
     }
 
     private void read() {
         Map<WorkspaceId, RateInput.ShareRow> rows =
-                stored == null
+                storedTable == null
                         ? Map.of()
-                        : Map.of(KITCHENS, new RateInput.ShareRow(stored, revision));
-        feed("read", new RateInput.SharesRead(rows, Instant.ofEpochMilli(now)));
+                        : Map.of(KITCHENS, new RateInput.ShareRow(storedTable, revision));
+        feed("read", new RateInput.SharesRead(rows, Instant.ofEpochMilli(nowMillis)));
     }
 
-    private void change(ShareTable table) {
-        stored = table;
+    private void store(ShareTable table) {
+        storedTable = table;
         revision++;
     }
 
     private void tick(long millis) {
-        after(millis);
+        advance(millis);
         feed("tick", new RateInput.Tick());
     }
 
-    private void after(long millis) {
-        now += millis;
+    private void advance(long millis) {
+        nowMillis += millis;
     }
 
-    private void say(String what) {
-        lines.append("\n# ").append(what).append('\n');
+    private void section(String what) {
+        transcript.append("\n# ").append(what).append('\n');
     }
 
     private void feed(String what, RateInput input) {
-        lines.append(now).append(" ms ").append(what).append('\n');
-        for (RateAction action : router.on(input, Instant.ofEpochMilli(now))) {
-            lines.append("    ").append(text(action)).append('\n');
+        transcript.append(nowMillis).append(" ms ").append(what).append('\n');
+        for (RateAction action : router.on(input, Instant.ofEpochMilli(nowMillis))) {
+            transcript.append("    ").append(text(action)).append('\n');
             if (action instanceof RateAction.WriteShares write && write.revision() == revision) {
-                change(write.table());
+                store(write.table());
             } else if (action instanceof RateAction.SendTokenRequest ask && ask.tokens() > 0) {
-                asked = ask;
+                lastTokenRequest = ask;
             }
         }
     }
