--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateAction.java
@@ -8,52 +8,70 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a router is to do for the rates. */
+/** The actions that the rate state machine wants carried out. */
 public sealed interface RateAction {
-    /** Let the request in; its estimate is charged. */
-    record Admit(ExchangeId id) implements RateAction {}
+    /** Admit the request. Its estimated tokens are already charged. */
+    record AdmitRequest(ExchangeId id) implements RateAction {}
 
     /** Refuse the request. */
-    record Refuse(ExchangeId id, Refusal refusal) implements RateAction {}
+    record RefuseRequest(ExchangeId id, Refusal refusal) implements RateAction {}
 
-    /** Read all tables; a {@link RateInput.Read} or {@code NotRead} must follow. */
-    record Read() implements RateAction {}
+    /**
+     * Read all share tables. A {@link RateInput.SharesRead} or {@link RateInput.SharesReadFailed}
+     * must follow.
+     */
+    record ReadShares() implements RateAction {}
 
-    /** Write the table if the stored one has this revision (0: if there is none); then read. */
-    record Write(WorkspaceId workspace, ShareTable table, long revision) implements RateAction {}
+    /** Write the table if the stored one has this revision (0: if there is none), then read it. */
+    record WriteShares(WorkspaceId workspace, ShareTable table, long revision)
+            implements RateAction {}
 
-    /** Ask that router for tokens: for what it has now, or for all of them within a wait. */
-    record Ask(
+    /**
+     * Request tokens from another router: those it can spare now, or all of them within a wait.
+     *
+     * @param tokens the number of tokens; 0 to only report spent transfers
+     * @param requestId the id of the token request
+     * @param spentTransfers the ids of transfers from that router that are spent or expired
+     * @param waitLimits how long the request may wait for the tokens; empty to take what there is
+     *     now
+     */
+    record SendTokenRequest(
             VmId to,
             WorkspaceId workspace,
             long tokens,
-            String ask,
-            List<String> spent,
-            Optional<Wait> within)
+            String requestId,
+            List<String> spentTransfers,
+            Optional<WaitLimits> waitLimits)
             implements RateAction {
-        /** Asks for what it has now. */
-        public Ask(VmId to, WorkspaceId workspace, long tokens, String ask, List<String> spent) {
-            this(to, workspace, tokens, ask, spent, Optional.empty());
+        /** Creates a request for the tokens that the other router can spare now. */
+        public SendTokenRequest(
+                VmId to,
+                WorkspaceId workspace,
+                long tokens,
+                String requestId,
+                List<String> spentTransfers) {
+            this(to, workspace, tokens, requestId, spentTransfers, Optional.empty());
         }
     }
 
     /**
-     * Lend tokens to that router; they are subtracted already.
+     * Transfer tokens to another router. They are already subtracted here.
      *
-     * @param queued if there are none yet, and they will follow
-     * @param comeBack when there may be enough, if these are none
+     * @param transferId the id of the transfer
+     * @param queued whether there are no tokens yet, and they will follow
+     * @param retryAfter how long until there may be enough, if none are lent
      */
-    record Lend(
+    record SendTokenTransfer(
             VmId to,
             WorkspaceId workspace,
             long tokens,
-            String loan,
+            String transferId,
             boolean queued,
-            Duration comeBack)
+            Duration retryAfter)
             implements RateAction {
-        /** An answer that is final. */
-        public Lend(VmId to, WorkspaceId workspace, long tokens, String loan) {
-            this(to, workspace, tokens, loan, false, Duration.ZERO);
+        /** Creates a final answer to a token request. */
+        public SendTokenTransfer(VmId to, WorkspaceId workspace, long tokens, String transferId) {
+            this(to, workspace, tokens, transferId, false, Duration.ZERO);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateInput.java
@@ -11,83 +11,104 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What can happen to a router's part in the rates. */
+/** The events that the rate state machine of a router reacts to. */
 public sealed interface RateInput {
-    /** What operators have set. */
-    record Configured(Map<WorkspaceId, Workspace> workspaces) implements RateInput {}
+    /** Operators have configured the workspaces. */
+    record WorkspacesConfigured(Map<WorkspaceId, Workspace> workspaces) implements RateInput {}
 
-    /** All tables, as the store had them at some time after {@code askedAt}. */
-    record Read(Map<WorkspaceId, Row> rows, Instant askedAt) implements RateInput {}
+    /** The store returned all share tables, as they were at some time after {@code requestedAt}. */
+    record SharesRead(Map<WorkspaceId, ShareRow> rows, Instant requestedAt) implements RateInput {}
 
-    /** The store has this row, as the answer to a write of ours shows. */
-    record RowSeen(WorkspaceId workspace, Row row) implements RateInput {}
+    /** The answer to a write of this router showed that the store has this row. */
+    record ShareRowReceived(WorkspaceId workspace, ShareRow row) implements RateInput {}
 
     /** The store did not answer a read. */
-    record NotRead() implements RateInput {}
+    record SharesReadFailed() implements RateInput {}
 
-    /** The VMs of routers that the platform lists. */
-    record Listed(Set<VmId> routers) implements RateInput {}
+    /** The platform listed these VMs as routers. */
+    record RoutersListed(Set<VmId> routers) implements RateInput {}
 
-    /** Another router was heard of. */
-    record Heard(VmId from) implements RateInput {}
+    /**
+     * A message from another router arrived that says nothing about tokens. It shows that the
+     * router is reachable.
+     */
+    record PeerMessageReceived(VmId from) implements RateInput {}
 
-    /** A request wants in; without a wait of its own it may wait for the usual holding time. */
-    record Arrived(ExchangeId id, WorkspaceId workspace, long tokens, Optional<Wait> within)
+    /**
+     * A request asks to be admitted.
+     *
+     * @param tokens the estimated tokens that it is charged
+     * @param waitLimits how long it may wait for tokens; empty for the default queue timeout
+     */
+    record RequestArrived(
+            ExchangeId id, WorkspaceId workspace, long tokens, Optional<WaitLimits> waitLimits)
             implements RateInput {
-        /** A request that may wait for the usual holding time. */
-        public Arrived(ExchangeId id, WorkspaceId workspace, long tokens) {
+        /** Creates the arrival of a request that may wait for the default queue timeout. */
+        public RequestArrived(ExchangeId id, WorkspaceId workspace, long tokens) {
             this(id, workspace, tokens, Optional.empty());
         }
     }
 
-    /** A request is over; it was charged the one and used the other. */
-    record Settled(WorkspaceId workspace, long charged, long used) implements RateInput {}
+    /**
+     * A request has finished: it was charged {@code charged} tokens and used {@code used} tokens.
+     */
+    record RequestSettled(WorkspaceId workspace, long charged, long used) implements RateInput {}
 
     /**
-     * Another router is short of tokens; {@code spent} are loans of ours that are used up. One that
-     * waits wants all the tokens or none, and will wait so long for them.
+     * Another router requested tokens.
+     *
+     * @param tokens the number of tokens; 0 to only report spent transfers
+     * @param requestId the id of the token request
+     * @param spentTransfers the ids of transfers from this router that are spent or expired
+     * @param waitLimits how long the other router waits for all of the tokens; empty if it takes
+     *     what there is now
      */
-    record Asked(
+    record TokensRequested(
             VmId from,
             WorkspaceId workspace,
             long tokens,
-            String ask,
-            List<String> spent,
-            Optional<Wait> within)
+            String requestId,
+            List<String> spentTransfers,
+            Optional<WaitLimits> waitLimits)
             implements RateInput {
-        /** A router that takes what there is now. */
-        public Asked(
-                VmId from, WorkspaceId workspace, long tokens, String ask, List<String> spent) {
-            this(from, workspace, tokens, ask, spent, Optional.empty());
+        /** Creates a request of another router for the tokens that can be spared now. */
+        public TokensRequested(
+                VmId from,
+                WorkspaceId workspace,
+                long tokens,
+                String requestId,
+                List<String> spentTransfers) {
+            this(from, workspace, tokens, requestId, spentTransfers, Optional.empty());
         }
     }
 
     /**
-     * Another router lends tokens, perhaps none, as an answer to what we asked.
+     * Another router answered a token request, with tokens or with none.
      *
-     * @param queued if the tokens will follow, and these are none
-     * @param comeBack when there may be enough, if these are none
+     * @param transferId the id of the transfer
+     * @param queued whether there are no tokens yet, and they will follow
+     * @param retryAfter how long until there may be enough, if none are lent
      */
-    record Lent(
+    record TransferReceived(
             VmId from,
             WorkspaceId workspace,
             long tokens,
-            String loan,
+            String transferId,
             boolean queued,
-            Duration comeBack)
+            Duration retryAfter)
             implements RateInput {
-        /** An answer that is final. */
-        public Lent(VmId from, WorkspaceId workspace, long tokens, String loan) {
-            this(from, workspace, tokens, loan, false, Duration.ZERO);
+        /** Creates a final answer of another router to a token request. */
+        public TransferReceived(VmId from, WorkspaceId workspace, long tokens, String transferId) {
+            this(from, workspace, tokens, transferId, false, Duration.ZERO);
         }
     }
 
     /** Time has passed. */
     record Tick() implements RateInput {}
 
-    /** This router stops for good: it gives its shares back. */
-    record Leave() implements RateInput {}
+    /** This router stops for good and is to return its shares. */
+    record LeaveRequested() implements RateInput {}
 
-    /** A table and where it stands in the store. */
-    record Row(ShareTable table, long revision) {}
+    /** A share table and its revision in the store. */
+    record ShareRow(ShareTable table, long revision) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
@@ -13,312 +13,334 @@
 import java.util.TreeMap;
 
 /**
- * One router's part in keeping every workspace within its rate over all routers.
+ * The state machine of one router that keeps every workspace within its rate over all routers.
  *
- * <p>It spends its share from a bucket of its own, asks other routers for tokens where that is
- * short and lends to them where it is not, and lets its share follow its demand. Each request that
- * arrives leads to exactly one {@code Admit} or {@code Refuse}, at the latest at the first tick
- * after the holding time.
+ * <p>It spends its share from a token bucket of its own, borrows tokens from other routers where
+ * that is short, lends tokens where it is not, and adjusts its share to its demand. Each request
+ * that arrives leads to exactly one {@code AdmitRequest} or {@code RefuseRequest}, at the latest at
+ * the first tick after its queue timeout.
  */
 public final class RateMachine implements Machine<RateInput, RateAction> {
-    /** A workspace that others must found is looked for this often. */
-    private static final Duration FOUNDING = Duration.ofMillis(200);
+    /** How often the store is read for a workspace whose first table another router must write. */
+    private static final Duration FOUNDING_READ_PERIOD = Duration.ofMillis(200);
 
-    private static final int MOST_HELD = 256;
+    private static final int MAX_QUEUED = 256;
 
     private final Incarnation self;
     private final VmId vm;
     private final RateSettings settings;
-    private final SpendingRight right;
-    private final ShareKeeper keeper;
-    private final Borrowing borrowing;
-    private final Owners owners;
-    private final FairQueue queue;
-    private final Lender lender;
-    private final Map<WorkspaceId, Account> accounts = new TreeMap<>();
-    private long counter;
-    private boolean reading;
-    private Instant readAt = Instant.MIN;
+    private final SpendingPermission permission;
+    private final ShareBalancer balancer;
+    private final BatchedBorrower batchedBorrower;
+    private final PerRequestBorrower perRequestBorrower;
+    private final QueueAdmission queueAdmission;
+    private final TokenLender lender;
+    private final Map<WorkspaceId, WorkspaceAccount> accounts = new TreeMap<>();
+    private long lastNumber;
+    private boolean readPending;
+    private Instant nextReadAt = Instant.MIN;
 
     private RateMachine(Incarnation self, VmId vm, String address, RateSettings settings) {
         this.self = self;
         this.vm = vm;
         this.settings = settings;
-        this.right = new SpendingRight(vm, settings);
-        this.keeper = new ShareKeeper(self, vm, address, settings, right);
-        this.borrowing = new Borrowing(self, settings, keeper);
-        this.owners = new Owners(self, settings, keeper);
-        this.queue = new FairQueue(self, settings, right, keeper, borrowing);
-        this.lender = new Lender(self, vm, settings, right, keeper);
+        this.permission = new SpendingPermission(vm, settings);
+        this.balancer = new ShareBalancer(self, vm, address, settings, permission);
+        this.batchedBorrower = new BatchedBorrower(self, settings, balancer);
+        this.perRequestBorrower = new PerRequestBorrower(self, settings, balancer);
+        this.queueAdmission =
+                new QueueAdmission(self, settings, permission, balancer, batchedBorrower);
+        this.lender = new TokenLender(self, vm, settings, permission, balancer);
     }
 
-    /** A machine for this life of the router on this VM, reached at this {@code host:port}. */
+    /**
+     * Creates the state machine for this router incarnation on this VM, reached at this {@code
+     * host:port}.
+     */
     public static RateMachine of(Incarnation self, VmId vm, String address, RateSettings settings) {
         return new RateMachine(self, vm, address, settings);
     }
 
-    /** Tells when this life began to run, if that was before its first input. */
-    public void began(Instant at) {
-        keeper.running(at);
+    /** Sets when this incarnation started to run, if that was before its first input. */
+    public void setStartTime(Instant at) {
+        balancer.recordRunning(at);
     }
 
     @Override
     public List<RateAction> on(RateInput input, Instant now) {
         List<RateAction> actions = new ArrayList<>();
-        right.awake(now);
-        keeper.running(now);
-        if (input instanceof RateInput.Arrived arrived) {
+        permission.recordRunning(now);
+        balancer.recordRunning(now);
+        if (input instanceof RateInput.RequestArrived arrived) {
             arrive(arrived, now, actions);
-        } else if (input instanceof RateInput.Settled settled) {
+        } else if (input instanceof RateInput.RequestSettled settled) {
             settle(settled, now, actions);
-        } else if (input instanceof RateInput.Asked asked) {
-            asked(asked, now, actions);
-        } else if (input instanceof RateInput.Lent lent) {
-            lent(lent, now, actions);
-        } else if (input instanceof RateInput.Heard heard) {
-            right.heard(heard.from(), now);
-        } else if (input instanceof RateInput.Listed listed) {
-            right.listed(listed.routers(), now);
-        } else if (input instanceof RateInput.Configured configured) {
-            configured(configured.workspaces(), now);
-        } else if (input instanceof RateInput.Read read) {
-            read(read, now, actions);
-        } else if (input instanceof RateInput.RowSeen rowSeen) {
-            rowSeen(rowSeen, now, actions);
-        } else if (input instanceof RateInput.NotRead) {
-            reading = false;
-        } else if (input instanceof RateInput.Leave) {
-            keeper.leave();
+        } else if (input instanceof RateInput.TokensRequested request) {
+            handleTokenRequest(request, now, actions);
+        } else if (input instanceof RateInput.TransferReceived transfer) {
+            handleTransfer(transfer, now, actions);
+        } else if (input instanceof RateInput.PeerMessageReceived message) {
+            permission.recordContact(message.from(), now);
+        } else if (input instanceof RateInput.RoutersListed listed) {
+            permission.updateRouters(listed.routers(), now);
+        } else if (input instanceof RateInput.WorkspacesConfigured configured) {
+            configure(configured.workspaces(), now);
+        } else if (input instanceof RateInput.SharesRead read) {
+            handleRead(read, now, actions);
+        } else if (input instanceof RateInput.ShareRowReceived received) {
+            handleRow(received, now, actions);
+        } else if (input instanceof RateInput.SharesReadFailed) {
+            readPending = false;
+        } else if (input instanceof RateInput.LeaveRequested) {
+            balancer.leave();
         } else {
             tick(now, actions);
         }
         return actions;
     }
 
-    /** Tokens that this router could spend now, for operators to see. */
+    /** Returns the tokens that this router could spend now. */
     public double available(WorkspaceId workspace) {
-        Account account = accounts.get(workspace);
+        WorkspaceAccount account = accounts.get(workspace);
         return account == null ? 0 : account.available();
     }
 
-    /** Its part of the workspace's whole, in {@link ShareTable#WHOLE}ths. */
+    /** Returns this router's part of the workspace, in {@link ShareTable#WHOLE}ths. */
     public int part(WorkspaceId workspace) {
-        Account account = accounts.get(workspace);
-        return account == null ? 0 : keeper.part(account);
+        WorkspaceAccount account = accounts.get(workspace);
+        return account == null ? 0 : balancer.part(account);
     }
 
-    /** Requests that wait for tokens here. */
-    public int held() {
-        int held = 0;
-        for (Account account : accounts.values()) {
-            held += account.waiting();
+    /** Returns the number of requests that wait for tokens. */
+    public int waitingRequests() {
+        int waiting = 0;
+        for (WorkspaceAccount account : accounts.values()) {
+            waiting += account.waitingRequests();
         }
-        return held;
+        return waiting;
     }
 
-    /** True while ticks matter: requests wait, shares are being founded, or this router leaves. */
-    public boolean busy(Instant now) {
-        return held() > 0 || keeper.awaitsOwners(now) || keeper.leaving();
+    /**
+     * Returns whether frequent ticks are needed: requests wait, shares are being created, or this
+     * router is leaving.
+     */
+    public boolean needsFrequentTicks(Instant now) {
+        return waitingRequests() > 0 || balancer.awaitsOwners(now) || balancer.isLeaving();
     }
 
-    /** True once a router that leaves has given all its shares back. */
-    public boolean left() {
-        return accounts.values().stream().allMatch(account -> keeper.part(account) == 0);
+    /** Returns whether this router holds no share any more, so that a leaving router may stop. */
+    public boolean holdsNoShares() {
+        return accounts.values().stream().allMatch(account -> balancer.part(account) == 0);
     }
 
-    private void configured(Map<WorkspaceId, Workspace> workspaces, Instant now) {
+    private void configure(Map<WorkspaceId, Workspace> workspaces, Instant now) {
         accounts.entrySet()
                 .removeIf(
                         entry ->
                                 !workspaces.containsKey(entry.getKey())
-                                        && entry.getValue().waiting() == 0);
+                                        && entry.getValue().waitingRequests() == 0);
         workspaces.forEach(
                 (id, workspace) ->
-                        accounts.computeIfAbsent(id, unused -> account(workspace, now)).workspace =
+                        accounts.computeIfAbsent(id, unused -> newAccount(workspace, now))
+                                        .workspace =
                                 workspace);
         accounts.values().forEach(account -> advance(account, now));
-        readAt = Instant.MIN;
+        nextReadAt = Instant.MIN;
     }
 
-    // Routers that borrow begin with different lenders.
-    private Account account(Workspace workspace, Instant now) {
-        Account account = new Account(workspace, now);
-        account.turn = vm.value().hashCode();
+    // Different routers start the round robin at different lenders.
+    private WorkspaceAccount newAccount(Workspace workspace, Instant now) {
+        WorkspaceAccount account = new WorkspaceAccount(workspace, now);
+        account.nextLender = vm.value().hashCode();
         return account;
     }
 
-    private void read(RateInput.Read read, Instant now, List<RateAction> actions) {
-        reading = false;
-        right.read(read.askedAt(), now);
-        accounts.forEach((id, account) -> seen(account, read.rows().get(id), now, actions));
-        keeper.balance(List.copyOf(accounts.values()), now, actions);
+    private void handleRead(RateInput.SharesRead read, Instant now, List<RateAction> actions) {
+        readPending = false;
+        permission.recordRead(read.requestedAt(), now);
+        accounts.forEach((id, account) -> applyRow(account, read.rows().get(id), now, actions));
+        balancer.balance(List.copyOf(accounts.values()), now, actions);
     }
 
-    // One row says nothing of the others, so it isn't a read that lets shares be spent again.
-    private void rowSeen(RateInput.RowSeen one, Instant now, List<RateAction> actions) {
-        Account account = accounts.get(one.workspace());
+    // One row says nothing about the others, so it does not count as a read that lets shares be
+    // spent again.
+    private void handleRow(
+            RateInput.ShareRowReceived received, Instant now, List<RateAction> actions) {
+        WorkspaceAccount account = accounts.get(received.workspace());
         if (account != null) {
-            seen(account, one.row(), now, actions);
-            keeper.balance(List.copyOf(accounts.values()), now, actions);
+            applyRow(account, received.row(), now, actions);
+            balancer.balance(List.copyOf(accounts.values()), now, actions);
         }
     }
 
-    private void seen(Account account, RateInput.Row row, Instant now, List<RateAction> actions) {
-        keeper.seen(account, row, now);
+    private void applyRow(
+            WorkspaceAccount account,
+            RateInput.ShareRow row,
+            Instant now,
+            List<RateAction> actions) {
+        balancer.applyRow(account, row, now);
         advance(account, now);
-        queue.admit(account, now, actions);
+        queueAdmission.admit(account, now, actions);
     }
 
     private void tick(Instant now, List<RateAction> actions) {
-        for (Account account : accounts.values()) {
+        for (WorkspaceAccount account : accounts.values()) {
             advance(account, now);
-            owners.check(account, () -> ++counter, now, actions);
-            if (right.usable(account, self, now)) {
-                owners.askAgain(account, () -> ++counter, now, actions);
+            perRequestBorrower.handleTimeouts(account, () -> ++lastNumber, now, actions);
+            if (permission.maySpend(account, self, now)) {
+                perRequestBorrower.retryOwner(account, () -> ++lastNumber, now, actions);
             }
-            work(account, now, actions);
+            processQueue(account, now, actions);
         }
-        keeper.balance(List.copyOf(accounts.values()), now, actions);
-        if (!reading && !now.isBefore(readAt)) {
-            reading = true;
-            readAt = now.plus(readPeriod());
-            actions.add(new RateAction.Read());
+        balancer.balance(List.copyOf(accounts.values()), now, actions);
+        if (!readPending && !now.isBefore(nextReadAt)) {
+            readPending = true;
+            nextReadAt = now.plus(readPeriod());
+            actions.add(new RateAction.ReadShares());
         }
     }
 
     // A router without a share of a new workspace learns from the store who has one.
     private Duration readPeriod() {
-        boolean awaits =
+        boolean awaitsFounder =
                 accounts.values().stream()
-                        .anyMatch(account -> account.row == null && !keeper.home(account));
-        return awaits ? FOUNDING : settings.readPeriod();
+                        .anyMatch(
+                                account ->
+                                        account.row == null && !balancer.shouldHoldShare(account));
+        return awaitsFounder ? FOUNDING_READ_PERIOD : settings.readPeriod();
     }
 
-    private void arrive(RateInput.Arrived arrived, Instant now, List<RateAction> actions) {
-        Account account = accounts.get(arrived.workspace());
+    private void arrive(RateInput.RequestArrived arrived, Instant now, List<RateAction> actions) {
+        WorkspaceAccount account = accounts.get(arrived.workspace());
         if (account == null) {
             actions.add(RateRefusals.notConfigured(arrived.id()));
             return;
         }
         advance(account, now);
-        account.wanted(arrived.tokens(), now);
+        account.recordDemand(arrived.tokens(), now);
         if (arrived.tokens() > account.workspace.burst()) {
-            actions.add(RateRefusals.tooLarge(arrived.id()));
+            actions.add(RateRefusals.exceedsBurst(arrived.id()));
             return;
         }
-        boolean first = account.held.isEmpty();
-        if (first && right.usable(account, self, now) && account.take(arrived.tokens())) {
-            actions.add(new RateAction.Admit(arrived.id()));
+        boolean first = account.queue.isEmpty();
+        if (first && permission.maySpend(account, self, now) && account.take(arrived.tokens())) {
+            actions.add(new RateAction.AdmitRequest(arrived.id()));
             return;
         }
-        if (account.waiting() >= MOST_HELD) {
-            actions.add(RateRefusals.tooMany(arrived.id()));
+        if (account.waitingRequests() >= MAX_QUEUED) {
+            actions.add(RateRefusals.queueFull(arrived.id()));
             return;
         }
-        Held request = held(account, arrived, now);
-        if (keeper.borrowsFromOwner(account) && right.usable(account, self, now)) {
-            owners.ask(account, request, () -> ++counter, now, actions);
+        QueuedRequest request = queuedRequest(account, arrived, now);
+        if (balancer.borrowsPerRequest(account) && permission.maySpend(account, self, now)) {
+            perRequestBorrower.requestTokens(account, request, () -> ++lastNumber, now, actions);
             return;
         }
-        account.held.add(request);
-        if (keeper.owns(account)) {
-            // It may have to go before those who wait already.
-            queue.admit(account, now, actions);
+        account.queue.add(request);
+        if (balancer.isOwner(account)) {
+            // It may have to be admitted before the requests that already wait.
+            queueAdmission.admit(account, now, actions);
         }
-        askForHeld(account, now, actions);
-        queue.refuse(account, now, actions);
+        requestTokens(account, now, actions);
+        queueAdmission.refuseUnservable(account, now, actions);
     }
 
-    // Lets in who can be, asks others for what those who wait lack, and refuses who waits in vain.
-    private void work(Account account, Instant now, List<RateAction> actions) {
-        queue.admit(account, now, actions);
-        askForHeld(account, now, actions);
-        queue.refuse(account, now, actions);
+    // Admits the requests that have their tokens, requests tokens for the rest, and refuses those
+    // that cannot get any.
+    private void processQueue(WorkspaceAccount account, Instant now, List<RateAction> actions) {
+        queueAdmission.admit(account, now, actions);
+        requestTokens(account, now, actions);
+        queueAdmission.refuseUnservable(account, now, actions);
     }
 
-    private Held held(Account account, RateInput.Arrived arrived, Instant now) {
-        Instant until = now.plus(hold(now));
-        if (!keeper.owned(account) || arrived.within().isEmpty()) {
-            // All of them wait equally long, and go in the order in which they came.
-            return Held.own(arrived.id(), ++counter, arrived.tokens(), Instant.MIN, until);
+    private QueuedRequest queuedRequest(
+            WorkspaceAccount account, RateInput.RequestArrived arrived, Instant now) {
+        Instant deadline = now.plus(queueTimeout(now));
+        if (!balancer.needsOwner(account) || arrived.waitLimits().isEmpty()) {
+            // All of them wait equally long and are admitted in the order of arrival.
+            return QueuedRequest.fromCaller(
+                    arrived.id(), ++lastNumber, arrived.tokens(), Instant.MIN, deadline);
         }
-        Wait wait = arrived.within().get();
+        WaitLimits wait = arrived.waitLimits().get();
         Instant longest = now.plus(wait.longest());
-        return Held.own(
+        return QueuedRequest.fromCaller(
                 arrived.id(),
-                ++counter,
+                ++lastNumber,
                 arrived.tokens(),
                 now.plus(wait.inTime()),
-                longest.isBefore(until) ? until : longest);
+                longest.isBefore(deadline) ? deadline : longest);
     }
 
-    private Duration hold(Instant now) {
-        return keeper.joining(now) ? settings.joiningHold() : settings.hold();
+    private Duration queueTimeout(Instant now) {
+        return balancer.isJoining(now) ? settings.startupQueueTimeout() : settings.queueTimeout();
     }
 
-    private void settle(RateInput.Settled settled, Instant now, List<RateAction> actions) {
-        Account account = accounts.get(settled.workspace());
+    private void settle(RateInput.RequestSettled settled, Instant now, List<RateAction> actions) {
+        WorkspaceAccount account = accounts.get(settled.workspace());
         if (account == null) {
             return;
         }
         advance(account, now);
-        account.wanted(settled.used() - settled.charged(), now);
-        account.bucket.giveBack(settled.charged() - settled.used());
-        queue.admit(account, now, actions);
+        account.recordDemand(settled.used() - settled.charged(), now);
+        account.bucket.refund(settled.charged() - settled.used());
+        queueAdmission.admit(account, now, actions);
     }
 
-    private void asked(RateInput.Asked asked, Instant now, List<RateAction> actions) {
-        right.heard(asked.from(), now);
-        Account account = accounts.get(asked.workspace());
+    private void handleTokenRequest(
+            RateInput.TokensRequested request, Instant now, List<RateAction> actions) {
+        permission.recordContact(request.from(), now);
+        WorkspaceAccount account = accounts.get(request.workspace());
         if (account == null) {
             return;
         }
-        asked.spent().forEach(account::repaid);
+        request.spentTransfers().forEach(account::removeLent);
         advance(account, now);
-        if (asked.tokens() > 0 && lender.queues(account, asked, () -> ++counter, now)) {
-            work(account, now, actions);
+        if (request.tokens() > 0 && lender.tryQueue(account, request, () -> ++lastNumber, now)) {
+            processQueue(account, now, actions);
         }
-        lender.answer(account, asked, now, actions);
+        lender.answer(account, request, now, actions);
     }
 
-    // A loan counts from our asking, not from its coming: the lender's cap is lowered for a little
-    // longer than that, so that a loan which was long on its way is never spent a second time.
-    // An answer that comes twice finds its lender no longer awaited.
-    private void lent(RateInput.Lent lent, Instant now, List<RateAction> actions) {
-        right.heard(lent.from(), now);
-        Account account = accounts.get(lent.workspace());
+    // A transfer counts from the time of the token request, not from its arrival. The lender's cap
+    // is lowered for slightly longer than that, so that a delayed transfer is never spent twice. A
+    // duplicate answer finds its lender no longer awaited.
+    private void handleTransfer(
+            RateInput.TransferReceived transfer, Instant now, List<RateAction> actions) {
+        permission.recordContact(transfer.from(), now);
+        WorkspaceAccount account = accounts.get(transfer.workspace());
         if (account == null) {
             return;
         }
         advance(account, now);
-        if (owners.answered(account, lent, () -> ++counter, now, actions)) {
-            queue.admit(account, now, actions);
+        if (perRequestBorrower.handleTransfer(
+                account, transfer, () -> ++lastNumber, now, actions)) {
+            queueAdmission.admit(account, now, actions);
             return;
         }
         boolean awaited =
-                lent.loan().equals(account.ask + '/' + lent.from())
-                        && account.unanswered.remove(lent.from());
-        Instant until = account.askedAt.equals(Instant.MIN) ? now : account.askedAt;
-        until = until.plus(settings.loan());
-        if (awaited && now.isBefore(until) && lent.tokens() > 0) {
-            account.brought += lent.tokens();
-            account.borrow(lent.from(), lent.loan(), lent.tokens(), until);
+                transfer.transferId().equals(account.requestId + '/' + transfer.from())
+                        && account.awaitedLenders.remove(transfer.from());
+        Instant expiry = account.requestedAt.equals(Instant.MIN) ? now : account.requestedAt;
+        expiry = expiry.plus(settings.transferLifetime());
+        if (awaited && now.isBefore(expiry) && transfer.tokens() > 0) {
+            account.receivedTokens += transfer.tokens();
+            account.borrow(transfer.from(), transfer.transferId(), transfer.tokens(), expiry);
         }
-        queue.admit(account, now, actions);
-        if (right.usable(account, self, now) && !keeper.borrowsFromOwner(account)) {
-            borrowing.askOthers(account, () -> ++counter, now, actions);
+        queueAdmission.admit(account, now, actions);
+        if (permission.maySpend(account, self, now) && !balancer.borrowsPerRequest(account)) {
+            batchedBorrower.requestFromOthers(account, () -> ++lastNumber, now, actions);
         }
-        queue.refuse(account, now, actions);
+        queueAdmission.refuseUnservable(account, now, actions);
     }
 
-    private void askForHeld(Account account, Instant now, List<RateAction> actions) {
-        borrowing.tellSpent(account, actions);
-        if (right.usable(account, self, now) && !keeper.borrowsFromOwner(account)) {
-            borrowing.ask(account, () -> ++counter, now, actions);
+    private void requestTokens(WorkspaceAccount account, Instant now, List<RateAction> actions) {
+        batchedBorrower.reportSpent(account, actions);
+        if (permission.maySpend(account, self, now) && !balancer.borrowsPerRequest(account)) {
+            batchedBorrower.requestMissing(account, () -> ++lastNumber, now, actions);
         }
     }
 
-    private void advance(Account account, Instant now) {
-        account.advance(keeper.part(account), keeper.kept(account), now);
+    private void advance(WorkspaceAccount account, Instant now) {
+        account.advance(balancer.part(account), balancer.reservedPart(account), now);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateRefusals.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateRefusals.java
@@ -5,9 +5,9 @@
 import io.damaskyoke.id.ExchangeId;
 import java.time.Duration;
 
-/** What callers are told whose requests the rate doesn't let in; none of them has run. */
+/** Builds the refusals of requests that the rate does not admit. None of these requests has run. */
 final class RateRefusals {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private RateRefusals() {}
 
@@ -16,33 +16,35 @@
                 Refusal.notRun(
                                 RefusalCode.STORE_UNAVAILABLE,
                                 "this router can't confirm its share of the rate")
-                        .retryAfter(COME_BACK);
-        return new RateAction.Refuse(id, refusal);
+                        .retryAfter(RETRY_AFTER);
+        return new RateAction.RefuseRequest(id, refusal);
     }
 
     static RateAction notConfigured(ExchangeId id) {
-        return exceeded(id, "the workspace is not configured here", COME_BACK);
+        return exceeded(id, "the workspace is not configured here", RETRY_AFTER);
     }
 
-    static RateAction tooMany(ExchangeId id) {
-        return exceeded(id, "too many requests wait for the rate", COME_BACK);
+    static RateAction queueFull(ExchangeId id) {
+        return exceeded(id, "the queue for the workspace's rate is full", RETRY_AFTER);
     }
 
-    static RateAction usedUp(ExchangeId id, Duration wait) {
-        return exceeded(id, "the workspace has used up its rate and burst", wait);
+    static RateAction rateExceeded(ExchangeId id, Duration retryAfter) {
+        return exceeded(id, "the workspace has used up its rate and burst", retryAfter);
     }
 
-    /** Coming back can't help here, so no time is given for it. */
-    static RateAction tooLarge(ExchangeId id) {
-        return new RateAction.Refuse(
+    /**
+     * Refuses a request that can never be admitted. A retry cannot help, so there is no retry time.
+     */
+    static RateAction exceedsBurst(ExchangeId id) {
+        return new RateAction.RefuseRequest(
                 id,
                 Refusal.notRun(
                         RefusalCode.RATE_EXCEEDED,
                         "the request needs more tokens than the workspace's whole burst"));
     }
 
-    private static RateAction exceeded(ExchangeId id, String message, Duration wait) {
-        return new RateAction.Refuse(
-                id, Refusal.notRun(RefusalCode.RATE_EXCEEDED, message).retryAfter(wait));
+    private static RateAction exceeded(ExchangeId id, String message, Duration retryAfter) {
+        return new RateAction.RefuseRequest(
+                id, Refusal.notRun(RefusalCode.RATE_EXCEEDED, message).retryAfter(retryAfter));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/ShareTable.java
@@ -16,13 +16,14 @@
 import java.util.TreeMap;
 
 /**
- * How one workspace's rate and burst are divided among router incarnations, as the store keeps it.
- * Immutable; each step gives a new table, and no step can make the parts add up to more than {@link
- * #WHOLE}. Parts are of the whole and not tokens, so a ticket that changes the rate rescales all.
+ * How one workspace's rate and burst are divided among router incarnations, as stored. It is
+ * immutable: each step returns a new table, and no step can make the parts add up to more than
+ * {@link #WHOLE}. Parts are fractions of the whole and not tokens, so a ticket that changes the
+ * rate rescales all of them.
  *
- * @param founder who wrote the first table, when nobody could have spent yet
- * @param untouched what nobody has ever had, of {@link #WHOLE}; no more than is free
- * @param shares by incarnation
+ * @param founder the incarnation that wrote the first table, when nobody could have spent yet
+ * @param untouched the part that nobody has ever had, of {@link #WHOLE}; at most the free part
+ * @param shares the shares by incarnation
  */
 public record ShareTable(Incarnation founder, int untouched, Map<Incarnation, Share> shares) {
     /** All of a workspace's rate and burst, in parts. */
@@ -31,60 +32,64 @@
     /**
      * One incarnation's share.
      *
+     * @param vm the VM of the incarnation
      * @param address where the other routers reach it, {@code host:port}
      * @param part how much it has, of {@link #WHOLE}
-     * @param want how much it would use
-     * @param mark empty, or who wants to take it back from a router that seems gone
-     * @param fresh how much of it came with its burst: nobody had ever had it, or an earlier life
-     *     on the same VM had left it unspent
-     * @param kept of its burst, what it never spends before the store has a smaller figure here;
-     *     the next life on its VM finds that much
+     * @param want how much it would use, of {@link #WHOLE}
+     * @param mark the incarnation that wants to reclaim the share because its holder seems gone,
+     *     and the revision that it saw; empty if none does
+     * @param fresh how much of the part came with its burst, because nobody had ever had it or an
+     *     earlier incarnation on the same VM had left it unspent
+     * @param kept how much of its burst it never spends before the store shows a smaller value
+     *     here; the next incarnation on its VM finds that much
      */
     public record Share(
             VmId vm, String address, int part, int want, String mark, int fresh, int kept) {
-        Share with(int newPart, int newWant) {
+        Share withPartAndWant(int newPart, int newWant) {
             return new Share(vm, address, newPart, newWant, "", fresh, Math.min(kept, newPart));
         }
 
-        Share marked(String by) {
-            return new Share(vm, address, part, want, by, fresh, kept);
+        Share marked(String markedBy) {
+            return new Share(vm, address, part, want, markedBy, fresh, kept);
         }
 
-        Share keeping(int newKept) {
+        Share withKept(int newKept) {
             return new Share(vm, address, part, want, "", fresh, Math.min(newKept, part));
         }
     }
 
-    /** Refuses parts that are negative or add up to more than the whole. */
+    /** Checks that no part is negative and that they add up to at most the whole. */
     public ShareTable {
         shares = Collections.unmodifiableMap(new TreeMap<>(shares));
         long sum = 0;
         for (Share share : shares.values()) {
             if (share.part() < 0) {
-                throw new IllegalArgumentException("a part is negative: " + share);
+                throw new IllegalArgumentException("a share has a negative part: " + share);
             }
             sum += share.part();
         }
         if (sum > WHOLE) {
-            throw new IllegalArgumentException("the parts exceed the whole: " + sum);
+            throw new IllegalArgumentException(
+                    "the parts of the shares must add up to at most " + WHOLE + ", but are " + sum);
         }
         untouched = (int) Math.max(0, Math.min(untouched, WHOLE - sum));
     }
 
     /**
-     * The first table of a workspace among this many routers: its writer has an even part with the
-     * whole burst of that, and the others find theirs untouched.
+     * Creates the first table of a workspace among this many routers. Its writer holds an even part
+     * with the whole burst of that, and the others find theirs untouched.
      */
-    public static ShareTable founded(Incarnation who, VmId vm, String address, int routers) {
-        return unfounded(who).join(who, vm, address, routers, 0);
+    public static ShareTable founded(
+            Incarnation incarnation, VmId vm, String address, int routers) {
+        return empty(incarnation).join(incarnation, vm, address, routers, 0);
     }
 
-    /** A table that nobody has joined yet, for its first writer. */
-    static ShareTable unfounded(Incarnation who) {
-        return new ShareTable(who, WHOLE, Map.of());
+    /** Creates a table without shares, for its first writer. */
+    static ShareTable empty(Incarnation incarnation) {
+        return new ShareTable(incarnation, WHOLE, Map.of());
     }
 
-    /** The VM that has most of the whole and isn't taken for gone, if one has. */
+    /** Returns the VM that holds most of the whole and is not marked as gone, if there is one. */
     Optional<VmId> owner() {
         return shares.values().stream()
                 .filter(share -> share.part() > WHOLE / 2 && share.mark().isEmpty())
@@ -92,167 +97,177 @@
                 .findFirst();
     }
 
-    /** What nobody has. */
+    /** Returns the part that no incarnation holds. */
     public int free() {
         return WHOLE - shares.values().stream().mapToInt(Share::part).sum();
     }
 
-    /** This incarnation's part; 0 if it has none. */
-    public int part(Incarnation who) {
-        return share(who).map(Share::part).orElse(0);
+    /** Returns the part of this incarnation, or 0 if it has none. */
+    public int part(Incarnation incarnation) {
+        return share(incarnation).map(Share::part).orElse(0);
     }
 
-    /** This incarnation's share. */
-    public Optional<Share> share(Incarnation who) {
-        return Optional.ofNullable(shares.get(who));
+    /** Returns the share of this incarnation. */
+    public Optional<Share> share(Incarnation incarnation) {
+        return Optional.ofNullable(shares.get(incarnation));
     }
 
     /**
-     * Adds a new incarnation among this many routers. It takes the place of earlier ones on its VM:
-     * that it runs shows that they are gone. It takes no more than is then free.
+     * Adds a new incarnation among this many routers. It replaces earlier ones on its VM, since its
+     * running shows that they are gone. It takes at most what is then free.
      *
-     * @param grown the part of a full burst, from 0 to 1, that has come in since it began to run
+     * @param accrued the fraction of a full burst, from 0 to 1, that accrued since it started to
+     *     run
      */
-    public ShareTable join(Incarnation who, VmId vm, String address, int routers, double grown) {
+    public ShareTable join(
+            Incarnation incarnation, VmId vm, String address, int routers, double accrued) {
         long others = shares.values().stream().filter(share -> !share.vm().equals(vm)).count();
-        int fair = WHOLE / (int) Math.max(others + 1, routers);
-        return joinWith(who, vm, address, fair, grown);
+        int fairPart = WHOLE / (int) Math.max(others + 1, routers);
+        return joinWithPart(incarnation, vm, address, fairPart, accrued);
     }
 
-    /** The same with this part for the new incarnation, as far as it is free. */
-    public ShareTable joinWith(Incarnation who, VmId vm, String address, int fair, double grown) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.values().removeIf(share -> share.vm().equals(vm));
-        ShareTable without = new ShareTable(founder, untouched, next);
-        int part = Math.min(fair, without.free());
-        int first = Math.min(part, untouched);
-        int fresh = first + Math.min(part - first, leftOn(vm, grown));
-        next.put(who, new Share(vm, address, part, fair, "", fresh, 0));
-        return new ShareTable(founder, untouched - first, next);
+    /**
+     * Adds a new incarnation with this part, as far as it is free. Otherwise like {@link #join}.
+     */
+    public ShareTable joinWithPart(
+            Incarnation incarnation, VmId vm, String address, int wantedPart, double accrued) {
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.values().removeIf(share -> share.vm().equals(vm));
+        ShareTable without = new ShareTable(founder, untouched, updated);
+        int part = Math.min(wantedPart, without.free());
+        int fromUntouched = Math.min(part, untouched);
+        int fresh = fromUntouched + Math.min(part - fromUntouched, unspentOn(vm, accrued));
+        updated.put(incarnation, new Share(vm, address, part, wantedPart, "", fresh, 0));
+        return new ShareTable(founder, untouched - fromUntouched, updated);
     }
 
-    // Earlier lives on the VM kept this much at least until they ended, and nobody has spent what
-    // their parts brought since.
-    private int leftOn(VmId vm, double grown) {
-        long left = 0;
+    // Earlier incarnations on the VM reserved at least this much until they stopped, and nobody has
+    // spent what their parts accrued since.
+    private int unspentOn(VmId vm, double accrued) {
+        long remaining = 0;
         for (Share share : shares.values()) {
             if (share.vm().equals(vm)) {
-                left += Math.min(share.part(), share.kept() + (long) (grown * share.part()));
+                remaining += Math.min(share.part(), share.kept() + (long) (accrued * share.part()));
             }
         }
-        return (int) left;
+        return (int) remaining;
     }
 
-    /** Changes how much of its burst an incarnation keeps for the next life on its VM. */
-    public ShareTable keep(Incarnation who, int kept) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(who, shares.get(who).keeping(kept));
-        return new ShareTable(founder, untouched, next);
+    /** Sets how much of its burst an incarnation reserves for the next one on its VM. */
+    public ShareTable withKept(Incarnation incarnation, int kept) {
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.put(incarnation, shares.get(incarnation).withKept(kept));
+        return new ShareTable(founder, untouched, updated);
     }
 
-    /** Sets its own part and want; a rise takes at most what is free. Shows that it is alive. */
-    public ShareTable set(Incarnation who, int part, int want) {
-        Share old = shares.get(who);
-        int most = old.part() + free();
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(who, old.with(Math.min(part, most), want));
-        return new ShareTable(founder, untouched, next);
+    /**
+     * Sets an incarnation's own part and want. An increase takes at most what is free. The write
+     * also clears the mark, since it shows that the incarnation is alive.
+     */
+    public ShareTable withPartAndWant(Incarnation incarnation, int part, int want) {
+        Share current = shares.get(incarnation);
+        int max = current.part() + free();
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.put(incarnation, current.withPartAndWant(Math.min(part, max), want));
+        return new ShareTable(founder, untouched, updated);
     }
 
     /**
-     * Sets its own want, lowers its own part to its target, and deals out that and what is free to
-     * those furthest below theirs, but for the reserve. Only the writer's own part can fall, which
-     * it has seen to.
+     * Sets the writer's own part and want, and distributes the free part, apart from the reserve,
+     * to the shares furthest below their targets. Only the writer's own part can decrease, which it
+     * has accounted for.
      */
-    public ShareTable dealt(Incarnation who, int part, int want, int reserve) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(who, shares.get(who).with(part, want));
-        return new ShareTable(founder, untouched, next).dealtOut(reserve);
+    public ShareTable redistributed(Incarnation incarnation, int part, int want, int reserve) {
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.put(incarnation, shares.get(incarnation).withPartAndWant(part, want));
+        return new ShareTable(founder, untouched, updated).distributeFree(reserve);
     }
 
-    /** Takes an incarnation out and deals out what was its, as {@link #dealt} does. */
-    public ShareTable withdrawn(Incarnation who, int reserve) {
-        return remove(who).dealtOut(reserve);
+    /** Removes an incarnation and distributes its part as {@link #redistributed} does. */
+    public ShareTable withdrawn(Incarnation incarnation, int reserve) {
+        return remove(incarnation).distributeFree(reserve);
     }
 
-    private ShareTable dealtOut(int reserve) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        ShareTable dealt = this;
+    private ShareTable distributeFree(int reserve) {
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        ShareTable distributed = this;
         int free = free() - reserve;
         while (free > 0) {
-            Incarnation neediest = dealt.neediest();
-            int lack = neediest == null ? 0 : dealt.lack(neediest);
-            if (lack <= 0) {
+            Incarnation neediest = distributed.furthestBelowTarget();
+            int shortfall = neediest == null ? 0 : distributed.shortfall(neediest);
+            if (shortfall <= 0) {
                 break;
             }
-            Share share = next.get(neediest);
-            int more = Math.min(lack, free);
-            next.put(neediest, share.with(share.part() + more, share.want()));
-            free -= more;
-            dealt = new ShareTable(founder, untouched, next);
+            Share share = updated.get(neediest);
+            int added = Math.min(shortfall, free);
+            updated.put(neediest, share.withPartAndWant(share.part() + added, share.want()));
+            free -= added;
+            distributed = new ShareTable(founder, untouched, updated);
         }
-        return dealt;
+        return distributed;
     }
 
-    private Incarnation neediest() {
+    private Incarnation furthestBelowTarget() {
         return shares.entrySet().stream()
                 .filter(entry -> entry.getValue().mark().isEmpty())
                 .map(Map.Entry::getKey)
-                .max(Comparator.comparingInt(this::lack))
+                .max(Comparator.comparingInt(this::shortfall))
                 .orElse(null);
     }
 
-    private int lack(Incarnation who) {
-        Share share = shares.get(who);
-        return target(who, share.want()) - share.part();
+    private int shortfall(Incarnation incarnation) {
+        Share share = shares.get(incarnation);
+        return target(incarnation, share.want()) - share.part();
     }
 
-    /** Says that this incarnation seems gone; only it can say otherwise. */
-    public ShareTable mark(Incarnation gone, String by) {
-        Share old = shares.get(gone);
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.put(gone, old.marked(by));
-        return new ShareTable(founder, untouched, next);
+    /** Marks an incarnation as seemingly gone. Only that incarnation can clear the mark. */
+    public ShareTable mark(Incarnation gone, String markedBy) {
+        Share current = shares.get(gone);
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.put(gone, current.marked(markedBy));
+        return new ShareTable(founder, untouched, updated);
     }
 
-    /** Takes an incarnation out; its part becomes free. */
+    /** Removes an incarnation. Its part becomes free. */
     public ShareTable remove(Incarnation gone) {
-        Map<Incarnation, Share> next = new TreeMap<>(shares);
-        next.remove(gone);
-        return new ShareTable(founder, untouched, next);
+        Map<Incarnation, Share> updated = new TreeMap<>(shares);
+        updated.remove(gone);
+        return new ShareTable(founder, untouched, updated);
     }
 
     /**
-     * What an incarnation should have: all wants met if they fit, the rest spread evenly; else
-     * small wants in full and the larger ones cut to one level, so that nobody's want starves.
+     * Returns the part that an incarnation should have. If all wants fit, each is met in full and
+     * the rest is spread evenly. Otherwise small wants are met in full and larger ones are capped
+     * at one level, so that no want starves.
      */
-    public int target(Incarnation who, int ownWant) {
+    public int target(Incarnation incarnation, int ownWant) {
         Map<Incarnation, Integer> wants = new TreeMap<>();
-        shares.forEach((id, share) -> wants.put(id, share.want()));
-        wants.put(who, ownWant);
+        shares.forEach((holder, share) -> wants.put(holder, share.want()));
+        wants.put(incarnation, ownWant);
         List<Integer> sorted = new ArrayList<>(wants.values());
         sorted.sort(Comparator.naturalOrder());
-        int left = WHOLE;
+        int remaining = WHOLE;
         int others = sorted.size();
         for (int want : sorted) {
-            if ((long) want * others > left) {
-                return Math.min(ownWant, left / others);
+            if ((long) want * others > remaining) {
+                return Math.min(ownWant, remaining / others);
             }
-            left -= want;
+            remaining -= want;
             others--;
         }
-        return ownWant + left / sorted.size();
+        return ownWant + remaining / sorted.size();
     }
 
-    /** The stored form. */
+    /** Returns the stored form. */
     public byte[] toJson() {
         ObjectNode table = JsonTrees.object();
         table.put("founder", founder.value()).put("untouched", untouched);
-        ArrayNode lines = table.putArray("shares");
+        ArrayNode shareNodes = table.putArray("shares");
         shares.forEach(
-                (id, share) ->
-                        lines.addObject()
-                                .put("incarnation", id.value())
+                (holder, share) ->
+                        shareNodes
+                                .addObject()
+                                .put("incarnation", holder.value())
                                 .put("vm", share.vm().value())
                                 .put("address", share.address())
                                 .put("part", share.part())
@@ -263,44 +278,49 @@
         return JsonTrees.write(table);
     }
 
-    /** Reads the stored form, or throws an {@link IllegalArgumentException}. */
+    /**
+     * Parses the stored form.
+     *
+     * @throws IllegalArgumentException if it is no valid share table
+     */
     public static ShareTable parse(byte[] json) {
         try {
             JsonNode table = JsonTrees.read(json);
             Map<Incarnation, Share> shares = new TreeMap<>();
-            for (JsonNode line : table.path("shares")) {
-                shares.put(Incarnation.of(text(line, "incarnation")), share(line));
+            for (JsonNode node : table.path("shares")) {
+                shares.put(Incarnation.of(textField(node, "incarnation")), share(node));
             }
-            Incarnation founder = Incarnation.of(text(table, "founder"));
-            return new ShareTable(founder, whole(table, "untouched"), shares);
+            Incarnation founder = Incarnation.of(textField(table, "founder"));
+            return new ShareTable(founder, intField(table, "untouched"), shares);
         } catch (IOException e) {
-            throw new IllegalArgumentException("can't read a share table", e);
+            throw new IllegalArgumentException("a share table is not valid JSON", e);
         }
     }
 
-    private static Share share(JsonNode line) {
+    private static Share share(JsonNode node) {
         return new Share(
-                VmId.of(text(line, "vm")),
-                text(line, "address"),
-                whole(line, "part"),
-                whole(line, "want"),
-                text(line, "mark"),
-                whole(line, "fresh"),
-                whole(line, "kept"));
+                VmId.of(textField(node, "vm")),
+                textField(node, "address"),
+                intField(node, "part"),
+                intField(node, "want"),
+                textField(node, "mark"),
+                intField(node, "fresh"),
+                intField(node, "kept"));
     }
 
-    private static String text(JsonNode from, String field) {
+    private static String textField(JsonNode from, String field) {
         String text = from.path(field).textValue();
         if (text == null) {
-            throw new IllegalArgumentException("a share table has no " + field);
+            throw new IllegalArgumentException("a share table lacks the text field " + field);
         }
         return text;
     }
 
-    private static int whole(JsonNode from, String field) {
+    private static int intField(JsonNode from, String field) {
         JsonNode node = from.path(field);
         if (!node.isMissingNode() && !node.canConvertToInt()) {
-            throw new IllegalArgumentException("a share table's " + field + " is no whole number");
+            throw new IllegalArgumentException(
+                    "the field " + field + " of a share table must be an integer");
         }
         return node.asInt();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenQueue.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/TokenQueue.java
@@ -6,83 +6,86 @@
 import java.util.List;
 
 /**
- * Requests that wait for a workspace's tokens: {@code queue.first(now)} goes next.
+ * The requests that wait for a workspace's tokens, ordered by urgency: {@code queue.first(now)} is
+ * served next.
  *
- * <p>The pattern: requests of some thousand tokens, of which some can wait for seconds, beside
- * small ones that are late after a tenth of a second. Each has a turn: when it must be let in for
- * its answer to be in time, and as long after that as its tokens take to come in. So a small urgent
- * request doesn't wait until a large patient one has gathered its tokens, and a large one comes to
- * the front as its own time draws near. Those that can no longer be in time come after all that
- * can, as they came.
+ * <p>Requests of several thousand tokens, some of which can wait for seconds, compete with small
+ * ones that are late after a tenth of a second. Each request has a due time: the latest time at
+ * which it can be admitted for its answer to be in time, plus the time in which its tokens accrue.
+ * So a small urgent request does not wait until a large patient one has its tokens, and a large one
+ * moves to the front as its own deadline draws near. Requests that can no longer be in time come
+ * after all others, in the order of arrival.
  */
 final class TokenQueue {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    /** In tokens a second; a workspace without a rate still has an order. */
-    private static final double LEAST_RATE = 1;
+    /** In tokens per second. It keeps the order defined for a workspace without a rate. */
+    private static final double MIN_RATE = 1;
 
-    private final List<Held> waiting = new ArrayList<>();
+    private final List<QueuedRequest> requests = new ArrayList<>();
     private double rate;
 
-    /** Says how many tokens come in a second. */
-    void rate(double tokensPerSecond) {
+    /** Sets the rate, in tokens per second. */
+    void setRate(double tokensPerSecond) {
         rate = tokensPerSecond;
     }
 
-    void add(Held request) {
-        waiting.add(request);
+    void add(QueuedRequest request) {
+        requests.add(request);
     }
 
-    /** Takes it out; false if it is here no more. */
-    boolean remove(Held request) {
-        return waiting.remove(request);
+    /** Removes a request. Returns false if it is not queued. */
+    boolean remove(QueuedRequest request) {
+        return requests.remove(request);
     }
 
     boolean isEmpty() {
-        return waiting.isEmpty();
+        return requests.isEmpty();
     }
 
     int size() {
-        return waiting.size();
+        return requests.size();
     }
 
-    /** Tokens that all of them need together. */
-    long tokens() {
-        return waiting.stream().mapToLong(Held::tokens).sum();
+    /** Returns the tokens that all queued requests need together. */
+    long totalTokens() {
+        return requests.stream().mapToLong(QueuedRequest::tokens).sum();
     }
 
-    /** Who goes next, or null if nobody waits. */
-    Held first(Instant now) {
-        return waiting.stream().min(order(now)).orElse(null);
+    /** Returns the request to serve next, or null if the queue is empty. */
+    QueuedRequest first(Instant now) {
+        return requests.stream().min(order(now)).orElse(null);
     }
 
-    /** All of them, in the order in which they go. */
-    List<Held> inOrder(Instant now) {
-        return waiting.stream().sorted(order(now)).toList();
+    /** Returns all requests in the order in which they are served. */
+    List<QueuedRequest> inOrder(Instant now) {
+        return requests.stream().sorted(order(now)).toList();
     }
 
-    private Comparator<Held> order(Instant now) {
-        return Comparator.comparing((Held request) -> late(request, now))
-                .thenComparing(request -> late(request, now) ? Instant.MIN : turn(request))
-                .thenComparingLong(Held::number);
+    private Comparator<QueuedRequest> order(Instant now) {
+        return Comparator.comparing((QueuedRequest request) -> isLate(request, now))
+                .thenComparing(request -> isLate(request, now) ? Instant.MIN : dueTime(request))
+                .thenComparingLong(QueuedRequest::arrivalNumber);
     }
 
-    /** True if another router's request with this name waits. */
-    boolean holds(String loan) {
-        return waiting.stream()
+    /** Returns whether another router's request for the transfer with this id is queued. */
+    boolean containsTransfer(String transferId) {
+        return requests.stream()
                 .anyMatch(
                         request ->
                                 request.borrower()
-                                        .filter(by -> by.loan().equals(loan))
+                                        .filter(
+                                                borrower ->
+                                                        borrower.transferId().equals(transferId))
                                         .isPresent());
     }
 
-    private Instant turn(Held request) {
-        double seconds = request.tokens() / Math.max(LEAST_RATE, rate);
-        return request.inTimeUntil().plusNanos((long) (seconds * NANOS));
+    private Instant dueTime(QueuedRequest request) {
+        double seconds = request.tokens() / Math.max(MIN_RATE, rate);
+        return request.inTimeDeadline().plusNanos((long) (seconds * NANOS_PER_SECOND));
     }
 
-    private static boolean late(Held request, Instant now) {
-        return !now.isBefore(request.inTimeUntil());
+    private static boolean isLate(QueuedRequest request, Instant now) {
+        return !now.isBefore(request.inTimeDeadline());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/rates/RateSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/rates/RateSessionTest.java
@@ -21,109 +21,121 @@
     private static final Incarnation OTHER = Incarnation.of("router-2:1");
 
     private final RateMachine router =
-            RateMachine.of(SELF, ONE, "127.0.0.1:1", RateSettings.usual());
-    private final StringBuilder lines = new StringBuilder();
-    private ShareTable stored;
+            RateMachine.of(SELF, ONE, "127.0.0.1:1", RateSettings.defaults());
+    private final StringBuilder transcript = new StringBuilder();
+    private ShareTable storedTable;
     private long revision;
-    private RateAction.Ask asked;
-    private long now;
+    private RateAction.SendTokenRequest lastTokenRequest;
+    private long nowMillis;
 
     @Test
     void aWholeSession() {
-        say("The first of two routers founds the table and may spend the burst of its half");
+        section("The first of two routers creates the table and may spend the burst of its half");
         Workspace workspace = new Workspace(KITCHENS, 100, 500, 1);
-        feed("configured", new RateInput.Configured(Map.of(KITCHENS, workspace)));
-        feed("listed", new RateInput.Listed(Set.of(ONE, TWO)));
+        feed("configured", new RateInput.WorkspacesConfigured(Map.of(KITCHENS, workspace)));
+        feed("listed", new RateInput.RoutersListed(Set.of(ONE, TWO)));
         tick(50);
         read();
         read();
         arrive(1, 200);
-        say("Another one joins and has its half untouched; this one says what it wants");
-        change(stored.join(OTHER, TWO, "127.0.0.1:2", 2, 0));
+        section(
+                "A second router joins and finds its half untouched; the first writes how much it"
+                        + " wants");
+        store(storedTable.join(OTHER, TWO, "127.0.0.1:2", 2, 0));
         read();
         tick(2_000);
         read();
-        say("The other asks; it gets what is to spare, and tells when that is spent");
-        feed("asked for 50", new RateInput.Asked(TWO, KITCHENS, 50, "router-2:1.1", List.of()));
+        section(
+                "The second router requests tokens, gets what can be spared, and reports when they"
+                        + " are spent");
         feed(
-                "told that it is spent",
-                new RateInput.Asked(TWO, KITCHENS, 0, "", List.of("router-2:1.1/router-1")));
-        say("A request beyond what is here is held until the other has lent; a copy is ignored");
+                "token request for 50",
+                new RateInput.TokensRequested(TWO, KITCHENS, 50, "router-2:1.1", List.of()));
+        feed(
+                "transfer reported as spent",
+                new RateInput.TokensRequested(
+                        TWO, KITCHENS, 0, "", List.of("router-2:1.1/router-1")));
+        section(
+                "A request that needs more than the own tokens is queued until a transfer arrives;"
+                        + " a duplicate is ignored");
         arrive(2, 300);
-        lent("lent 200", 200);
-        lent("the same once more", 200);
-        say("Nothing is lent for the next one: refused with the time to come back");
-        after(100);
+        receiveTransfer("transfer of 200", 200);
+        receiveTransfer("duplicate of the transfer", 200);
+        section("The next request gets no transfer: it is refused with the time to retry after");
+        advance(100);
         arrive(3, 400);
-        lent("lent nothing", 0);
-        say("Larger than the burst: never");
+        receiveTransfer("transfer of 0", 0);
+        section("A request larger than the burst is refused for good");
         arrive(4, 501);
-        say("A freeze of ten seconds: nothing is spent before the store is read");
-        after(10_000);
+        section("After a freeze of ten seconds nothing is spent before the store is read");
+        advance(10_000);
         arrive(5, 10);
         tick(0);
         read();
-        say("The store is out: shares stay good");
+        section("Shares stay valid during an outage of the store");
         tick(2_000);
-        feed("not read", new RateInput.NotRead());
+        feed("not read", new RateInput.SharesReadFailed());
         arrive(6, 10);
-        say("It stops and gives its share back");
-        feed("leave", new RateInput.Leave());
+        section("The router stops and returns its share");
+        feed("leave", new RateInput.LeaveRequested());
         tick(2_000);
         read();
-        lines.append("left: ").append(router.left()).append('\n');
-        Approvals.verify(lines);
+        transcript.append("left: ").append(router.holdsNoShares()).append('\n');
+        Approvals.verify(transcript);
     }
 
     private void arrive(long number, long tokens) {
         feed(
                 "arrives " + number + ", " + tokens + " tokens",
-                new RateInput.Arrived(new ExchangeId(SELF, number), KITCHENS, tokens));
+                new RateInput.RequestArrived(new ExchangeId(SELF, number), KITCHENS, tokens));
     }
 
-    private void lent(String what, long tokens) {
-        String loan = asked == null ? "none" : asked.ask() + "/router-2";
-        feed(what, new RateInput.Lent(TWO, KITCHENS, tokens, loan));
+    private void receiveTransfer(String what, long tokens) {
+        String transferId =
+                lastTokenRequest == null ? "none" : lastTokenRequest.requestId() + "/router-2";
+        feed(what, new RateInput.TransferReceived(TWO, KITCHENS, tokens, transferId));
     }
 
     private void read() {
-        Map<WorkspaceId, RateInput.Row> rows =
-                stored == null ? Map.of() : Map.of(KITCHENS, new RateInput.Row(stored, revision));
-        feed("read", new RateInput.Read(rows, Instant.ofEpochMilli(now)));
+        Map<WorkspaceId, RateInput.ShareRow> rows =
+                storedTable == null
+                        ? Map.of()
+                        : Map.of(KITCHENS, new RateInput.ShareRow(storedTable, revision));
+        feed("read", new RateInput.SharesRead(rows, Instant.ofEpochMilli(nowMillis)));
     }
 
-    private void change(ShareTable table) {
-        stored = table;
+    private void store(ShareTable table) {
+        storedTable = table;
         revision++;
     }
 
     private void tick(long millis) {
-        after(millis);
+        advance(millis);
         feed("tick", new RateInput.Tick());
     }
 
-    private void after(long millis) {
-        now += millis;
+    private void advance(long millis) {
+        nowMillis += millis;
     }
 
-    private void say(String what) {
-        lines.append("\n# ").append(what).append('\n');
+    private void section(String what) {
+        transcript.append("\n# ").append(what).append('\n');
     }
 
     private void feed(String what, RateInput input) {
-        lines.append(now).append(" ms ").append(what).append('\n');
-        for (RateAction action : router.on(input, Instant.ofEpochMilli(now))) {
-            lines.append("    ").append(text(action)).append('\n');
-            if (action instanceof RateAction.Write write && write.revision() == revision) {
-                change(write.table());
-            } else if (action instanceof RateAction.Ask ask && ask.tokens() > 0) {
-                asked = ask;
+        transcript.append(nowMillis).append(" ms ").append(what).append('\n');
+        for (RateAction action : router.on(input, Instant.ofEpochMilli(nowMillis))) {
+            transcript.append("    ").append(text(action)).append('\n');
+            if (action instanceof RateAction.WriteShares write && write.revision() == revision) {
+                store(write.table());
+            } else if (action instanceof RateAction.SendTokenRequest ask && ask.tokens() > 0) {
+                lastTokenRequest = ask;
             }
         }
     }
 
     private static String text(RateAction action) {
-        if (action instanceof RateAction.Write write) {
+        if (action instanceof RateAction.WriteShares write) {
             String json = new String(write.table().toJson(), StandardCharsets.UTF_8);
             return "write over " + write.revision() + ": " + json;
         }
