--- a/damaskyoke/src/main/java/io/damaskyoke/control/Control.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/Control.java
@@ -6,29 +6,32 @@
 import java.util.function.Supplier;
 
 /**
- * The one thread that owns all control state of a process. Traffic threads hand steps over and
- * never wait for them: {@code control.ask(() -> limits.admit(request)).thenCompose(...)}.
+ * Runs tasks, called steps, one at a time on the single thread that owns all control state of a
+ * process. Threads that carry traffic submit steps and never block on them: {@code control.ask(()
+ * -> limits.admit(request)).thenCompose(...)}.
  */
 public interface Control {
-    /** Runs the step on the control thread, after those handed over before. */
+    /** Runs the step on the control thread, after the steps submitted earlier. */
     void run(Runnable step);
 
-    /** Runs the step on the control thread and gives what it returned. */
+    /** Runs the step on the control thread; the returned stage completes with its result. */
     <T> CompletionStage<T> ask(Supplier<T> step);
 
-    /** Runs the step on the control thread once, after the delay. */
+    /** Schedules the step to run once on the control thread, after the delay. */
     Cancellable after(Duration delay, Runnable step);
 
-    /** Runs the step on the control thread again and again, first after one period. */
+    /** Schedules the step to run periodically on the control thread, first after one period. */
     Cancellable every(Duration period, Runnable step);
 
-    /** The clock of this process: never steps back, so that durations on it are real. */
+    /**
+     * Returns the clock of this process, which never goes backwards, so that durations are exact.
+     */
     InstantSource clock();
 
-    /** Something that can be called off. */
+    /** A scheduled step that can be cancelled. */
     @FunctionalInterface
     interface Cancellable {
-        /** Calls it off; harmless if it has run. */
+        /** Cancels the scheduled step; has no effect on a step that has already run. */
         void cancel();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/ControlLoop.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/ControlLoop.java
@@ -17,8 +17,9 @@
 import org.apache.pekko.actor.typed.javadsl.Behaviors;
 
 /**
- * The control thread as a Pekko actor on a pinned dispatcher: {@code ControlLoop.start(system,
- * clock, metrics)}. Its mailbox keeps the order in which one thread hands steps over.
+ * Implements the control thread as a Pekko actor on a pinned dispatcher: {@code
+ * ControlLoop.start(system, clock, metrics)}. The actor's mailbox keeps the order of the steps that
+ * one thread submits.
  */
 public final class ControlLoop implements Control {
     private static final Logger LOG = LogManager.getLogger(ControlLoop.class);
@@ -34,7 +35,7 @@
         this.clock = clock;
     }
 
-    /** Starts the control thread of a process within its actor system. */
+    /** Starts the control thread of a process in the given actor system. */
     public static ControlLoop start(ActorSystem<?> system, InstantSource clock, Metrics metrics) {
         Objects.requireNonNull(clock, "clock");
         Props props = DispatcherSelector.fromConfig(DISPATCHER);
@@ -91,17 +92,16 @@
                 });
     }
 
-    // A step that throws would stop the actor, and with it every decision of the process: callers
-    // would wait for ever. Each step leaves the state whole or throws before it changes it, so
-    // going
-    // on with the next one is safe.
+    // An uncaught exception would stop the actor, and with it all control decisions of the process,
+    // so that callers would wait forever. A step throws only before it changes any state, so it is
+    // safe to continue with the next one.
     private static void runSafely(Step step, Metrics metrics) {
         metrics.count("control_steps");
         try {
             step.body().run();
         } catch (RuntimeException e) {
             metrics.count("control_steps_failed");
-            LOG.error("a control step failed", e);
+            LOG.error("control step failed, continuing with the next one", e);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/Machine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/Machine.java
@@ -4,17 +4,18 @@
 import java.util.List;
 
 /**
- * A decision as a deterministic state machine: typed input and the time in, typed actions out.
+ * A deterministic state machine that turns an input and the current time into a list of actions.
  *
- * <p>It does no I/O, reads no clock and holds no lock. The same inputs give the same actions, so a
- * session can be replayed from a list, kept as a golden file, or compared with a naive version.
- * Implementations are not thread-safe; a daemon feeds them from its one control thread.
+ * <p>It does no I/O, reads no clock and takes no lock. The same sequence of inputs always gives the
+ * same actions, so a session can be replayed, compared with an approved file, or checked against a
+ * simpler implementation. Implementations are not thread-safe; a process feeds them from its
+ * control thread.
  *
- * @param <I> the inputs, usually a sealed interface of records
- * @param <A> the actions, usually a sealed interface of records
+ * @param <I> the type of the inputs, usually a sealed interface of records
+ * @param <A> the type of the actions, usually a sealed interface of records
  */
 @FunctionalInterface
 public interface Machine<I, A> {
-    /** Takes in one input and gives the actions to carry out, in order. */
+    /** Processes one input and returns the actions to carry out, in order. */
     List<A> on(I input, Instant now);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/MonotonicClock.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/MonotonicClock.java
@@ -4,11 +4,11 @@
 import java.time.InstantSource;
 
 /**
- * A clock that starts at the VM's time and then only follows its monotonic counter.
+ * A clock that starts at the VM's wall-clock time and then advances with its monotonic counter.
  *
- * <p>A wall clock that is set back would lengthen every lease and deadline, and one that is set
- * forward would cut them; either shows as requests refused too early or served too late. Durations
- * taken on this clock are free of both, since nothing sets the counter.
+ * <p>Setting a wall clock back lengthens every lease and deadline, and setting it forward shortens
+ * them, so that requests are served too late or refused too early. The monotonic counter is never
+ * set, so durations measured on this clock are not affected.
  */
 public final class MonotonicClock implements InstantSource {
     private final Instant start;
@@ -19,7 +19,7 @@
         this.startNanos = startNanos;
     }
 
-    /** Starts a clock at the system's present time. */
+    /** Starts a clock at the current time of the system. */
     public static MonotonicClock start() {
         return new MonotonicClock(Instant.now(), System.nanoTime());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/RecentlyUsed.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/RecentlyUsed.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * A map that forgets what was used longest ago once it holds more than so much: {@code new
+ * A map that evicts the least recently used entry once it exceeds its capacity: {@code new
  * RecentlyUsed<>(4_096)}.
  */
 public final class RecentlyUsed<K, V> extends LinkedHashMap<K, V> {
@@ -14,7 +14,7 @@
 
     private final int most;
 
-    /** An empty map that keeps this many entries. */
+    /** Creates an empty map that keeps at most this many entries. */
     public RecentlyUsed(int most) {
         super(CAPACITY, LOAD_FACTOR, true);
         this.most = most;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/SuspendAwareClock.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/SuspendAwareClock.java
@@ -7,15 +7,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * A clock that never steps back and also moves on while the VM is suspended.
+ * A clock that never goes backwards and that counts the time for which the VM was suspended.
  *
- * <p>The monotonic counter stands still while a VM is frozen, so a lease that ran out meanwhile
- * still looks valid after the thaw, and its holder goes on giving orders beside the next one. Only
- * the time of day shows the pause. So a leap of the time of day against the counter is added here;
- * a leap that was a mere setting of the clock makes leases end early, which is the safe side.
+ * <p>The monotonic counter stops while a VM is suspended. A lease that expired meanwhile would
+ * still look valid on resume, and its holder would act as leader beside its successor. Only the
+ * time of day shows the pause, so this clock adds every forward jump of the time of day relative to
+ * the counter. If the jump came from setting the system clock, leases expire early, which is safe.
  */
 public final class SuspendAwareClock implements InstantSource {
-    /** Smaller differences are drift and scheduling; leases have a tenth of seconds to spare. */
+    /** Smaller differences are drift and scheduling; leases have a margin of 0.1 s. */
     private static final Duration LEAST_LEAP = Duration.ofMillis(150);
 
     private final LongSupplier counter;
@@ -25,7 +25,7 @@
     private long leapNanos;
     private long offsetNanos;
 
-    /** A clock over a monotonic counter in nanoseconds and a time of day. */
+    /** Creates a clock from a monotonic counter in nanoseconds and a time-of-day clock. */
     public SuspendAwareClock(LongSupplier counter, InstantSource timeOfDay) {
         this.counter = counter;
         this.timeOfDay = timeOfDay;
@@ -33,7 +33,7 @@
         this.start = timeOfDay.instant();
     }
 
-    /** A clock over this VM's own counter and time of day. */
+    /** Starts a clock on the monotonic counter and the time of day of this VM. */
     public static SuspendAwareClock start() {
         return new SuspendAwareClock(System::nanoTime, Clock.systemUTC());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/package-info.java
@@ -1,2 +1,2 @@
-/** What all decisions share: the shape of a state machine, the control thread and its clock. */
+/** State machine interface, control thread and clocks that all control packages use. */
 package io.damaskyoke.control;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/SameThreadControl.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/SameThreadControl.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Supplier;
 
-/** A control thread for tests: the calling thread, with a clock that is moved by hand. */
+/** Runs steps on the calling thread, for tests, with a clock that only the test advances. */
 public final class SameThreadControl implements Control {
     private final ArrayDeque<Runnable> steps = new ArrayDeque<>();
     private final PriorityQueue<Timer> timers =
@@ -68,7 +68,7 @@
         return () -> now;
     }
 
-    /** Moves the clock on, running what falls due on the way. */
+    /** Advances the clock and runs the timers that expire within this duration, in order. */
     public void advance(Duration duration) {
         Instant end = now.plus(duration);
         while (!timers.isEmpty() && !timers.peek().at.isAfter(end)) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/SuspendAwareClockTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/SuspendAwareClockTest.java
@@ -15,8 +15,8 @@
 
     @Test
     void aFreezeCountsThoughTheCounterStoodStill() {
-        // The leader renews its lease, and its VM is frozen for six seconds. The counter
-        // doesn't see the pause; without the leap the lease would look as fresh as before.
+        // A leader's VM is suspended for six seconds after it renewed its lease. The monotonic
+        // counter does not advance, so without the correction the lease would still look valid.
         pass(Duration.ofMillis(100));
         timeOfDay = timeOfDay.plusSeconds(6);
         assertEquals(START.plusMillis(6_100), clock.instant());
