--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/AgentLoad.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/AgentLoad.java
@@ -4,26 +4,30 @@
 import java.util.Set;
 
 /**
- * What an agent last said of its load; it rides on answers and heartbeats, so it lags.
+ * The load that an agent last reported with an answer or a heartbeat, so it may be out of date.
  *
- * @param running requests at the upstream
- * @param waiting requests in the agent's queue
- * @param limit requests that may be at the upstream at once
- * @param loaded models and adapters ready to serve
- * @param loading models and adapters being loaded
+ * @param running number of requests at the upstream
+ * @param waiting number of requests in the agent's queue
+ * @param limit maximum number of concurrent requests at the upstream
+ * @param loaded models and adapters that are ready to serve
+ * @param loading models and adapters that are being loaded
  */
 public record AgentLoad(
         int running, int waiting, int limit, Set<ModelName> loaded, Set<ModelName> loading) {
-    /** What is assumed of an agent that has said nothing yet. */
+    /** The load assumed for an agent that has not reported any. */
     public static final AgentLoad UNKNOWN = new AgentLoad(0, 0, 1, Set.of(), Set.of());
 
-    /** Copies the sets. */
+    /** Creates a load with unmodifiable copies of the sets. */
     public AgentLoad {
         loaded = Set.copyOf(loaded);
         loading = Set.copyOf(loading);
     }
 
-    /** Requests there for each that may run at once: 1.0 is full. */
+    /**
+     * Returns the ratio of running and queued requests to the limit; 1.0 means fully used.
+     *
+     * @param extra number of requests to add that the agent has not reported yet
+     */
     public double pressure(int extra) {
         return (double) (running + waiting + extra) / Math.max(1, limit);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/Fleet.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/Fleet.java
@@ -21,8 +21,8 @@
 import scala.util.hashing.MurmurHash3$;
 
 /**
- * The agents that a router knows, and what it knows of each: {@code fleet.holder(model, tried,
- * now)}. Belongs to the control thread.
+ * The agents known to a router with their load and state, from which it selects one for a request:
+ * {@code fleet.holder(model, tried, now)}. Used on the control thread only.
  */
 public final class Fleet {
     private static final int HASH_SEED = 0x2f0b4c47;
@@ -41,12 +41,17 @@
         this.here = here;
     }
 
-    /** An empty fleet, seen from this availability zone. */
+    /** Creates an empty fleet for a router in this availability zone. */
     public static Fleet from(AvailabilityZone here) {
         return new Fleet(here);
     }
 
-    /** Takes in who is there now and who is leaving; what is known of those that stay is kept. */
+    /**
+     * Replaces the list of agents; the known load and state of agents that stay is kept.
+     *
+     * @param present endpoints of all registered agents
+     * @param listedAsLeaving VMs that are leaving and get no new requests
+     */
     public void update(Collection<Member> present, Set<VmId> listedAsLeaving) {
         members.clear();
         present.forEach(member -> members.put(member.vm(), member));
@@ -57,72 +62,75 @@
         leaving = Set.copyOf(listedAsLeaving);
     }
 
-    /** Takes in who may hold a replica of each model; requests go nowhere else. */
+    /** Sets the VMs that may hold a replica of each model; requests are sent only to these. */
     public void placed(Map<ModelName, Set<VmId>> newHolders) {
         holders = Map.copyOf(newHolders);
     }
 
-    /** True if some VM may hold the model. */
+    /** Returns true if at least one VM may hold the model. */
     public boolean isPlaced(ModelName model) {
         return holders.containsKey(model);
     }
 
-    /** Takes in what an agent says of its load. */
+    /** Records the load that an agent reported. */
     public void loaded(VmId vm, AgentLoad load) {
         loads.put(vm, load);
     }
 
-    /** An agent says that it takes no new work. */
+    /** Marks an agent as draining, so that it is not selected. */
     public void draining(VmId vm) {
         draining.add(vm);
     }
 
-    /** A new life of an agent, which takes work again whatever its last life said. */
+    /** Clears the state of an agent that restarted; a new incarnation accepts requests again. */
     public void returned(VmId vm) {
         draining.remove(vm);
         suspended.remove(vm);
         loads.remove(vm);
     }
 
-    /** Keeps an agent that can't be reached out of the choice for a while. */
+    /** Excludes an unreachable agent from selection for this time. */
     public void suspend(VmId vm, Instant now, Duration time) {
         suspended.put(vm, now.plus(time));
     }
 
-    /** Counts a request that was sent to an agent and not answered yet. */
+    /** Counts a request that was sent to an agent as outstanding. */
     public void sent(VmId vm) {
         outstanding.merge(vm, 1, Integer::sum);
     }
 
-    /** Counts a request that an agent is done with. */
+    /** Counts an outstanding request of an agent as finished. */
     public void done(VmId vm) {
         outstanding.computeIfPresent(vm, (id, count) -> count > 1 ? count - 1 : null);
     }
 
-    /** True while a request that was sent to an agent is not over. */
+    /** Returns true if the agent has outstanding requests from this router. */
     public boolean isBusy(VmId vm) {
         return outstanding.containsKey(vm);
     }
 
-    /** Where an agent is reached, if it is known. */
+    /** Returns the endpoint of an agent, or empty if the agent is unknown. */
     public Optional<Member> member(VmId vm) {
         return Optional.ofNullable(members.get(vm));
     }
 
-    /** All agents known, by VM. */
+    /** Returns the endpoints of all known agents, ordered by VM. */
     public List<Member> members() {
         return List.copyOf(members.values());
     }
 
-    /** What an agent last said of its load. */
+    /** Returns the load that an agent last reported. */
     public AgentLoad load(VmId vm) {
         return loads.getOrDefault(vm, AgentLoad.UNKNOWN);
     }
 
     /**
-     * The agent for a model. One that has it in memory and is not full is best; else one that is
-     * loading it; else the first of those with a right to it, on which all routers agree without
-     * talking, so that a burst of first requests at many routers meets at one agent.
+     * Selects the agent for a request to a model: an agent with free capacity that has loaded the
+     * model, else one that is loading it, else a full one that has loaded it, else the first of the
+     * agents that may hold it in rendezvous order. All routers compute the same order, so a burst
+     * of first requests at many routers loads the model at one agent only.
+     *
+     * @param tried agents that already got the request and are excluded
      */
     public Optional<VmId> holder(Model model, Set<VmId> tried, Instant now) {
         List<Member> homes = homes(model, tried, now);
@@ -133,7 +141,12 @@
                 .or(() -> homes.stream().findFirst().map(Member::vm));
     }
 
-    /** The agent of a plain service with the least to do, the nearest zone first among equals. */
+    /**
+     * Selects the least loaded agent in the pool of a plain service; among equals, one in the
+     * router's own availability zone is preferred.
+     *
+     * @param tried agents that already got the request and are excluded
+     */
     public Optional<VmId> server(PoolName pool, Set<VmId> tried, Instant now) {
         List<Member> servers =
                 pools.getOrDefault(pool, List.of()).stream()
@@ -181,7 +194,7 @@
                 .map(Member::vm);
     }
 
-    // Rendezvous hashing: when a VM comes or goes, only the models at home there move.
+    // Rendezvous hashing: when a VM joins or leaves, only the models on that VM move.
     private static int weight(String name, Member member) {
         return MurmurHash3$.MODULE$.stringHash(name + '@' + member.vm().value(), HASH_SEED);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/Member.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/Member.java
@@ -5,12 +5,12 @@
 import io.damaskyoke.id.VmId;
 
 /**
- * An agent that requests may be sent to.
+ * The network endpoint of an agent, with its VM, pool and availability zone.
  *
- * @param vm the VM it is on
+ * @param vm the VM that the agent runs on
  * @param pool the pool of its upstream
- * @param zone where it is
- * @param host where it listens for its peers
- * @param port the port there
+ * @param zone the availability zone of the VM
+ * @param host the host name or address on which the agent accepts peer connections
+ * @param port the TCP port on that host
  */
 public record Member(VmId vm, PoolName pool, AvailabilityZone zone, String host, int port) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestAction.java
@@ -4,32 +4,32 @@
 import io.damaskyoke.id.VmId;
 import java.time.Duration;
 
-/** What a router is to do for a request. */
+/** An action that {@link RequestMachine} tells the router to carry out for a request. */
 public sealed interface RequestAction {
-    /** Send it to this agent. */
+    /** Send the request to this agent. */
     record Send(VmId vm) implements RequestAction {}
 
-    /** Claim its idempotency key for a run at this agent, or move the claim there. */
+    /** Claim the idempotency key for a run at this agent, or move the existing claim to it. */
     record Claim(VmId vm) implements RequestAction {}
 
-    /** See whether a request under its idempotency key came before, without claiming the key. */
+    /** Check for an earlier request with the same idempotency key, without claiming the key. */
     record LookUp() implements RequestAction {}
 
-    /** Take the claim back: the request surely did not run and will not. */
+    /** Release the claim, since the request did not run and will not run. */
     record Release() implements RequestAction {}
 
-    /** Pass on the answer that was recorded for the key. */
+    /** Return the answer that was recorded for the idempotency key. */
     record Replay() implements RequestAction {}
 
-    /** Leave this agent out for a while. */
+    /** Exclude this agent from selection for this time. */
     record Suspend(VmId vm, Duration time) implements RequestAction {}
 
-    /** Tell the agent that nobody waits for the answer any more. */
+    /** Cancel the request at the agent, since its answer is no longer needed. */
     record Cancel(VmId vm, String reason) implements RequestAction {}
 
-    /** Pass the agent's answer on. */
+    /** Forward the agent's answer to the caller. */
     record Deliver(VmId vm) implements RequestAction {}
 
-    /** Refuse; this is the final answer. */
+    /** Answer the caller with this refusal; no other answer follows. */
     record Reply(Refusal refusal) implements RequestAction {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestInput.java
@@ -3,47 +3,49 @@
 import io.damaskyoke.exchange.Refusal;
 import io.damaskyoke.id.VmId;
 
-/** What can happen to a request at its router. */
+/** An event of a request at its router, the input of {@link RequestMachine}. */
 public sealed interface RequestInput {
-    /** It came in and was admitted. */
+    /** The request arrived and was admitted. */
     record Start() implements RequestInput {}
 
-    /** The agent's answer has begun. */
+    /** The agent started to answer. */
     record Served(VmId vm) implements RequestInput {}
 
-    /** The agent refused it. */
+    /** The agent refused the request. */
     record Refused(VmId vm, Refusal refusal) implements RequestInput {}
 
-    /** It surely did not leave this process. */
+    /** The request was not sent; no byte of it left this process. */
     record NotSent(VmId vm) implements RequestInput {}
 
-    /** It left, and the way to the agent broke before any answer. */
+    /** The connection to the agent broke after the request was sent and before any answer. */
     record Lost(VmId vm) implements RequestInput {}
 
-    /** Its idempotency key is claimed for a run at this agent. */
+    /** The idempotency key was claimed for a run at this agent. */
     record Claimed(VmId vm) implements RequestInput {}
 
-    /** Its key can't be claimed now, or a request under the same key came before. */
+    /** The key could not be claimed, or an earlier request has the same key. */
     record ClaimRefused(Refusal refusal) implements RequestInput {}
 
-    /** A request under the same key ran before, and its answer is known. */
+    /** An earlier request with the same key ran, and its answer is recorded. */
     record AnsweredBefore() implements RequestInput {}
 
-    /** Its key was looked up, and nothing is known of it. */
+    /** The key was looked up and no earlier request was found. */
     record KeyUnknown() implements RequestInput {}
 
-    /** Its deadline has passed. */
+    /** The deadline of the request passed. */
     record DeadlinePassed() implements RequestInput {}
 
-    /** The caller is gone. */
+    /** The caller disconnected. */
     record CallerGone() implements RequestInput {}
 
-    /** The key that came with it was withdrawn. */
+    /** The caller key that authenticated the request was withdrawn. */
     record KeyWithdrawn() implements RequestInput {}
 
     /**
-     * The claim that was to be given back is gone, if {@code confirmed}; else somebody else has it,
-     * or nobody knows yet.
+     * The release of the claim finished or timed out.
+     *
+     * @param confirmed true if the claim is known to be removed; false if another request has it,
+     *     or the result is not known yet
      */
     record Released(boolean confirmed) implements RequestInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestMachine.java
@@ -14,15 +14,15 @@
 import java.util.stream.Stream;
 
 /**
- * One request's way through its router: to an agent, to another one if it was not run, and to
- * exactly one answer.
+ * State machine that routes one request: it sends the request to an agent, retries at another one
+ * where that is safe, and gives the caller exactly one answer.
  *
- * <p>A request that may have reached an upstream is sent again only if it is idempotent. One that
- * surely did not run goes elsewhere as long as the retry budget and other agents last; one that a
- * stopping agent turned away goes on without cost.
+ * <p>A request that may have reached an upstream is retried only if it is idempotent. One that did
+ * not run is retried while the retry budget and untried agents last. A refusal by a stopping agent
+ * is retried without using the budget.
  *
- * <p>A request with an idempotency key is claimed before it is sent. The claim names the agent, so
- * the way to another agent leads through the claim again.
+ * <p>The idempotency key of a request is claimed before the request is sent. The claim names the
+ * agent, so it is moved before the request is sent to another agent.
  */
 public final class RequestMachine implements Machine<RequestInput, RequestAction> {
     private static final Duration SUSPENSION = Duration.ofSeconds(2);
@@ -41,10 +41,10 @@
     private Refusal lastRefusal;
     private Refusal pending;
 
-    /** Picks an agent that was not tried yet. */
+    /** Selects the agents to which a request is sent. */
     @FunctionalInterface
     public interface AgentChoice {
-        /** The next agent to try, or none. */
+        /** Returns an agent that is not in {@code tried}, or empty if there is none. */
         Optional<VmId> next(Set<VmId> tried, Instant now);
     }
 
@@ -56,7 +56,7 @@
         this.budget = budget;
     }
 
-    /** A machine for a new request. */
+    /** Creates a machine for a request without an idempotency key. */
     public static RequestMachine of(boolean idempotent, AgentChoice choice, RetryBudget budget) {
         return new RequestMachine(
                 idempotent,
@@ -65,7 +65,7 @@
                 Objects.requireNonNull(budget, "budget"));
     }
 
-    /** A machine for a non-idempotent request whose idempotency key has to be claimed first. */
+    /** Creates a machine for a non-idempotent request whose key must be claimed before sending. */
     public static RequestMachine keyed(AgentChoice choice, RetryBudget budget) {
         return new RequestMachine(
                 false,
@@ -79,18 +79,18 @@
         return state.step(this, input, now);
     }
 
-    /** True once the one answer was given or begun. */
+    /** Returns true once the caller got its answer, or the first part of it. */
     public boolean answered() {
         return state == State.ANSWERED;
     }
 
-    /** The agent that has the request now, if one has. */
+    /** Returns the agent that was selected last, or empty if none was selected yet. */
     public Optional<VmId> current() {
         return Optional.ofNullable(current);
     }
 
     private enum State {
-        /** Nothing was done yet. */
+        /** The request has not been processed yet. */
         NEW {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
@@ -101,7 +101,7 @@
                 return request.giveUp(input);
             }
         },
-        /** There is no agent to claim its key for, so the key is only looked up. */
+        /** No agent is available to claim the key for, so the key is only looked up. */
         LOOKING_UP {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
@@ -117,7 +117,7 @@
                 return request.giveUp(input);
             }
         },
-        /** Its key is being claimed for an agent, or the claim is being moved to one. */
+        /** The key is being claimed for an agent, or the claim is being moved to one. */
         CLAIMING {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
@@ -133,7 +133,7 @@
                 return request.giveUp(input);
             }
         },
-        /** An agent has it and has not answered. */
+        /** The request was sent to an agent, which has not answered yet. */
         SENT {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
@@ -154,7 +154,7 @@
                 return request.giveUp(input);
             }
         },
-        /** It is to be refused as not run, once its claim is known to be given back. */
+        /** The request will be refused as not run once the release of its claim is confirmed. */
         RELEASING {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
@@ -164,7 +164,7 @@
                 return request.givesUpWaiting(input) ? request.released(false) : List.of();
             }
         },
-        /** The one answer was given or begun; whatever comes now is late. */
+        /** The caller got its answer; later inputs only release the claim. */
         ANSWERED {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
@@ -196,8 +196,9 @@
         return send();
     }
 
-    // Its pool may be down because of the very payment that is repeated here. Refused unseen, the
-    // caller would not learn until an agent is back that it was paid long ago.
+    // The pool may be down because of the same payment that is repeated here. If it were refused
+    // without a lookup, the caller would learn only once an agent is back that the payment was
+    // made.
     private List<RequestAction> lookUp() {
         lookedUp = true;
         state = State.LOOKING_UP;
@@ -219,8 +220,8 @@
         return List.of(new RequestAction.Replay());
     }
 
-    // The claim was granted after the request had been given up, so it was never sent. Left alone,
-    // the claim would make every repeat of the key end as "outcome unknown".
+    // The claim was granted after the request had been answered, so the request was never sent. If
+    // the claim stayed, every repeat with the key would be refused as "outcome unknown".
     private List<RequestAction> claimedTooLate() {
         claimHeld = true;
         return release();
@@ -258,9 +259,10 @@
         return again ? retry(now) : reply(refusal);
     }
 
-    // A stopping agent hands nothing to its upstream, so the next try is no second load on any. On
-    // the budget, a planned stop would use it up, and callers would be refused beside idle agents.
-    // An agent that is left out can't take every request's free try.
+    // A stopping agent sends nothing to its upstream, so this retry adds no load. If it were
+    // charged
+    // to the budget, a planned stop would use the budget up, and requests would be refused while
+    // other agents are idle. Suspending the agent keeps it from causing a free retry per request.
     private List<RequestAction> turnedAway(Instant now) {
         return concat(new RequestAction.Suspend(current, SUSPENSION), sendOn(now));
     }
@@ -270,9 +272,9 @@
         return concat(suspend, retry(now));
     }
 
-    // The frame left and the link broke: the agent may have handed the request over. Sending it
-    // again would run a payment twice, which shows as a grower charged twice; so only an idempotent
-    // request goes elsewhere, and the caller of any other is told that the outcome is unknown.
+    // The agent may have passed the request to its upstream before the connection broke. Sending a
+    // payment again could charge a customer twice, so only an idempotent request is retried; any
+    // other is answered as "outcome unknown".
     private List<RequestAction> lost(Instant now) {
         mayHaveRun = true;
         RequestAction suspend = new RequestAction.Suspend(current, SUSPENSION);
@@ -284,7 +286,7 @@
                 reply(
                         Refusal.mayHaveRun(
                                 RefusalCode.OUTCOME_UNKNOWN,
-                                "the way to the upstream broke; the request may have run")));
+                                "the connection to the upstream broke; the request may have run")));
     }
 
     private List<RequestAction> retry(Instant now) {
@@ -298,7 +300,7 @@
         if (lastRefusal != null) {
             return lastRefusal;
         }
-        String message = "no upstream for this request can be reached now";
+        String message = "no upstream for this request can be reached";
         return Refusal.notRun(RefusalCode.NO_UPSTREAM, message).retryAfter(COME_BACK);
     }
 
@@ -310,13 +312,13 @@
             return cancelAndReply(RefusalCode.KEY_WITHDRAWN, "the caller key was withdrawn");
         }
         if (input instanceof RequestInput.CallerGone) {
-            return cancelAndReply(RefusalCode.REQUEST_TIMEOUT, "the caller is gone");
+            return cancelAndReply(RefusalCode.REQUEST_TIMEOUT, "the caller disconnected");
         }
         return List.of();
     }
 
-    // A claimed request goes on when its caller has left: its answer is recorded, and the caller
-    // who comes back with the key gets it. Cancelled, its outcome would stay unknown for ever.
+    // A claimed request keeps running when its caller disconnects: its answer is recorded for a
+    // repeat with the same key. If it were cancelled, its outcome would stay unknown forever.
     private List<RequestAction> cancelAndReply(RefusalCode code, String message) {
         boolean sent = state == State.SENT;
         boolean finishes = claimHeld && code != RefusalCode.KEY_WITHDRAWN;
@@ -328,9 +330,9 @@
         return concat(new RequestAction.Cancel(current, message), reply);
     }
 
-    // A second agent may truly say "not run" of a request that the first one ran before its link
-    // broke. Passed on, it makes the caller send a payment again; so what any try may have done
-    // decides what the caller is told.
+    // "Not run" from the second agent is true of that agent only: the first one may have run the
+    // request before its connection broke. The caller would then send a payment again, so the
+    // answer takes all attempts into account.
     private List<RequestAction> reply(Refusal refusal) {
         boolean notRun = refusal.notRun() && !mayHaveRun && !earlierTryPossible(refusal);
         if (notRun && claimHeld) {
@@ -340,9 +342,10 @@
         return Stream.concat(release.stream(), finalReply(refusal, notRun).stream()).toList();
     }
 
-    // While the agent's "not run" was on its way here, a repeat at another router may have taken
-    // the claim over and run. Told "not run", this caller would pay again under another key. The
-    // claim's removal is a compare-and-swap, so if it is confirmed no repeat has taken it.
+    // While the agent's "not run" was in transit, a repeat at another router may have taken over
+    // the
+    // claim and run. If told "not run", this caller would pay again under another key. The claim is
+    // removed by compare-and-swap, so a confirmed removal proves that no repeat took it over.
     private List<RequestAction> releaseFirst(Refusal refusal) {
         pending = refusal;
         state = State.RELEASING;
@@ -366,9 +369,9 @@
         return List.of(new RequestAction.Reply(honest));
     }
 
-    // As long as the key is not claimed here, nobody here knows whether it came before, at another
-    // router, and ran. "Not run" would then be true of this try and false of the payment, and the
-    // caller would pay again under another key.
+    // Before this router holds the claim, a request with the same key may have run through another
+    // router. "Not run" would then be true of this attempt but false of the payment, and the caller
+    // would pay again under another key.
     private boolean earlierTryPossible(Refusal refusal) {
         return keyed && !claimHeld && refusal.code() != RefusalCode.KEY_REUSED;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RetryBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RetryBudget.java
@@ -1,10 +1,10 @@
 package io.damaskyoke.control.routing;
 
 /**
- * Bounds retries to a part of the first tries, over a router's whole traffic.
+ * Limits retries to a fraction of the first attempts, over all requests of a router.
  *
- * <p>Without it a dead upstream makes every one of its requests a second one for the upstreams that
- * are left, which then fail in their turn. With it the load on them grows by the ratio at most.
+ * <p>Without a budget, every request to a failed upstream is retried at the remaining ones, which
+ * are then overloaded and fail too. With it, their load grows by at most the ratio.
  */
 public final class RetryBudget {
     private static final double START = 10.0;
@@ -16,20 +16,25 @@
         this.ratio = ratio;
     }
 
-    /** A budget of {@code ratio} retries for each first try, for example 0.2. */
+    /**
+     * Creates a budget.
+     *
+     * @param ratio retries allowed for each first attempt, from 0 to 1, for example 0.2
+     */
     public static RetryBudget of(double ratio) {
         if (!(ratio >= 0 && ratio <= 1)) {
-            throw new IllegalArgumentException("ratio must be 0 to 1: " + ratio);
+            throw new IllegalArgumentException(
+                    "retry ratio must be between 0 and 1, but is " + ratio);
         }
         return new RetryBudget(ratio);
     }
 
-    /** A first try earns its part of a retry. */
+    /** Records a first attempt, which adds {@code ratio} retries to the budget. */
     public void firstTry() {
         left = Math.min(START, left + ratio);
     }
 
-    /** Takes one retry from the budget; false if there is none. */
+    /** Takes one retry from the budget; returns false if less than one is left. */
     public boolean takeRetry() {
         if (left < 1.0) {
             return false;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/SharedRetryBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/SharedRetryBudget.java
@@ -5,14 +5,14 @@
 import java.util.ArrayDeque;
 
 /**
- * This router's part of a bound on second sends to a service that all routers keep together.
+ * This router's share of a limit on retries to a service that all routers keep in common.
  *
- * <p>The bound counts over a sliding window: a part of the requests for the service, and some more.
- * Each router takes its own requests' part and an even part of the rest, and of both only so much
- * that routers which start or vanish meanwhile don't lead over it.
+ * <p>In a sliding window the limit is a fraction of all requests to the service plus a fixed extra
+ * number. Each router uses the fraction of its own requests and an equal share of the extra, and
+ * only part of that sum, so that routers that start or stop meanwhile don't exceed the limit.
  */
 public final class SharedRetryBudget {
-    /** What is left unused for routers that have just started and count from nothing. */
+    /** Fraction that is used; the rest is kept for routers that just started with empty counts. */
     private static final double PART = 0.7;
 
     private final Duration window;
@@ -21,20 +21,30 @@
     private final ArrayDeque<Instant> requests = new ArrayDeque<>();
     private final ArrayDeque<Instant> retries = new ArrayDeque<>();
 
-    /** A budget of {@code ratio} times the requests and {@code extra} more in each window. */
+    /**
+     * Creates a budget.
+     *
+     * @param window length of the sliding window
+     * @param ratio retries allowed for each request in the window
+     * @param extra retries allowed in the window on top of these, shared by all routers
+     */
     public SharedRetryBudget(Duration window, double ratio, double extra) {
         this.window = window;
         this.ratio = ratio;
         this.extra = extra;
     }
 
-    /** A caller's request for the service has come. */
+    /** Records a caller's request to the service. */
     public void requested(Instant now) {
         requests.add(now);
         expire(requests, now);
     }
 
-    /** Takes one second send, with so many routers sharing; false if there is none left. */
+    /**
+     * Takes one retry from the budget; returns false if none is left.
+     *
+     * @param routers number of routers that share the extra
+     */
     public boolean take(int routers, Instant now) {
         boolean left = left(routers, now);
         if (left) {
@@ -43,7 +53,11 @@
         return left;
     }
 
-    /** True if a second send could be taken. */
+    /**
+     * Returns true if a retry is left, without taking it.
+     *
+     * @param routers number of routers that share the extra
+     */
     public boolean left(int routers, Instant now) {
         expire(requests, now);
         expire(retries, now);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which agent gets a request, and what is done when it can't serve it. */
+/** Selection of an agent for each request, and the retries when it can't serve the request. */
 package io.damaskyoke.control.routing;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/RequestMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/RequestMachineTest.java
@@ -29,8 +29,8 @@
         assertEquals(new RequestAction.Send(TWO), actions.get(1));
     }
 
-    // The caller of a payment sees "outcome unknown". The frame left, the agent died before it
-    // answered. It may have handed the payment over, so no other agent may get it.
+    // The agent crashes after the payment was sent to it and before it answers. It may have passed
+    // the payment to its upstream, so no other agent may get it.
     @Test
     void aPaymentWhoseAgentDiedIsNotSentAgain() {
         RequestMachine request = started(false, BOTH);
@@ -46,8 +46,8 @@
         assertEquals(new RequestAction.Send(TWO), actions.get(1));
     }
 
-    // The caller sees a refusal that does not claim "not run". The first agent was lost with the
-    // request and may have run it; the second refuses and says, of itself, that it did not.
+    // The connection to the first agent breaks, so that agent may have run the request. The second
+    // agent's "not run" is true of itself only and must not reach the caller.
     @Test
     void aSecondAgentsNotRunDoesNotHideWhatTheFirstMayHaveDone() {
         RequestMachine request = started(true, BOTH);
@@ -76,8 +76,7 @@
         assertEquals(List.of(), request.on(new RequestInput.DeadlinePassed(), NOW));
     }
 
-    // The caller sees "no upstream" at once. All agents of the pool are dead; without a budget each
-    // request would be tried at each of them.
+    // All agents of the pool are down. Without a budget each request would be tried at every agent.
     @Test
     void retriesStopWhenTheBudgetIsUsedUp() {
         RetryBudget budget = RetryBudget.of(0);
@@ -92,8 +91,8 @@
         assertTrue(refusal.retryAfter().isPresent());
     }
 
-    // The caller sees an answer from the second agent. The first refused and surely did not run it;
-    // the claim, which names the agent to ask about the outcome, moves before the request does.
+    // The first agent refused the request without running it. The claim names the agent that is
+    // asked for the outcome, so it must move before the request is sent to the second agent.
     @Test
     void aClaimedPaymentGoesToAnotherAgentOnlyAfterItsClaimHas() {
         RequestMachine request = claimed();
@@ -106,8 +105,8 @@
                 request.on(new RequestInput.Claimed(TWO), NOW));
     }
 
-    // The caller is told "not run" and may pay another way. The claim is given back first, or a
-    // repeat of the key would be told for a day that its outcome is unknown.
+    // If the claim were not released before the refusal, repeats with the key would be refused as
+    // "outcome unknown" for a day.
     @Test
     void aClaimedPaymentThatSurelyDidNotRunGivesItsClaimBack() {
         RequestMachine request = claimed();
@@ -116,8 +115,8 @@
         assertEquals(true, refusalIn(actions).notRun());
     }
 
-    // The caller is not told "not run". The agent's refusal was on its way when a repeat at another
-    // router asked the agent, took the claim over and ran; the claim can't be given back any more.
+    // While the agent's refusal is in transit, a repeat at another router takes over the claim and
+    // runs. The release then fails, and the caller must not be told "not run".
     @Test
     void aPaymentWhoseClaimWasTakenOverIsNotCalledNotRun() {
         RequestMachine request = claimed();
@@ -126,8 +125,9 @@
         assertEquals(false, refusalIn(actions).notRun());
     }
 
-    // The caller gets its answer by its deadline. The store is out, so nobody can say whether the
-    // claim is given back, and "not run" is not said.
+    // The store is unavailable, so the release is not confirmed. The caller still gets its answer
+    // by
+    // the deadline, without "not run".
     @Test
     void aReleaseThatTakesTooLongDoesNotHoldTheAnswerBack() {
         RequestMachine request = claimed();
@@ -137,8 +137,9 @@
         assertEquals(List.of(), request.on(new RequestInput.Released(true), NOW));
     }
 
-    // The store is out, so nobody knows whether the key came before and ran at another router. "Not
-    // run" would be true of this try only, and the caller would pay again under another key.
+    // The store is unavailable, so a request with the same key may have run through another router.
+    // "Not run" would be true of this attempt only, and the caller would pay again under another
+    // key.
     @Test
     void aPaymentThatCouldNotBeClaimedIsNotCalledNotRun() {
         RequestMachine request = RequestMachine.keyed(BOTH, RetryBudget.of(0.2));
@@ -149,8 +150,8 @@
                 request.on(new RequestInput.Claimed(ONE), NOW));
     }
 
-    // The caller repeats a payment and sees its recorded answer. The pool's last agent is gone, so
-    // there is nobody to claim the key for; it is looked up all the same before any refusal.
+    // A payment is repeated while its pool has no agent, so its key can't be claimed. The key must
+    // still be looked up before the request is refused.
     @Test
     void aRepeatWithoutAnyAgentIsLookedUpAndGetsItsRecordedAnswer() {
         RequestMachine request = RequestMachine.keyed((tried, now) -> Optional.empty(), BUDGET);
@@ -161,8 +162,9 @@
                 request.on(new RequestInput.AnsweredBefore(), NOW));
     }
 
-    // The caller is told to come back with the same key. The look found nothing, but it holds
-    // nothing either: an earlier try may claim the key a moment later, so "not run" is not said.
+    // The lookup finds nothing, but it does not claim the key: an earlier attempt may still claim
+    // it
+    // a moment later, so the caller is asked to retry and not told "not run".
     @Test
     void anUnknownKeyWithoutAnyAgentIsRefusedButNotCalledNotRun() {
         RequestMachine request = RequestMachine.keyed((tried, now) -> Optional.empty(), BUDGET);
@@ -185,8 +187,9 @@
                 request.on(new RequestInput.KeyUnknown(), NOW));
     }
 
-    // The buyer leaves while the payment runs. It is not cancelled, so that its answer is there
-    // when the buyer comes back; if the agent then says that it never ran, the claim is given back.
+    // The caller disconnects while the payment runs. The payment is not cancelled, so that its
+    // answer
+    // is recorded for a repeat; if the agent later reports "not run", the claim is released.
     @Test
     void aClaimedPaymentGoesOnWithoutItsCaller() {
         RequestMachine request = claimed();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/RetryBudgetTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/RetryBudgetTest.java
@@ -31,16 +31,16 @@
     private final Map<VmId, Integer> taken = new HashMap<>();
     private int triesOfTheRest;
 
-    // One of five upstreams is dead, and the others have 5 % to spare: a fifth of the requests has
-    // nowhere to go. Each refusal for overload makes a further try elsewhere, so that the rest get
-    // half as many tries again as there are requests, just when they have no room.
+    // One of five upstreams is down and the others have 5 % spare capacity, so about a fifth of the
+    // requests can't be served. Every refusal for overload causes another attempt, so the remaining
+    // upstreams get more than 1.5 times their normal attempts while they are full.
     @Test
     void withoutABudgetTheRestGetManyTimesTheirLoad() {
         double factor = loadOfTheRest(() -> RetryBudget.of(RATIO));
         assertTrue(factor > 1.5, () -> "load factor " + factor);
     }
 
-    // The same with one budget for all requests: no more than the ratio comes on top.
+    // The same failure with one budget for all requests: the load grows by at most the ratio.
     @Test
     void withABudgetTheLoadOfTheRestGrowsByTheRatioAtMost() {
         RetryBudget budget = RetryBudget.of(RATIO);
@@ -50,9 +50,9 @@
         assertTrue(factor <= most, () -> "load factor " + factor);
     }
 
-    // A roll-out stops agents one after the other; each says "not run, I am stopping" to what was
-    // on its way to it. Nothing ran, so sending it on adds no load; were it charged, the budget
-    // would be used up by a planned stop, and callers be refused though other agents are idle.
+    // A rollout stops agents one at a time, and each refuses the requests in transit to it as not
+    // run. Retrying them adds no load. If the budget were charged, a planned stop would use it up,
+    // and requests would be refused while other agents are idle.
     @Test
     void whatAStoppingAgentTurnsAwayIsSentOnWithoutCost() {
         RetryBudget budget = RetryBudget.of(0);
@@ -66,8 +66,9 @@
         assertEquals(new RequestAction.Send(vm(1)), actions.get(actions.size() - 1));
     }
 
-    // An agent that says so for ever would cost each request a free try; left out for a while, it
-    // costs one only to those that were on their way.
+    // If the agent were not suspended, every request could cause a free attempt at it; suspended,
+    // it
+    // only affects the requests already in transit.
     @Test
     void anAgentThatStopsIsLeftOut() {
         RequestMachine request = machine(ALL, RetryBudget.of(RATIO));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/SharedRetryBudgetTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/SharedRetryBudgetTest.java
@@ -28,8 +28,8 @@
 
     @Test
     void noSlidingWindowHasMoreThanTheBound() {
-        // Every upstream fails for a while, and each router tries every request once more. Over any
-        // ten seconds the second sends of all routers stay within the common bound.
+        // All upstreams fail, and each router retries every request once. In any ten seconds the
+        // retries of all routers together stay within the common limit.
         SplittableRandom random = new SplittableRandom(7);
         List<SharedRetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < ROUTERS; i++) {
