--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/FairOrder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/FairOrder.java
@@ -6,9 +6,12 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Start-time fair queueing among workspaces: whose turn comes next is whose virtual time is least,
- * and a run moves that on by its cost through the workspace's weight. A workspace that was idle
- * starts at the present virtual time, so that it neither owes nor has saved anything.
+ * Orders the requests of workspaces by start-time fair queueing, so that each workspace gets
+ * upstream time in proportion to its weight.
+ *
+ * <p>The workspace with the lowest virtual start time goes next, and each run advances that time by
+ * the run's cost divided by the workspace's weight. A workspace that was idle starts at the current
+ * virtual time, so it has neither debt nor credit.
  */
 final class FairOrder {
     private final ToDoubleFunction<WorkspaceId> weight;
@@ -19,12 +22,16 @@
         this.weight = weight;
     }
 
-    /** Where the workspace's next request starts; the least goes first. */
+    /** Returns the virtual start time of the workspace's next request; the lowest goes first. */
     double start(WorkspaceId workspace) {
         return Math.max(virtualTime, finish.getOrDefault(workspace, 0.0));
     }
 
-    /** The workspace's request goes now; it costs about that many seconds. */
+    /**
+     * Records that a request of the workspace starts now.
+     *
+     * @param cost expected run time in seconds
+     */
     void ran(WorkspaceId workspace, double cost) {
         double start = start(workspace);
         virtualTime = start;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServiceTimes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServiceTimes.java
@@ -5,11 +5,17 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** How long requests run at the upstream, learned for each model as a moving average. */
+/**
+ * Estimates how long requests run at the upstream, from an exponential moving average for each
+ * model.
+ */
 final class ServiceTimes {
     private static final double NEWEST = 0.1;
 
-    /** Small: a guess above the truth makes who ran first wait for turns that it never had. */
+    /**
+     * Estimate before any measurement. It is low, since an estimate above the real time delays the
+     * workspace that ran first for upstream time that it never used.
+     */
     private static final double UNKNOWN_SECONDS = 0.05;
 
     private static final double LEAST_SECONDS = 0.01;
@@ -20,12 +26,15 @@
         seconds.merge(model, measured, (old, now) -> old + NEWEST * (now - old));
     }
 
-    /** Empty while nothing of this model has finished. */
+    /** Returns the average in seconds, or empty if no request of this model has finished. */
     Optional<Double> known(Optional<ModelName> model) {
         return Optional.ofNullable(seconds.get(model));
     }
 
-    /** The average, or a guess that treats all alike; never 0, or turns would cost nothing. */
+    /**
+     * Returns the average in seconds, or the same default for every model without one; never 0,
+     * since runs would then cost nothing in fair queueing.
+     */
     double cost(Optional<ModelName> model) {
         return Math.max(LEAST_SECONDS, seconds.getOrDefault(model, UNKNOWN_SECONDS));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingAction.java
@@ -6,21 +6,21 @@
 import io.damaskyoke.id.WorkspaceId;
 import java.time.Instant;
 
-/** What an agent is to do for its requests. */
+/** An action that {@link ServingMachine} tells the agent to carry out for its requests. */
 public sealed interface ServingAction {
-    /** See that the request's model gets into memory before the deadline. */
+    /** Load the request's model into memory before the deadline, if it is not there yet. */
     record Want(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline)
             implements ServingAction {}
 
-    /** The request no longer waits for its model, which never became ready for it. */
+    /** Stop waiting for the model of a request that did not get it. */
     record GiveUp(ExchangeId id, ModelName model) implements ServingAction {}
 
-    /** A request for which the model was ready uses it no longer. */
+    /** Release the model for a request that had it and no longer uses it. */
     record Leave(ModelName model) implements ServingAction {}
 
-    /** Hand the request to the upstream. */
+    /** Send the request to the upstream. */
     record Run(ExchangeId id) implements ServingAction {}
 
-    /** Refuse the request; it was not run. */
+    /** Refuse the request, which was not run. */
     record Refuse(ExchangeId id, Refusal refusal) implements ServingAction {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingInput.java
@@ -7,28 +7,28 @@
 import java.time.Instant;
 import java.util.Optional;
 
-/** What can happen to the requests at an agent. */
+/** An event of the requests at an agent, the input of {@link ServingMachine}. */
 public sealed interface ServingInput {
-    /** A request came; {@code model} is empty for a plain service. */
+    /** A request arrived; {@code model} is empty for a plain service. */
     record Arrived(
             ExchangeId id, WorkspaceId workspace, Optional<ModelName> model, Instant deadline)
             implements ServingInput {}
 
-    /** The request's model is in memory, and stays there until the request leaves it. */
+    /** The request's model is in memory and stays there until the request releases it. */
     record Ready(ExchangeId id) implements ServingInput {}
 
-    /** The request's model can't be had. */
+    /** The request's model can't be loaded. */
     record Unavailable(ExchangeId id, Refusal refusal) implements ServingInput {}
 
-    /** A request that ran is over, well or not. */
+    /** A running request ended, with success or failure. */
     record Finished(ExchangeId id) implements ServingInput {}
 
-    /** Nobody waits for the answer any more. */
+    /** The request was cancelled, since its answer is no longer needed. */
     record Gone(ExchangeId id) implements ServingInput {}
 
-    /** Time has passed. */
+    /** The periodic timer fired. */
     record Tick() implements ServingInput {}
 
-    /** No new work from now on. */
+    /** The agent started to drain and accepts no new requests. */
     record Drain() implements ServingInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingMachine.java
@@ -19,11 +19,13 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The requests at one agent: those that wait and those at the upstream.
+ * State machine of one agent's requests: it queues them and decides which one runs next at the
+ * upstream and which are refused.
  *
- * <p>Every request that arrives leads to exactly one {@code Run} or one {@code Refuse}, at the
- * latest at the first tick after its deadline. No more than {@code maxRunning} are at the upstream.
- * Workspaces take turns by weight, so that one which sends too much delays mostly itself.
+ * <p>Every request leads to exactly one {@code Run} or {@code Refuse}, at the latest at the first
+ * tick after its deadline, unless it is cancelled before. At most {@code maxRunning} requests are
+ * at the upstream at once. Workspaces share the upstream by weight, so a workspace that sends too
+ * many requests mostly delays its own.
  */
 public final class ServingMachine implements Machine<ServingInput, ServingAction> {
     private static final Duration COME_BACK = Duration.ofSeconds(1);
@@ -44,18 +46,27 @@
     }
 
     /**
-     * A machine for an upstream that takes this many at once, before a queue of this length in
-     * which all workspaces weigh the same.
+     * Creates a machine in which all workspaces have the same weight.
+     *
+     * @param maxRunning maximum number of concurrent requests at the upstream
+     * @param maxWaiting maximum number of queued requests
      */
     public static ServingMachine of(int maxRunning, int maxWaiting) {
         return of(maxRunning, maxWaiting, workspace -> 1.0);
     }
 
-    /** The same, with each workspace's weight in fair waiting. */
+    /**
+     * Creates a machine with the weights of the workspaces.
+     *
+     * @param maxRunning maximum number of concurrent requests at the upstream
+     * @param maxWaiting maximum number of queued requests
+     * @param weight a workspace's share of upstream time relative to the others
+     */
     public static ServingMachine of(
             int maxRunning, int maxWaiting, ToDoubleFunction<WorkspaceId> weight) {
         if (maxRunning < 1 || maxWaiting < 1) {
-            throw new IllegalArgumentException("limits must be at least 1 running and 1 waiting");
+            throw new IllegalArgumentException(
+                    "maximum running and waiting requests must be at least 1");
         }
         return new ServingMachine(maxRunning, maxWaiting, weight);
     }
@@ -68,22 +79,22 @@
         return actions;
     }
 
-    /** Requests at the upstream. */
+    /** Returns the number of requests at the upstream. */
     public int running() {
         return running.size();
     }
 
-    /** True if this request is at the upstream. */
+    /** Returns true if this request is at the upstream. */
     public boolean isRunning(ExchangeId id) {
         return running.containsKey(id);
     }
 
-    /** Requests that wait. */
+    /** Returns the number of queued requests. */
     public int waiting() {
         return waiting.size();
     }
 
-    /** True once nothing runs or waits and nothing new is taken. */
+    /** Returns true if the agent is draining and has no running or queued requests. */
     public boolean drained() {
         return draining && running.isEmpty() && waiting.isEmpty();
     }
@@ -121,19 +132,22 @@
 
     private Optional<Refusal> atTheDoor(ServingInput.Arrived arrived, Instant now) {
         if (draining) {
-            return refusal(RefusalCode.STOPPING, "this agent takes no new work");
+            return refusal(
+                    RefusalCode.STOPPING, "this agent is stopping and accepts no new requests");
         }
         if (!now.isBefore(arrived.deadline())) {
             return refusal(RefusalCode.DEADLINE_EXCEEDED, "the deadline has passed");
         }
         if (waiting.size() >= maxWaiting && !canMakeRoom(arrived)) {
-            return refusal(RefusalCode.OVERLOADED, "too many requests wait here");
+            return refusal(RefusalCode.OVERLOADED, "the queue of this agent is full");
         }
         return unreachable(arrived, now);
     }
 
-    // A queue that one workspace has filled would refuse all others, though they keep within their
-    // rates. So a newcomer of another one takes the place of the longest waiting line's last.
+    // One workspace that fills the queue would cause refusals for all others, even within their
+    // rate
+    // limits. So a request of another workspace replaces the newest one of the workspace that has
+    // the most queued requests.
     private boolean canMakeRoom(ServingInput.Arrived arrived) {
         return waitingOf(longestLine()) > waitingOf(arrived.workspace()) + 1;
     }
@@ -148,7 +162,7 @@
         }
         waiting.remove(last.arrived.id());
         letGo(last, actions);
-        Refusal full = refusal(RefusalCode.OVERLOADED, "too many requests wait here").get();
+        Refusal full = refusal(RefusalCode.OVERLOADED, "the queue of this agent is full").get();
         actions.add(new ServingAction.Refuse(last.arrived.id(), full));
     }
 
@@ -164,8 +178,9 @@
                 .count();
     }
 
-    // What stands ahead is the own line and, for each of its turns, one turn of every other line:
-    // less than the whole queue where another workspace has filled it.
+    // The requests ahead are those of the same workspace and, for each of them and for the new one,
+    // one of every other workspace. This is less than the whole queue if another workspace filled
+    // it.
     private Optional<Refusal> unreachable(ServingInput.Arrived arrived, Instant now) {
         Optional<Double> own = times.known(arrived.model());
         if (own.isEmpty() || running.size() < maxRunning) {
@@ -180,7 +195,7 @@
         Refusal refusal =
                 Refusal.notRun(
                         RefusalCode.DEADLINE_UNREACHABLE,
-                        "the deadline can't be met with what waits here");
+                        "the deadline can't be met with the requests in the queue");
         return Optional.of(refusal.retryAfter(Duration.ofMillis(back)));
     }
 
@@ -231,7 +246,10 @@
     }
 
     private void refuseLate(Instant now, List<ServingAction> actions) {
-        Refusal late = Refusal.notRun(RefusalCode.DEADLINE_EXCEEDED, "waited too long");
+        Refusal late =
+                Refusal.notRun(
+                        RefusalCode.DEADLINE_EXCEEDED,
+                        "the deadline passed while the request was queued");
         Iterator<Waiting> all = waiting.values().iterator();
         while (all.hasNext()) {
             Waiting request = all.next();
@@ -257,7 +275,7 @@
         }
     }
 
-    /** Of the workspace whose turn it is, the request with the earliest deadline. */
+    /** Returns the ready request with the earliest deadline of the workspace that is next. */
     private Optional<Waiting> next() {
         return waiting.values().stream()
                 .filter(request -> request.ready)
@@ -285,7 +303,7 @@
         return new ServingAction.Want(request.id(), model, request.workspace(), request.deadline());
     }
 
-    /** A request that waits; one for a plain service is ready from the start. */
+    /** A queued request; one for a plain service is ready from the start. */
     private static final class Waiting {
         private final ServingInput.Arrived arrived;
         private boolean ready;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/package-info.java
@@ -1,2 +1,2 @@
-/** What an agent does with the requests it was sent: wait, run, or refuse in time. */
+/** Queueing, fair scheduling and refusal of requests at an agent. */
 package io.damaskyoke.control.serving;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/serving/FairWaitingTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/serving/FairWaitingTest.java
@@ -27,7 +27,7 @@
 
     @Test
     void aModestWorkspaceGoesBeforeTheLineOfAGreedyOne() {
-        // The greedy one's fourth request would otherwise be served before the modest one's first.
+        // Served in order of arrival, the modest workspace would wait for the whole queue.
         for (int i = 1; i <= 4; i++) {
             arrive(i, "greedy", DEADLINE);
         }
@@ -75,7 +75,7 @@
 
     @Test
     void aDeadlineThatTheQueueMakesUnreachableIsRefusedAtOnceWithATimeToComeBack() {
-        // Held back until its deadline the caller would learn nothing sooner than that.
+        // Without the check the caller would be refused only when the deadline has passed.
         arrive(1, "kitchens", DEADLINE);
         agent.on(new ServingInput.Finished(id(1)), NOW.plusSeconds(4));
         arrive(2, "kitchens", DEADLINE);
@@ -89,8 +89,8 @@
 
     @Property(seed = "31", tries = 100)
     void eachArrivalIsRunOrRefusedOnceAndInTime(@ForAll long seed) {
-        // Arrivals, ends, callers that go and time in any order: nobody is forgotten, told twice,
-        // or held past the first tick after the deadline.
+        // For arrivals, ends of runs and ticks in any order, no request is forgotten, answered
+        // twice, or queued past the first tick after its deadline.
         Random random = new Random(seed);
         agent = ServingMachine.of(3, 10);
         Map<ExchangeId, Instant> open = new HashMap<>();
@@ -111,7 +111,7 @@
             }
             for (ServingAction action : agent.on(input, now)) {
                 ExchangeId told = told(action);
-                assertTrue(open.remove(told) != null, () -> told + " was told twice");
+                assertTrue(open.remove(told) != null, () -> told + " was answered twice");
                 if (action instanceof ServingAction.Run) {
                     running.add(told);
                 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingSessionTest.java
@@ -20,7 +20,7 @@
 
     @Test
     void aWholeSession() {
-        say("A cold model: the first request waits for the load, the second one with it");
+        say("Two requests wait for the load of the same model");
         arrive(1, "kitchens", CUT_SHEET, 10_000);
         arrive(2, "kitchens", CUT_SHEET, 10_000);
         after(900);
@@ -28,13 +28,15 @@
         feed("ready 2", new ServingInput.Ready(id(2)));
         after(1_000);
         feed("finished 1", new ServingInput.Finished(id(1)));
-        say("A greedy workspace fills the line; a modest one's request goes before its last");
+        say(
+                "One workspace fills the queue; another one's request replaces its newest and runs"
+                        + " first");
         arrive(3, "kitchens", Optional.empty(), 20_000);
         arrive(4, "kitchens", Optional.empty(), 20_000);
         arrive(5, "kitchens", Optional.empty(), 20_000);
         arrive(6, "leases", Optional.empty(), 20_000);
         feed("finished 2", new ServingInput.Finished(id(2)));
-        say("A caller leaves while waiting; a load fails; a deadline is out of reach");
+        say("A queued request is cancelled; a load fails; a deadline can't be met");
         feed("gone 4", new ServingInput.Gone(id(4)));
         arrive(7, "leases", CUT_SHEET, 5_000);
         Refusal failed = Refusal.notRun(RefusalCode.LOAD_FAILED, "the engine said no");
@@ -42,7 +44,7 @@
         arrive(8, "leases", CUT_SHEET, 50);
         after(50);
         feed("tick", new ServingInput.Tick());
-        say("The agent stops: it takes nothing new, and what it has goes on to the end");
+        say("The agent drains: it refuses new requests and finishes those it has");
         feed("drain", new ServingInput.Drain());
         arrive(9, "leases", Optional.empty(), 10_000);
         for (long number : new long[] {6, 3, 5}) {
