--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimAction.java
@@ -5,26 +5,30 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a {@link ClaimBatcher} asks for. */
+/** An action that {@link ClaimBatcher} tells the router to carry out. */
 public sealed interface ClaimAction {
-    /** Commit these in one transaction; there is never more than one under way. */
+    /** Commit these writes in one transaction; at most one commit is in flight at a time. */
     record Commit(List<ClaimWrite> writes) implements ClaimAction {}
 
-    /** Tell whoever submitted a change what became of it. */
+    /** Give the result of a write to the code that submitted it. */
     record Done(long id, Result result) implements ClaimAction {}
 
-    /** Come back with a tick at this time. */
+    /** Send a tick at this time. */
     record WakeAt(Instant time) implements ClaimAction {}
 
-    /** What became of a change. */
+    /** The result of a write. */
     sealed interface Result {
-        /** It is in the store, at this revision. */
+        /** The write took effect at this revision of the store. */
         record Written(long revision) implements Result {}
 
-        /** It is not, because of what stands there. */
+        /** The write did not take effect, since its condition does not hold for the entry found. */
         record Conflict(Optional<Entry> found) implements Result {}
 
-        /** Its time was up; it may have taken effect, or surely did not. */
+        /**
+         * The write was given up, since its deadline passed or too many writes are pending.
+         *
+         * @param mayHaveTakenEffect false if it is certain that it took no effect
+         */
         record GaveUp(boolean mayHaveTakenEffect) implements Result {}
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimBatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimBatcher.java
@@ -18,15 +18,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Gathers changes of claims for a few milliseconds and commits them in one transaction, one
- * transaction at a time: {@code batcher.on(new ClaimInput.Submit(write), now)}.
+ * State machine that batches writes of claims for a few milliseconds and commits them in one
+ * transaction, with one commit in flight at a time: {@code batcher.on(new ClaimInput.Submit(write),
+ * now)}.
  *
- * <p>The platform's service counts calls, not keys; so what comes while a commit is under way
- * shares the next one. If some of them are blocked, those are told so and the rest goes again.
+ * <p>The platform's store service counts calls, not keys, so writes that arrive during a commit
+ * share the next one. If a transaction fails because of conflicts, the conflicting writes are
+ * reported and the others are committed again.
  *
- * <p>After a lost answer the same transaction is sent again. Every claim holds the id of its
- * request, so a change that finds its own value in the store knows that it took effect the first
- * time; nothing else can have written that value.
+ * <p>If the answer of a commit is lost, its writes are committed again. Every claim contains the id
+ * of its request, so a write that finds its own value in the store took effect the first time; no
+ * other request can have written that value.
  */
 public final class ClaimBatcher implements Machine<ClaimInput, ClaimAction> {
     private final ClaimSettings settings;
@@ -41,14 +43,18 @@
         this.random = random;
     }
 
-    /** A batcher with nothing to do; the random source spreads retries. */
+    /**
+     * Creates a batcher without pending writes.
+     *
+     * @param random source of the jitter of the backoff
+     */
     public static ClaimBatcher of(ClaimSettings settings, RandomGenerator random) {
         return new ClaimBatcher(
                 Objects.requireNonNull(settings, "settings"),
                 Objects.requireNonNull(random, "random"));
     }
 
-    /** How many changes wait or are under way. */
+    /** Returns the number of writes that wait or are in the commit in flight. */
     public int pending() {
         return waiting.size() + underWay.size();
     }
@@ -68,8 +74,9 @@
         return actions;
     }
 
-    // An outage would fill the router with payments that wait, until lookups, which need no claim,
-    // find no place; so only so many may wait, and the next is refused at once.
+    // During an outage of the store, waiting payments would fill the router until idempotent
+    // requests, which need no claim, were refused too. So pending writes are limited, and the next
+    // one is given up at once.
     private void submit(ClaimWrite write, Instant now, List<ClaimAction> actions) {
         if (pending() >= settings.maxPending()) {
             actions.add(new ClaimAction.Done(write.id(), new Result.GaveUp(false)));
@@ -153,8 +160,8 @@
         actions.add(new ClaimAction.Commit(underWay.stream().map(Waiting::write).toList()));
     }
 
-    // A transaction must not change a key twice, or the store refuses the whole of it; so the
-    // second of two repeats that come together waits for the next one, where it finds the first.
+    // The store rejects a transaction that changes a key twice. So the second of two writes to the
+    // same key waits for the next transaction, where it finds the result of the first.
     private List<Waiting> nextBatch() {
         List<Waiting> batch = new ArrayList<>();
         Set<String> keys = new HashSet<>();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimException.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimException.java
@@ -2,13 +2,13 @@
 
 import io.damaskyoke.DamaskyokeException;
 
-/** Says that a claim can't be used. */
+/** Thrown when a claim can't be read or written in its stored form. */
 public final class ClaimException extends DamaskyokeException {
     private static final long serialVersionUID = 1L;
 
-    /** What is wrong with it. */
+    /** The kind of failure. */
     public enum Code {
-        /** It is not the JSON of a claim. */
+        /** The bytes are not the JSON of a claim. */
         UNREADABLE
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimInput.java
@@ -2,17 +2,21 @@
 
 import io.damaskyoke.platform.KeyValueStore.TxnResult;
 
-/** What can happen to a {@link ClaimBatcher}. */
+/** An event that {@link ClaimBatcher} processes. */
 public sealed interface ClaimInput {
-    /** A change is wanted. */
+    /** A write was submitted. */
     record Submit(ClaimWrite write) implements ClaimInput {}
 
-    /** Time has passed. */
+    /** The timer of the last {@link ClaimAction.WakeAt} fired. */
     record Tick() implements ClaimInput {}
 
-    /** The store answered the commit under way. */
+    /** The store answered the commit in flight. */
     record Answered(TxnResult result) implements ClaimInput {}
 
-    /** The store did not; the commit may have taken effect all the same, or surely did not. */
+    /**
+     * The commit in flight failed without an answer of the store.
+     *
+     * @param mayHaveTakenEffect false if it is certain that the commit took no effect
+     */
     record Failed(boolean mayHaveTakenEffect) implements ClaimInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimKeys.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimKeys.java
@@ -8,18 +8,24 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Where a claim stands in the store, and what tells two requests under one key apart. */
+/** Computes the store key of a claim and the digest that identifies its request. */
 public final class ClaimKeys {
     private static final String PREFIX = "/claims/";
 
     private ClaimKeys() {}
 
-    /** The store's key; the caller's key goes in as a hash, so any character and length will do. */
+    /**
+     * Returns the store key of a claim. It contains a hash of the caller's key, which may have any
+     * length and characters.
+     */
     public static String storeKey(String storePrefix, WorkspaceId workspace, IdempotencyKey key) {
         return storePrefix + PREFIX + workspace.value() + "/" + hash(key.value());
     }
 
-    /** A digest of target, method, path and body; headers may differ between repeats. */
+    /**
+     * Returns the SHA-256 digest in hexadecimal of a request's target, method, path and body. It
+     * leaves out the headers, which may differ between repeats.
+     */
     public static String digest(Request request) {
         MessageDigest sha = sha256();
         for (String part :
@@ -39,7 +45,8 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, but every Java platform must provide it", e);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimRecord.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimRecord.java
@@ -16,14 +16,14 @@
 import java.util.Optional;
 
 /**
- * What stands in the store under an idempotency key, and what an agent answers about one.
+ * A claim on an idempotency key, as kept in the store and as reported by an agent.
  *
- * @param exchange the request that holds the claim; names its router and that router's life
- * @param agent the only agent that may have been handed the request
- * @param digest of method, path and body, so that another request under the key is noticed
- * @param until when no router waits for the answer any more, by the wall clock
- * @param state how far it is
- * @param outcome the answer, once settled
+ * @param exchange the request that holds the claim, with its router and that router's incarnation
+ * @param agent the only agent to which the request may have been sent
+ * @param digest digest of target, method, path and body, to detect another request with the key
+ * @param until wall-clock time from which no router waits for the answer any more
+ * @param state the progress of the request
+ * @param outcome the answer, present in state {@code SETTLED}
  */
 public record ClaimRecord(
         ExchangeId exchange,
@@ -35,36 +35,38 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * The answer of the one run.
+     * The recorded answer of a claimed request.
      *
-     * @param body the whole body, or empty if it was too large to keep or was cut
+     * @param status the HTTP status code
+     * @param headers the response headers
+     * @param body the complete body, or empty if it was too large to keep or was cut off
      */
     public record Outcome(int status, List<Header> headers, Optional<byte[]> body) {
-        /** Copies the headers. */
+        /** Creates an outcome with an unmodifiable copy of the headers. */
         public Outcome {
             headers = List.copyOf(headers);
         }
     }
 
-    /** A new claim for a request that is about to go to this agent. */
+    /** Creates a claim for a request that will be sent to this agent. */
     public static ClaimRecord claimed(
             ExchangeId exchange, VmId agent, String digest, Instant until) {
         return new ClaimRecord(
                 exchange, agent, digest, until, ClaimState.CLAIMED, Optional.empty());
     }
 
-    /** The same claim, its answer written down. */
+    /** Returns this claim in state {@code SETTLED} with the recorded answer. */
     public ClaimRecord settled(Outcome answer) {
         return new ClaimRecord(
                 exchange, agent, digest, until, ClaimState.SETTLED, Optional.of(answer));
     }
 
-    /** The same claim in another state, without an answer. */
+    /** Returns this claim in the given state, without an answer. */
     public ClaimRecord in(ClaimState other) {
         return new ClaimRecord(exchange, agent, digest, until, other, Optional.empty());
     }
 
-    /** The stored form, JSON in UTF-8. */
+    /** Returns the stored form, JSON in UTF-8. */
     public byte[] toJson() {
         ObjectNode node = JSON.createObjectNode();
         node.put("exchange", exchange.origin().value());
@@ -77,11 +79,16 @@
         try {
             return JSON.writeValueAsBytes(node);
         } catch (JsonProcessingException e) {
-            throw new ClaimException(ClaimException.Code.UNREADABLE, "can't write a claim", e);
+            throw new ClaimException(
+                    ClaimException.Code.UNREADABLE, "claim can't be written as JSON", e);
         }
     }
 
-    /** Reads the stored form; throws a {@link ClaimException} if it is anything else. */
+    /**
+     * Parses the stored form.
+     *
+     * @throws ClaimException if the bytes are not the JSON of a claim
+     */
     public static ClaimRecord parse(byte[] json) {
         try {
             JsonNode node = JSON.readTree(json);
@@ -96,7 +103,8 @@
                     ClaimState.valueOf(node.path("state").asText()),
                     answer == null ? Optional.empty() : Optional.of(readOutcome(answer)));
         } catch (IOException | IllegalArgumentException e) {
-            throw new ClaimException(ClaimException.Code.UNREADABLE, "not a claim", e);
+            throw new ClaimException(
+                    ClaimException.Code.UNREADABLE, "stored value is not the JSON of a claim", e);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimSettings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimSettings.java
@@ -3,18 +3,20 @@
 import java.time.Duration;
 
 /**
- * How claims are written and kept.
+ * Settings of the batching, retries, limits and retention of claims.
  *
- * @param gather how long a claim waits for others to share its transaction
- * @param lazyGather the same for changes that no request waits for
- * @param retryFirst longest pause after a first failure of the store; doubles
- * @param retryMost longest pause after many
- * @param maxOperations changes in one transaction
- * @param maxBytes of keys and values in one transaction; the store takes 1.5 MB
- * @param maxPending changes that may wait at once
- * @param maxWait longest that a request waits for its claim
- * @param maxBody bytes of an answer that are kept
- * @param retention how long a key is remembered at least
+ * @param gather time for which a write that a request waits for is delayed to batch it with others
+ * @param lazyGather the same delay for writes that no request waits for
+ * @param retryFirst upper bound of the backoff after the first failure of the store; doubles with
+ *     each further failure
+ * @param retryMost upper bound of the backoff after any number of failures
+ * @param maxOperations maximum number of writes in one transaction
+ * @param maxBytes maximum size of keys and values in one transaction, in bytes; the store accepts
+ *     1.5 MB
+ * @param maxPending maximum number of pending writes
+ * @param maxWait maximum time for which a request waits for its claim
+ * @param maxBody maximum size of a recorded response body, in bytes
+ * @param retention minimum time for which a key is remembered
  */
 public record ClaimSettings(
         Duration gather,
@@ -27,7 +29,7 @@
         Duration maxWait,
         int maxBody,
         Duration retention) {
-    /** What routers use. */
+    /** Returns the default settings of a router. */
     public static ClaimSettings defaults() {
         return new ClaimSettings(
                 Duration.ofMillis(10),
@@ -42,7 +44,12 @@
                 Duration.ofHours(24));
     }
 
-    /** When a request that came now should stop waiting: it keeps half its time for its run. */
+    /**
+     * Returns how long a request waits for its claim, which is at most half of its remaining time,
+     * so that the other half is left for the run.
+     *
+     * @param timeLeft time until the deadline of the request
+     */
     public Duration wait(Duration timeLeft) {
         Duration half = timeLeft.dividedBy(2);
         return half.compareTo(maxWait) < 0 ? half : maxWait;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimState.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimState.java
@@ -1,13 +1,13 @@
 package io.damaskyoke.control.claims;
 
-/** How far a claimed request is. */
+/** The progress of a claimed request. */
 public enum ClaimState {
-    /** It is on its way to its agent, or runs there. */
+    /** The request is in transit to its agent or runs there. */
     CLAIMED,
-    /** It ran and was answered; the answer never changes from here. */
+    /** The request ran and was answered; the recorded answer never changes. */
     SETTLED,
-    /** It may have run, and nobody can tell any more. */
+    /** The request may have run, and its outcome can no longer be determined. */
     UNKNOWN,
-    /** An agent's word that it surely did not run there and never will. */
+    /** The agent reported that the request did not run and never will. */
     NOT_RUN
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimWrite.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimWrite.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 
 /**
- * One conditional change of one claim, which {@link ClaimBatcher} commits together with others.
+ * A conditional write of one claim, which {@link ClaimBatcher} commits together with others.
  *
- * @param id names it towards the shell
- * @param key of the store
+ * @param id identifies the write in {@link ClaimAction.Done}
+ * @param key the store key
  * @param before the revision that the claim must still have; empty if there must be no claim
- * @param value what to write; empty to remove the claim
- * @param lease the lease to write under; 0 lets the shell choose its present one
- * @param giveUp when nobody needs it any more
- * @param urgent true if a request waits for it
+ * @param value the new value; empty to delete the claim
+ * @param lease id of the store lease to write under; 0 for the router's current lease
+ * @param giveUp time at which the write is given up
+ * @param urgent true if a request waits for the write
  */
 public record ClaimWrite(
         long id,
@@ -26,32 +26,36 @@
         long lease,
         Instant giveUp,
         boolean urgent) {
-    /** The condition for the store. */
+    /** Returns the condition under which the store applies the write. */
     public Condition condition() {
         return before.<Condition>map(revision -> new Condition.Unchanged(key, revision))
                 .orElseGet(() -> new Condition.Absent(key));
     }
 
-    /** The change for the store, under this lease unless it names its own. */
+    /**
+     * Returns the operation for the store.
+     *
+     * @param presentLease id of the lease that is used unless the write names its own
+     */
     public Write write(long presentLease) {
         return value.<Write>map(
                         bytes -> new Write.Put(key, bytes, lease == 0 ? presentLease : lease))
                 .orElseGet(() -> new Write.Delete(key));
     }
 
-    /** Roughly how many bytes it takes in a transaction. */
+    /** Returns the approximate size in a transaction, in bytes. */
     public int size() {
         return key.length() + value.map(bytes -> bytes.length).orElse(0);
     }
 
-    /** True if what stands in the store does not let this change happen. */
+    /** Returns true if the condition of this write does not hold for the entry found. */
     boolean blockedBy(Optional<Entry> found) {
         return before.isPresent()
                 ? found.isEmpty() || found.get().modRevision() != before.get()
                 : found.isPresent();
     }
 
-    /** True if what stands in the store is what this change makes of it. */
+    /** Returns true if the entry found is what this write would produce. */
     boolean madeBy(Optional<Entry> found) {
         return value.isPresent()
                 ? found.isPresent() && Arrays.equals(found.get().value(), value.get())
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/KeyedOutcomes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/KeyedOutcomes.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 
 /**
- * What became of the last requests with an idempotency key at this agent. When a router dies with
- * an answer in its hands, its successor learns the outcome here. Not thread-safe.
+ * The outcomes of the most recent requests with an idempotency key at this agent. If a router
+ * crashes before it records an answer, another router gets the outcome from here. Not thread-safe.
  */
 public final class KeyedOutcomes {
     private static final Duration COME_BACK = Duration.ofSeconds(1);
@@ -22,20 +22,21 @@
     private final int capacity;
     private final Map<Key, ClaimRecord> records = new LinkedHashMap<>();
 
-    /** A memory of so many keys at the agent of this VM. */
+    /** Creates an empty cache of at most this many keys for the agent on this VM. */
     public KeyedOutcomes(VmId vm, int capacity) {
         this.vm = vm;
         this.capacity = capacity;
     }
 
-    /** True if the request's outcome is to be remembered. */
+    /** Returns true if the outcome of the request is kept here. */
     public static boolean keyed(Request request) {
         return request.claimable();
     }
 
     /**
-     * Takes note that a request came; a refusal if another one with its key is here or was. Routers
-     * send none such as long as the store keeps its word, so this is the second line.
+     * Records that a request arrived. Returns a refusal if another request with its key runs or ran
+     * at this agent. Routers don't send such a request as long as the store is consistent, so this
+     * is a second safeguard.
      */
     public Optional<Refusal> begin(Request request) {
         Key key = key(request);
@@ -47,17 +48,21 @@
         return Optional.empty();
     }
 
-    /** The request was answered. */
+    /** Records the answer of the request. */
     public void settled(Request request, ClaimRecord.Outcome outcome) {
         change(request, record(request).settled(outcome));
     }
 
-    /** The request surely did not run and will not, or may have run. */
+    /**
+     * Records that the request ended without an answer.
+     *
+     * @param notRun true if it did not run and never will; false if it may have run
+     */
     public void ended(Request request, boolean notRun) {
         change(request, record(request).in(notRun ? ClaimState.NOT_RUN : ClaimState.UNKNOWN));
     }
 
-    /** What is known of a key. */
+    /** Returns what is known of a key, or empty if no request with it is remembered. */
     public Optional<ClaimRecord> find(WorkspaceId workspace, IdempotencyKey key) {
         return Optional.ofNullable(records.get(new Key(workspace, key)));
     }
@@ -74,8 +79,8 @@
         return ClaimRecord.claimed(request.id(), vm, "", request.deadline());
     }
 
-    // The oldest record goes first, except that one whose request still runs stays: forgotten, a
-    // repeat would be told "outcome unknown" of a payment that is about to be answered.
+    // Evicts the oldest record whose request no longer runs. If a running request were evicted, a
+    // repeat would be refused as "outcome unknown" for a payment that is about to be answered.
     private void put(Key key, ClaimRecord record) {
         records.remove(key);
         records.put(key, record);
@@ -91,10 +96,12 @@
     private static Refusal refusal(ClaimRecord before) {
         return before.state() == ClaimState.CLAIMED
                 ? Refusal.mayHaveRun(
-                                RefusalCode.IN_PROGRESS, "a request with this key is under way")
+                                RefusalCode.IN_PROGRESS,
+                                "a request with this Idempotency-Key is still running")
                         .retryAfter(COME_BACK)
                 : Refusal.mayHaveRun(
-                        RefusalCode.OUTCOME_UNKNOWN, "a request with this key has been here");
+                        RefusalCode.OUTCOME_UNKNOWN,
+                        "a request with this Idempotency-Key reached this agent before");
     }
 
     private static Key key(Request request) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/RepeatPolicy.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/RepeatPolicy.java
@@ -7,39 +7,39 @@
 import java.util.Optional;
 
 /**
- * What a request gets whose key is claimed already, from what the store holds and what the agent
- * named there says of it.
+ * Decides how to handle a request whose idempotency key is already claimed, from the claim in the
+ * store and the report of the agent named in it.
  *
- * <p>{@code not_run} is about the request that the key names, not about this repeat of it: a caller
- * who reads "not run" may pay another way, and must not when the first try may have run.
+ * <p>{@code not_run} refers to all requests with the key, not only to this repeat: a caller who
+ * reads "not run" may pay another way, and must not do so if the first attempt may have run.
  */
 public final class RepeatPolicy {
     private static final Duration COME_BACK = Duration.ofSeconds(1);
 
     private RepeatPolicy() {}
 
-    /** What to do with a repeat. */
+    /** How a repeat is handled. */
     public sealed interface Verdict {
-        /** Give the recorded answer. */
+        /** Return the recorded answer. */
         record Replay(ClaimRecord settled) implements Verdict {}
 
-        /** Refuse. */
+        /** Refuse the repeat. */
         record Refuse(Refusal refusal) implements Verdict {}
 
-        /** The claim's request surely never runs: replace the claim by one's own, and run. */
+        /** Replace the claim and run the repeat, since the claim's request never runs. */
         record TakeOver() implements Verdict {}
 
-        /** Ask the claim's agent first. */
+        /** Query the agent named in the claim, then decide from its report. */
         record AskAgent() implements Verdict {}
     }
 
-    /** The verdict from the store alone. */
+    /** Decides from the claim in the store. */
     public static Verdict fromStore(ClaimRecord found, String digest) {
         if (!found.digest().equals(digest)) {
             return refuse(
                     Refusal.notRun(
                             RefusalCode.KEY_REUSED,
-                            "this Idempotency-Key came before with another request"));
+                            "this Idempotency-Key was used before with a different request"));
         }
         return switch (found.state()) {
             case SETTLED -> replay(found);
@@ -50,9 +50,9 @@
     }
 
     /**
-     * The verdict once the agent was asked.
+     * Decides after the agent was queried.
      *
-     * @param agent the agent's word; empty if it knows nothing of the key or can't be reached
+     * @param agent the agent's report; empty if it has no record of the key or can't be reached
      */
     public static Verdict fromAgent(ClaimRecord found, Optional<ClaimRecord> agent, Instant now) {
         Optional<ClaimRecord> same = agent.filter(told -> told.exchange().equals(found.exchange()));
@@ -74,7 +74,7 @@
         return refuse(
                 Refusal.mayHaveRun(
                         RefusalCode.ANSWER_NOT_KEPT,
-                        "it ran once and was answered with status "
+                        "the request ran once and was answered with status "
                                 + settled.outcome().get().status()
                                 + "; the body was not kept"));
     }
@@ -83,12 +83,14 @@
         return refuse(
                 Refusal.mayHaveRun(
                         RefusalCode.OUTCOME_UNKNOWN,
-                        "a request with this key may have run; it will not be run again"));
+                        "a request with this Idempotency-Key may have run; it is not run again"));
     }
 
     private static Verdict inProgress() {
         return refuse(
-                Refusal.mayHaveRun(RefusalCode.IN_PROGRESS, "a request with this key is under way")
+                Refusal.mayHaveRun(
+                                RefusalCode.IN_PROGRESS,
+                                "a request with this Idempotency-Key is still running")
                         .retryAfter(COME_BACK));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/package-info.java
@@ -1,2 +1,2 @@
-/** Claims on idempotency keys: how a non-idempotent request runs at most once in the fleet. */
+/** Claims on idempotency keys, by which a non-idempotent request runs at most once. */
 package io.damaskyoke.control.claims;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/claims/ClaimBatcherSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/claims/ClaimBatcherSessionTest.java
@@ -17,36 +17,36 @@
 
     @Test
     void aWholeSession() {
-        say("Two claims come within the gathering time and share a transaction");
+        say("Two claims arrive within the batching delay and share a transaction");
         claim(1, "a", 10_000);
         after(2);
         claim(2, "b", 10_000);
         tick(10);
-        say("While it is under way others wait, two of them for the same key");
+        say("Writes that arrive during the commit wait, two of them for the same key");
         claim(3, "c", 10_000);
         claim(4, "c", 10_000);
         claim(5, "d", 10_000);
         answered(true, 7);
         tick(10);
-        say("The key d exists, so nothing took effect; c goes again without it");
+        say("The key d exists, so the transaction fails; c is committed again without it");
         answered(false, 8, entry("d", "by another", 3));
         answered(true, 9);
-        say("The second claim of c finds the first");
+        say("The second claim of c conflicts with the first");
         answered(false, 9, entry("c", "claim 3", 9));
-        say("An answer is lost though the claim was written: sent again, it finds itself");
+        say("The answer of a commit is lost; the retry finds that the claim was written");
         claim(6, "e", 10_000);
         tick(10);
         feed("lost", new ClaimInput.Failed(true));
         tick(60);
         answered(false, 12, entry("e", "claim 6", 11));
-        say("An outage: pauses grow, and a claim whose time is up is given up");
+        say("The store is down: the backoff grows, and a claim past its deadline is given up");
         claim(7, "f", 120);
         tick(10);
         feed("store down", new ClaimInput.Failed(false));
         tick(50);
         feed("store down", new ClaimInput.Failed(false));
         tick(100);
-        say("A settlement that nobody waits for is gathered for longer");
+        say("A settlement that no request waits for is batched for longer");
         settle(8, "a", 7);
         tick(100);
         tick(150);
