--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/ClaimWrites.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/ClaimWrites.java
@@ -99,7 +99,7 @@
             Optional<Long> before = claim ? Optional.empty() : Optional.of(1L);
             long id = claim ? now * 1_000_000 + number++ : -number++;
             feed(
-                    new ClaimInput.Submit(
+                    new ClaimInput.WriteSubmitted(
                             new ClaimWrite(
                                     id,
                                     key,
@@ -130,7 +130,7 @@
                     in(RUN_MILLIS, () -> submit(write.key(), false));
                 }
             }
-            feed(new ClaimInput.Answered(new TxnResult(true, 2, List.of())));
+            feed(new ClaimInput.CommitAnswered(new TxnResult(true, 2, List.of())));
         }
 
         private void in(long millis, Runnable what) {
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/PaymentOutage.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/PaymentOutage.java
@@ -171,7 +171,7 @@
         }
 
         private static long waitLimit() {
-            return ClaimSettings.defaults().wait(Duration.ofMillis(DEADLINE)).toMillis();
+            return ClaimSettings.defaults().claimTimeout(Duration.ofMillis(DEADLINE)).toMillis();
         }
     }
 }
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/WaitingExperiment.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/WaitingExperiment.java
@@ -75,7 +75,7 @@
         List<Row> rows(String policy) {
             while (!events.isEmpty()) {
                 Event event = events.remove();
-                if (event.input() instanceof ServingInput.Arrived request) {
+                if (event.input() instanceof ServingInput.RequestArrived request) {
                     arrived[event.workspace()]++;
                     asked.put(request.id(), event);
                     next(event.workspace(), event.at());
@@ -102,7 +102,7 @@
                 double waited = Duration.between(event.at(), now).toMillis() / 1000.0;
                 waits.get(event.workspace()).add(waited);
                 Duration lasts = exponential(SECONDS_EACH);
-                add(now.plus(lasts), new ServingInput.Finished(run.id()), event.workspace());
+                add(now.plus(lasts), new ServingInput.RunFinished(run.id()), event.workspace());
             } else if (action instanceof ServingAction.Refuse refuse) {
                 refused[asked.remove(refuse.id()).workspace()]++;
             }
@@ -116,7 +116,8 @@
                 WorkspaceId line = WorkspaceId.of("workspace-" + (oneLine ? 0 : workspace));
                 add(
                         at,
-                        new ServingInput.Arrived(id, line, Optional.empty(), at.plus(DEADLINE)),
+                        new ServingInput.RequestArrived(
+                                id, line, Optional.empty(), at.plus(DEADLINE)),
                         workspace);
             }
         }
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/RoutingBenchmark.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/RoutingBenchmark.java
@@ -55,7 +55,7 @@
     @Benchmark
     public Optional<VmId> chooseHolder() {
         next = (next + 1) % models;
-        return fleet.holder(Samples.model(next), Set.of(), NOW);
+        return fleet.selectForModel(Samples.model(next), Set.of(), NOW);
     }
 
     /** A request that is sent and served, with its choice. */
@@ -63,8 +63,11 @@
     public List<RequestAction> wholeRequest() {
         RequestMachine request =
                 RequestMachine.of(
-                        true, (tried, now) -> fleet.holder(model, tried, now), RetryBudget.of(0.1));
-        request.on(new RequestInput.Start(), NOW);
-        return request.on(new RequestInput.Served(request.current().orElseThrow()), NOW);
+                        true,
+                        (tried, now) -> fleet.selectForModel(model, tried, now),
+                        RetryBudget.of(0.1));
+        request.on(new RequestInput.Admitted(), NOW);
+        return request.on(
+                new RequestInput.AnswerStarted(request.currentAgent().orElseThrow()), NOW);
     }
 }
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/Samples.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/Samples.java
@@ -4,9 +4,9 @@
 import io.damaskyoke.control.configuration.Configuration;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.control.configuration.Workspace;
+import io.damaskyoke.control.routing.AgentEndpoint;
 import io.damaskyoke.control.routing.AgentLoad;
 import io.damaskyoke.control.routing.Fleet;
-import io.damaskyoke.control.routing.Member;
 import io.damaskyoke.id.AvailabilityZone;
 import io.damaskyoke.id.KeyId;
 import io.damaskyoke.id.ModelName;
@@ -45,15 +45,15 @@
     /** A fleet of agents, each with four models in memory. */
     static Fleet fleet(int agents, int models) {
         Fleet fleet = Fleet.from(zone(0));
-        List<Member> members = new ArrayList<>();
+        List<AgentEndpoint> members = new ArrayList<>();
         for (int i = 0; i < agents; i++) {
-            members.add(new Member(vm(i), POOL, zone(i), "127.0.0.1", 7400));
+            members.add(new AgentEndpoint(vm(i), POOL, zone(i), "127.0.0.1", 7400));
         }
         fleet.update(members, Set.of());
         for (int i = 0; i < agents; i++) {
-            fleet.loaded(vm(i), load(i, models));
+            fleet.updateLoad(vm(i), load(i, models));
         }
-        fleet.placed(holders(agents, models));
+        fleet.setReplicaHolders(holders(agents, models));
         return fleet;
     }
 
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/ServingBenchmark.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/ServingBenchmark.java
@@ -59,11 +59,11 @@
         machine.on(arrival(counter), NOW);
         long oldest = counter - MAX_RUNNING - waiting;
         counter++;
-        return machine.on(new ServingInput.Finished(new ExchangeId(ROUTER, oldest)), NOW);
+        return machine.on(new ServingInput.RunFinished(new ExchangeId(ROUTER, oldest)), NOW);
     }
 
     private static ServingInput arrival(long number) {
-        return new ServingInput.Arrived(
+        return new ServingInput.RequestArrived(
                 new ExchangeId(ROUTER, number),
                 WorkspaceId.of("workspace-" + number % 5),
                 Optional.empty(),
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/ColdStartRun.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/ColdStartRun.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.lab.coldstart;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.control.placement.PlacementTable;
 import io.damaskyoke.control.placement.Planner;
@@ -10,9 +10,9 @@
 import io.damaskyoke.control.replicas.ReplicaInput;
 import io.damaskyoke.control.replicas.ReplicaSettings;
 import io.damaskyoke.control.replicas.Rights;
+import io.damaskyoke.control.routing.AgentEndpoint;
 import io.damaskyoke.control.routing.AgentLoad;
 import io.damaskyoke.control.routing.Fleet;
-import io.damaskyoke.control.routing.Member;
 import io.damaskyoke.id.AvailabilityZone;
 import io.damaskyoke.id.ExchangeId;
 import io.damaskyoke.id.Incarnation;
@@ -123,7 +123,7 @@
 
     void ready(SimulatedVm vm, ExchangeId request) {
         Pending done = pending.remove(request);
-        fleets.get(done.arrival.router()).done(vm.id);
+        fleets.get(done.arrival.router()).countFinished(vm.id);
         if (done.cold && done.arrival.at() >= WARM_UP) {
             coldMillis.add((double) (now - 1_000 - done.arrival.at()));
             boundMillis.add(done.bound);
@@ -133,12 +133,12 @@
 
     void refused(SimulatedVm vm, ExchangeId request) {
         Pending refused = pending.remove(request);
-        fleets.get(refused.arrival.router()).done(vm.id);
+        fleets.get(refused.arrival.router()).countFinished(vm.id);
         refused.tried.add(vm.id);
         send(refused);
     }
 
-    private Machine<ReplicaInput, ReplicaAction> holder() {
+    private StateMachine<ReplicaInput, ReplicaAction> holder() {
         return naive
                 ? new LruHolder()
                 : new ReplicaHolder(
@@ -197,12 +197,12 @@
         Optional<VmId> to =
                 naive
                         ? chooseNaively(model, request.tried, fleet)
-                        : fleet.holder(model, request.tried, instant());
+                        : fleet.selectForModel(model, request.tried, instant());
         if (to.isEmpty() || !vms.get(to.get()).up) {
             countRefusal(request);
             return;
         }
-        fleet.sent(to.get());
+        fleet.countSent(to.get());
         ExchangeId id = new ExchangeId(Incarnation.of("r"), counter++);
         request.tried.add(to.get());
         pending.put(id, request);
@@ -220,8 +220,8 @@
     // A replica that this router has heard of, or any VM at all.
     private Optional<VmId> chooseNaively(Model model, Set<VmId> tried, Fleet fleet) {
         List<VmId> up =
-                fleet.members().stream()
-                        .map(Member::vm)
+                fleet.endpoints().stream()
+                        .map(AgentEndpoint::vm)
                         .filter(vm -> vms.get(vm).up && !tried.contains(vm))
                         .toList();
         Optional<VmId> known =
@@ -250,14 +250,16 @@
         fleet.update(
                 vms.values().stream()
                         .filter(vm -> vm.up)
-                        .map(vm -> new Member(vm.id, Workload.POOL, vm.zone, "host", 1))
+                        .map(vm -> new AgentEndpoint(vm.id, Workload.POOL, vm.zone, "host", 1))
                         .toList(),
                 Set.of());
         if (!storeOut) {
-            fleet.placed(table.holders());
+            fleet.setReplicaHolders(table.holders());
         }
         if (heartbeat) {
-            vms.values().stream().filter(vm -> vm.up).forEach(vm -> fleet.loaded(vm.id, load(vm)));
+            vms.values().stream()
+                    .filter(vm -> vm.up)
+                    .forEach(vm -> fleet.updateLoad(vm.id, load(vm)));
         }
     }
 
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/LruHolder.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/LruHolder.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.lab.coldstart;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.control.replicas.ReplicaAction;
 import io.damaskyoke.control.replicas.ReplicaInput;
@@ -20,7 +20,7 @@
  * The naive agent: loads whatever is asked for as soon as it is asked, makes room by unloading what
  * was used least recently, and takes memory into account once a load has ended.
  */
-final class LruHolder implements Machine<ReplicaInput, ReplicaAction> {
+final class LruHolder implements StateMachine<ReplicaInput, ReplicaAction> {
     private final LinkedHashMap<ModelName, Integer> loaded = new LinkedHashMap<>(16, 0.75f, true);
     private final Set<ModelName> ordered = new HashSet<>();
     private final List<ReplicaInput.Wanted> waiting = new ArrayList<>();
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/SimulatedVm.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/SimulatedVm.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.lab.coldstart;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.control.replicas.ReplicaAction;
 import io.damaskyoke.control.replicas.ReplicaInput;
@@ -32,8 +32,8 @@
     private final LinkedHashMap<ModelName, Long> disk = new LinkedHashMap<>(16, 0.75f, true);
     private final List<ModelName> unloading = new ArrayList<>();
     private final ColdStartRun run;
-    private final Supplier<Machine<ReplicaInput, ReplicaAction>> maker;
-    private Machine<ReplicaInput, ReplicaAction> holder;
+    private final Supplier<StateMachine<ReplicaInput, ReplicaAction>> maker;
+    private StateMachine<ReplicaInput, ReplicaAction> holder;
     private int steps;
     boolean up = true;
     double idleHours;
@@ -42,7 +42,7 @@
             ColdStartRun run,
             VmId id,
             AvailabilityZone zone,
-            Supplier<Machine<ReplicaInput, ReplicaAction>> maker) {
+            Supplier<StateMachine<ReplicaInput, ReplicaAction>> maker) {
         this.run = run;
         this.id = id;
         this.zone = zone;
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
@@ -103,7 +103,7 @@
         Frame leaving = Frame.newBuilder().setDraining(Draining.getDefaultInstance()).build();
         network.links().forEach(link -> link.send(leaving));
         registrar.withdraw(settings.platform().storeTimeout());
-        node.control().run(() -> runner.feed(new ServingInput.Drain()));
+        node.control().run(() -> runner.feed(new ServingInput.DrainStarted()));
         awaitDrained(settings.stop().limit());
         operators.stop(GRACE).toCompletableFuture().join();
         network.close();
@@ -185,7 +185,7 @@
 
     private AgentStatus status() {
         return node.control()
-                .ask(() -> AgentStatus.of(node, settings.upstream(), runner.load(), draining))
+                .call(() -> AgentStatus.of(node, settings.upstream(), runner.load(), draining))
                 .toCompletableFuture()
                 .orTimeout(START_LIMIT.toSeconds(), TimeUnit.SECONDS)
                 .join();
@@ -209,7 +209,7 @@
     }
 
     private boolean drained() {
-        return node.control().ask(runner::drained).toCompletableFuture().join();
+        return node.control().call(runner::drained).toCompletableFuture().join();
     }
 
     private static void sleep(Duration time) {
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/ClaimAnswers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/ClaimAnswers.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.agent;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.claims.ClaimRecord;
 import io.damaskyoke.control.claims.KeyedOutcomes;
 import io.damaskyoke.id.IdempotencyKey;
@@ -14,10 +14,10 @@
 
 /** Tells routers what became of a request with an idempotency key. */
 final class ClaimAnswers implements PeerListener {
-    private final Control control;
+    private final ControlThread control;
     private final KeyedOutcomes outcomes;
 
-    ClaimAnswers(Control control, KeyedOutcomes outcomes) {
+    ClaimAnswers(ControlThread control, KeyedOutcomes outcomes) {
         this.control = control;
         this.outcomes = outcomes;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.agent;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.replicas.ReplicaAction;
 import io.damaskyoke.control.replicas.ReplicaHolder;
 import io.damaskyoke.control.replicas.ReplicaInput;
@@ -40,7 +40,7 @@
     private static final Duration FIRST_MODEL_ESTIMATE = Duration.ofSeconds(3);
     private static final Duration FIRST_ADAPTER_ESTIMATE = Duration.ofSeconds(1);
 
-    private final Control control;
+    private final ControlThread control;
     private final Engine engine;
     private final ReplicaHolder holder;
     private final Consumer<ServingInput> requests;
@@ -185,7 +185,7 @@
             unload(unload);
         } else if (action instanceof ReplicaAction.Ready ready) {
             causes.remove(ready.model());
-            later(new ServingInput.Ready(ready.request()));
+            later(new ServingInput.ModelReady(ready.request()));
         } else if (action instanceof ReplicaAction.Refuse refuse) {
             Refusal refusal =
                     new Refusal(
@@ -194,7 +194,7 @@
                             true,
                             refuse.retryAfter());
             causes.remove(refuse.model(), refuse.request());
-            later(new ServingInput.Unavailable(refuse.request(), refusal));
+            later(new ServingInput.ModelUnavailable(refuse.request(), refusal));
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.agent;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.node.Node;
 import io.damaskyoke.platform.KeyValueStore;
 import io.damaskyoke.platform.KeyValueStore.Condition;
@@ -20,7 +20,7 @@
 final class Registrar {
     private static final Duration RETRY = Duration.ofSeconds(1);
 
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final String key;
     private final byte[] value;
@@ -39,7 +39,7 @@
 
     /** Takes the registration back, if the store answers within the limit. */
     void withdraw(Duration limit) {
-        control.ask(this::remove)
+        control.call(this::remove)
                 .thenCompose(stage -> stage)
                 .exceptionally(failure -> null)
                 .toCompletableFuture()
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.agent;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.claims.ClaimRecord;
 import io.damaskyoke.control.claims.KeyedOutcomes;
 import io.damaskyoke.control.configuration.Configuration;
@@ -40,7 +40,7 @@
 final class RequestRunner implements ExchangeHandler {
     private static final Duration COME_BACK = Duration.ofSeconds(1);
 
-    private final Control control;
+    private final ControlThread control;
     private final ServingMachine machine;
     private final Upstream upstream;
     private final Supplier<Configuration> configuration;
@@ -56,7 +56,7 @@
     private volatile Load load = Load.getDefaultInstance();
 
     RequestRunner(
-            Control control,
+            ControlThread control,
             ServingMachine machine,
             Upstream upstream,
             Supplier<Configuration> configuration,
@@ -98,7 +98,7 @@
 
     /** True once a drain is done. */
     boolean drained() {
-        return machine.drained();
+        return machine.isDrained();
     }
 
     /** The load as of the last input; any thread. */
@@ -113,7 +113,7 @@
             exchange.refuse(unknown(exchange), load);
             return;
         }
-        if (KeyedOutcomes.keyed(request)) {
+        if (KeyedOutcomes.isTracked(request)) {
             Optional<Refusal> before = outcomes.begin(request);
             if (before.isPresent()) {
                 metrics.count("agent_keys_seen_before");
@@ -124,7 +124,7 @@
         exchanges.put(request.id(), exchange);
         exchange.onCancel(() -> control.run(() -> gone(request.id())));
         feed(
-                new ServingInput.Arrived(
+                new ServingInput.RequestArrived(
                         request.id(), request.workspace(), model, request.deadline()));
     }
 
@@ -146,11 +146,11 @@
     }
 
     private void carryOut(ServingAction action) {
-        if (action instanceof ServingAction.Want want) {
+        if (action instanceof ServingAction.AcquireModel want) {
             replicas.want(want.id(), want.model(), want.workspace(), want.deadline());
-        } else if (action instanceof ServingAction.GiveUp giveUp) {
+        } else if (action instanceof ServingAction.CancelAcquire giveUp) {
             replicas.giveUp(giveUp.id(), giveUp.model());
-        } else if (action instanceof ServingAction.Leave leave) {
+        } else if (action instanceof ServingAction.ReleaseModel leave) {
             replicas.leave(leave.model());
         } else if (action instanceof ServingAction.Run run) {
             run(run.id());
@@ -172,7 +172,7 @@
         calls.put(id, call);
         call.whenComplete(
                 (answer, failure) -> {
-                    if (failure == null && KeyedOutcomes.keyed(exchange.request())) {
+                    if (failure == null && KeyedOutcomes.isTracked(exchange.request())) {
                         gather(exchange, answer);
                     } else if (failure == null) {
                         serve(exchange, answer);
@@ -197,14 +197,14 @@
 
     private void settle(Request request, GatheredAnswer gathered) {
         Answer.Served answer = gathered.answer();
-        outcomes.settled(
+        outcomes.recordAnswer(
                 request,
                 new ClaimRecord.Outcome(answer.status(), answer.headers(), gathered.body()));
     }
 
     private void ended(Request request, boolean notRun) {
-        if (KeyedOutcomes.keyed(request)) {
-            outcomes.ended(request, notRun);
+        if (KeyedOutcomes.isTracked(request)) {
+            outcomes.recordEnd(request, notRun);
         }
     }
 
@@ -251,12 +251,12 @@
         calls.remove(id);
         if (exchanges.remove(id) != null) {
             timeline.add(EventType.ANSWERED, id.toString());
-            feed(new ServingInput.Finished(id));
+            feed(new ServingInput.RunFinished(id));
         }
     }
 
     private void gone(ExchangeId id) {
-        feed(new ServingInput.Gone(id));
+        feed(new ServingInput.RequestCancelled(id));
         if (!machine.isRunning(id)) {
             IncomingExchange dropped = exchanges.remove(id);
             if (dropped != null) {
@@ -273,7 +273,7 @@
     // what came of it. So it goes on without its router, and its outcome is kept for the repeat.
     private boolean finishes(ExchangeId id) {
         IncomingExchange exchange = exchanges.get(id);
-        return exchange != null && KeyedOutcomes.keyed(exchange.request());
+        return exchange != null && KeyedOutcomes.isTracked(exchange.request());
     }
 
     // Once the answer has begun this does nothing: its body is then cancelled by the exchange, and
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/RightsFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/RightsFollower.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.agent;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.placement.PlacementFeed;
 import io.damaskyoke.control.placement.PlacementStore;
 import io.damaskyoke.control.placement.PlacementTable;
@@ -27,7 +27,7 @@
  * release once the engine surely holds nothing of it. Control thread only.
  */
 final class RightsFollower {
-    private final Control control;
+    private final ControlThread control;
     private final VmId vm;
     private final PlacementStore store;
     private final PlacementFeed feed;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/Control.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/ControlThread.java
@@ -7,15 +7,15 @@
 
 /**
  * Runs tasks, called steps, one at a time on the single thread that owns all control state of a
- * process. Threads that carry traffic submit steps and never block on them: {@code control.ask(()
+ * process. Threads that carry traffic submit steps and never block on them: {@code control.call(()
  * -> limits.admit(request)).thenCompose(...)}.
  */
-public interface Control {
+public interface ControlThread {
     /** Runs the step on the control thread, after the steps submitted earlier. */
     void run(Runnable step);
 
     /** Runs the step on the control thread; the returned stage completes with its result. */
-    <T> CompletionStage<T> ask(Supplier<T> step);
+    <T> CompletionStage<T> call(Supplier<T> step);
 
     /** Schedules the step to run once on the control thread, after the delay. */
     Cancellable after(Duration delay, Runnable step);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/RecentlyUsed.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/LruMap.java
@@ -5,9 +5,9 @@
 
 /**
  * A map that evicts the least recently used entry once it exceeds its capacity: {@code new
- * RecentlyUsed<>(4_096)}.
+ * LruMap<>(4_096)}.
  */
-public final class RecentlyUsed<K, V> extends LinkedHashMap<K, V> {
+public final class LruMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1;
     private static final int CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
@@ -15,7 +15,7 @@
     private final int most;
 
     /** Creates an empty map that keeps at most this many entries. */
-    public RecentlyUsed(int most) {
+    public LruMap(int most) {
         super(CAPACITY, LOAD_FACTOR, true);
         this.most = most;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/ControlLoop.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/PekkoControlThread.java
@@ -18,29 +18,30 @@
 
 /**
  * Implements the control thread as a Pekko actor on a pinned dispatcher: {@code
- * ControlLoop.start(system, clock, metrics)}. The actor's mailbox keeps the order of the steps that
- * one thread submits.
+ * PekkoControlThread.start(system, clock, metrics)}. The actor's mailbox keeps the order of the
+ * steps that one thread submits.
  */
-public final class ControlLoop implements Control {
-    private static final Logger LOG = LogManager.getLogger(ControlLoop.class);
+public final class PekkoControlThread implements ControlThread {
+    private static final Logger LOG = LogManager.getLogger(PekkoControlThread.class);
     private static final String DISPATCHER = "damaskyoke.control-dispatcher";
 
     private final ActorSystem<?> system;
     private final ActorRef<Step> actor;
     private final InstantSource clock;
 
-    private ControlLoop(ActorSystem<?> system, ActorRef<Step> actor, InstantSource clock) {
+    private PekkoControlThread(ActorSystem<?> system, ActorRef<Step> actor, InstantSource clock) {
         this.system = system;
         this.actor = actor;
         this.clock = clock;
     }
 
     /** Starts the control thread of a process in the given actor system. */
-    public static ControlLoop start(ActorSystem<?> system, InstantSource clock, Metrics metrics) {
+    public static PekkoControlThread start(
+            ActorSystem<?> system, InstantSource clock, Metrics metrics) {
         Objects.requireNonNull(clock, "clock");
         Props props = DispatcherSelector.fromConfig(DISPATCHER);
         ActorRef<Step> actor = system.systemActorOf(behavior(metrics), "control", props);
-        return new ControlLoop(system, actor, clock);
+        return new PekkoControlThread(system, actor, clock);
     }
 
     @Override
@@ -49,7 +50,7 @@
     }
 
     @Override
-    public <T> CompletionStage<T> ask(Supplier<T> step) {
+    public <T> CompletionStage<T> call(Supplier<T> step) {
         CompletableFuture<T> result = new CompletableFuture<>();
         run(() -> completeWith(result, step));
         return result;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/Machine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/StateMachine.java
@@ -15,7 +15,7 @@
  * @param <A> the type of the actions, usually a sealed interface of records
  */
 @FunctionalInterface
-public interface Machine<I, A> {
+public interface StateMachine<I, A> {
     /** Processes one input and returns the actions to carry out, in order. */
     List<A> on(I input, Instant now);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimAction.java
@@ -11,7 +11,7 @@
     record Commit(List<ClaimWrite> writes) implements ClaimAction {}
 
     /** Give the result of a write to the code that submitted it. */
-    record Done(long id, Result result) implements ClaimAction {}
+    record CompleteWrite(long id, Result result) implements ClaimAction {}
 
     /** Send a tick at this time. */
     record WakeAt(Instant time) implements ClaimAction {}
@@ -29,6 +29,6 @@
          *
          * @param mayHaveTakenEffect false if it is certain that it took no effect
          */
-        record GaveUp(boolean mayHaveTakenEffect) implements Result {}
+        record Abandoned(boolean mayHaveTakenEffect) implements Result {}
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimBatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimBatcher.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.claims;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.claims.ClaimAction.Result;
 import io.damaskyoke.platform.KeyValueStore.Entry;
 import io.damaskyoke.platform.KeyValueStore.TxnResult;
@@ -19,8 +19,8 @@
 
 /**
  * State machine that batches writes of claims for a few milliseconds and commits them in one
- * transaction, with one commit in flight at a time: {@code batcher.on(new ClaimInput.Submit(write),
- * now)}.
+ * transaction, with one commit in flight at a time: {@code batcher.on(new
+ * ClaimInput.WriteSubmitted(write), now)}.
  *
  * <p>The platform's store service counts calls, not keys, so writes that arrive during a commit
  * share the next one. If a transaction fails because of conflicts, the conflicting writes are
@@ -30,7 +30,7 @@
  * of its request, so a write that finds its own value in the store took effect the first time; no
  * other request can have written that value.
  */
-public final class ClaimBatcher implements Machine<ClaimInput, ClaimAction> {
+public final class ClaimBatcher implements StateMachine<ClaimInput, ClaimAction> {
     private final ClaimSettings settings;
     private final RandomGenerator random;
     private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
@@ -62,11 +62,11 @@
     @Override
     public List<ClaimAction> on(ClaimInput input, Instant now) {
         List<ClaimAction> actions = new ArrayList<>();
-        if (input instanceof ClaimInput.Submit submit) {
+        if (input instanceof ClaimInput.WriteSubmitted submit) {
             submit(submit.write(), now, actions);
-        } else if (input instanceof ClaimInput.Answered answered) {
+        } else if (input instanceof ClaimInput.CommitAnswered answered) {
             answered(answered.result(), actions);
-        } else if (input instanceof ClaimInput.Failed failed) {
+        } else if (input instanceof ClaimInput.CommitFailed failed) {
             failed(failed.mayHaveTakenEffect(), now);
         }
         giveUpLate(now, actions);
@@ -79,10 +79,12 @@
     // one is given up at once.
     private void submit(ClaimWrite write, Instant now, List<ClaimAction> actions) {
         if (pending() >= settings.maxPending()) {
-            actions.add(new ClaimAction.Done(write.id(), new Result.GaveUp(false)));
+            actions.add(
+                    new ClaimAction.CompleteWrite(
+                            write.id(), new ClaimAction.Result.Abandoned(false)));
             return;
         }
-        Duration gather = write.urgent() ? settings.gather() : settings.lazyGather();
+        Duration gather = write.urgent() ? settings.batchDelay() : settings.backgroundBatchDelay();
         waiting.put(write.id(), new Waiting(write, now.plus(gather), false));
     }
 
@@ -100,10 +102,10 @@
         List<Waiting> again = new ArrayList<>();
         for (Waiting each : done) {
             Optional<Entry> there = Optional.ofNullable(found.get(each.write.key()));
-            if (each.write.madeBy(there)) {
+            if (each.write.isAppliedIn(there)) {
                 long revision = there.map(Entry::modRevision).orElse(result.revision());
                 actions.add(done(each, new Result.Written(revision)));
-            } else if (each.write.blockedBy(there)) {
+            } else if (each.write.conflictsWith(there)) {
                 actions.add(done(each, new Result.Conflict(there)));
             } else {
                 again.add(each);
@@ -123,8 +125,8 @@
     }
 
     private Duration pause() {
-        long limit = settings.retryFirst().toMillis() << Math.min(failures, 10);
-        long millis = Math.min(limit, settings.retryMost().toMillis());
+        long limit = settings.initialBackoff().toMillis() << Math.min(failures, 10);
+        long millis = Math.min(limit, settings.maxBackoff().toMillis());
         return Duration.ofMillis(millis / 2 + random.nextLong(millis / 2 + 1));
     }
 
@@ -132,9 +134,10 @@
         waiting.values()
                 .removeIf(
                         each -> {
-                            boolean late = !now.isBefore(each.write.giveUp());
+                            boolean late = !now.isBefore(each.write.giveUpAt());
                             if (late) {
-                                actions.add(done(each, new Result.GaveUp(each.mayHave)));
+                                actions.add(
+                                        done(each, new ClaimAction.Result.Abandoned(each.mayHave)));
                             }
                             return late;
                         });
@@ -149,7 +152,7 @@
         if (now.isBefore(next)) {
             Instant end =
                     waiting.values().stream()
-                            .map(each -> each.write.giveUp())
+                            .map(each -> each.write.giveUpAt())
                             .min(Instant::compareTo)
                             .get();
             actions.add(new ClaimAction.WakeAt(end.isBefore(next) ? end : next));
@@ -168,7 +171,9 @@
         int bytes = 0;
         for (Waiting each : waiting.values()) {
             bytes += each.write.size();
-            boolean full = batch.size() >= settings.maxOperations() || bytes > settings.maxBytes();
+            boolean full =
+                    batch.size() >= settings.maxOperations()
+                            || bytes > settings.maxTransactionBytes();
             if (full && !batch.isEmpty()) {
                 break;
             }
@@ -193,7 +198,7 @@
     }
 
     private static ClaimAction done(Waiting each, Result result) {
-        return new ClaimAction.Done(each.write.id(), result);
+        return new ClaimAction.CompleteWrite(each.write.id(), result);
     }
 
     private record Waiting(ClaimWrite write, Instant due, boolean mayHave) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimInput.java
@@ -5,18 +5,18 @@
 /** An event that {@link ClaimBatcher} processes. */
 public sealed interface ClaimInput {
     /** A write was submitted. */
-    record Submit(ClaimWrite write) implements ClaimInput {}
+    record WriteSubmitted(ClaimWrite write) implements ClaimInput {}
 
     /** The timer of the last {@link ClaimAction.WakeAt} fired. */
     record Tick() implements ClaimInput {}
 
     /** The store answered the commit in flight. */
-    record Answered(TxnResult result) implements ClaimInput {}
+    record CommitAnswered(TxnResult result) implements ClaimInput {}
 
     /**
      * The commit in flight failed without an answer of the store.
      *
      * @param mayHaveTakenEffect false if it is certain that the commit took no effect
      */
-    record Failed(boolean mayHaveTakenEffect) implements ClaimInput {}
+    record CommitFailed(boolean mayHaveTakenEffect) implements ClaimInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimRecord.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimRecord.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns this claim in the given state, without an answer. */
-    public ClaimRecord in(ClaimState other) {
+    public ClaimRecord withState(ClaimState other) {
         return new ClaimRecord(exchange, agent, digest, until, other, Optional.empty());
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimSettings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimSettings.java
@@ -5,29 +5,30 @@
 /**
  * Settings of the batching, retries, limits and retention of claims.
  *
- * @param gather time for which a write that a request waits for is delayed to batch it with others
- * @param lazyGather the same delay for writes that no request waits for
- * @param retryFirst upper bound of the backoff after the first failure of the store; doubles with
- *     each further failure
- * @param retryMost upper bound of the backoff after any number of failures
+ * @param batchDelay time for which a write that a request waits for is delayed to batch it with
+ *     others
+ * @param backgroundBatchDelay the same delay for writes that no request waits for
+ * @param initialBackoff upper bound of the backoff after the first failure of the store; doubles
+ *     with each further failure
+ * @param maxBackoff upper bound of the backoff after any number of failures
  * @param maxOperations maximum number of writes in one transaction
- * @param maxBytes maximum size of keys and values in one transaction, in bytes; the store accepts
- *     1.5 MB
+ * @param maxTransactionBytes maximum size of keys and values in one transaction, in bytes; the
+ *     store accepts 1.5 MB
  * @param maxPending maximum number of pending writes
  * @param maxWait maximum time for which a request waits for its claim
- * @param maxBody maximum size of a recorded response body, in bytes
+ * @param maxBodyBytes maximum size of a recorded response body, in bytes
  * @param retention minimum time for which a key is remembered
  */
 public record ClaimSettings(
-        Duration gather,
-        Duration lazyGather,
-        Duration retryFirst,
-        Duration retryMost,
+        Duration batchDelay,
+        Duration backgroundBatchDelay,
+        Duration initialBackoff,
+        Duration maxBackoff,
         int maxOperations,
-        int maxBytes,
+        int maxTransactionBytes,
         int maxPending,
         Duration maxWait,
-        int maxBody,
+        int maxBodyBytes,
         Duration retention) {
     /** Returns the default settings of a router. */
     public static ClaimSettings defaults() {
@@ -50,7 +51,7 @@
      *
      * @param timeLeft time until the deadline of the request
      */
-    public Duration wait(Duration timeLeft) {
+    public Duration claimTimeout(Duration timeLeft) {
         Duration half = timeLeft.dividedBy(2);
         return half.compareTo(maxWait) < 0 ? half : maxWait;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimWrite.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimWrite.java
@@ -10,25 +10,27 @@
 /**
  * A conditional write of one claim, which {@link ClaimBatcher} commits together with others.
  *
- * @param id identifies the write in {@link ClaimAction.Done}
+ * @param id identifies the write in {@link ClaimAction.CompleteWrite}
  * @param key the store key
- * @param before the revision that the claim must still have; empty if there must be no claim
+ * @param expectedRevision the revision that the claim must still have; empty if there must be no
+ *     claim
  * @param value the new value; empty to delete the claim
  * @param lease id of the store lease to write under; 0 for the router's current lease
- * @param giveUp time at which the write is given up
+ * @param giveUpAt time at which the write is given up
  * @param urgent true if a request waits for the write
  */
 public record ClaimWrite(
         long id,
         String key,
-        Optional<Long> before,
+        Optional<Long> expectedRevision,
         Optional<byte[]> value,
         long lease,
-        Instant giveUp,
+        Instant giveUpAt,
         boolean urgent) {
     /** Returns the condition under which the store applies the write. */
     public Condition condition() {
-        return before.<Condition>map(revision -> new Condition.Unchanged(key, revision))
+        return expectedRevision
+                .<Condition>map(revision -> new Condition.Unchanged(key, revision))
                 .orElseGet(() -> new Condition.Absent(key));
     }
 
@@ -37,7 +39,7 @@
      *
      * @param presentLease id of the lease that is used unless the write names its own
      */
-    public Write write(long presentLease) {
+    public Write toStoreWrite(long presentLease) {
         return value.<Write>map(
                         bytes -> new Write.Put(key, bytes, lease == 0 ? presentLease : lease))
                 .orElseGet(() -> new Write.Delete(key));
@@ -49,14 +51,14 @@
     }
 
     /** Returns true if the condition of this write does not hold for the entry found. */
-    boolean blockedBy(Optional<Entry> found) {
-        return before.isPresent()
-                ? found.isEmpty() || found.get().modRevision() != before.get()
+    boolean conflictsWith(Optional<Entry> found) {
+        return expectedRevision.isPresent()
+                ? found.isEmpty() || found.get().modRevision() != expectedRevision.get()
                 : found.isPresent();
     }
 
     /** Returns true if the entry found is what this write would produce. */
-    boolean madeBy(Optional<Entry> found) {
+    boolean isAppliedIn(Optional<Entry> found) {
         return value.isPresent()
                 ? found.isPresent() && Arrays.equals(found.get().value(), value.get())
                 : found.isEmpty();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/KeyedOutcomes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/KeyedOutcomes.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns true if the outcome of the request is kept here. */
-    public static boolean keyed(Request request) {
+    public static boolean isTracked(Request request) {
         return request.claimable();
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Records the answer of the request. */
-    public void settled(Request request, ClaimRecord.Outcome outcome) {
+    public void recordAnswer(Request request, ClaimRecord.Outcome outcome) {
         change(request, record(request).settled(outcome));
     }
 
@@ -58,8 +58,10 @@
      *
      * @param notRun true if it did not run and never will; false if it may have run
      */
-    public void ended(Request request, boolean notRun) {
-        change(request, record(request).in(notRun ? ClaimState.NOT_RUN : ClaimState.UNKNOWN));
+    public void recordEnd(Request request, boolean notRun) {
+        change(
+                request,
+                record(request).withState(notRun ? ClaimState.NOT_RUN : ClaimState.UNKNOWN));
     }
 
     /** Returns what is known of a key, or empty if no request with it is remembered. */
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/RepeatPolicy.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/RepeatPolicy.java
@@ -19,22 +19,22 @@
     private RepeatPolicy() {}
 
     /** How a repeat is handled. */
-    public sealed interface Verdict {
+    public sealed interface Decision {
         /** Return the recorded answer. */
-        record Replay(ClaimRecord settled) implements Verdict {}
+        record Replay(ClaimRecord settled) implements RepeatPolicy.Decision {}
 
         /** Refuse the repeat. */
-        record Refuse(Refusal refusal) implements Verdict {}
+        record Refuse(Refusal refusal) implements RepeatPolicy.Decision {}
 
         /** Replace the claim and run the repeat, since the claim's request never runs. */
-        record TakeOver() implements Verdict {}
+        record TakeOver() implements RepeatPolicy.Decision {}
 
         /** Query the agent named in the claim, then decide from its report. */
-        record AskAgent() implements Verdict {}
+        record AskAgent() implements RepeatPolicy.Decision {}
     }
 
     /** Decides from the claim in the store. */
-    public static Verdict fromStore(ClaimRecord found, String digest) {
+    public static RepeatPolicy.Decision decideFromStore(ClaimRecord found, String digest) {
         if (!found.digest().equals(digest)) {
             return refuse(
                     Refusal.notRun(
@@ -44,8 +44,8 @@
         return switch (found.state()) {
             case SETTLED -> replay(found);
             case UNKNOWN -> unknown();
-            case NOT_RUN -> new Verdict.TakeOver();
-            case CLAIMED -> new Verdict.AskAgent();
+            case NOT_RUN -> new RepeatPolicy.Decision.TakeOver();
+            case CLAIMED -> new RepeatPolicy.Decision.AskAgent();
         };
     }
 
@@ -54,22 +54,23 @@
      *
      * @param agent the agent's report; empty if it has no record of the key or can't be reached
      */
-    public static Verdict fromAgent(ClaimRecord found, Optional<ClaimRecord> agent, Instant now) {
+    public static RepeatPolicy.Decision decideFromAgent(
+            ClaimRecord found, Optional<ClaimRecord> agent, Instant now) {
         Optional<ClaimRecord> same = agent.filter(told -> told.exchange().equals(found.exchange()));
         if (same.isPresent()) {
             return switch (same.get().state()) {
                 case SETTLED -> replay(found.settled(same.get().outcome().orElseThrow()));
                 case UNKNOWN -> unknown();
-                case NOT_RUN -> new Verdict.TakeOver();
+                case NOT_RUN -> new RepeatPolicy.Decision.TakeOver();
                 case CLAIMED -> inProgress();
             };
         }
         return now.isBefore(found.until()) ? inProgress() : unknown();
     }
 
-    private static Verdict replay(ClaimRecord settled) {
+    private static RepeatPolicy.Decision replay(ClaimRecord settled) {
         if (settled.outcome().orElseThrow().body().isPresent()) {
-            return new Verdict.Replay(settled);
+            return new RepeatPolicy.Decision.Replay(settled);
         }
         return refuse(
                 Refusal.mayHaveRun(
@@ -79,14 +80,14 @@
                                 + "; the body was not kept"));
     }
 
-    private static Verdict unknown() {
+    private static RepeatPolicy.Decision unknown() {
         return refuse(
                 Refusal.mayHaveRun(
                         RefusalCode.OUTCOME_UNKNOWN,
                         "a request with this Idempotency-Key may have run; it is not run again"));
     }
 
-    private static Verdict inProgress() {
+    private static RepeatPolicy.Decision inProgress() {
         return refuse(
                 Refusal.mayHaveRun(
                                 RefusalCode.IN_PROGRESS,
@@ -94,7 +95,7 @@
                         .retryAfter(COME_BACK));
     }
 
-    private static Verdict refuse(Refusal refusal) {
-        return new Verdict.Refuse(refusal);
+    private static RepeatPolicy.Decision refuse(Refusal refusal) {
+        return new RepeatPolicy.Decision.Refuse(refusal);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.configuration;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
  * order, without gaps, never back.
  */
 public final class ConfigurationFollower
-        implements Machine<ConfigurationFollower.Offer, ConfigurationFollower.Action> {
+        implements StateMachine<ConfigurationFollower.Offer, ConfigurationFollower.Action> {
     private static final TicketParser STORED = TicketParser.stored();
 
     private final LogTail tail = new LogTail();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.configuration;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.TicketException.Code;
 import io.damaskyoke.platform.WatchedStore;
 import io.damaskyoke.timeline.EventType;
@@ -40,7 +40,7 @@
 
     private static final Logger LOG = LogManager.getLogger(ConfigurationService.class);
 
-    private final Control control;
+    private final ControlThread control;
     private final Timeline timeline;
     private final RandomGenerator random;
     private final ConfigurationLog log;
@@ -86,7 +86,7 @@
     }
 
     /** Begins a service on this control thread and store. */
-    public static Builder builder(Control control, WatchedStore store, Timeline timeline) {
+    public static Builder builder(ControlThread control, WatchedStore store, Timeline timeline) {
         return new Builder(control, store, timeline);
     }
 
@@ -209,7 +209,7 @@
 
     /** The accepted ticket with this number, among the last sixteen thousand numbers. */
     public CompletionStage<Optional<TicketResult.Accepted>> ticket(long number) {
-        return control.ask(
+        return control.call(
                 () ->
                         follower.history()
                                 .find(number)
@@ -344,7 +344,7 @@
 
     /** Puts a {@link ConfigurationService} together. */
     public static final class Builder {
-        private final Control control;
+        private final ControlThread control;
         private final WatchedStore store;
         private final Timeline timeline;
         private String prefix = "/damaskyoke";
@@ -352,7 +352,7 @@
         private boolean direct = true;
         private RandomGenerator random = new SplittableRandom();
 
-        private Builder(Control control, WatchedStore store, Timeline timeline) {
+        private Builder(ControlThread control, WatchedStore store, Timeline timeline) {
             this.control = Objects.requireNonNull(control, "control");
             this.store = Objects.requireNonNull(store, "store");
             this.timeline = Objects.requireNonNull(timeline, "timeline");
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.configuration;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.platform.KeyValueStore;
 import io.damaskyoke.platform.PlatformException;
 import io.damaskyoke.platform.WatchedStore;
@@ -29,7 +29,7 @@
     private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(10);
     private static final int MOST_DOUBLINGS = 6;
 
-    private final Control control;
+    private final ControlThread control;
     private final ConfigurationLog log;
     private final LongSupplier sequence;
     private final Consumer<ConfigurationFollower.Offer> offers;
@@ -37,7 +37,7 @@
     private final Duration period;
     private final RandomGenerator random;
     private Optional<WatchedStore.Watch> watch = Optional.empty();
-    private Optional<Control.Cancellable> timer = Optional.empty();
+    private Optional<ControlThread.Cancellable> timer = Optional.empty();
     private long watchNumber;
     private int failures;
     private boolean reading;
@@ -45,7 +45,7 @@
     private boolean stopped;
 
     LogReader(
-            Control control,
+            ControlThread control,
             ConfigurationLog log,
             LongSupplier sequence,
             Consumer<ConfigurationFollower.Offer> offers,
@@ -67,7 +67,7 @@
             return;
         }
         reading = true;
-        timer.ifPresent(Control.Cancellable::cancel);
+        timer.ifPresent(ControlThread.Cancellable::cancel);
         Instant begun = control.clock().instant();
         long from = sequence.getAsLong() + 1;
         log.read(from)
@@ -99,7 +99,7 @@
             read();
             return;
         }
-        timer.ifPresent(Control.Cancellable::cancel);
+        timer.ifPresent(ControlThread.Cancellable::cancel);
         closeWatch();
     }
 
@@ -109,7 +109,7 @@
 
     void stop() {
         stopped = true;
-        timer.ifPresent(Control.Cancellable::cancel);
+        timer.ifPresent(ControlThread.Cancellable::cancel);
         closeWatch();
     }
 
@@ -150,7 +150,7 @@
 
     private void next(Duration delay) {
         if (!stopped && following) {
-            timer.ifPresent(Control.Cancellable::cancel);
+            timer.ifPresent(ControlThread.Cancellable::cancel);
             timer = Optional.of(control.after(delay, this::read));
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotWriter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotWriter.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.configuration;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
@@ -24,7 +24,7 @@
     private static final Logger LOG = LogManager.getLogger(SnapshotWriter.class);
     private static final Duration LONGEST_WAIT = Duration.ofSeconds(30);
 
-    private final Control control;
+    private final ControlThread control;
     private final SnapshotStore snapshots;
     private final ConfigurationLog log;
     private final Supplier<Snapshot> source;
@@ -34,7 +34,7 @@
     private boolean busy;
 
     SnapshotWriter(
-            Control control,
+            ControlThread control,
             SnapshotStore snapshots,
             ConfigurationLog log,
             Supplier<Snapshot> source,
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SubmissionRun.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SubmissionRun.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.configuration;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.platform.PlatformException;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,7 +12,7 @@
 
 /** Carries out what one {@link TicketSubmission} asks for; lives on the control thread. */
 final class SubmissionRun {
-    private final Control control;
+    private final ControlThread control;
     private final ConfigurationLog log;
     private final TicketSubmission machine;
     private final Ticket ticket;
@@ -21,7 +21,7 @@
     private final CompletableFuture<TicketResult> result = new CompletableFuture<>();
 
     SubmissionRun(
-            Control control,
+            ControlThread control,
             ConfigurationLog log,
             TicketSubmission machine,
             Ticket ticket,
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.configuration;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.TicketException.Code;
 import io.damaskyoke.platform.PlatformException;
 import java.time.Duration;
@@ -19,7 +19,7 @@
  * another; only then is a next place tried, and the ticket can never stand in the log twice.
  */
 public final class TicketSubmission
-        implements Machine<TicketSubmission.Input, TicketSubmission.Action> {
+        implements StateMachine<TicketSubmission.Input, TicketSubmission.Action> {
     /** How often the store is asked before the ticket is refused. */
     static final int MAX_TRIES = 16;
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RecentAnswers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RecentAnswers.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.crashes;
 
-import io.damaskyoke.control.RecentlyUsed;
+import io.damaskyoke.control.LruMap;
 import java.time.Instant;
 import java.util.Map;
 import java.util.Optional;
@@ -27,7 +27,7 @@
 
     /** Remembers so many requests; those seen longest ago go. */
     public RecentAnswers(int most) {
-        this.answers = new RecentlyUsed<>(most);
+        this.answers = new LruMap<>(most);
     }
 
     /** A run that was sent then has succeeded now. */
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Suspects.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/Suspects.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.crashes;
 
-import io.damaskyoke.control.RecentlyUsed;
+import io.damaskyoke.control.LruMap;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -22,12 +22,12 @@
 
     private final CrashSettings settings;
     private final Map<RequestDigest, Evidence> evidence;
-    private final Map<UpstreamEnd, Instant> ends = new RecentlyUsed<>(MOST_ENDS);
+    private final Map<UpstreamEnd, Instant> ends = new LruMap<>(MOST_ENDS);
 
     /** Nothing is suspected yet. */
     public Suspects(CrashSettings settings) {
         this.settings = settings;
-        this.evidence = new RecentlyUsed<>(settings.mostSuspects());
+        this.evidence = new LruMap<>(settings.mostSuspects());
     }
 
     /**
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.loads;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.direct.EngineSpec;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.ModelRef;
@@ -30,7 +30,7 @@
  * accepted before; so an order that was delayed finds another number and is not carried out, and
  * memory never holds more than was counted.
  */
-public final class LoadPlanner implements Machine<LoadInput, LoadAction> {
+public final class LoadPlanner implements StateMachine<LoadInput, LoadAction> {
     /** Reports lag by about a tenth of a second; asking more often tells nothing new. */
     private static final Duration REPORT_GAP = Duration.ofMillis(60);
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.placement;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -13,7 +13,7 @@
  * holder that was paused past its end still believes in it until its next step, and its proposals
  * then fail in the compare and swap.
  */
-public final class LeaseMachine implements Machine<LeaseInput, LeaseAction> {
+public final class LeaseMachine implements StateMachine<LeaseInput, LeaseAction> {
     private final Duration term;
     private State state = State.FREE;
     private long lease;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Planner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/Planner.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.placement;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.id.AvailabilityZone;
 import io.damaskyoke.id.ModelName;
@@ -26,7 +26,7 @@
  * <p>It may be wrong about who leads, and about the present table: each proposal names the revision
  * that it was worked out from, and takes effect only if that still stands.
  */
-public final class Planner implements Machine<Planner.View, Planner.Proposal> {
+public final class Planner implements StateMachine<Planner.View, Planner.Proposal> {
     private final Duration goneAfter;
     private final Duration suspectTime;
     private final Map<VmId, Instant> absentSince = new HashMap<>();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingFeed.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingFeed.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.placement;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.metrics.Metrics;
 import java.time.Duration;
 import java.time.Instant;
@@ -23,7 +23,7 @@
 public final class PollingFeed implements PlacementFeed {
     private static final Duration TICK = Duration.ofMillis(250);
 
-    private final Control control;
+    private final ControlThread control;
     private final PlacementStore store;
     private final Supplier<Duration> pause;
     private final Metrics metrics;
@@ -36,7 +36,10 @@
 
     /** A feed that waits for {@code pause}, asked each time, between two looks. */
     public PollingFeed(
-            Control control, PlacementStore store, Supplier<Duration> pause, Metrics metrics) {
+            ControlThread control,
+            PlacementStore store,
+            Supplier<Duration> pause,
+            Metrics metrics) {
         this.control = control;
         this.store = store;
         this.pause = pause;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.rates;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.Workspace;
 import io.damaskyoke.id.Incarnation;
 import io.damaskyoke.id.VmId;
@@ -20,7 +20,7 @@
  * arrives leads to exactly one {@code Admit} or {@code Refuse}, at the latest at the first tick
  * after the holding time.
  */
-public final class RateMachine implements Machine<RateInput, RateAction> {
+public final class RateMachine implements StateMachine<RateInput, RateAction> {
     /** A workspace that others must found is looked for this often. */
     private static final Duration FOUNDING = Duration.ofMillis(200);
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.relay;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.id.VmId;
 import java.time.Duration;
 import java.time.Instant;
@@ -20,7 +20,7 @@
  * One router that is silent, has an open write, or restarted and can't speak for its former life,
  * is enough for no confirmation: it may have withdrawn a key.
  */
-public final class OutageConfirmation implements Machine<OutageInput, OutageAction> {
+public final class OutageConfirmation implements StateMachine<OutageInput, OutageAction> {
     /** Routers up to which each relay asks all; see docs/design/configuration.md. */
     public static final int MOST_ROUTERS = 64;
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayMachine.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.relay;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.id.AvailabilityZone;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.platform.VmList.Role;
@@ -26,7 +26,7 @@
  * it gives. Counted from its arrival, an answer that had waited in the buffers of a process stopped
  * for a minute would confirm a configuration a minute old: a withdrawn key would go on working.
  */
-public final class RelayMachine implements Machine<RelayInput, RelayAction> {
+public final class RelayMachine implements StateMachine<RelayInput, RelayAction> {
     private static final int MOST_PROBES = 64;
     private static final int MOST_DOUBLINGS = 4;
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaHolder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaHolder.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.replicas;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.control.replicas.Replica.Phase;
 import io.damaskyoke.exchange.RefusalCode;
@@ -25,7 +25,7 @@
  * Wanted is answered once: Ready counts as a use until Finished comes, so nothing can be unloaded
  * between the answer and the sending.
  */
-public final class ReplicaHolder implements Machine<ReplicaInput, ReplicaAction> {
+public final class ReplicaHolder implements StateMachine<ReplicaInput, ReplicaAction> {
     private static final Duration PREFETCH = Duration.ofMinutes(1);
     private static final double IDLE_RATE = 0.5;
     private static final Duration SHORT_RETRY = Duration.ofSeconds(1);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/Member.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/AgentEndpoint.java
@@ -13,4 +13,4 @@
  * @param host the host name or address on which the agent accepts peer connections
  * @param port the TCP port on that host
  */
-public record Member(VmId vm, PoolName pool, AvailabilityZone zone, String host, int port) {}
+public record AgentEndpoint(VmId vm, PoolName pool, AvailabilityZone zone, String host, int port) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/AgentLoad.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/AgentLoad.java
@@ -28,7 +28,7 @@
      *
      * @param extra number of requests to add that the agent has not reported yet
      */
-    public double pressure(int extra) {
+    public double utilization(int extra) {
         return (double) (running + waiting + extra) / Math.max(1, limit);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/Fleet.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/Fleet.java
@@ -22,20 +22,20 @@
 
 /**
  * The agents known to a router with their load and state, from which it selects one for a request:
- * {@code fleet.holder(model, tried, now)}. Used on the control thread only.
+ * {@code fleet.selectForModel(model, tried, now)}. Used on the control thread only.
  */
 public final class Fleet {
     private static final int HASH_SEED = 0x2f0b4c47;
 
     private final AvailabilityZone here;
-    private final Map<VmId, Member> members = new TreeMap<>();
+    private final Map<VmId, AgentEndpoint> members = new TreeMap<>();
     private final Map<VmId, AgentLoad> loads = new HashMap<>();
     private final Map<VmId, Integer> outstanding = new HashMap<>();
     private final Map<VmId, Instant> suspended = new HashMap<>();
     private final Set<VmId> draining = new HashSet<>();
     private Set<VmId> leaving = Set.of();
     private Map<ModelName, Set<VmId>> holders = Map.of();
-    private Map<PoolName, List<Member>> pools = Map.of();
+    private Map<PoolName, List<AgentEndpoint>> pools = Map.of();
 
     private Fleet(AvailabilityZone here) {
         this.here = here;
@@ -52,10 +52,10 @@
      * @param present endpoints of all registered agents
      * @param listedAsLeaving VMs that are leaving and get no new requests
      */
-    public void update(Collection<Member> present, Set<VmId> listedAsLeaving) {
+    public void update(Collection<AgentEndpoint> present, Set<VmId> listedAsLeaving) {
         members.clear();
         present.forEach(member -> members.put(member.vm(), member));
-        pools = members.values().stream().collect(Collectors.groupingBy(Member::pool));
+        pools = members.values().stream().collect(Collectors.groupingBy(AgentEndpoint::pool));
         loads.keySet().retainAll(members.keySet());
         suspended.keySet().retainAll(members.keySet());
         draining.retainAll(members.keySet());
@@ -63,27 +63,27 @@
     }
 
     /** Sets the VMs that may hold a replica of each model; requests are sent only to these. */
-    public void placed(Map<ModelName, Set<VmId>> newHolders) {
+    public void setReplicaHolders(Map<ModelName, Set<VmId>> newHolders) {
         holders = Map.copyOf(newHolders);
     }
 
     /** Returns true if at least one VM may hold the model. */
-    public boolean isPlaced(ModelName model) {
+    public boolean hasReplicaHolder(ModelName model) {
         return holders.containsKey(model);
     }
 
     /** Records the load that an agent reported. */
-    public void loaded(VmId vm, AgentLoad load) {
+    public void updateLoad(VmId vm, AgentLoad load) {
         loads.put(vm, load);
     }
 
     /** Marks an agent as draining, so that it is not selected. */
-    public void draining(VmId vm) {
+    public void markDraining(VmId vm) {
         draining.add(vm);
     }
 
     /** Clears the state of an agent that restarted; a new incarnation accepts requests again. */
-    public void returned(VmId vm) {
+    public void markRestarted(VmId vm) {
         draining.remove(vm);
         suspended.remove(vm);
         loads.remove(vm);
@@ -95,27 +95,27 @@
     }
 
     /** Counts a request that was sent to an agent as outstanding. */
-    public void sent(VmId vm) {
+    public void countSent(VmId vm) {
         outstanding.merge(vm, 1, Integer::sum);
     }
 
     /** Counts an outstanding request of an agent as finished. */
-    public void done(VmId vm) {
+    public void countFinished(VmId vm) {
         outstanding.computeIfPresent(vm, (id, count) -> count > 1 ? count - 1 : null);
     }
 
     /** Returns true if the agent has outstanding requests from this router. */
-    public boolean isBusy(VmId vm) {
+    public boolean hasOutstandingRequests(VmId vm) {
         return outstanding.containsKey(vm);
     }
 
     /** Returns the endpoint of an agent, or empty if the agent is unknown. */
-    public Optional<Member> member(VmId vm) {
+    public Optional<AgentEndpoint> endpoint(VmId vm) {
         return Optional.ofNullable(members.get(vm));
     }
 
     /** Returns the endpoints of all known agents, ordered by VM. */
-    public List<Member> members() {
+    public List<AgentEndpoint> endpoints() {
         return List.copyOf(members.values());
     }
 
@@ -132,13 +132,13 @@
      *
      * @param tried agents that already got the request and are excluded
      */
-    public Optional<VmId> holder(Model model, Set<VmId> tried, Instant now) {
-        List<Member> homes = homes(model, tried, now);
+    public Optional<VmId> selectForModel(Model model, Set<VmId> tried, Instant now) {
+        List<AgentEndpoint> homes = candidatesFor(model, tried, now);
         ModelName name = model.name();
-        return best(homes, member -> holds(member, name) && pressure(member) < 1.0)
-                .or(() -> best(homes, member -> load(member.vm()).loading().contains(name)))
-                .or(() -> best(homes, member -> holds(member, name)))
-                .or(() -> homes.stream().findFirst().map(Member::vm));
+        return leastLoaded(homes, member -> hasLoaded(member, name) && utilization(member) < 1.0)
+                .or(() -> leastLoaded(homes, member -> load(member.vm()).loading().contains(name)))
+                .or(() -> leastLoaded(homes, member -> hasLoaded(member, name)))
+                .or(() -> homes.stream().findFirst().map(AgentEndpoint::vm));
     }
 
     /**
@@ -147,25 +147,28 @@
      *
      * @param tried agents that already got the request and are excluded
      */
-    public Optional<VmId> server(PoolName pool, Set<VmId> tried, Instant now) {
-        List<Member> servers =
+    public Optional<VmId> selectForService(PoolName pool, Set<VmId> tried, Instant now) {
+        List<AgentEndpoint> servers =
                 pools.getOrDefault(pool, List.of()).stream()
-                        .filter(member -> isChoosable(member.vm(), tried, now))
+                        .filter(member -> isSelectable(member.vm(), tried, now))
                         .toList();
-        return best(servers, member -> true);
+        return leastLoaded(servers, member -> true);
     }
 
-    private List<Member> homes(Model model, Set<VmId> tried, Instant now) {
+    private List<AgentEndpoint> candidatesFor(Model model, Set<VmId> tried, Instant now) {
         String name = model.base().orElse(model.name()).value();
         return holders.getOrDefault(model.name(), Set.of()).stream()
                 .map(members::get)
                 .filter(member -> member != null && member.pool().equals(model.pool()))
-                .filter(member -> isChoosable(member.vm(), tried, now))
-                .sorted(Comparator.comparingInt((Member member) -> weight(name, member)).reversed())
+                .filter(member -> isSelectable(member.vm(), tried, now))
+                .sorted(
+                        Comparator.comparingInt(
+                                        (AgentEndpoint member) -> rendezvousWeight(name, member))
+                                .reversed())
                 .toList();
     }
 
-    private boolean isChoosable(VmId vm, Set<VmId> tried, Instant now) {
+    private boolean isSelectable(VmId vm, Set<VmId> tried, Instant now) {
         return !leaving.contains(vm)
                 && !draining.contains(vm)
                 && !tried.contains(vm)
@@ -177,25 +180,25 @@
         return until != null && now.isBefore(until);
     }
 
-    private boolean holds(Member member, ModelName model) {
+    private boolean hasLoaded(AgentEndpoint member, ModelName model) {
         return load(member.vm()).loaded().contains(model);
     }
 
-    private double pressure(Member member) {
-        return load(member.vm()).pressure(outstanding.getOrDefault(member.vm(), 0));
+    private double utilization(AgentEndpoint member) {
+        return load(member.vm()).utilization(outstanding.getOrDefault(member.vm(), 0));
     }
 
-    private Optional<VmId> best(List<Member> choice, Predicate<Member> fit) {
+    private Optional<VmId> leastLoaded(List<AgentEndpoint> choice, Predicate<AgentEndpoint> fit) {
         return choice.stream()
                 .filter(fit)
                 .min(
-                        Comparator.comparingDouble(this::pressure)
+                        Comparator.comparingDouble(this::utilization)
                                 .thenComparing(member -> !member.zone().equals(here)))
-                .map(Member::vm);
+                .map(AgentEndpoint::vm);
     }
 
     // Rendezvous hashing: when a VM joins or leaves, only the models on that VM move.
-    private static int weight(String name, Member member) {
+    private static int rendezvousWeight(String name, AgentEndpoint member) {
         return MurmurHash3$.MODULE$.stringHash(name + '@' + member.vm().value(), HASH_SEED);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestAction.java
@@ -10,26 +10,26 @@
     record Send(VmId vm) implements RequestAction {}
 
     /** Claim the idempotency key for a run at this agent, or move the existing claim to it. */
-    record Claim(VmId vm) implements RequestAction {}
+    record ClaimKey(VmId vm) implements RequestAction {}
 
     /** Check for an earlier request with the same idempotency key, without claiming the key. */
-    record LookUp() implements RequestAction {}
+    record LookUpKey() implements RequestAction {}
 
     /** Release the claim, since the request did not run and will not run. */
-    record Release() implements RequestAction {}
+    record ReleaseClaim() implements RequestAction {}
 
     /** Return the answer that was recorded for the idempotency key. */
-    record Replay() implements RequestAction {}
+    record ReplayAnswer() implements RequestAction {}
 
     /** Exclude this agent from selection for this time. */
-    record Suspend(VmId vm, Duration time) implements RequestAction {}
+    record SuspendAgent(VmId vm, Duration time) implements RequestAction {}
 
     /** Cancel the request at the agent, since its answer is no longer needed. */
-    record Cancel(VmId vm, String reason) implements RequestAction {}
+    record CancelAtAgent(VmId vm, String reason) implements RequestAction {}
 
     /** Forward the agent's answer to the caller. */
-    record Deliver(VmId vm) implements RequestAction {}
+    record DeliverAnswer(VmId vm) implements RequestAction {}
 
     /** Answer the caller with this refusal; no other answer follows. */
-    record Reply(Refusal refusal) implements RequestAction {}
+    record Refuse(Refusal refusal) implements RequestAction {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestInput.java
@@ -6,40 +6,40 @@
 /** An event of a request at its router, the input of {@link RequestMachine}. */
 public sealed interface RequestInput {
     /** The request arrived and was admitted. */
-    record Start() implements RequestInput {}
+    record Admitted() implements RequestInput {}
 
     /** The agent started to answer. */
-    record Served(VmId vm) implements RequestInput {}
+    record AnswerStarted(VmId vm) implements RequestInput {}
 
     /** The agent refused the request. */
-    record Refused(VmId vm, Refusal refusal) implements RequestInput {}
+    record AgentRefused(VmId vm, Refusal refusal) implements RequestInput {}
 
     /** The request was not sent; no byte of it left this process. */
     record NotSent(VmId vm) implements RequestInput {}
 
     /** The connection to the agent broke after the request was sent and before any answer. */
-    record Lost(VmId vm) implements RequestInput {}
+    record ConnectionLost(VmId vm) implements RequestInput {}
 
     /** The idempotency key was claimed for a run at this agent. */
-    record Claimed(VmId vm) implements RequestInput {}
+    record KeyClaimed(VmId vm) implements RequestInput {}
 
     /** The key could not be claimed, or an earlier request has the same key. */
     record ClaimRefused(Refusal refusal) implements RequestInput {}
 
     /** An earlier request with the same key ran, and its answer is recorded. */
-    record AnsweredBefore() implements RequestInput {}
+    record RecordedAnswerFound() implements RequestInput {}
 
     /** The key was looked up and no earlier request was found. */
-    record KeyUnknown() implements RequestInput {}
+    record KeyNotFound() implements RequestInput {}
 
     /** The deadline of the request passed. */
     record DeadlinePassed() implements RequestInput {}
 
     /** The caller disconnected. */
-    record CallerGone() implements RequestInput {}
+    record CallerDisconnected() implements RequestInput {}
 
     /** The caller key that authenticated the request was withdrawn. */
-    record KeyWithdrawn() implements RequestInput {}
+    record CallerKeyWithdrawn() implements RequestInput {}
 
     /**
      * The release of the claim finished or timed out.
@@ -47,5 +47,5 @@
      * @param confirmed true if the claim is known to be removed; false if another request has it,
      *     or the result is not known yet
      */
-    record Released(boolean confirmed) implements RequestInput {}
+    record ClaimReleaseFinished(boolean confirmed) implements RequestInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestMachine.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.routing;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.exchange.Refusal;
 import io.damaskyoke.exchange.RefusalCode;
 import io.damaskyoke.id.VmId;
@@ -24,13 +24,13 @@
  * <p>The idempotency key of a request is claimed before the request is sent. The claim names the
  * agent, so it is moved before the request is sent to another agent.
  */
-public final class RequestMachine implements Machine<RequestInput, RequestAction> {
+public final class RequestMachine implements StateMachine<RequestInput, RequestAction> {
     private static final Duration SUSPENSION = Duration.ofSeconds(2);
     private static final Duration COME_BACK = Duration.ofSeconds(1);
 
     private final boolean idempotent;
     private final boolean keyed;
-    private final AgentChoice choice;
+    private final RequestMachine.AgentSelector choice;
     private final RetryBudget budget;
     private final Set<VmId> tried = new HashSet<>();
     private State state = State.NEW;
@@ -43,13 +43,16 @@
 
     /** Selects the agents to which a request is sent. */
     @FunctionalInterface
-    public interface AgentChoice {
+    public interface AgentSelector {
         /** Returns an agent that is not in {@code tried}, or empty if there is none. */
-        Optional<VmId> next(Set<VmId> tried, Instant now);
+        Optional<VmId> select(Set<VmId> tried, Instant now);
     }
 
     private RequestMachine(
-            boolean idempotent, boolean keyed, AgentChoice choice, RetryBudget budget) {
+            boolean idempotent,
+            boolean keyed,
+            RequestMachine.AgentSelector choice,
+            RetryBudget budget) {
         this.idempotent = idempotent;
         this.keyed = keyed;
         this.choice = choice;
@@ -57,7 +60,8 @@
     }
 
     /** Creates a machine for a request without an idempotency key. */
-    public static RequestMachine of(boolean idempotent, AgentChoice choice, RetryBudget budget) {
+    public static RequestMachine of(
+            boolean idempotent, RequestMachine.AgentSelector choice, RetryBudget budget) {
         return new RequestMachine(
                 idempotent,
                 false,
@@ -66,7 +70,8 @@
     }
 
     /** Creates a machine for a non-idempotent request whose key must be claimed before sending. */
-    public static RequestMachine keyed(AgentChoice choice, RetryBudget budget) {
+    public static RequestMachine withIdempotencyKey(
+            RequestMachine.AgentSelector choice, RetryBudget budget) {
         return new RequestMachine(
                 false,
                 true,
@@ -80,12 +85,12 @@
     }
 
     /** Returns true once the caller got its answer, or the first part of it. */
-    public boolean answered() {
+    public boolean isAnswered() {
         return state == State.ANSWERED;
     }
 
     /** Returns the agent that was selected last, or empty if none was selected yet. */
-    public Optional<VmId> current() {
+    public Optional<VmId> currentAgent() {
         return Optional.ofNullable(current);
     }
 
@@ -94,8 +99,8 @@
         NEW {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Start) {
-                    request.budget.firstTry();
+                if (input instanceof RequestInput.Admitted) {
+                    request.budget.recordFirstAttempt();
                     return request.sendOn(now);
                 }
                 return request.giveUp(input);
@@ -105,13 +110,13 @@
         LOOKING_UP {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.KeyUnknown) {
+                if (input instanceof RequestInput.KeyNotFound) {
                     return request.sendOn(now);
                 }
                 if (input instanceof RequestInput.ClaimRefused refused) {
                     return request.reply(refused.refusal());
                 }
-                if (input instanceof RequestInput.AnsweredBefore) {
+                if (input instanceof RequestInput.RecordedAnswerFound) {
                     return request.replay();
                 }
                 return request.giveUp(input);
@@ -121,13 +126,13 @@
         CLAIMING {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Claimed claimed) {
+                if (input instanceof RequestInput.KeyClaimed claimed) {
                     return request.fromCurrent(claimed.vm()) ? request.claimed() : List.of();
                 }
                 if (input instanceof RequestInput.ClaimRefused refused) {
                     return request.reply(refused.refusal());
                 }
-                if (input instanceof RequestInput.AnsweredBefore) {
+                if (input instanceof RequestInput.RecordedAnswerFound) {
                     return request.replay();
                 }
                 return request.giveUp(input);
@@ -137,10 +142,10 @@
         SENT {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Served served) {
+                if (input instanceof RequestInput.AnswerStarted served) {
                     return request.fromCurrent(served.vm()) ? request.deliver() : List.of();
                 }
-                if (input instanceof RequestInput.Refused refused) {
+                if (input instanceof RequestInput.AgentRefused refused) {
                     return request.fromCurrent(refused.vm())
                             ? request.refused(refused.refusal(), now)
                             : List.of();
@@ -148,7 +153,7 @@
                 if (input instanceof RequestInput.NotSent notSent) {
                     return request.fromCurrent(notSent.vm()) ? request.unreachable(now) : List.of();
                 }
-                if (input instanceof RequestInput.Lost lost) {
+                if (input instanceof RequestInput.ConnectionLost lost) {
                     return request.fromCurrent(lost.vm()) ? request.lost(now) : List.of();
                 }
                 return request.giveUp(input);
@@ -158,7 +163,7 @@
         RELEASING {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Released released) {
+                if (input instanceof RequestInput.ClaimReleaseFinished released) {
                     return request.released(released.confirmed());
                 }
                 return request.givesUpWaiting(input) ? request.released(false) : List.of();
@@ -168,7 +173,7 @@
         ANSWERED {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Claimed) {
+                if (input instanceof RequestInput.KeyClaimed) {
                     return request.claimedTooLate();
                 }
                 return request.surelyNotRun(input) ? request.release() : List.of();
@@ -183,7 +188,7 @@
     }
 
     private List<RequestAction> sendOn(Instant now) {
-        Optional<VmId> next = choice.next(Set.copyOf(tried), now);
+        Optional<VmId> next = choice.select(Set.copyOf(tried), now);
         if (next.isEmpty()) {
             return keyed && !claimHeld && !lookedUp ? lookUp() : reply(whyNone());
         }
@@ -191,7 +196,7 @@
         tried.add(current);
         if (keyed) {
             state = State.CLAIMING;
-            return List.of(new RequestAction.Claim(current));
+            return List.of(new RequestAction.ClaimKey(current));
         }
         return send();
     }
@@ -202,7 +207,7 @@
     private List<RequestAction> lookUp() {
         lookedUp = true;
         state = State.LOOKING_UP;
-        return List.of(new RequestAction.LookUp());
+        return List.of(new RequestAction.LookUpKey());
     }
 
     private List<RequestAction> send() {
@@ -217,7 +222,7 @@
 
     private List<RequestAction> replay() {
         state = State.ANSWERED;
-        return List.of(new RequestAction.Replay());
+        return List.of(new RequestAction.ReplayAnswer());
     }
 
     // The claim was granted after the request had been answered, so the request was never sent. If
@@ -232,11 +237,11 @@
             return List.of();
         }
         claimHeld = false;
-        return List.of(new RequestAction.Release());
+        return List.of(new RequestAction.ReleaseClaim());
     }
 
     private boolean surelyNotRun(RequestInput input) {
-        if (input instanceof RequestInput.Refused refused) {
+        if (input instanceof RequestInput.AgentRefused refused) {
             return fromCurrent(refused.vm()) && refused.refusal().notRun();
         }
         return input instanceof RequestInput.NotSent notSent && fromCurrent(notSent.vm());
@@ -244,7 +249,7 @@
 
     private List<RequestAction> deliver() {
         state = State.ANSWERED;
-        return List.of(new RequestAction.Deliver(current));
+        return List.of(new RequestAction.DeliverAnswer(current));
     }
 
     private List<RequestAction> refused(Refusal refusal, Instant now) {
@@ -264,11 +269,11 @@
     // to the budget, a planned stop would use the budget up, and requests would be refused while
     // other agents are idle. Suspending the agent keeps it from causing a free retry per request.
     private List<RequestAction> turnedAway(Instant now) {
-        return concat(new RequestAction.Suspend(current, SUSPENSION), sendOn(now));
+        return concat(new RequestAction.SuspendAgent(current, SUSPENSION), sendOn(now));
     }
 
     private List<RequestAction> unreachable(Instant now) {
-        RequestAction suspend = new RequestAction.Suspend(current, SUSPENSION);
+        RequestAction suspend = new RequestAction.SuspendAgent(current, SUSPENSION);
         return concat(suspend, retry(now));
     }
 
@@ -277,7 +282,7 @@
     // other is answered as "outcome unknown".
     private List<RequestAction> lost(Instant now) {
         mayHaveRun = true;
-        RequestAction suspend = new RequestAction.Suspend(current, SUSPENSION);
+        RequestAction suspend = new RequestAction.SuspendAgent(current, SUSPENSION);
         if (idempotent) {
             return concat(suspend, retry(now));
         }
@@ -308,10 +313,10 @@
         if (input instanceof RequestInput.DeadlinePassed) {
             return cancelAndReply(RefusalCode.DEADLINE_EXCEEDED, "the deadline has passed");
         }
-        if (input instanceof RequestInput.KeyWithdrawn) {
+        if (input instanceof RequestInput.CallerKeyWithdrawn) {
             return cancelAndReply(RefusalCode.KEY_WITHDRAWN, "the caller key was withdrawn");
         }
-        if (input instanceof RequestInput.CallerGone) {
+        if (input instanceof RequestInput.CallerDisconnected) {
             return cancelAndReply(RefusalCode.REQUEST_TIMEOUT, "the caller disconnected");
         }
         return List.of();
@@ -327,7 +332,7 @@
         if (!sent || finishes) {
             return reply;
         }
-        return concat(new RequestAction.Cancel(current, message), reply);
+        return concat(new RequestAction.CancelAtAgent(current, message), reply);
     }
 
     // "Not run" from the second agent is true of that agent only: the first one may have run the
@@ -358,15 +363,15 @@
 
     private boolean givesUpWaiting(RequestInput input) {
         return input instanceof RequestInput.DeadlinePassed
-                || input instanceof RequestInput.KeyWithdrawn
-                || input instanceof RequestInput.CallerGone;
+                || input instanceof RequestInput.CallerKeyWithdrawn
+                || input instanceof RequestInput.CallerDisconnected;
     }
 
     private List<RequestAction> finalReply(Refusal refusal, boolean notRun) {
         state = State.ANSWERED;
         Refusal honest =
                 new Refusal(refusal.code(), refusal.message(), notRun, refusal.retryAfter());
-        return List.of(new RequestAction.Reply(honest));
+        return List.of(new RequestAction.Refuse(honest));
     }
 
     // Before this router holds the claim, a request with the same key may have run through another
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RetryBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RetryBudget.java
@@ -30,7 +30,7 @@
     }
 
     /** Records a first attempt, which adds {@code ratio} retries to the budget. */
-    public void firstTry() {
+    public void recordFirstAttempt() {
         left = Math.min(START, left + ratio);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/SharedRetryBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/SharedRetryBudget.java
@@ -35,7 +35,7 @@
     }
 
     /** Records a caller's request to the service. */
-    public void requested(Instant now) {
+    public void recordRequest(Instant now) {
         requests.add(now);
         expire(requests, now);
     }
@@ -45,8 +45,8 @@
      *
      * @param routers number of routers that share the extra
      */
-    public boolean take(int routers, Instant now) {
-        boolean left = left(routers, now);
+    public boolean takeRetry(int routers, Instant now) {
+        boolean left = hasRetryLeft(routers, now);
         if (left) {
             retries.add(now);
         }
@@ -58,7 +58,7 @@
      *
      * @param routers number of routers that share the extra
      */
-    public boolean left(int routers, Instant now) {
+    public boolean hasRetryLeft(int routers, Instant now) {
         expire(requests, now);
         expire(retries, now);
         double most = PART * (ratio * requests.size() + extra / Math.max(1, routers));
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/FairOrder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/FairScheduler.java
@@ -13,17 +13,17 @@
  * the run's cost divided by the workspace's weight. A workspace that was idle starts at the current
  * virtual time, so it has neither debt nor credit.
  */
-final class FairOrder {
+final class FairScheduler {
     private final ToDoubleFunction<WorkspaceId> weight;
     private final Map<WorkspaceId, Double> finish = new HashMap<>();
     private double virtualTime;
 
-    FairOrder(ToDoubleFunction<WorkspaceId> weight) {
+    FairScheduler(ToDoubleFunction<WorkspaceId> weight) {
         this.weight = weight;
     }
 
     /** Returns the virtual start time of the workspace's next request; the lowest goes first. */
-    double start(WorkspaceId workspace) {
+    double nextStart(WorkspaceId workspace) {
         return Math.max(virtualTime, finish.getOrDefault(workspace, 0.0));
     }
 
@@ -32,8 +32,8 @@
      *
      * @param cost expected run time in seconds
      */
-    void ran(WorkspaceId workspace, double cost) {
-        double start = start(workspace);
+    void recordRun(WorkspaceId workspace, double cost) {
+        double start = nextStart(workspace);
         virtualTime = start;
         finish.put(workspace, start + cost / Math.max(1e-6, weight.applyAsDouble(workspace)));
         finish.values().removeIf(end -> end <= virtualTime);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServiceTimes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServiceTimes.java
@@ -22,12 +22,12 @@
 
     private final Map<Optional<ModelName>, Double> seconds = new HashMap<>();
 
-    void took(Optional<ModelName> model, double measured) {
+    void record(Optional<ModelName> model, double measured) {
         seconds.merge(model, measured, (old, now) -> old + NEWEST * (now - old));
     }
 
     /** Returns the average in seconds, or empty if no request of this model has finished. */
-    Optional<Double> known(Optional<ModelName> model) {
+    Optional<Double> averageSeconds(Optional<ModelName> model) {
         return Optional.ofNullable(seconds.get(model));
     }
 
@@ -35,7 +35,7 @@
      * Returns the average in seconds, or the same default for every model without one; never 0,
      * since runs would then cost nothing in fair queueing.
      */
-    double cost(Optional<ModelName> model) {
+    double estimateSeconds(Optional<ModelName> model) {
         return Math.max(LEAST_SECONDS, seconds.getOrDefault(model, UNKNOWN_SECONDS));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingInput.java
@@ -10,25 +10,25 @@
 /** An event of the requests at an agent, the input of {@link ServingMachine}. */
 public sealed interface ServingInput {
     /** A request arrived; {@code model} is empty for a plain service. */
-    record Arrived(
+    record RequestArrived(
             ExchangeId id, WorkspaceId workspace, Optional<ModelName> model, Instant deadline)
             implements ServingInput {}
 
     /** The request's model is in memory and stays there until the request releases it. */
-    record Ready(ExchangeId id) implements ServingInput {}
+    record ModelReady(ExchangeId id) implements ServingInput {}
 
     /** The request's model can't be loaded. */
-    record Unavailable(ExchangeId id, Refusal refusal) implements ServingInput {}
+    record ModelUnavailable(ExchangeId id, Refusal refusal) implements ServingInput {}
 
     /** A running request ended, with success or failure. */
-    record Finished(ExchangeId id) implements ServingInput {}
+    record RunFinished(ExchangeId id) implements ServingInput {}
 
     /** The request was cancelled, since its answer is no longer needed. */
-    record Gone(ExchangeId id) implements ServingInput {}
+    record RequestCancelled(ExchangeId id) implements ServingInput {}
 
     /** The periodic timer fired. */
     record Tick() implements ServingInput {}
 
     /** The agent started to drain and accepts no new requests. */
-    record Drain() implements ServingInput {}
+    record DrainStarted() implements ServingInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingMachine.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.serving;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.exchange.Refusal;
 import io.damaskyoke.exchange.RefusalCode;
 import io.damaskyoke.id.ExchangeId;
@@ -27,7 +27,7 @@
  * at the upstream at once. Workspaces share the upstream by weight, so a workspace that sends too
  * many requests mostly delays its own.
  */
-public final class ServingMachine implements Machine<ServingInput, ServingAction> {
+public final class ServingMachine implements StateMachine<ServingInput, ServingAction> {
     private static final Duration COME_BACK = Duration.ofSeconds(1);
     private static final double NANOS = 1e9;
 
@@ -36,13 +36,13 @@
     private final Map<ExchangeId, Waiting> waiting = new LinkedHashMap<>();
     private final Map<ExchangeId, Running> running = new HashMap<>();
     private final ServiceTimes times = new ServiceTimes();
-    private final FairOrder order;
+    private final FairScheduler order;
     private boolean draining;
 
     private ServingMachine(int maxRunning, int maxWaiting, ToDoubleFunction<WorkspaceId> weight) {
         this.maxRunning = maxRunning;
         this.maxWaiting = maxWaiting;
-        this.order = new FairOrder(weight);
+        this.order = new FairScheduler(weight);
     }
 
     /**
@@ -95,29 +95,30 @@
     }
 
     /** Returns true if the agent is draining and has no running or queued requests. */
-    public boolean drained() {
+    public boolean isDrained() {
         return draining && running.isEmpty() && waiting.isEmpty();
     }
 
     private void take(ServingInput input, Instant now, List<ServingAction> actions) {
-        if (input instanceof ServingInput.Arrived arrived) {
+        if (input instanceof ServingInput.RequestArrived arrived) {
             arrive(arrived, now, actions);
-        } else if (input instanceof ServingInput.Ready given) {
+        } else if (input instanceof ServingInput.ModelReady given) {
             ready(given.id());
-        } else if (input instanceof ServingInput.Unavailable refused) {
+        } else if (input instanceof ServingInput.ModelUnavailable refused) {
             unavailable(refused, actions);
-        } else if (input instanceof ServingInput.Finished finished) {
+        } else if (input instanceof ServingInput.RunFinished finished) {
             finish(finished.id(), now, actions);
-        } else if (input instanceof ServingInput.Gone gone) {
+        } else if (input instanceof ServingInput.RequestCancelled gone) {
             gone(gone.id(), actions);
-        } else if (input instanceof ServingInput.Drain) {
+        } else if (input instanceof ServingInput.DrainStarted) {
             draining = true;
         } else {
             refuseLate(now, actions);
         }
     }
 
-    private void arrive(ServingInput.Arrived arrived, Instant now, List<ServingAction> actions) {
+    private void arrive(
+            ServingInput.RequestArrived arrived, Instant now, List<ServingAction> actions) {
         Optional<Refusal> refusal = atTheDoor(arrived, now);
         if (refusal.isPresent()) {
             actions.add(new ServingAction.Refuse(arrived.id(), refusal.get()));
@@ -130,7 +131,7 @@
         arrived.model().ifPresent(model -> actions.add(want(model, arrived)));
     }
 
-    private Optional<Refusal> atTheDoor(ServingInput.Arrived arrived, Instant now) {
+    private Optional<Refusal> atTheDoor(ServingInput.RequestArrived arrived, Instant now) {
         if (draining) {
             return refusal(
                     RefusalCode.STOPPING, "this agent is stopping and accepts no new requests");
@@ -148,7 +149,7 @@
     // rate
     // limits. So a request of another workspace replaces the newest one of the workspace that has
     // the most queued requests.
-    private boolean canMakeRoom(ServingInput.Arrived arrived) {
+    private boolean canMakeRoom(ServingInput.RequestArrived arrived) {
         return waitingOf(longestLine()) > waitingOf(arrived.workspace()) + 1;
     }
 
@@ -181,8 +182,8 @@
     // The requests ahead are those of the same workspace and, for each of them and for the new one,
     // one of every other workspace. This is less than the whole queue if another workspace filled
     // it.
-    private Optional<Refusal> unreachable(ServingInput.Arrived arrived, Instant now) {
-        Optional<Double> own = times.known(arrived.model());
+    private Optional<Refusal> unreachable(ServingInput.RequestArrived arrived, Instant now) {
+        Optional<Double> own = times.averageSeconds(arrived.model());
         if (own.isEmpty() || running.size() < maxRunning) {
             return Optional.empty();
         }
@@ -206,7 +207,7 @@
         for (Waiting request : waiting.values()) {
             int before = taken.merge(request.arrived.workspace(), 1, Integer::sum);
             if (request.ready && before <= line) {
-                seconds += times.cost(request.arrived.model());
+                seconds += times.estimateSeconds(request.arrived.model());
             }
         }
         return seconds;
@@ -223,7 +224,7 @@
         }
     }
 
-    private void unavailable(ServingInput.Unavailable refused, List<ServingAction> actions) {
+    private void unavailable(ServingInput.ModelUnavailable refused, List<ServingAction> actions) {
         if (waiting.remove(refused.id()) != null) {
             actions.add(new ServingAction.Refuse(refused.id(), refused.refusal()));
         }
@@ -233,8 +234,8 @@
         Running ended = running.remove(id);
         if (ended != null) {
             double seconds = Duration.between(ended.since(), now).toNanos() / NANOS;
-            times.took(ended.model(), seconds);
-            ended.model().ifPresent(name -> actions.add(new ServingAction.Leave(name)));
+            times.record(ended.model(), seconds);
+            ended.model().ifPresent(name -> actions.add(new ServingAction.ReleaseModel(name)));
         }
     }
 
@@ -267,9 +268,9 @@
             if (next.isEmpty()) {
                 return;
             }
-            ServingInput.Arrived request = next.get().arrived;
+            ServingInput.RequestArrived request = next.get().arrived;
             waiting.remove(request.id());
-            order.ran(request.workspace(), times.cost(request.model()));
+            order.recordRun(request.workspace(), times.estimateSeconds(request.model()));
             running.put(request.id(), new Running(request.model(), now));
             actions.add(new ServingAction.Run(request.id()));
         }
@@ -281,7 +282,7 @@
                 .filter(request -> request.ready)
                 .min(
                         Comparator.comparingDouble(
-                                        (Waiting each) -> order.start(each.arrived.workspace()))
+                                        (Waiting each) -> order.nextStart(each.arrived.workspace()))
                                 .thenComparing(each -> each.arrived.deadline()));
     }
 
@@ -294,21 +295,22 @@
                 .map(
                         model ->
                                 request.ready
-                                        ? new ServingAction.Leave(model)
-                                        : new ServingAction.GiveUp(id, model))
+                                        ? new ServingAction.ReleaseModel(model)
+                                        : new ServingAction.CancelAcquire(id, model))
                 .ifPresent(actions::add);
     }
 
-    private static ServingAction want(ModelName model, ServingInput.Arrived request) {
-        return new ServingAction.Want(request.id(), model, request.workspace(), request.deadline());
+    private static ServingAction want(ModelName model, ServingInput.RequestArrived request) {
+        return new ServingAction.AcquireModel(
+                request.id(), model, request.workspace(), request.deadline());
     }
 
     /** A queued request; one for a plain service is ready from the start. */
     private static final class Waiting {
-        private final ServingInput.Arrived arrived;
+        private final ServingInput.RequestArrived arrived;
         private boolean ready;
 
-        Waiting(ServingInput.Arrived arrived) {
+        Waiting(ServingInput.RequestArrived arrived) {
             this.arrived = arrived;
             this.ready = arrived.model().isEmpty();
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
-import io.damaskyoke.control.RecentlyUsed;
+import io.damaskyoke.control.ControlThread;
+import io.damaskyoke.control.LruMap;
 import io.damaskyoke.control.crashes.CrashSettings;
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RecentAnswers;
@@ -57,7 +57,7 @@
     /** Watched requests beyond this are not remembered. */
     private static final int MOST_WATCHED = 512;
 
-    private final Control control;
+    private final ControlThread control;
     private final Metrics metrics;
     private final CrashNews news;
     private final BooleanSupplier counts;
@@ -68,16 +68,16 @@
     private final WatchedRequests watched = new WatchedRequests(MOST_WATCHED, WATCH);
     private final UpstreamEnds ends;
     private final RecentAnswers recent = new RecentAnswers(MOST_ANSWERED);
-    private final Map<RequestDigest, Instant> reminded = new RecentlyUsed<>(MOST_WATCHED);
+    private final Map<RequestDigest, Instant> reminded = new LruMap<>(MOST_WATCHED);
     private Instant alertUntil = Instant.MIN;
-    private final Map<RequestDigest, Control.Cancellable> held = new HashMap<>();
+    private final Map<RequestDigest, ControlThread.Cancellable> held = new HashMap<>();
 
     /**
      * {@code counts} tells whether this router is one of those that count for all, and {@code
      * tries} whether it is the one that tries again.
      */
     CrashWatch(
-            Control control,
+            ControlThread control,
             CrashNews news,
             UpstreamEnds.Prober prober,
             BooleanSupplier counts,
@@ -375,7 +375,7 @@
     void toldSucceededBefore(RequestDigest request, Duration ago) {
         suspects.cleared(request, now().minus(ago));
         if (!suspects.convicts(request, now())) {
-            Optional.ofNullable(held.remove(request)).ifPresent(Control.Cancellable::cancel);
+            Optional.ofNullable(held.remove(request)).ifPresent(ControlThread.Cancellable::cancel);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.ModelRef;
@@ -38,7 +38,7 @@
 
     /** What reports are made of, and where they go. */
     record Parts(
-            Control control,
+            ControlThread control,
             KeyValueStore store,
             Membership members,
             Neighbours neighbours,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -1,5 +1,6 @@
 package io.damaskyoke.direct;
 
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.SuspendAwareClock;
 import io.damaskyoke.control.cold.EvenShare;
 import io.damaskyoke.control.configuration.Workspace;
@@ -166,10 +167,7 @@
     public interface StoreFactory {
         /** The store; all its answers come on the router's one thread. */
         PolledStore open(
-                DirectSettings settings,
-                HttpClient client,
-                io.damaskyoke.control.Control control,
-                Metrics metrics);
+                DirectSettings settings, HttpClient client, ControlThread control, Metrics metrics);
     }
 
     /**
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flows.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flows.java
@@ -93,7 +93,7 @@
 
     void begin(Flow flow) {
         open.add(flow);
-        budget(flow.service()).requested(now());
+        budget(flow.service()).recordRequest(now());
         flow.start();
     }
 
@@ -103,11 +103,11 @@
     }
 
     boolean takeRetry(String service) {
-        return budget(service).take(routers.value(), now());
+        return budget(service).takeRetry(routers.value(), now());
     }
 
     boolean retryLeft(String service) {
-        return budget(service).left(routers.value(), now());
+        return budget(service).hasRetryLeft(routers.value(), now());
     }
 
     DecisionLog log() {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LoopControl.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LoopControl.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.time.Duration;
@@ -16,7 +16,7 @@
  * The control thread and the traffic thread as one event loop, for VMs with a part of one core: a
  * step from the one to the other would cost a wake-up for each request and each event.
  */
-final class LoopControl implements Control {
+final class LoopControl implements ControlThread {
     private static final Logger LOG = LogManager.getLogger(LoopControl.class);
 
     private static final Duration BEAT = Duration.ofMillis(50);
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public <T> CompletionStage<T> ask(Supplier<T> step) {
+    public <T> CompletionStage<T> call(Supplier<T> step) {
         return CompletableFuture.supplyAsync(step, loop);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.follow.ChangeListener;
 import io.damaskyoke.follow.Follower;
@@ -50,7 +50,7 @@
 
     private static final Duration RETRY = Duration.ofMillis(300);
 
-    private final Control control;
+    private final ControlThread control;
     private final PolledStore store;
     private final RouterEntry self;
     private final String prefix;
@@ -65,7 +65,7 @@
     private boolean leaving;
 
     Membership(
-            Control control,
+            ControlThread control,
             PolledStore store,
             String storePrefix,
             RouterEntry self,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.direct;
 
 import com.google.protobuf.ByteString;
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.control.crashes.UpstreamEnd;
@@ -49,7 +49,7 @@
     /** Each router reports once a second at least. */
     private static final Duration LATE_SEEN = Duration.ofMillis(2_500);
 
-    private final Control control;
+    private final ControlThread control;
     private final Membership members;
     private final Map<VmId, PeerAddress> addresses = new HashMap<>();
     private final Map<VmId, PeerLink> links = new HashMap<>();
@@ -126,7 +126,7 @@
         void departures(List<Departure> departures);
     }
 
-    Neighbours(Control control, Membership members) {
+    Neighbours(ControlThread control, Membership members) {
         this.control = control;
         this.members = members;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorFollower.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.follow.ChangeListener;
 import io.damaskyoke.follow.Follower;
 import io.damaskyoke.follow.Pace;
@@ -28,7 +28,7 @@
     private final Follower follower;
 
     OperatorFollower(
-            Control control,
+            ControlThread control,
             PolledStore store,
             Dialect dialect,
             ConfigurationHolder holder,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderHandOver.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderHandOver.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.platform.KeyValueStore;
 import java.time.Duration;
@@ -19,7 +19,7 @@
     /** Longer than one lost answer and its repetition; shorter than the rest of the lease. */
     private static final Duration PATIENCE = Duration.ofMillis(700);
 
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final OrderLease lease;
     private final Neighbours neighbours;
@@ -27,7 +27,7 @@
     private Instant upAt = Instant.MIN;
 
     OrderHandOver(
-            Control control,
+            ControlThread control,
             KeyValueStore store,
             OrderLease lease,
             Neighbours neighbours,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.direct.DirectConfiguration;
 import io.damaskyoke.control.direct.EngineSpec;
 import io.damaskyoke.control.direct.ServiceSpec;
@@ -51,7 +51,7 @@
      */
     private static final Duration LONGEST_REST = Duration.ofMillis(60);
 
-    private final Control control;
+    private final ControlThread control;
     private final UpstreamTable upstreams;
     private final OrderLease lease;
     private final OrderCalls calls;
@@ -60,13 +60,13 @@
     private final LoadPlanner planner = new LoadPlanner(LoadSettings.usual());
     private final Map<UpstreamId, HeldModels> changed = new HashMap<>();
     private Runnable told = () -> {};
-    private Control.Cancellable ticking = () -> {};
+    private ControlThread.Cancellable ticking = () -> {};
     private boolean flushing;
     private long restUntilNanos = System.nanoTime();
     private Instant explainedAt = Instant.EPOCH;
 
     OrderLeader(
-            Control control,
+            ControlThread control,
             UpstreamTable upstreams,
             OrderLease lease,
             OrderCalls calls,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLease.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.placement.LeaseAction;
 import io.damaskyoke.control.placement.LeaseInput;
 import io.damaskyoke.control.placement.LeaseMachine;
@@ -42,7 +42,7 @@
     /** After this any router stands for the orders. */
     private static final Duration LONGEST_PAUSE = Duration.ofMillis(700);
 
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final Membership members;
     private final VmId self;
@@ -64,7 +64,12 @@
         void lost();
     }
 
-    OrderLease(Control control, KeyValueStore store, Membership members, VmId self, LoopLag lag) {
+    OrderLease(
+            ControlThread control,
+            KeyValueStore store,
+            Membership members,
+            VmId self,
+            LoopLag lag) {
         this.control = control;
         this.store = store;
         this.members = members;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/QuarantineStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/QuarantineStore.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.platform.KeyValueStore;
@@ -21,12 +21,12 @@
     /** The longest lease that the store grants. */
     private static final Duration LONGEST = Duration.ofMinutes(10);
 
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final String prefix;
 
     /** Writes each entry under the prefix and its digest. */
-    QuarantineStore(Control control, KeyValueStore store, String prefix) {
+    QuarantineStore(ControlThread control, KeyValueStore store, String prefix) {
         this.control = control;
         this.store = store;
         this.prefix = prefix;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Shutdown.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Shutdown.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.http.HttpServer;
 import java.time.Duration;
 import java.util.concurrent.CompletionException;
@@ -31,12 +31,12 @@
 
     private static final long STEP_MILLIS = 50;
 
-    private final Control control;
+    private final ControlThread control;
     private final HttpServer callers;
     private final Duration grace;
     private final Flows flows;
 
-    Shutdown(Control control, HttpServer callers, Duration grace, Flows flows) {
+    Shutdown(ControlThread control, HttpServer callers, Duration grace, Flows flows) {
         this.control = control;
         this.callers = callers;
         this.grace = grace;
@@ -79,7 +79,7 @@
 
     private boolean ask(java.util.function.Supplier<Boolean> question) {
         try {
-            return control.ask(question).toCompletableFuture().join();
+            return control.call(question).toCompletableFuture().join();
         } catch (CompletionException e) {
             return true;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StoreRelays.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StoreRelays.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.platform.PlatformException;
@@ -26,7 +26,7 @@
     /** A relay that is killed is off the list by then, and one that was frozen may be back. */
     private static final Duration LEFT_ALONE = Duration.ofSeconds(2);
 
-    private final Control control;
+    private final ControlThread control;
     private final Supplier<List<VmId>> sources;
     private final Wire wire;
     private final Map<Long, Asked> open = new HashMap<>();
@@ -41,7 +41,7 @@
         boolean ask(VmId relay, long number, String prefix, long after, Duration wait);
     }
 
-    StoreRelays(Control control, Supplier<List<VmId>> sources, Wire wire) {
+    StoreRelays(ControlThread control, Supplier<List<VmId>> sources, Wire wire) {
         this.control = control;
         this.sources = sources;
         this.wire = wire;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UnservedModels.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UnservedModels.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.RecentlyUsed;
+import io.damaskyoke.control.LruMap;
 import io.damaskyoke.control.upstreams.ModelRef;
 import java.util.Map;
 import org.apache.logging.log4j.LogManager;
@@ -20,7 +20,7 @@
     /** Callers may ask for any name; those asked for longest ago are forgotten. */
     private static final int MOST_COUNTED = 4_096;
 
-    private final Map<ModelRef, Integer> inVain = new RecentlyUsed<>(MOST_COUNTED);
+    private final Map<ModelRef, Integer> inVain = new LruMap<>(MOST_COUNTED);
 
     /** A request for it has waited in vain. */
     void refused(ModelRef model) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.loads.OrderOutcome;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -35,9 +35,9 @@
 
     private final HttpClient client;
     private final Dialect dialect;
-    private final Control control;
+    private final ControlThread control;
 
-    UpstreamCalls(HttpClient client, Dialect dialect, Control control) {
+    UpstreamCalls(HttpClient client, Dialect dialect, ControlThread control) {
         this.client = client;
         this.dialect = dialect;
         this.control = control;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
-import io.damaskyoke.control.RecentlyUsed;
+import io.damaskyoke.control.ControlThread;
+import io.damaskyoke.control.LruMap;
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.control.crashes.UpstreamEnd;
 import io.damaskyoke.control.upstreams.Upstream;
@@ -62,12 +62,12 @@
     /** What runs at an upstream at a time, and a few that were called off. */
     private static final int MOST_RUNS = 512;
 
-    private final Control control;
+    private final ControlThread control;
     private final Metrics metrics;
     private final Prober prober;
     private final Listener listener;
     private final Map<UpstreamEnd, Life> lives = new HashMap<>();
-    private final Map<UpstreamEnd, Instant> known = new RecentlyUsed<>(MOST_ENDS);
+    private final Map<UpstreamEnd, Instant> known = new LruMap<>(MOST_ENDS);
     private final Set<UpstreamEnd> looks = new HashSet<>();
     private final Set<UpstreamEnd> laterLooks = new HashSet<>();
 
@@ -123,7 +123,7 @@
         }
     }
 
-    UpstreamEnds(Control control, Prober prober, Listener listener, Metrics metrics) {
+    UpstreamEnds(ControlThread control, Prober prober, Listener listener, Metrics metrics) {
         this.control = control;
         this.prober = prober;
         this.listener = listener;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.upstreams.Departure;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -43,7 +43,7 @@
     /** Entries lapse after three heartbeats of silence; a shorter outage takes none away. */
     private static final Duration SHORTEST_OUTAGE = Duration.ofSeconds(2);
 
-    private final Control control;
+    private final ControlThread control;
     private final Dialect dialect;
     private final UpstreamTable table;
     private final Follower follower;
@@ -62,7 +62,7 @@
     }
 
     UpstreamFollower(
-            Control control,
+            ControlThread control,
             PolledStore store,
             Dialect dialect,
             UpstreamTable table,
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.follow;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.KeyValueStore.Change;
 import io.damaskyoke.platform.KeyValueStore.Listing;
@@ -58,7 +58,7 @@
     private final String prefix;
     private final PolledStore store;
     private final Pace pace;
-    private final Control control;
+    private final ControlThread control;
     private final Metrics metrics;
     private final ChangeListener listener;
     private final View view = new View();
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/FollowerBuilder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/FollowerBuilder.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.follow;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.PolledStore;
 import java.util.Objects;
@@ -11,7 +11,7 @@
     String prefix;
     PolledStore store;
     Pace pace;
-    Control control;
+    ControlThread control;
     Metrics metrics;
     Relay relay = Relay.none();
 
@@ -38,7 +38,7 @@
     }
 
     /** The thread that it belongs to. */
-    public FollowerBuilder on(Control given) {
+    public FollowerBuilder on(ControlThread given) {
         control = given;
         return this;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Planned.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Planned.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.follow;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import java.time.Duration;
 import java.time.Instant;
 
@@ -9,11 +9,11 @@
  * as the VM stood still, and what came meanwhile would wait for it.
  */
 final class Planned {
-    private final Control control;
-    private Control.Cancellable timer = () -> {};
+    private final ControlThread control;
+    private ControlThread.Cancellable timer = () -> {};
     private Instant due = Instant.MAX;
 
-    Planned(Control control) {
+    Planned(ControlThread control) {
         this.control = control;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Waiters.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Waiters.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.follow;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -9,12 +9,12 @@
 
 /** Those who need all up to a moment to be known; each is told once. */
 final class Waiters {
-    private final Control control;
+    private final ControlThread control;
     private final List<Waiter> waiting = new ArrayList<>();
 
     private record Waiter(Instant moment, Consumer<Boolean> told) {}
 
-    Waiters(Control control) {
+    Waiters(ControlThread control) {
         this.control = control;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/node/AgentRegistrations.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/AgentRegistrations.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.node;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.relay.RegistrationTable;
 import io.damaskyoke.control.relay.RegistrationTable.Delta;
 import io.damaskyoke.control.relay.RegistrationTable.Row;
@@ -26,20 +26,21 @@
     private static final Duration RETRY = Duration.ofSeconds(2);
     private static final Duration RELIST = Duration.ofMinutes(5);
 
-    private final Control control;
+    private final ControlThread control;
     private final WatchedStore store;
     private final String prefix;
     private final Metrics metrics;
     private final RegistrationTable table = new RegistrationTable();
     private final List<Consumer<List<Row>>> listeners = new ArrayList<>();
     private Optional<WatchedStore.Watch> watch = Optional.empty();
-    private Optional<Control.Cancellable> timer = Optional.empty();
+    private Optional<ControlThread.Cancellable> timer = Optional.empty();
     private Instant lastListed = Instant.MIN;
     private boolean watching;
     private boolean listing;
     private long watchNumber;
 
-    AgentRegistrations(Control control, WatchedStore store, String storePrefix, Metrics metrics) {
+    AgentRegistrations(
+            ControlThread control, WatchedStore store, String storePrefix, Metrics metrics) {
         this.control = control;
         this.store = store;
         this.prefix = storePrefix + Registration.PREFIX;
@@ -108,7 +109,7 @@
     }
 
     private void again(Duration pause) {
-        timer.ifPresent(Control.Cancellable::cancel);
+        timer.ifPresent(ControlThread.Cancellable::cancel);
         timer = watching ? Optional.of(control.after(pause, this::list)) : Optional.empty();
     }
 
@@ -122,7 +123,7 @@
         watchNumber++;
         watch.ifPresent(WatchedStore.Watch::close);
         watch = Optional.empty();
-        timer.ifPresent(Control.Cancellable::cancel);
+        timer.ifPresent(ControlThread.Cancellable::cancel);
     }
 
     private Row row(KeyValueStore.Entry entry) {
--- a/damaskyoke/src/main/java/io/damaskyoke/node/Node.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/Node.java
@@ -1,9 +1,9 @@
 package io.damaskyoke.node;
 
 import com.typesafe.config.ConfigFactory;
-import io.damaskyoke.control.Control;
-import io.damaskyoke.control.ControlLoop;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.MonotonicClock;
+import io.damaskyoke.control.PekkoControlThread;
 import io.damaskyoke.control.configuration.ConfigurationService;
 import io.damaskyoke.control.placement.ReadPace;
 import io.damaskyoke.control.relay.OutageConfirmation;
@@ -62,7 +62,7 @@
     private final Metrics metrics = new Metrics();
     private final StatusSections sections = new StatusSections();
     private final Timeline timeline;
-    private final Control control;
+    private final ControlThread control;
     private final WatchedStore store;
     private final VmList vmList;
     private int listed;
@@ -83,7 +83,7 @@
         this.timeline =
                 Timeline.of(process.vm(), HybridClock.over(clock), process.timelineEvents());
         this.system = ActorSystem.create(Behaviors.empty(), "damaskyoke", ConfigFactory.load());
-        this.control = ControlLoop.start(system, clock, metrics);
+        this.control = PekkoControlThread.start(system, clock, metrics);
         this.store =
                 EtcdStore.builder(system)
                         .endpoints(platform.store())
@@ -144,7 +144,7 @@
     }
 
     /** The control thread. */
-    public Control control() {
+    public ControlThread control() {
         return control;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/node/RelayClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/RelayClient.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.node;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.ConfigurationFollower.Offer;
 import io.damaskyoke.control.configuration.ConfigurationService;
 import io.damaskyoke.control.configuration.Snapshot;
@@ -45,7 +45,7 @@
     private static final Duration TICK = Duration.ofMillis(250);
     private static final int MOST_CHUNKS = 1_024;
 
-    private final Control control;
+    private final ControlThread control;
     private final ConfigurationService configuration;
     private final AgentRegistrations agents;
     private final RelayServer server;
@@ -74,7 +74,7 @@
      * @param refreshPause how long to wait before these are listed again without relays
      */
     record Parts(
-            Control control,
+            ControlThread control,
             ConfigurationService configuration,
             AgentRegistrations agents,
             RelayServer server,
--- a/damaskyoke/src/main/java/io/damaskyoke/node/RelayServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/RelayServer.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.node;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.Configuration;
 import io.damaskyoke.control.configuration.ConfigurationService;
 import io.damaskyoke.control.configuration.LogEntry;
@@ -25,7 +25,7 @@
 final class RelayServer {
     private static final Duration REMEMBERED = Duration.ofSeconds(30);
 
-    private final Control control;
+    private final ControlThread control;
     private final ConfigurationService configuration;
     private final RegistrationTable agents;
     private final Metrics metrics;
@@ -42,7 +42,7 @@
     }
 
     RelayServer(
-            Control control,
+            ControlThread control,
             ConfigurationService configuration,
             RegistrationTable agents,
             Metrics metrics) {
--- a/damaskyoke/src/main/java/io/damaskyoke/node/VmListReader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/VmListReader.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.node;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.VmList;
 import java.time.Duration;
@@ -11,7 +11,7 @@
 
 /** Reads the platform's list of VMs again and again; a failed reading changes nothing. */
 final class VmListReader {
-    private final Control control;
+    private final ControlThread control;
     private final VmList list;
     private final Supplier<Duration> pause;
     private final Metrics metrics;
@@ -25,7 +25,7 @@
     }
 
     /** A reader that waits for {@code pause}, asked each time, between two readings. */
-    VmListReader(Control control, VmList list, Supplier<Duration> pause, Metrics metrics) {
+    VmListReader(ControlThread control, VmList list, Supplier<Duration> pause, Metrics metrics) {
         this.control = control;
         this.list = list;
         this.pause = pause;
--- a/damaskyoke/src/main/java/io/damaskyoke/rates/RateAdmission.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/rates/RateAdmission.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.rates;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.Workspace;
 import io.damaskyoke.control.rates.RateAction;
 import io.damaskyoke.control.rates.RateInput;
@@ -42,7 +42,7 @@
     private static final Duration WAITING_TICK = Duration.ofMillis(10);
     private static final long POLL_MILLIS = 50;
 
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final VmList vmList;
     private final String prefix;
@@ -71,7 +71,7 @@
 
     /** What rates need of their process. */
     public record Parts(
-            Control control,
+            ControlThread control,
             KeyValueStore store,
             VmList vmList,
             String storePrefix,
@@ -201,7 +201,7 @@
     }
 
     private boolean left() {
-        return control.ask(machine::left).toCompletableFuture().join();
+        return control.call(machine::left).toCompletableFuture().join();
     }
 
     private void carryOut(RateAction action) {
--- a/damaskyoke/src/main/java/io/damaskyoke/rates/RatePeers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/rates/RatePeers.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.rates;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.rates.RateAction;
 import io.damaskyoke.control.rates.RateInput;
 import io.damaskyoke.control.rates.ShareTable;
@@ -26,14 +26,14 @@
 
 /** Carries requests for tokens, and tokens, between this router and the others. */
 public final class RatePeers implements PeerListener {
-    private final Control control;
+    private final ControlThread control;
     private final RateAdmission rates;
     private final Map<VmId, PeerAddress> addresses = new HashMap<>();
     private final Map<VmId, PeerLink> links = new HashMap<>();
     private PeerNetwork network;
 
     /** Between this control thread and those rates. */
-    public RatePeers(Control control, RateAdmission rates) {
+    public RatePeers(ControlThread control, RateAdmission rates) {
         this.control = control;
         this.rates = rates;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.router;
 
+import io.damaskyoke.control.routing.AgentEndpoint;
 import io.damaskyoke.control.routing.Fleet;
-import io.damaskyoke.control.routing.Member;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.PlatformException;
@@ -70,16 +70,16 @@
     private void noticeNewLife(Registration registration) {
         Registration before = registered.get(registration.vm());
         if (before != null && !before.incarnation().equals(registration.incarnation())) {
-            fleet.returned(registration.vm());
+            fleet.markRestarted(registration.vm());
         }
     }
 
     private void publish() {
-        List<Member> present = new ArrayList<>();
+        List<AgentEndpoint> present = new ArrayList<>();
         for (Registration agent : registered.values()) {
             if (!goneFromList(agent.vm())) {
                 present.add(
-                        new Member(
+                        new AgentEndpoint(
                                 agent.vm(),
                                 agent.pool(),
                                 agent.zone(),
--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.routing.Fleet;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.peer.PeerLink;
@@ -11,10 +11,10 @@
 
 /** Hears from agents of their load and of their leaving, and tells the fleet. */
 final class AgentListener implements PeerListener {
-    private final Control control;
+    private final ControlThread control;
     private final Fleet fleet;
 
-    AgentListener(Control control, Fleet fleet) {
+    AgentListener(ControlThread control, Fleet fleet) {
         this.control = control;
         this.fleet = fleet;
     }
@@ -30,7 +30,7 @@
 
     private void take(VmId vm, Frame frame) {
         if (frame.hasDraining()) {
-            control.run(() -> fleet.draining(vm));
+            control.run(() -> fleet.markDraining(vm));
         } else if (frame.hasHeartbeat()) {
             control.run(() -> heartbeat(vm, frame));
         }
@@ -38,10 +38,10 @@
 
     private void heartbeat(VmId vm, Frame frame) {
         if (frame.getHeartbeat().hasLoad()) {
-            fleet.loaded(vm, Loads.fromWire(frame.getHeartbeat().getLoad()));
+            fleet.updateLoad(vm, Loads.fromWire(frame.getHeartbeat().getLoad()));
         }
         if (frame.getHeartbeat().getDraining()) {
-            fleet.draining(vm);
+            fleet.markDraining(vm);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimQueries.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimQueries.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.claims.ClaimException;
 import io.damaskyoke.control.claims.ClaimRecord;
 import io.damaskyoke.exchange.Request;
@@ -21,11 +21,11 @@
 final class ClaimQueries implements PeerListener {
     private static final Duration LIMIT = Duration.ofSeconds(1);
 
-    private final Control control;
+    private final ControlThread control;
     private final ConcurrentMap<ExchangeId, CompletableFuture<Optional<ClaimRecord>>> asked =
             new ConcurrentHashMap<>();
 
-    ClaimQueries(Control control) {
+    ClaimQueries(ControlThread control) {
         this.control = control;
     }
 
@@ -38,7 +38,8 @@
                         .build();
         CompletableFuture<Optional<ClaimRecord>> answer = new CompletableFuture<>();
         asked.put(id, answer);
-        Control.Cancellable limit = control.after(LIMIT, () -> answer.complete(Optional.empty()));
+        ControlThread.Cancellable limit =
+                control.after(LIMIT, () -> answer.complete(Optional.empty()));
         agent.whenComplete((link, failure) -> send(link, id, request, answer));
         answer.whenComplete(
                 (told, failure) -> {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.claims.ClaimAction;
 import io.damaskyoke.control.claims.ClaimAction.Result;
 import io.damaskyoke.control.claims.ClaimBatcher;
@@ -23,17 +23,17 @@
 
 /** Carries out what a {@link ClaimBatcher} decides, over the store. Control thread only. */
 final class ClaimStore {
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final Metrics metrics;
     private final ClaimBatcher batcher;
     private final ClaimLease lease;
     private final Map<Long, CompletableFuture<Result>> submitted = new HashMap<>();
-    private Control.Cancellable timer = () -> {};
+    private ControlThread.Cancellable timer = () -> {};
     private long lastId;
 
     ClaimStore(
-            Control control,
+            ControlThread control,
             KeyValueStore store,
             Metrics metrics,
             ClaimSettings settings,
@@ -67,7 +67,7 @@
         CompletableFuture<Result> result = new CompletableFuture<>();
         submitted.put(id, result);
         feed(
-                new ClaimInput.Submit(
+                new ClaimInput.WriteSubmitted(
                         new ClaimWrite(id, key, before, value, ownLease, giveUp, urgent)));
         return result;
     }
@@ -81,7 +81,7 @@
     private void carryOut(ClaimAction action) {
         if (action instanceof ClaimAction.Commit commit) {
             commit(commit.writes());
-        } else if (action instanceof ClaimAction.Done done) {
+        } else if (action instanceof ClaimAction.CompleteWrite done) {
             control.run(() -> submitted.remove(done.id()).complete(done.result()));
         } else if (action instanceof ClaimAction.WakeAt wake) {
             timer.cancel();
@@ -105,13 +105,13 @@
         lease.use(id, now());
         store.commit(
                         writes.stream().map(ClaimWrite::condition).toList(),
-                        writes.stream().map(write -> write.write(id)).toList())
+                        writes.stream().map(write -> write.toStoreWrite(id)).toList())
                 .whenComplete((result, error) -> control.run(() -> committed(result, error)));
     }
 
     private void committed(KeyValueStore.TxnResult result, Throwable error) {
         if (error == null) {
-            feed(new ClaimInput.Answered(result));
+            feed(new ClaimInput.CommitAnswered(result));
         } else {
             failed(mayHaveTakenEffect(error));
         }
@@ -120,7 +120,7 @@
     private void failed(boolean mayHaveTakenEffect) {
         metrics.count("claim_commits_failed", "unknown", String.valueOf(mayHaveTakenEffect));
         lease.forget();
-        feed(new ClaimInput.Failed(mayHaveTakenEffect));
+        feed(new ClaimInput.CommitFailed(mayHaveTakenEffect));
     }
 
     private static boolean mayHaveTakenEffect(Throwable error) {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
@@ -1,6 +1,7 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
+import io.damaskyoke.control.claims.ClaimAction;
 import io.damaskyoke.control.claims.ClaimAction.Result;
 import io.damaskyoke.control.claims.ClaimException;
 import io.damaskyoke.control.claims.ClaimKeys;
@@ -8,7 +9,6 @@
 import io.damaskyoke.control.claims.ClaimRecord.Outcome;
 import io.damaskyoke.control.claims.ClaimSettings;
 import io.damaskyoke.control.claims.RepeatPolicy;
-import io.damaskyoke.control.claims.RepeatPolicy.Verdict;
 import io.damaskyoke.exchange.AnswerRecorder;
 import io.damaskyoke.exchange.Refusal;
 import io.damaskyoke.exchange.RefusalCode;
@@ -47,7 +47,7 @@
     private static final Duration LOOK_UP_LIMIT = Duration.ofSeconds(1);
     private static final Duration KEEP_TRYING = Duration.ofMinutes(5);
 
-    private final Control control;
+    private final ControlThread control;
     private final ClaimStore store;
     private final ClaimQueries queries;
     private final Metrics metrics;
@@ -57,7 +57,7 @@
     private final Materializer materializer;
 
     Claims(
-            Control control,
+            ControlThread control,
             ClaimStore store,
             ClaimQueries queries,
             Metrics metrics,
@@ -158,7 +158,7 @@
     Source<ByteString, NotUsed> recorded(HeldClaim held, ExchangeResult.Served served) {
         return AnswerRecorder.tap(
                 served.body(),
-                settings.maxBody(),
+                settings.maxBodyBytes(),
                 body ->
                         control.run(
                                 () ->
@@ -226,7 +226,8 @@
                             vm,
                             earlier.digest,
                             request.deadline().plus(CLOCK_MARGIN));
-            this.giveUp = now().plus(settings.wait(Duration.between(now(), request.deadline())));
+            this.giveUp =
+                    now().plus(settings.claimTimeout(Duration.between(now(), request.deadline())));
         }
 
         CompletionStage<ClaimResult> write(Optional<Long> before) {
@@ -250,7 +251,7 @@
                         .orElseGet(() -> write(Optional.empty()));
             }
             metrics.count("claims", "result", "store_unavailable");
-            if (((Result.GaveUp) result).mayHaveTakenEffect()) {
+            if (((ClaimAction.Result.Abandoned) result).mayHaveTakenEffect()) {
                 takeBack();
             }
             return done(new ClaimResult.Refused(unavailable()));
@@ -311,30 +312,30 @@
                 metrics.count("claims", "result", "unreadable");
                 return done(new ClaimResult.Refused(unreadable()));
             }
-            Verdict verdict = RepeatPolicy.fromStore(found, digest);
-            if (!(verdict instanceof Verdict.AskAgent)) {
+            RepeatPolicy.Decision verdict = RepeatPolicy.decideFromStore(found, digest);
+            if (!(verdict instanceof RepeatPolicy.Decision.AskAgent)) {
                 return follow(verdict, entry, found, neverRuns);
             }
             return queries.ask(connect.apply(found.agent()), request)
-                    .thenCompose(told -> control.ask(() -> told))
+                    .thenCompose(told -> control.call(() -> told))
                     .thenCompose(
                             told ->
                                     follow(
-                                            RepeatPolicy.fromAgent(found, told, now()),
+                                            RepeatPolicy.decideFromAgent(found, told, now()),
                                             entry,
                                             found,
                                             neverRuns));
         }
 
         private CompletionStage<ClaimResult> follow(
-                Verdict verdict,
+                RepeatPolicy.Decision verdict,
                 Entry entry,
                 ClaimRecord found,
                 LongFunction<CompletionStage<ClaimResult>> neverRuns) {
-            if (verdict instanceof Verdict.TakeOver) {
+            if (verdict instanceof RepeatPolicy.Decision.TakeOver) {
                 return neverRuns.apply(entry.modRevision());
             }
-            if (verdict instanceof Verdict.Replay replay) {
+            if (verdict instanceof RepeatPolicy.Decision.Replay replay) {
                 metrics.count("claims", "result", "repeat");
                 HeldClaim held = new HeldClaim(key, found, entry.modRevision(), entry.lease());
                 if (!found.equals(replay.settled())) {
@@ -342,7 +343,7 @@
                 }
                 return done(new ClaimResult.Before(replay.settled()));
             }
-            Refusal refusal = ((Verdict.Refuse) verdict).refusal();
+            Refusal refusal = ((RepeatPolicy.Decision.Refuse) verdict).refusal();
             metrics.count("claims", "result", refusal.code().wireName());
             return done(new ClaimResult.Refused(refusal));
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Placement.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Placement.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.Configuration;
 import io.damaskyoke.control.placement.PlacementException;
 import io.damaskyoke.control.placement.PlacementFeed;
@@ -9,8 +9,8 @@
 import io.damaskyoke.control.placement.Planner;
 import io.damaskyoke.control.placement.PollingFeed;
 import io.damaskyoke.control.placement.Right;
+import io.damaskyoke.control.routing.AgentEndpoint;
 import io.damaskyoke.control.routing.Fleet;
-import io.damaskyoke.control.routing.Member;
 import io.damaskyoke.exchange.Request;
 import io.damaskyoke.exchange.Target;
 import io.damaskyoke.id.ModelName;
@@ -46,7 +46,7 @@
     private static final Duration GONE_AFTER = Duration.ofSeconds(30);
     private static final Duration SUSPECT_TIME = Duration.ofSeconds(15);
 
-    private final Control control;
+    private final ControlThread control;
     private final Fleet fleet;
     private final Supplier<Configuration> configuration;
     private final PlacementStore store;
@@ -57,7 +57,7 @@
     private final LastHeard heard;
     private final BooleanSupplier confirmed;
     private final Metrics metrics;
-    private final Map<VmId, Member> known = new HashMap<>();
+    private final Map<VmId, AgentEndpoint> known = new HashMap<>();
     private final List<Waiter> waiters = new ArrayList<>();
     private final Set<Integer> swapping = new HashSet<>();
     private PlacementTable table = PlacementTable.UNREAD;
@@ -112,7 +112,8 @@
      * to give one. After a few seconds the step runs anyway and finds no upstream.
      */
     void whenPlaced(Request request, Runnable step) {
-        if (request.target() instanceof Target.Model target && !fleet.isPlaced(target.model())) {
+        if (request.target() instanceof Target.Model target
+                && !fleet.hasReplicaHolder(target.model())) {
             Instant limit = control.clock().instant().plus(PATIENCE);
             Instant until = request.deadline().isBefore(limit) ? request.deadline() : limit;
             waiters.add(new Waiter(target.model(), until, step));
@@ -144,7 +145,7 @@
 
     private void serve(Instant now) {
         for (Waiter waiter : List.copyOf(waiters)) {
-            if (fleet.isPlaced(waiter.model) || !now.isBefore(waiter.until)) {
+            if (fleet.hasReplicaHolder(waiter.model) || !now.isBefore(waiter.until)) {
                 waiters.remove(waiter);
                 waiter.step.run();
             }
@@ -156,7 +157,7 @@
             askGap = QUICK;
         }
         table = newer;
-        fleet.placed(newer.holders());
+        fleet.setReplicaHolders(newer.holders());
         newer.shards().forEach(this::clearSuspicions);
         serve(control.clock().instant());
     }
@@ -185,7 +186,7 @@
     }
 
     private void plan() {
-        fleet.members().forEach(member -> known.put(member.vm(), member));
+        fleet.endpoints().forEach(member -> known.put(member.vm(), member));
         if (planning || !lease.held() || !confirmed.getAsBoolean()) {
             return;
         }
@@ -213,7 +214,7 @@
     }
 
     private List<Planner.Candidate> candidates(Map<VmId, VmList.Vm> listed) {
-        return fleet.members().stream()
+        return fleet.endpoints().stream()
                 .map(
                         member ->
                                 new Planner.Candidate(
@@ -233,8 +234,8 @@
     private Set<VmId> present(Set<VmId> listed) {
         everListed.addAll(listed);
         Set<VmId> present = new HashSet<>(listed);
-        fleet.members().stream()
-                .map(Member::vm)
+        fleet.endpoints().stream()
+                .map(AgentEndpoint::vm)
                 .filter(vm -> !everListed.contains(vm))
                 .forEach(present::add);
         return present;
@@ -242,7 +243,7 @@
 
     // A link that opens brings heartbeats, and those are word from the VM.
     private void tryToReach(VmId vm) {
-        Member member = known.get(vm);
+        AgentEndpoint member = known.get(vm);
         if (member != null) {
             network.link(new PeerAddress(vm, member.host(), member.port()));
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.placement.LeaseAction;
 import io.damaskyoke.control.placement.LeaseInput;
 import io.damaskyoke.control.placement.LeaseMachine;
@@ -19,7 +19,7 @@
 final class PlacementLease {
     private static final Duration TICK = Duration.ofMillis(250);
 
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final PlacementStore table;
     private final Timeline timeline;
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ProcessList.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ProcessList.java
@@ -1,8 +1,8 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
+import io.damaskyoke.control.routing.AgentEndpoint;
 import io.damaskyoke.control.routing.Fleet;
-import io.damaskyoke.control.routing.Member;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.operator.ProcessEntry;
 import io.damaskyoke.platform.VmList;
@@ -21,7 +21,7 @@
 final class ProcessList {
     private static final String UNLISTED = "unlisted";
 
-    private final Control control;
+    private final ControlThread control;
     private final VmList vmList;
     private final Fleet fleet;
     private final VmId here;
@@ -29,7 +29,11 @@
     private volatile List<VmList.Vm> last = List.of();
 
     ProcessList(
-            Control control, VmList vmList, Fleet fleet, VmId here, Supplier<String> operatorUrl) {
+            ControlThread control,
+            VmList vmList,
+            Fleet fleet,
+            VmId here,
+            Supplier<String> operatorUrl) {
         this.control = control;
         this.vmList = vmList;
         this.fleet = fleet;
@@ -41,7 +45,7 @@
     CompletionStage<List<ProcessEntry>> read() {
         return vmList.read()
                 .handle((vms, failure) -> failure == null ? remember(vms) : last)
-                .thenCompose(vms -> control.ask(() -> merge(vms)));
+                .thenCompose(vms -> control.call(() -> merge(vms)));
     }
 
     private List<VmList.Vm> remember(List<VmList.Vm> vms) {
@@ -53,7 +57,7 @@
         Map<String, ProcessEntry> all = new TreeMap<>();
         ProcessEntry self = new ProcessEntry(here.value(), "router", UNLISTED, operatorUrl.get());
         all.put(self.vm(), self);
-        for (Member agent : fleet.members()) {
+        for (AgentEndpoint agent : fleet.endpoints()) {
             String vm = agent.vm().value();
             all.put(vm, new ProcessEntry(vm, "agent", UNLISTED, null));
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
@@ -1,12 +1,12 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.Configuration;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.control.configuration.Service;
+import io.damaskyoke.control.routing.AgentEndpoint;
 import io.damaskyoke.control.routing.Fleet;
-import io.damaskyoke.control.routing.Member;
-import io.damaskyoke.control.routing.RequestMachine.AgentChoice;
+import io.damaskyoke.control.routing.RequestMachine;
 import io.damaskyoke.control.routing.RetryBudget;
 import io.damaskyoke.exchange.Answer;
 import io.damaskyoke.exchange.CancelSignal;
@@ -44,7 +44,7 @@
     private static final Duration COME_BACK = Duration.ofSeconds(1);
     private static final Duration IDLE_LIMIT = Duration.ofMinutes(1);
 
-    final Control control;
+    final ControlThread control;
     final Fleet fleet;
     final PeerNetwork network;
     final ExchangeClient client;
@@ -86,7 +86,7 @@
      * @param whenPlaced runs the step once some VM may hold the request's model
      */
     record Parts(
-            Control control,
+            ControlThread control,
             Fleet fleet,
             PeerNetwork network,
             ExchangeClient client,
@@ -128,12 +128,12 @@
 
     /** Closes links that no request has used for a while; to be called now and then. */
     void closeIdleLinks() {
-        idleLinks.closeIdle(fleet::isBusy, control.clock().instant());
+        idleLinks.closeIdle(fleet::hasOutstandingRequests, control.clock().instant());
     }
 
     /** Connects to the agent's VM; fails if that is no longer known. */
     CompletionStage<PeerLink> connect(VmId vm) {
-        Optional<Member> member = fleet.member(vm);
+        Optional<AgentEndpoint> member = fleet.endpoint(vm);
         if (member.isEmpty()) {
             return CompletableFuture.failedFuture(
                     new RouterException(RouterException.Code.UNKNOWN_AGENT, "no agent on " + vm));
@@ -216,7 +216,7 @@
         return Optional.of(Refusal.notRun(code, message).retryAfter(COME_BACK));
     }
 
-    private AgentChoice choice(Request request) {
+    private RequestMachine.AgentSelector choice(Request request) {
         if (request.target() instanceof Target.Model target) {
             return (tried, now) -> holder(target, tried, now);
         }
@@ -226,12 +226,14 @@
 
     private Optional<VmId> holder(Target.Model target, Set<VmId> tried, Instant now) {
         Model model = configuration.get().models().get(target.model());
-        return model == null ? Optional.empty() : fleet.holder(model, tried, now);
+        return model == null ? Optional.empty() : fleet.selectForModel(model, tried, now);
     }
 
     private Optional<VmId> server(Target.Service target, Set<VmId> tried, Instant now) {
         Service service = configuration.get().services().get(target.service());
-        return service == null ? Optional.empty() : fleet.server(service.pool(), tried, now);
+        return service == null
+                ? Optional.empty()
+                : fleet.selectForService(service.pool(), tried, now);
     }
 
     /** The flows under way, for a stop that has reached its limit. */
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.claims.ClaimRecord;
 import io.damaskyoke.control.routing.RequestAction;
 import io.damaskyoke.control.routing.RequestInput;
@@ -30,7 +30,7 @@
     private final Request request;
     private final CompletableFuture<Answer> answer;
     private final RequestMachine machine;
-    private final Control.Cancellable deadline;
+    private final ControlThread.Cancellable deadline;
     private Exchange exchange;
     private ExchangeResult.Served served;
     private HeldClaim claim;
@@ -40,14 +40,14 @@
     RequestFlow(
             RequestDispatcher dispatcher,
             Request request,
-            RequestMachine.AgentChoice choice,
+            RequestMachine.AgentSelector choice,
             CompletableFuture<Answer> answer) {
         this.dispatcher = dispatcher;
         this.request = request;
         this.answer = answer;
         this.machine =
                 request.claimable()
-                        ? RequestMachine.keyed(choice, dispatcher.retries)
+                        ? RequestMachine.withIdempotencyKey(choice, dispatcher.retries)
                         : RequestMachine.of(request.idempotent(), choice, dispatcher.retries);
         this.deadline = dispatcher.control.after(timeLeft(), this::deadlinePassed);
     }
@@ -63,20 +63,20 @@
                 Map.of(
                         "workspace", request.workspace().value(),
                         "target", request.target().name()));
-        feed(new RequestInput.Start());
+        feed(new RequestInput.Admitted());
     }
 
     void callerGone() {
-        feed(new RequestInput.CallerGone());
+        feed(new RequestInput.CallerDisconnected());
     }
 
     void keyWithdrawn() {
-        feed(new RequestInput.KeyWithdrawn());
+        feed(new RequestInput.CallerKeyWithdrawn());
     }
 
     /** Breaks off whatever is left of it, since the process has to end. */
     void abort() {
-        if (machine.answered() && exchange != null) {
+        if (machine.isAnswered() && exchange != null) {
             exchange.cancel(ExchangeException.Code.REVOKED, "the router has to stop");
         } else {
             feed(new RequestInput.DeadlinePassed());
@@ -84,7 +84,7 @@
     }
 
     private void deadlinePassed() {
-        if (machine.answered() && exchange != null) {
+        if (machine.isAnswered() && exchange != null) {
             exchange.cancel(ExchangeException.Code.DEADLINE_EXCEEDED, "the deadline has passed");
         } else {
             feed(new RequestInput.DeadlinePassed());
@@ -100,24 +100,24 @@
     private void carryOut(RequestAction action) {
         if (action instanceof RequestAction.Send send) {
             send(send.vm());
-        } else if (action instanceof RequestAction.Claim wanted) {
+        } else if (action instanceof RequestAction.ClaimKey wanted) {
             claim(wanted.vm());
-        } else if (action instanceof RequestAction.LookUp) {
+        } else if (action instanceof RequestAction.LookUpKey) {
             lookUp();
-        } else if (action instanceof RequestAction.Release) {
+        } else if (action instanceof RequestAction.ReleaseClaim) {
             release();
-        } else if (action instanceof RequestAction.Replay) {
+        } else if (action instanceof RequestAction.ReplayAnswer) {
             replay();
-        } else if (action instanceof RequestAction.Suspend suspend) {
+        } else if (action instanceof RequestAction.SuspendAgent suspend) {
             dispatcher.fleet.suspend(suspend.vm(), now(), suspend.time());
             dispatcher.metrics.count("router_agents_suspended");
-        } else if (action instanceof RequestAction.Cancel cancel) {
+        } else if (action instanceof RequestAction.CancelAtAgent cancel) {
             if (exchange != null) {
                 exchange.cancel(cancel.reason());
             }
-        } else if (action instanceof RequestAction.Deliver) {
+        } else if (action instanceof RequestAction.DeliverAnswer) {
             deliver();
-        } else if (action instanceof RequestAction.Reply reply) {
+        } else if (action instanceof RequestAction.Refuse reply) {
             reply(reply.refusal());
         }
     }
@@ -134,8 +134,9 @@
         dispatcher
                 .claims
                 .release(claim)
-                .thenAccept(confirmed -> feed(new RequestInput.Released(confirmed)));
-        dispatcher.control.after(RELEASE_LIMIT, () -> feed(new RequestInput.Released(false)));
+                .thenAccept(confirmed -> feed(new RequestInput.ClaimReleaseFinished(confirmed)));
+        dispatcher.control.after(
+                RELEASE_LIMIT, () -> feed(new RequestInput.ClaimReleaseFinished(false)));
     }
 
     private void lookUp() {
@@ -145,7 +146,7 @@
     private void claimed(VmId vm, ClaimResult result) {
         if (result instanceof ClaimResult.Held held) {
             claim = held.claim();
-            feed(new RequestInput.Claimed(vm));
+            feed(new RequestInput.KeyClaimed(vm));
         } else {
             claimRefused(result);
         }
@@ -153,17 +154,17 @@
 
     private void claimRefused(ClaimResult result) {
         if (result instanceof ClaimResult.NotFound) {
-            feed(new RequestInput.KeyUnknown());
+            feed(new RequestInput.KeyNotFound());
         } else if (result instanceof ClaimResult.Before found) {
             before = found.settled();
-            feed(new RequestInput.AnsweredBefore());
+            feed(new RequestInput.RecordedAnswerFound());
         } else {
             feed(new RequestInput.ClaimRefused(((ClaimResult.Refused) result).refusal()));
         }
     }
 
     private void send(VmId vm) {
-        dispatcher.fleet.sent(vm);
+        dispatcher.fleet.countSent(vm);
         exchange = null;
         dispatcher
                 .connect(vm)
@@ -173,8 +174,8 @@
     }
 
     private void connected(VmId vm, PeerLink link, Throwable failure) {
-        if (machine.answered() || failure != null) {
-            dispatcher.fleet.done(vm);
+        if (machine.isAnswered() || failure != null) {
+            dispatcher.fleet.countFinished(vm);
             feed(new RequestInput.NotSent(vm));
             return;
         }
@@ -188,15 +189,15 @@
         if (result instanceof ExchangeResult.Served begun) {
             begun(vm, begun);
         } else if (result instanceof ExchangeResult.Refused refused) {
-            dispatcher.fleet.done(vm);
-            refused.load().ifPresent(load -> dispatcher.fleet.loaded(vm, Loads.fromWire(load)));
-            feed(new RequestInput.Refused(vm, refused.refusal()));
+            dispatcher.fleet.countFinished(vm);
+            refused.load().ifPresent(load -> dispatcher.fleet.updateLoad(vm, Loads.fromWire(load)));
+            feed(new RequestInput.AgentRefused(vm, refused.refusal()));
         } else if (result instanceof ExchangeResult.NotSent) {
-            dispatcher.fleet.done(vm);
+            dispatcher.fleet.countFinished(vm);
             feed(new RequestInput.NotSent(vm));
         } else {
-            dispatcher.fleet.done(vm);
-            feed(new RequestInput.Lost(vm));
+            dispatcher.fleet.countFinished(vm);
+            feed(new RequestInput.ConnectionLost(vm));
         }
     }
 
@@ -206,19 +207,19 @@
                 .whenComplete(
                         (ending, failure) ->
                                 dispatcher.control.run(() -> ended(vm, ending, failure)));
-        if (machine.answered() && claim != null) {
+        if (machine.isAnswered() && claim != null) {
             dispatcher.claims.recordUnwanted(claim, result);
-        } else if (machine.answered()) {
+        } else if (machine.isAnswered()) {
             exchange.cancel("the answer came too late");
         }
-        feed(new RequestInput.Served(vm));
+        feed(new RequestInput.AnswerStarted(vm));
     }
 
     private void ended(VmId vm, ExchangeResult.Ending ending, Throwable failure) {
-        dispatcher.fleet.done(vm);
+        dispatcher.fleet.countFinished(vm);
         long tokens = request.tokens();
         if (failure == null) {
-            dispatcher.fleet.loaded(vm, Loads.fromWire(ending.load()));
+            dispatcher.fleet.updateLoad(vm, Loads.fromWire(ending.load()));
             tokens = ending.tokensUsed() > 0 ? ending.tokensUsed() : request.tokens();
             dispatcher.timeline.add(EventType.ANSWERED, request.id().toString());
         } else {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.router;
 
 import io.damaskyoke.caller.CallerServer;
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.Configuration;
 import io.damaskyoke.control.configuration.KeyHasher;
 import io.damaskyoke.control.configuration.TicketParser;
@@ -138,7 +138,7 @@
         callers.unbind();
         awaitNone(this::running, settings.stop().limit());
         awaitNone(this::claimsPending, CLAIMS_LIMIT);
-        node.control().ask(this::abortAll).toCompletableFuture().join();
+        node.control().call(this::abortAll).toCompletableFuture().join();
         rates.leave(settings.platform().storeTimeout());
         callers.terminate(Duration.ofSeconds(1)).toCompletableFuture().join();
         operators.stop(Duration.ofSeconds(1)).toCompletableFuture().join();
@@ -147,7 +147,7 @@
     }
 
     private RequestDispatcher.Parts parts(ExchangeClient client, ClaimQueries queries) {
-        Control control = node.control();
+        ControlThread control = node.control();
         return new RequestDispatcher.Parts(
                 control,
                 fleet,
@@ -222,7 +222,7 @@
 
     private RouterStatus status() {
         return node.control()
-                .ask(() -> RouterStatus.of(node, fleet, dispatcher, stopping))
+                .call(() -> RouterStatus.of(node, fleet, dispatcher, stopping))
                 .toCompletableFuture()
                 .orTimeout(START_LIMIT.toSeconds(), TimeUnit.SECONDS)
                 .join();
@@ -261,11 +261,11 @@
     }
 
     private int claimsPending() {
-        return node.control().ask(dispatcher.claims::pending).toCompletableFuture().join();
+        return node.control().call(dispatcher.claims::pending).toCompletableFuture().join();
     }
 
     private int running() {
-        return node.control().ask(dispatcher::running).toCompletableFuture().join();
+        return node.control().call(dispatcher::running).toCompletableFuture().join();
     }
 
     private static <T> T await(CompletionStage<T> stage) {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RouterStatus.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RouterStatus.java
@@ -1,9 +1,9 @@
 package io.damaskyoke.router;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
+import io.damaskyoke.control.routing.AgentEndpoint;
 import io.damaskyoke.control.routing.AgentLoad;
 import io.damaskyoke.control.routing.Fleet;
-import io.damaskyoke.control.routing.Member;
 import io.damaskyoke.node.Node;
 import java.util.List;
 import java.util.Map;
@@ -35,7 +35,7 @@
                 draining,
                 dispatcher.running(),
                 dispatcher.waiting(),
-                fleet.members().stream()
+                fleet.endpoints().stream()
                         .map(member -> Agent.of(member, fleet.load(member.vm())))
                         .toList(),
                 node.sections().read());
@@ -49,7 +49,7 @@
             @JsonProperty("waiting") int waiting,
             @JsonProperty("loaded") List<String> loaded) {
 
-        static Agent of(Member member, AgentLoad load) {
+        static Agent of(AgentEndpoint member, AgentLoad load) {
             return new Agent(
                     member.vm().value(),
                     member.pool().value(),
--- a/damaskyoke/src/test/java/io/damaskyoke/control/SameThreadControl.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/TestControlThread.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 
 /** Runs steps on the calling thread, for tests, with a clock that only the test advances. */
-public final class SameThreadControl implements Control {
+public final class TestControlThread implements ControlThread {
     private final ArrayDeque<Runnable> steps = new ArrayDeque<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public <T> CompletionStage<T> ask(Supplier<T> step) {
+    public <T> CompletionStage<T> call(Supplier<T> step) {
         CompletableFuture<T> result = new CompletableFuture<>();
         run(() -> result.complete(step.get()));
         return result;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/claims/ClaimBatcherSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/claims/ClaimBatcherSessionTest.java
@@ -36,15 +36,15 @@
         say("The answer of a commit is lost; the retry finds that the claim was written");
         claim(6, "e", 10_000);
         tick(10);
-        feed("lost", new ClaimInput.Failed(true));
+        feed("lost", new ClaimInput.CommitFailed(true));
         tick(60);
         answered(false, 12, entry("e", "claim 6", 11));
         say("The store is down: the backoff grows, and a claim past its deadline is given up");
         claim(7, "f", 120);
         tick(10);
-        feed("store down", new ClaimInput.Failed(false));
+        feed("store down", new ClaimInput.CommitFailed(false));
         tick(50);
-        feed("store down", new ClaimInput.Failed(false));
+        feed("store down", new ClaimInput.CommitFailed(false));
         tick(100);
         say("A settlement that no request waits for is batched for longer");
         settle(8, "a", 7);
@@ -68,13 +68,14 @@
         Optional<byte[]> bytes = Optional.of(value.getBytes(StandardCharsets.UTF_8));
         feed(
                 "submit " + id + " for " + key,
-                new ClaimInput.Submit(new ClaimWrite(id, key, before, bytes, 0, giveUp, urgent)));
+                new ClaimInput.WriteSubmitted(
+                        new ClaimWrite(id, key, before, bytes, 0, giveUp, urgent)));
     }
 
     private void answered(boolean committed, long revision, Entry... found) {
         feed(
                 committed ? "committed at " + revision : "not committed",
-                new ClaimInput.Answered(new TxnResult(committed, revision, List.of(found))));
+                new ClaimInput.CommitAnswered(new TxnResult(committed, revision, List.of(found))));
     }
 
     private static Entry entry(String key, String value, long revision) {
@@ -105,7 +106,7 @@
         if (action instanceof ClaimAction.Commit commit) {
             return "commit " + commit.writes().stream().map(ClaimWrite::id).toList();
         }
-        if (action instanceof ClaimAction.Done done) {
+        if (action instanceof ClaimAction.CompleteWrite done) {
             return "done " + done.id() + ": " + text(done.result());
         }
         return "wake at " + ((ClaimAction.WakeAt) action).time().toEpochMilli() + " ms";
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ConfigurationServiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ConfigurationServiceTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.configuration.TicketException.Code;
 import io.damaskyoke.id.WorkspaceId;
 import io.damaskyoke.platform.FakeStore;
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 class ConfigurationServiceTest {
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore();
     private final Timeline timeline =
             Timeline.of("router-1", HybridClock.over(control.clock()), 1_000);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.relay.OutageAction;
 import io.damaskyoke.control.relay.OutageConfirmation;
 import io.damaskyoke.control.relay.OutageInput;
@@ -55,7 +55,7 @@
      */
     @Test
     void aWriteOfUnknownOutcomeIsOpenUntilItsPlaceIsKnown() {
-        SameThreadControl control = new SameThreadControl();
+        TestControlThread control = new TestControlThread();
         FakeStore store = new FakeStore();
         ConfigurationService service = service(control, store);
         assertTrue(service.settled());
@@ -73,7 +73,7 @@
     /** The others couldn't ask it in an outage; once listed, it brings in what waits. */
     @Test
     void aRouterThatTheListDoesNotNameTakesNoTickets() {
-        SameThreadControl control = new SameThreadControl();
+        TestControlThread control = new TestControlThread();
         ConfigurationService service = service(control, new FakeStore());
         service.takeTickets(false);
         var late = service.submit(SampleTickets.workspace(1, "a", 10)).toCompletableFuture();
@@ -85,7 +85,7 @@
         assertEquals(1, service.current().sequence());
     }
 
-    private static ConfigurationService service(SameThreadControl control, FakeStore store) {
+    private static ConfigurationService service(TestControlThread control, FakeStore store) {
         Timeline timeline = Timeline.of("r", HybridClock.over(control.clock()), 100);
         return ConfigurationService.builder(control, store, timeline)
                 .direct(false)
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SnapshotTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SnapshotTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.platform.FakeStore;
 import io.damaskyoke.platform.KeyValueStore.Condition;
 import io.damaskyoke.platform.KeyValueStore.Write;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 class SnapshotTest {
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore();
     private final ConfigurationLog log = new ConfigurationLog(store, "/damaskyoke");
     private final ConfigurationService here = service();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingFeedTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingFeedTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.id.ModelName;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.metrics.Metrics;
@@ -19,7 +19,7 @@
 class PollingFeedTest {
     private static final int SECONDS = 60;
 
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final FakeStore fake = new FakeStore();
     private final PlacementStore store = new PlacementStore(fake, "t");
     private final List<PlacementTable> told = new ArrayList<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineWorld.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.replicas;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.id.ExchangeId;
 import io.damaskyoke.id.Incarnation;
@@ -36,8 +36,8 @@
     final Set<Long> served = new TreeSet<>();
     final List<String> broken = new ArrayList<>();
     private final List<Engine.Report> history = new ArrayList<>();
-    private final Supplier<Machine<ReplicaInput, ReplicaAction>> maker;
-    private Machine<ReplicaInput, ReplicaAction> machine;
+    private final Supplier<StateMachine<ReplicaInput, ReplicaAction>> maker;
+    private StateMachine<ReplicaInput, ReplicaAction> machine;
     private Instant now = Instant.EPOCH;
     long requests;
     private long epoch;
@@ -48,7 +48,7 @@
             long seed,
             boolean faults,
             long memory,
-            Supplier<Machine<ReplicaInput, ReplicaAction>> maker) {
+            Supplier<StateMachine<ReplicaInput, ReplicaAction>> maker) {
         this.random = new Random(seed);
         this.traffic = new Random(~seed);
         this.faults = faults;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/NaiveHolder.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/NaiveHolder.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.replicas;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.id.ModelName;
 import java.time.Instant;
@@ -11,7 +11,7 @@
 import java.util.Set;
 
 /** Loads at once whatever a request needs, and believes what it is told. */
-final class NaiveHolder implements Machine<ReplicaInput, ReplicaAction> {
+final class NaiveHolder implements StateMachine<ReplicaInput, ReplicaAction> {
     private final Set<ModelName> loaded = new HashSet<>();
     private final Set<ModelName> ordered = new HashSet<>();
     private final List<ReplicaInput.Wanted> waiting = new ArrayList<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/RequestMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/RequestMachineTest.java
@@ -18,7 +18,7 @@
     private static final VmId ONE = VmId.of("agent-1");
     private static final VmId TWO = VmId.of("agent-2");
     private static final RetryBudget BUDGET = RetryBudget.of(0.2);
-    private static final RequestMachine.AgentChoice BOTH =
+    private static final RequestMachine.AgentSelector BOTH =
             (tried, now) ->
                     List.of(ONE, TWO).stream().filter(vm -> !tried.contains(vm)).findFirst();
 
@@ -34,7 +34,7 @@
     @Test
     void aPaymentWhoseAgentDiedIsNotSentAgain() {
         RequestMachine request = started(false, BOTH);
-        Refusal refusal = refusalIn(request.on(new RequestInput.Lost(ONE), NOW));
+        Refusal refusal = refusalIn(request.on(new RequestInput.ConnectionLost(ONE), NOW));
         assertEquals(RefusalCode.OUTCOME_UNKNOWN, refusal.code());
         assertEquals(false, refusal.notRun());
     }
@@ -42,7 +42,7 @@
     @Test
     void aLookupWhoseAgentDiedIsSentAgain() {
         RequestMachine request = started(true, BOTH);
-        List<RequestAction> actions = request.on(new RequestInput.Lost(ONE), NOW);
+        List<RequestAction> actions = request.on(new RequestInput.ConnectionLost(ONE), NOW);
         assertEquals(new RequestAction.Send(TWO), actions.get(1));
     }
 
@@ -51,9 +51,9 @@
     @Test
     void aSecondAgentsNotRunDoesNotHideWhatTheFirstMayHaveDone() {
         RequestMachine request = started(true, BOTH);
-        request.on(new RequestInput.Lost(ONE), NOW);
+        request.on(new RequestInput.ConnectionLost(ONE), NOW);
         Refusal busy = Refusal.notRun(RefusalCode.OVERLOADED, "busy");
-        Refusal refusal = refusalIn(request.on(new RequestInput.Refused(TWO, busy), NOW));
+        Refusal refusal = refusalIn(request.on(new RequestInput.AgentRefused(TWO, busy), NOW));
         assertEquals(RefusalCode.OVERLOADED, refusal.code());
         assertEquals(false, refusal.notRun());
     }
@@ -62,17 +62,17 @@
     void aLateAnswerOfAnAgentThatWasGivenUpIsIgnored() {
         RequestMachine request = started(true, BOTH);
         request.on(new RequestInput.NotSent(ONE), NOW);
-        assertEquals(List.of(), request.on(new RequestInput.Served(ONE), NOW));
-        List<RequestAction> actions = request.on(new RequestInput.Served(TWO), NOW);
-        assertEquals(List.of(new RequestAction.Deliver(TWO)), actions);
+        assertEquals(List.of(), request.on(new RequestInput.AnswerStarted(ONE), NOW));
+        List<RequestAction> actions = request.on(new RequestInput.AnswerStarted(TWO), NOW);
+        assertEquals(List.of(new RequestAction.DeliverAnswer(TWO)), actions);
     }
 
     @Test
     void thereIsOneAnswerWhateverComesAfterIt() {
         RequestMachine request = started(true, BOTH);
         request.on(new RequestInput.DeadlinePassed(), NOW);
-        assertTrue(request.answered());
-        assertEquals(List.of(), request.on(new RequestInput.Served(ONE), NOW));
+        assertTrue(request.isAnswered());
+        assertEquals(List.of(), request.on(new RequestInput.AnswerStarted(ONE), NOW));
         assertEquals(List.of(), request.on(new RequestInput.DeadlinePassed(), NOW));
     }
 
@@ -84,7 +84,7 @@
             continue;
         }
         RequestMachine request = RequestMachine.of(true, BOTH, budget);
-        request.on(new RequestInput.Start(), NOW);
+        request.on(new RequestInput.Admitted(), NOW);
         Refusal refusal = refusalIn(request.on(new RequestInput.NotSent(ONE), NOW));
         assertEquals(RefusalCode.NO_UPSTREAM, refusal.code());
         assertTrue(refusal.notRun());
@@ -98,11 +98,11 @@
         RequestMachine request = claimed();
         Refusal busy = Refusal.notRun(RefusalCode.OVERLOADED, "busy");
         assertEquals(
-                List.of(new RequestAction.Claim(TWO)),
-                request.on(new RequestInput.Refused(ONE, busy), NOW));
+                List.of(new RequestAction.ClaimKey(TWO)),
+                request.on(new RequestInput.AgentRefused(ONE, busy), NOW));
         assertEquals(
                 List.of(new RequestAction.Send(TWO)),
-                request.on(new RequestInput.Claimed(TWO), NOW));
+                request.on(new RequestInput.KeyClaimed(TWO), NOW));
     }
 
     // If the claim were not released before the refusal, repeats with the key would be refused as
@@ -110,8 +110,8 @@
     @Test
     void aClaimedPaymentThatSurelyDidNotRunGivesItsClaimBack() {
         RequestMachine request = claimed();
-        assertEquals(List.of(new RequestAction.Release()), refusedByTheAgent(request));
-        List<RequestAction> actions = request.on(new RequestInput.Released(true), NOW);
+        assertEquals(List.of(new RequestAction.ReleaseClaim()), refusedByTheAgent(request));
+        List<RequestAction> actions = request.on(new RequestInput.ClaimReleaseFinished(true), NOW);
         assertEquals(true, refusalIn(actions).notRun());
     }
 
@@ -121,7 +121,7 @@
     void aPaymentWhoseClaimWasTakenOverIsNotCalledNotRun() {
         RequestMachine request = claimed();
         refusedByTheAgent(request);
-        List<RequestAction> actions = request.on(new RequestInput.Released(false), NOW);
+        List<RequestAction> actions = request.on(new RequestInput.ClaimReleaseFinished(false), NOW);
         assertEquals(false, refusalIn(actions).notRun());
     }
 
@@ -134,7 +134,7 @@
         refusedByTheAgent(request);
         List<RequestAction> actions = request.on(new RequestInput.DeadlinePassed(), NOW);
         assertEquals(false, refusalIn(actions).notRun());
-        assertEquals(List.of(), request.on(new RequestInput.Released(true), NOW));
+        assertEquals(List.of(), request.on(new RequestInput.ClaimReleaseFinished(true), NOW));
     }
 
     // The store is unavailable, so a request with the same key may have run through another router.
@@ -142,24 +142,26 @@
     // key.
     @Test
     void aPaymentThatCouldNotBeClaimedIsNotCalledNotRun() {
-        RequestMachine request = RequestMachine.keyed(BOTH, RetryBudget.of(0.2));
-        request.on(new RequestInput.Start(), NOW);
+        RequestMachine request = RequestMachine.withIdempotencyKey(BOTH, RetryBudget.of(0.2));
+        request.on(new RequestInput.Admitted(), NOW);
         assertEquals(false, refusalIn(request.on(new RequestInput.DeadlinePassed(), NOW)).notRun());
         assertEquals(
-                List.of(new RequestAction.Release()),
-                request.on(new RequestInput.Claimed(ONE), NOW));
+                List.of(new RequestAction.ReleaseClaim()),
+                request.on(new RequestInput.KeyClaimed(ONE), NOW));
     }
 
     // A payment is repeated while its pool has no agent, so its key can't be claimed. The key must
     // still be looked up before the request is refused.
     @Test
     void aRepeatWithoutAnyAgentIsLookedUpAndGetsItsRecordedAnswer() {
-        RequestMachine request = RequestMachine.keyed((tried, now) -> Optional.empty(), BUDGET);
+        RequestMachine request =
+                RequestMachine.withIdempotencyKey((tried, now) -> Optional.empty(), BUDGET);
         assertEquals(
-                List.of(new RequestAction.LookUp()), request.on(new RequestInput.Start(), NOW));
+                List.of(new RequestAction.LookUpKey()),
+                request.on(new RequestInput.Admitted(), NOW));
         assertEquals(
-                List.of(new RequestAction.Replay()),
-                request.on(new RequestInput.AnsweredBefore(), NOW));
+                List.of(new RequestAction.ReplayAnswer()),
+                request.on(new RequestInput.RecordedAnswerFound(), NOW));
     }
 
     // The lookup finds nothing, but it does not claim the key: an earlier attempt may still claim
@@ -167,9 +169,10 @@
     // a moment later, so the caller is asked to retry and not told "not run".
     @Test
     void anUnknownKeyWithoutAnyAgentIsRefusedButNotCalledNotRun() {
-        RequestMachine request = RequestMachine.keyed((tried, now) -> Optional.empty(), BUDGET);
-        request.on(new RequestInput.Start(), NOW);
-        Refusal refusal = refusalIn(request.on(new RequestInput.KeyUnknown(), NOW));
+        RequestMachine request =
+                RequestMachine.withIdempotencyKey((tried, now) -> Optional.empty(), BUDGET);
+        request.on(new RequestInput.Admitted(), NOW);
+        Refusal refusal = refusalIn(request.on(new RequestInput.KeyNotFound(), NOW));
         assertEquals(RefusalCode.NO_UPSTREAM, refusal.code());
         assertEquals(false, refusal.notRun());
         assertTrue(refusal.retryAfter().isPresent());
@@ -179,12 +182,13 @@
     void anAgentThatCameBackDuringTheLookGetsThePayment() {
         List<VmId> agents = new ArrayList<>();
         RequestMachine request =
-                RequestMachine.keyed((tried, now) -> agents.stream().findFirst(), BUDGET);
-        request.on(new RequestInput.Start(), NOW);
+                RequestMachine.withIdempotencyKey(
+                        (tried, now) -> agents.stream().findFirst(), BUDGET);
+        request.on(new RequestInput.Admitted(), NOW);
         agents.add(ONE);
         assertEquals(
-                List.of(new RequestAction.Claim(ONE)),
-                request.on(new RequestInput.KeyUnknown(), NOW));
+                List.of(new RequestAction.ClaimKey(ONE)),
+                request.on(new RequestInput.KeyNotFound(), NOW));
     }
 
     // The caller disconnects while the payment runs. The payment is not cancelled, so that its
@@ -193,48 +197,49 @@
     @Test
     void aClaimedPaymentGoesOnWithoutItsCaller() {
         RequestMachine request = claimed();
-        List<RequestAction> actions = request.on(new RequestInput.CallerGone(), NOW);
+        List<RequestAction> actions = request.on(new RequestInput.CallerDisconnected(), NOW);
         assertEquals(1, actions.size());
         assertEquals(false, refusalIn(actions).notRun());
         Refusal late = Refusal.notRun(RefusalCode.DEADLINE_UNREACHABLE, "too late");
         assertEquals(
-                List.of(new RequestAction.Release()),
-                request.on(new RequestInput.Refused(ONE, late), NOW));
+                List.of(new RequestAction.ReleaseClaim()),
+                request.on(new RequestInput.AgentRefused(ONE, late), NOW));
     }
 
     @Test
     void withNoAgentTheCallerIsToldWhenToComeBack() {
         RequestMachine request =
                 RequestMachine.of(true, (tried, now) -> Optional.empty(), RetryBudget.of(0.2));
-        Refusal refusal = refusalIn(request.on(new RequestInput.Start(), NOW));
+        Refusal refusal = refusalIn(request.on(new RequestInput.Admitted(), NOW));
         assertEquals(RefusalCode.NO_UPSTREAM, refusal.code());
         assertTrue(refusal.retryAfter().isPresent());
     }
 
-    private static RequestMachine started(boolean idempotent, RequestMachine.AgentChoice choice) {
+    private static RequestMachine started(boolean idempotent, RequestMachine.AgentSelector choice) {
         RequestMachine request = RequestMachine.of(idempotent, choice, RetryBudget.of(0.2));
         assertEquals(
-                List.of(new RequestAction.Send(ONE)), request.on(new RequestInput.Start(), NOW));
+                List.of(new RequestAction.Send(ONE)), request.on(new RequestInput.Admitted(), NOW));
         return request;
     }
 
     private static RequestMachine claimed() {
-        RequestMachine request = RequestMachine.keyed(BOTH, RetryBudget.of(0.2));
+        RequestMachine request = RequestMachine.withIdempotencyKey(BOTH, RetryBudget.of(0.2));
         assertEquals(
-                List.of(new RequestAction.Claim(ONE)), request.on(new RequestInput.Start(), NOW));
+                List.of(new RequestAction.ClaimKey(ONE)),
+                request.on(new RequestInput.Admitted(), NOW));
         assertEquals(
                 List.of(new RequestAction.Send(ONE)),
-                request.on(new RequestInput.Claimed(ONE), NOW));
+                request.on(new RequestInput.KeyClaimed(ONE), NOW));
         return request;
     }
 
     private static List<RequestAction> refusedByTheAgent(RequestMachine request) {
         Refusal no = Refusal.notRun(RefusalCode.KEY_WITHDRAWN, "withdrawn");
-        return request.on(new RequestInput.Refused(ONE, no), NOW);
+        return request.on(new RequestInput.AgentRefused(ONE, no), NOW);
     }
 
     private static Refusal refusalIn(List<RequestAction> actions) {
         RequestAction last = actions.get(actions.size() - 1);
-        return assertInstanceOf(RequestAction.Reply.class, last).refusal();
+        return assertInstanceOf(RequestAction.Refuse.class, last).refusal();
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/RetryBudgetTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/RetryBudgetTest.java
@@ -61,7 +61,7 @@
         }
         List<VmId> both = List.of(vm(0), vm(1));
         RequestMachine request = machine(both, budget);
-        request.on(new RequestInput.Start(), Instant.EPOCH);
+        request.on(new RequestInput.Admitted(), Instant.EPOCH);
         List<RequestAction> actions = refuse(request, vm(0), RefusalCode.STOPPING);
         assertEquals(new RequestAction.Send(vm(1)), actions.get(actions.size() - 1));
     }
@@ -72,9 +72,9 @@
     @Test
     void anAgentThatStopsIsLeftOut() {
         RequestMachine request = machine(ALL, RetryBudget.of(RATIO));
-        request.on(new RequestInput.Start(), Instant.EPOCH);
+        request.on(new RequestInput.Admitted(), Instant.EPOCH);
         RequestAction first = refuse(request, vm(0), RefusalCode.STOPPING).get(0);
-        assertEquals(vm(0), ((RequestAction.Suspend) first).vm());
+        assertEquals(vm(0), ((RequestAction.SuspendAgent) first).vm());
     }
 
     private double loadOfTheRest(Supplier<RetryBudget> budgets) {
@@ -92,16 +92,16 @@
     }
 
     private void serve(RequestMachine request) {
-        request.on(new RequestInput.Start(), Instant.EPOCH);
-        while (!request.answered()) {
-            VmId vm = request.current().orElseThrow();
+        request.on(new RequestInput.Admitted(), Instant.EPOCH);
+        while (!request.isAnswered()) {
+            VmId vm = request.currentAgent().orElseThrow();
             triesOfTheRest += vm.equals(DEAD) ? 0 : 1;
             if (vm.equals(DEAD)) {
-                request.on(new RequestInput.Lost(vm), Instant.EPOCH);
+                request.on(new RequestInput.ConnectionLost(vm), Instant.EPOCH);
             } else if (taken.merge(vm, 1, Integer::sum) > CAPACITY) {
                 refuse(request, vm, RefusalCode.OVERLOADED);
             } else {
-                request.on(new RequestInput.Served(vm), Instant.EPOCH);
+                request.on(new RequestInput.AnswerStarted(vm), Instant.EPOCH);
             }
         }
     }
@@ -115,7 +115,7 @@
 
     private static List<RequestAction> refuse(RequestMachine request, VmId vm, RefusalCode code) {
         Refusal refusal = Refusal.notRun(code, "no");
-        return request.on(new RequestInput.Refused(vm, refusal), Instant.EPOCH);
+        return request.on(new RequestInput.AgentRefused(vm, refusal), Instant.EPOCH);
     }
 
     private static VmId vm(int number) {
