--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/SharedRetryBudgetTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/SharedRetryBudgetTest.java
@@ -20,7 +20,7 @@
     void aRouterWithoutRequestsHasItsEvenPartOfTheExtra() {
         SharedRetryBudget budget = new SharedRetryBudget(WINDOW, RATIO, EXTRA);
         int taken = 0;
-        while (budget.take(ROUTERS, Instant.EPOCH)) {
+        while (budget.takeRetry(ROUTERS, Instant.EPOCH)) {
             taken++;
         }
         assertEquals(9, taken);
@@ -40,9 +40,9 @@
         for (int millis = 0; millis < 40_000; millis += 10) {
             Instant now = Instant.ofEpochMilli(millis);
             SharedRetryBudget budget = budgets.get(random.nextInt(ROUTERS));
-            budget.requested(now);
+            budget.recordRequest(now);
             requestsAt.add(millis);
-            if (budget.take(ROUTERS, now)) {
+            if (budget.takeRetry(ROUTERS, now)) {
                 retriesAt.add(millis);
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/serving/FairWaitingTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/serving/FairWaitingTest.java
@@ -65,7 +65,7 @@
         long last = 1;
         for (int turn = 0; turn < 15; turn++) {
             Instant end = NOW.plusMillis(50 * (turn + 1));
-            List<ServingAction> actions = agent.on(new ServingInput.Finished(id(last)), end);
+            List<ServingAction> actions = agent.on(new ServingInput.RunFinished(id(last)), end);
             last = ((ServingAction.Run) actions.get(0)).id().counter();
             heavy += last % 2 == 0 ? 1 : 0;
         }
@@ -77,7 +77,7 @@
     void aDeadlineThatTheQueueMakesUnreachableIsRefusedAtOnceWithATimeToComeBack() {
         // Without the check the caller would be refused only when the deadline has passed.
         arrive(1, "kitchens", DEADLINE);
-        agent.on(new ServingInput.Finished(id(1)), NOW.plusSeconds(4));
+        agent.on(new ServingInput.RunFinished(id(1)), NOW.plusSeconds(4));
         arrive(2, "kitchens", DEADLINE);
         arrive(3, "kitchens", DEADLINE);
         List<ServingAction> actions = arrive(4, "kitchens", NOW.plusSeconds(7));
@@ -103,11 +103,11 @@
             if (kind <= 1) {
                 Instant deadline = now.plusMillis(random.nextInt(5_000));
                 WorkspaceId line = WorkspaceId.of("workspace-" + random.nextInt(3));
-                input = new ServingInput.Arrived(id(step), line, Optional.empty(), deadline);
+                input = new ServingInput.RequestArrived(id(step), line, Optional.empty(), deadline);
                 open.put(id(step), deadline);
             } else if (kind == 2 && !running.isEmpty()) {
                 ExchangeId done = running.remove(random.nextInt(running.size()));
-                input = new ServingInput.Finished(done);
+                input = new ServingInput.RunFinished(done);
             }
             for (ServingAction action : agent.on(input, now)) {
                 ExchangeId told = told(action);
@@ -133,11 +133,11 @@
     private List<ServingAction> arrive(long number, String workspace, Instant deadline) {
         WorkspaceId line = WorkspaceId.of(workspace);
         return agent.on(
-                new ServingInput.Arrived(id(number), line, Optional.empty(), deadline), NOW);
+                new ServingInput.RequestArrived(id(number), line, Optional.empty(), deadline), NOW);
     }
 
     private List<ServingAction> finish(long number) {
-        return agent.on(new ServingInput.Finished(id(number)), NOW);
+        return agent.on(new ServingInput.RunFinished(id(number)), NOW);
     }
 
     private static ExchangeId id(long number) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingMachineTest.java
@@ -25,25 +25,28 @@
     @Test
     void aRequestForAColdModelWaitsUntilItIsReady() {
         List<ServingAction> actions = agent.on(arrival(1, Optional.of(MODEL)), NOW);
-        assertEquals(List.of(new ServingAction.Want(id(1), MODEL, workspace(), DEADLINE)), actions);
-        actions = agent.on(new ServingInput.Ready(id(1)), NOW);
+        assertEquals(
+                List.of(new ServingAction.AcquireModel(id(1), MODEL, workspace(), DEADLINE)),
+                actions);
+        actions = agent.on(new ServingInput.ModelReady(id(1)), NOW);
         assertEquals(List.of(new ServingAction.Run(id(1))), actions);
-        actions = agent.on(new ServingInput.Finished(id(1)), NOW);
-        assertEquals(List.of(new ServingAction.Leave(MODEL)), actions);
+        actions = agent.on(new ServingInput.RunFinished(id(1)), NOW);
+        assertEquals(List.of(new ServingAction.ReleaseModel(MODEL)), actions);
     }
 
     @Test
     void noMoreRunThanTheUpstreamTakes() {
         agent.on(arrival(1, Optional.empty()), NOW);
         assertEquals(List.of(), agent.on(arrival(2, Optional.empty()), NOW));
-        List<ServingAction> actions = agent.on(new ServingInput.Finished(id(1)), NOW);
+        List<ServingAction> actions = agent.on(new ServingInput.RunFinished(id(1)), NOW);
         assertEquals(List.of(new ServingAction.Run(id(2))), actions);
     }
 
     @Test
     void aFailedLoadRefusesWhoWaitsForIt() {
         agent.on(arrival(1, Optional.of(MODEL)), NOW);
-        List<ServingAction> actions = agent.on(new ServingInput.Unavailable(id(1), NO_LOAD), NOW);
+        List<ServingAction> actions =
+                agent.on(new ServingInput.ModelUnavailable(id(1), NO_LOAD), NOW);
         assertEquals(List.of(new ServingAction.Refuse(id(1), NO_LOAD)), actions);
         assertEquals(0, agent.waiting());
     }
@@ -52,7 +55,7 @@
     void whoWaitsPastItsDeadlineIsRefusedAsNotRun() {
         agent.on(arrival(1, Optional.of(MODEL)), NOW);
         List<ServingAction> actions = agent.on(new ServingInput.Tick(), DEADLINE);
-        assertEquals(new ServingAction.GiveUp(id(1), MODEL), actions.get(0));
+        assertEquals(new ServingAction.CancelAcquire(id(1), MODEL), actions.get(0));
         Refusal refusal = ((ServingAction.Refuse) actions.get(1)).refusal();
         assertEquals(RefusalCode.DEADLINE_EXCEEDED, refusal.code());
         assertTrue(refusal.notRun());
@@ -61,17 +64,17 @@
     @Test
     void aDrainingAgentFinishesWhatItHasAndTakesNothingNew() {
         agent.on(arrival(1, Optional.empty()), NOW);
-        agent.on(new ServingInput.Drain(), NOW);
+        agent.on(new ServingInput.DrainStarted(), NOW);
         List<ServingAction> actions = agent.on(arrival(2, Optional.empty()), NOW);
         Refusal refusal = ((ServingAction.Refuse) actions.get(0)).refusal();
         assertEquals(RefusalCode.STOPPING, refusal.code());
-        assertTrue(!agent.drained());
-        agent.on(new ServingInput.Finished(id(1)), NOW);
-        assertTrue(agent.drained());
+        assertTrue(!agent.isDrained());
+        agent.on(new ServingInput.RunFinished(id(1)), NOW);
+        assertTrue(agent.isDrained());
     }
 
-    private static ServingInput.Arrived arrival(long number, Optional<ModelName> model) {
-        return new ServingInput.Arrived(id(number), workspace(), model, DEADLINE);
+    private static ServingInput.RequestArrived arrival(long number, Optional<ModelName> model) {
+        return new ServingInput.RequestArrived(id(number), workspace(), model, DEADLINE);
     }
 
     private static WorkspaceId workspace() {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingSessionTest.java
@@ -24,10 +24,10 @@
         arrive(1, "kitchens", CUT_SHEET, 10_000);
         arrive(2, "kitchens", CUT_SHEET, 10_000);
         after(900);
-        feed("ready 1", new ServingInput.Ready(id(1)));
-        feed("ready 2", new ServingInput.Ready(id(2)));
+        feed("ready 1", new ServingInput.ModelReady(id(1)));
+        feed("ready 2", new ServingInput.ModelReady(id(2)));
         after(1_000);
-        feed("finished 1", new ServingInput.Finished(id(1)));
+        feed("finished 1", new ServingInput.RunFinished(id(1)));
         say(
                 "One workspace fills the queue; another one's request replaces its newest and runs"
                         + " first");
@@ -35,23 +35,23 @@
         arrive(4, "kitchens", Optional.empty(), 20_000);
         arrive(5, "kitchens", Optional.empty(), 20_000);
         arrive(6, "leases", Optional.empty(), 20_000);
-        feed("finished 2", new ServingInput.Finished(id(2)));
+        feed("finished 2", new ServingInput.RunFinished(id(2)));
         say("A queued request is cancelled; a load fails; a deadline can't be met");
-        feed("gone 4", new ServingInput.Gone(id(4)));
+        feed("gone 4", new ServingInput.RequestCancelled(id(4)));
         arrive(7, "leases", CUT_SHEET, 5_000);
         Refusal failed = Refusal.notRun(RefusalCode.LOAD_FAILED, "the engine said no");
-        feed("unavailable 7", new ServingInput.Unavailable(id(7), failed));
+        feed("unavailable 7", new ServingInput.ModelUnavailable(id(7), failed));
         arrive(8, "leases", CUT_SHEET, 50);
         after(50);
         feed("tick", new ServingInput.Tick());
         say("The agent drains: it refuses new requests and finishes those it has");
-        feed("drain", new ServingInput.Drain());
+        feed("drain", new ServingInput.DrainStarted());
         arrive(9, "leases", Optional.empty(), 10_000);
         for (long number : new long[] {6, 3, 5}) {
             after(100);
-            feed("finished " + number, new ServingInput.Finished(id(number)));
+            feed("finished " + number, new ServingInput.RunFinished(id(number)));
         }
-        lines.append("drained: ").append(agent.drained()).append('\n');
+        lines.append("drained: ").append(agent.isDrained()).append('\n');
         Approvals.verify(lines);
     }
 
@@ -59,7 +59,8 @@
         Instant deadline = Instant.ofEpochMilli(now + millis);
         feed(
                 "arrives " + number + " of " + workspace + ", " + millis + " ms left",
-                new ServingInput.Arrived(id(number), WorkspaceId.of(workspace), model, deadline));
+                new ServingInput.RequestArrived(
+                        id(number), WorkspaceId.of(workspace), model, deadline));
     }
 
     private void after(long millis) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdWorld.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.cold.ColdLimit;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -36,7 +36,7 @@
     private static final Duration STEP = Duration.ofMillis(10);
     private static final Duration LAPSE = Duration.ofMillis(3_600);
 
-    final SameThreadControl time = new SameThreadControl();
+    final TestControlThread time = new TestControlThread();
     final Random random;
     private final Rules rules;
     private final List<ColdEngine> engines = new ArrayList<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.crashes.Quarantine;
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.control.crashes.UpstreamEnd;
@@ -53,7 +53,7 @@
     private static final Duration KNOWN_BY = Duration.ofSeconds(3);
     private static final int ENDS_TO_KNOW = 3;
 
-    private final SameThreadControl world = new SameThreadControl();
+    private final TestControlThread world = new TestControlThread();
     private final Random random;
     private final Random trouble;
     private final Set<Hardship> hardships;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.upstreams.Upstream;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
@@ -23,7 +23,7 @@
 /** The part of a router that follows the store, on a VM and a path that fail. */
 final class FollowingRouter {
     private final String name;
-    private final Control world;
+    private final ControlThread world;
     private final FreezingControl control;
     private final SimulatedPath path;
     private final UpstreamTable upstreams = new UpstreamTable();
@@ -36,14 +36,14 @@
     private int otherTroubles;
     private Instant calmSince;
 
-    FollowingRouter(String name, Control world, SimulatedStore store, Pace pace) {
+    FollowingRouter(String name, ControlThread world, SimulatedStore store, Pace pace) {
         this(name, world, store, pace, List.of());
     }
 
     /** One that asks these others before the store. */
     FollowingRouter(
             String name,
-            Control world,
+            ControlThread world,
             SimulatedStore store,
             Pace pace,
             List<FollowingRouter> relays) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FreezingControl.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FreezingControl.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -14,13 +14,13 @@
  * A router's control thread on a VM that can stand still: what comes meanwhile waits, and timers go
  * on where they stood, as those of a virtual machine do.
  */
-final class FreezingControl implements Control {
-    private final Control world;
+final class FreezingControl implements ControlThread {
+    private final ControlThread world;
     private final List<Runnable> parked = new ArrayList<>();
     private Duration lost = Duration.ZERO;
     private Instant frozenAt;
 
-    FreezingControl(Control world) {
+    FreezingControl(ControlThread world) {
         this.world = world;
     }
 
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public <T> CompletionStage<T> ask(Supplier<T> step) {
+    public <T> CompletionStage<T> call(Supplier<T> step) {
         CompletableFuture<T> result = new CompletableFuture<>();
         run(() -> result.complete(step.get()));
         return result;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.platform.FakeStore;
 import java.time.Duration;
 import java.time.Instant;
@@ -11,13 +11,13 @@
 final class LeasedStore {
     private static final Duration SWEEP = Duration.ofMillis(20);
 
-    private final Control world;
+    private final ControlThread world;
     private final FakeStore store;
     private final Map<Long, Term> terms = new HashMap<>();
 
     private record Term(Duration length, Instant end) {}
 
-    LeasedStore(Control world) {
+    LeasedStore(ControlThread world) {
         this.world = world;
         this.store = new FakeStore(world);
         world.every(SWEEP, this::sweep);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.cold.RequestLimit;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
@@ -39,7 +39,7 @@
     /** Those that pass news on to all others. */
     private static final int WATCHERS = 2;
 
-    final SameThreadControl time = new SameThreadControl();
+    final TestControlThread time = new TestControlThread();
     final Random random;
     private final Rules rules;
     private final List<LimitRouter> routers = new ArrayList<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/MembershipTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/MembershipTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.follow.Pace;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.id.VmId;
@@ -20,7 +20,7 @@
 class MembershipTest {
     private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
 
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore(control);
 
     // Guards against a router that refuses within the rate until it happens to hear that it is
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderLeaseTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderLeaseTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.follow.Pace;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.id.VmId;
@@ -18,7 +18,7 @@
 class OrderLeaseTest {
     private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
 
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore(control);
     private final List<String> events = new ArrayList<>();
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderWorld.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.ControlThread;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.direct.DirectConfiguration;
 import io.damaskyoke.control.direct.EngineSpec;
 import io.damaskyoke.control.direct.ModelSpec;
@@ -55,7 +55,7 @@
     /** An upstream that is silent for this long loses its entry in the list. */
     private static final Duration LAPSES_AFTER = HEARTBEAT.multipliedBy(3);
 
-    private final SameThreadControl world = new SameThreadControl();
+    private final TestControlThread world = new TestControlThread();
     private final Random random;
     private final EngineSpec spec;
     private final List<SimulatedEngine> engines = new ArrayList<>();
@@ -167,7 +167,7 @@
     }
 
     /** Ways from a router to the upstreams. */
-    OrderCalls callsOf(Control router) {
+    OrderCalls callsOf(ControlThread router) {
         return new OrderCalls() {
             @Override
             public void order(UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then) {
@@ -223,11 +223,11 @@
 
     /** One answer, by the router's own thread; whatever comes after it is dropped. */
     private static final class Answer<T> {
-        private final Control router;
+        private final ControlThread router;
         private final Consumer<T> then;
         private boolean over;
 
-        Answer(Control router, Consumer<T> then) {
+        Answer(ControlThread router, Consumer<T> then) {
             this.router = router;
             this.then = then;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.direct.DirectConfiguration;
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.loads.OpenLoad;
@@ -25,7 +25,7 @@
     private final OrderLease lease;
     private final OrderLeader leader;
 
-    OrderingRouter(String name, Control world, LeasedStore leased, OrderWorld engines) {
+    OrderingRouter(String name, ControlThread world, LeasedStore leased, OrderWorld engines) {
         this.vm = VmId.of(name);
         this.control = new FreezingControl(world);
         this.store = new RouterStore(world, leased);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.direct.EngineSpec;
 import io.damaskyoke.control.direct.ModelSpec;
 import io.damaskyoke.control.direct.ServiceSpec;
@@ -71,7 +71,7 @@
     private final UpstreamTable upstreams = new UpstreamTable();
     private final Dispatch dispatch;
     private final Map<String, Count> counts = new TreeMap<>();
-    private final SameThreadControl time = new SameThreadControl();
+    private final TestControlThread time = new TestControlThread();
     private LoadPlanner planner = new LoadPlanner(LoadSettings.usual());
     private boolean led;
     private int served;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RouterStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RouterStore.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.platform.OnlyFollowed;
 import io.damaskyoke.platform.PlatformException;
 import java.time.Duration;
@@ -13,11 +13,11 @@
 final class RouterStore extends OnlyFollowed {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
 
-    private final Control world;
+    private final ControlThread world;
     private final LeasedStore leased;
     private boolean cut;
 
-    RouterStore(Control world, LeasedStore leased) {
+    RouterStore(ControlThread world, LeasedStore leased) {
         this.world = world;
         this.leased = leased;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.direct.EngineSpec;
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.loads.OrderOutcome;
@@ -36,7 +36,7 @@
     private static final int LONGEST_REPORT_LAG_MILLIS = 250;
     private static final double ADAPTERS_IN_USE = 0.3;
 
-    private final Control world;
+    private final ControlThread world;
     private final UpstreamId id;
     private final EngineSpec spec;
     private final Random random;
@@ -67,7 +67,7 @@
     record Manners(boolean checksTokens, boolean checksCounts) {}
 
     SimulatedEngine(
-            Control world,
+            ControlThread world,
             String name,
             EngineSpec spec,
             Manners manners,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedLinks.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedLinks.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.platform.PolledStore.Changes;
@@ -14,12 +14,12 @@
 final class SimulatedLinks {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
 
-    private final Control world;
-    private final Control control;
+    private final ControlThread world;
+    private final ControlThread control;
     private final Map<VmId, FollowingRouter> others = new LinkedHashMap<>();
     private final StoreRelays relays;
 
-    SimulatedLinks(Control world, Control control, List<FollowingRouter> relays) {
+    SimulatedLinks(ControlThread world, ControlThread control, List<FollowingRouter> relays) {
         this.world = world;
         this.control = control;
         relays.forEach(each -> others.put(VmId.of(each.name()), each));
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedPath.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedPath.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.platform.OnlyFollowed;
 import java.time.Duration;
 import java.util.HashSet;
@@ -21,8 +21,8 @@
     /** As the store's client gives up. */
     private static final Duration TIME_LIMIT = Duration.ofMillis(1_500);
 
-    private final Control control;
-    private final Control clock;
+    private final ControlThread control;
+    private final ControlThread clock;
     private final SimulatedStore store;
     private final Set<Call<?>> open = new HashSet<>();
     private State state = State.OPEN;
@@ -45,7 +45,7 @@
     private record Call<T>(CompletableFuture<T> answer) {}
 
     /** A path whose router's timers run on {@code control}, and the store's on {@code clock}. */
-    SimulatedPath(Control control, Control clock, SimulatedStore store) {
+    SimulatedPath(ControlThread control, ControlThread clock, SimulatedStore store) {
         this.control = control;
         this.clock = clock;
         this.store = store;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.platform.KeyValueStore.Change;
 import io.damaskyoke.platform.KeyValueStore.Entry;
 import io.damaskyoke.platform.PlatformException;
@@ -18,7 +18,7 @@
  * reach it over a {@link SimulatedPath}, which is what fails.
  */
 final class SimulatedStore {
-    private final Control control;
+    private final ControlThread control;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final List<Change> history = new ArrayList<>();
     private final List<Waiting> waiting = new ArrayList<>();
@@ -29,7 +29,7 @@
 
     private record Waiting(String prefix, long after, CompletableFuture<Changes> answer) {}
 
-    SimulatedStore(Control control) {
+    SimulatedStore(ControlThread control) {
         this.control = control;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SlidingMaximumTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SlidingMaximumTest.java
@@ -2,14 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
 class SlidingMaximumTest {
     private static final Duration WINDOW = Duration.ofSeconds(10);
 
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private int routers = 4;
     private final SlidingMaximum most = new SlidingMaximum(() -> routers, control.clock(), WINDOW);
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreRelaysTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreRelaysTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.platform.PolledStore.Changes;
 import java.time.Duration;
@@ -21,7 +21,7 @@
     private static final VmId TWO = VmId.of("two");
     private static final Duration WAIT = Duration.ofMillis(600);
 
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final List<VmId> asked = new ArrayList<>();
     private final Set<VmId> unreachable = new HashSet<>();
     private final StoreRelays relays =
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.upstreams.DrainedZones;
 import io.damaskyoke.follow.Pace;
 import java.nio.charset.StandardCharsets;
@@ -40,7 +40,7 @@
     private static final int ROUTERS = 3;
     private static final int UPSTREAMS = 4;
 
-    private final SameThreadControl world = new SameThreadControl();
+    private final TestControlThread world = new TestControlThread();
     private final SimulatedStore store = new SimulatedStore(world);
     private final List<FollowingRouter> routers = new ArrayList<>();
     private final TreeMap<Long, Instant> versions = new TreeMap<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.control.crashes.UpstreamEnd;
 import io.damaskyoke.control.upstreams.HeldModels;
@@ -29,7 +29,7 @@
     private static final RequestDigest ONE = new RequestDigest("01");
     private static final RequestDigest OTHER = new RequestDigest("02");
 
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final UpstreamTable table = new UpstreamTable();
     private final Deque<Sign> signs = new ArrayDeque<>();
     private final List<RequestDigest> ran = new ArrayList<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamTable;
 import io.damaskyoke.follow.Pace;
@@ -19,7 +19,7 @@
 class UpstreamFollowerTest {
     private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
 
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore(control);
     private final UpstreamTable table = new UpstreamTable();
     private final List<String> events = new ArrayList<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.KeyValueStore.Change;
 import io.damaskyoke.platform.KeyValueStore.Entry;
@@ -19,7 +19,7 @@
 class FollowerTest {
     private static final Pace PACE = new Pace(Duration.ofSeconds(1), Duration.ofMillis(200));
 
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final HandStore store = new HandStore();
     private final List<Long> heard = new ArrayList<>();
     private long poison;
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/LeaderLease.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/LeaderLease.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.mixed;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.placement.LeaseAction;
 import io.damaskyoke.control.placement.LeaseInput;
 import io.damaskyoke.control.placement.LeaseMachine;
@@ -14,13 +14,13 @@
 final class LeaderLease {
     static final Duration TERM = Duration.ofSeconds(10);
 
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final PlacementStore table;
     private final Leases leases;
     private final LeaseMachine machine = new LeaseMachine(TERM);
 
-    LeaderLease(Control control, KeyValueStore store, Leases leases) {
+    LeaderLease(ControlThread control, KeyValueStore store, Leases leases) {
         this.control = control;
         this.store = store;
         this.table = new PlacementStore(store, "t");
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/LogRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/LogRouter.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.mixed;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.Configuration;
 import io.damaskyoke.control.configuration.ConfigurationFollower;
 import io.damaskyoke.control.configuration.LogEntry;
@@ -25,7 +25,7 @@
 
 /** One router's configuration: the real follower and submissions over the shared store. */
 final class LogRouter {
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final Random random;
     private final Consumer<Configuration> inForce;
@@ -33,7 +33,7 @@
     private final ConfigurationFollower follower = new ConfigurationFollower();
 
     LogRouter(
-            Control control,
+            ControlThread control,
             KeyValueStore store,
             Random random,
             Runnable beforeChange,
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/Messages.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/Messages.java
@@ -1,17 +1,17 @@
 package io.damaskyoke.mixed;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import java.time.Duration;
 import java.util.Random;
 
 /** Carries messages between routers: late, at times twice, at times never. */
 final class Messages {
-    private final SameThreadControl control;
+    private final TestControlThread control;
     private final Random random;
     private boolean bad;
     private boolean whole;
 
-    Messages(SameThreadControl control, Random random) {
+    Messages(TestControlThread control, Random random) {
         this.control = control;
         this.random = random;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.mixed;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.control.configuration.Workspace;
 import io.damaskyoke.control.placement.PlacementWorld;
@@ -41,7 +41,7 @@
     private final long seed;
     private final Schedule schedule;
     private final Random random;
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore();
     private final KeyValueStore client;
     private final Messages messages;
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/RateRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/RateRouter.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.mixed;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.Configuration;
 import io.damaskyoke.control.rates.RateAction;
 import io.damaskyoke.control.rates.RateInput;
@@ -26,7 +26,7 @@
     static final String PREFIX = "t/rates/";
     private static final Duration TICK = Duration.ofMillis(100);
 
-    private final Control control;
+    private final ControlThread control;
     private final KeyValueStore store;
     private final Outside outside;
     private final Incarnation incarnation;
@@ -45,7 +45,7 @@
     }
 
     RateRouter(
-            Control control,
+            ControlThread control,
             KeyValueStore store,
             Outside outside,
             Incarnation incarnation,
@@ -93,7 +93,7 @@
                 .toList();
     }
 
-    Control control() {
+    ControlThread control() {
         return control;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/StoreClient.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/StoreClient.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.mixed;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.platform.FakeStore;
 import io.damaskyoke.platform.KeyValueStore;
 import io.damaskyoke.platform.PlatformException;
@@ -21,18 +21,18 @@
     private static final Duration LIMIT = Duration.ofSeconds(1);
 
     private final FakeStore store;
-    private final SameThreadControl control;
+    private final TestControlThread control;
     private final Optional<String> unconditional;
 
     private StoreClient(
-            FakeStore store, SameThreadControl control, Optional<String> unconditional) {
+            FakeStore store, TestControlThread control, Optional<String> unconditional) {
         this.store = store;
         this.control = control;
         this.unconditional = unconditional;
     }
 
     static KeyValueStore of(
-            FakeStore store, SameThreadControl control, Optional<String> unconditional) {
+            FakeStore store, TestControlThread control, Optional<String> unconditional) {
         StoreClient client = new StoreClient(store, control, unconditional);
         return (KeyValueStore)
                 Proxy.newProxyInstance(
--- a/damaskyoke/src/test/java/io/damaskyoke/operator/OperatorServerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/operator/OperatorServerTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.configuration.ConfigurationService;
 import io.damaskyoke.control.configuration.KeyHasher;
 import io.damaskyoke.control.configuration.TicketException;
@@ -42,7 +42,7 @@
     private final AtomicReference<String> notReady = new AtomicReference<>();
     private final Timeline timeline =
             Timeline.of("router-1", HybridClock.over(() -> Instant.ofEpochMilli(5_000)), 100);
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final ConfigurationService configuration =
             ConfigurationService.builder(control, new FakeStore(), timeline).build();
     private OperatorServer server =
--- a/damaskyoke/src/test/java/io/damaskyoke/platform/FakeStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/platform/FakeStore.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.platform;
 
-import io.damaskyoke.control.Control;
+import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.platform.PlatformException.Code;
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -26,7 +26,7 @@
     private final Set<Long> leases = new HashSet<>();
     private final ArrayDeque<Runnable> held = new ArrayDeque<>();
     private final List<Poll> polls = new ArrayList<>();
-    private final Optional<Control> control;
+    private final Optional<ControlThread> control;
     private long revision = 1;
     private long lastLease;
     private boolean down;
@@ -43,7 +43,7 @@
     }
 
     /** A store whose calls for changes end, by this clock, when their wait is over. */
-    public FakeStore(Control control) {
+    public FakeStore(ControlThread control) {
         this.control = Optional.of(control);
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimWorld.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.claims.ClaimRecord;
 import io.damaskyoke.control.claims.KeyedOutcomes;
 import io.damaskyoke.control.routing.RequestAction;
@@ -44,7 +44,7 @@
     private final Map<ExchangeId, Boolean> saidNotRun = new HashMap<>();
     private final Map<ExchangeId, Flow> waiting =
             new TreeMap<>(Comparator.comparing(ExchangeId::toString));
-    private final SameThreadControl control;
+    private final TestControlThread control;
     private final FakeStore fake = new FakeStore();
     private final KeyValueStore store;
     private final Random random;
@@ -56,13 +56,13 @@
     ClaimWorld(long seed, boolean naive) {
         this.random = new Random(seed);
         this.naive = naive;
-        this.control = new SameThreadControl();
+        this.control = new TestControlThread();
         this.store = fake;
         populate();
     }
 
     /** A world over somebody else's time and store. */
-    public ClaimWorld(long seed, SameThreadControl control, KeyValueStore store) {
+    public ClaimWorld(long seed, TestControlThread control, KeyValueStore store) {
         this.random = new Random(seed);
         this.naive = false;
         this.control = control;
@@ -213,7 +213,7 @@
         Flow(ClaimRouter router, Request request) {
             this.router = router;
             this.request = request;
-            RequestMachine.AgentChoice choice =
+            RequestMachine.AgentSelector choice =
                     (tried, now) ->
                             random.nextInt(8) == 0
                                     ? Optional.empty()
@@ -224,7 +224,7 @@
             this.machine =
                     naive
                             ? RequestMachine.of(true, choice, budget)
-                            : RequestMachine.keyed(choice, budget);
+                            : RequestMachine.withIdempotencyKey(choice, budget);
         }
 
         void later(Runnable step) {
@@ -233,7 +233,7 @@
 
         void start() {
             waiting.put(request.id(), this);
-            feed(new RequestInput.Start());
+            feed(new RequestInput.Admitted());
             router.life().after(DEADLINE, () -> feed(new RequestInput.DeadlinePassed()));
             if (random.nextInt(4) == 0) {
                 later(this::leave);
@@ -242,7 +242,7 @@
 
         private void leave() {
             waiting.remove(request.id());
-            feed(new RequestInput.CallerGone());
+            feed(new RequestInput.CallerDisconnected());
         }
 
         private void feed(RequestInput input) {
@@ -255,18 +255,18 @@
         }
 
         private void carryOut(RequestAction action) {
-            if (action instanceof RequestAction.Claim wanted) {
+            if (action instanceof RequestAction.ClaimKey wanted) {
                 router.claim(claim, request, wanted.vm(), agents)
                         .thenAccept(result -> claimed(wanted.vm(), result));
-            } else if (action instanceof RequestAction.LookUp) {
+            } else if (action instanceof RequestAction.LookUpKey) {
                 router.lookUp(request, agents).thenAccept(this::claimRefused);
-            } else if (action instanceof RequestAction.Release) {
+            } else if (action instanceof RequestAction.ReleaseClaim) {
                 release();
             } else if (action instanceof RequestAction.Send send) {
                 soon(() -> agents.get(send.vm()).invoked(this));
-            } else if (action instanceof RequestAction.Replay) {
+            } else if (action instanceof RequestAction.ReplayAnswer) {
                 answered(request, new String(before.outcome().get().body().get()));
-            } else if (action instanceof RequestAction.Reply reply) {
+            } else if (action instanceof RequestAction.Refuse reply) {
                 refused(request, reply.refusal());
             }
         }
@@ -274,14 +274,16 @@
         private void release() {
             router.claims()
                     .release(claim)
-                    .thenAccept(confirmed -> feed(new RequestInput.Released(confirmed)));
-            router.life().after(RELEASE_LIMIT, () -> feed(new RequestInput.Released(false)));
+                    .thenAccept(
+                            confirmed -> feed(new RequestInput.ClaimReleaseFinished(confirmed)));
+            router.life()
+                    .after(RELEASE_LIMIT, () -> feed(new RequestInput.ClaimReleaseFinished(false)));
         }
 
         private void claimed(VmId vm, ClaimResult result) {
             if (result instanceof ClaimResult.Held held) {
                 claim = held.claim();
-                feed(new RequestInput.Claimed(vm));
+                feed(new RequestInput.KeyClaimed(vm));
             } else {
                 claimRefused(result);
             }
@@ -289,10 +291,10 @@
 
         private void claimRefused(ClaimResult result) {
             if (result instanceof ClaimResult.NotFound) {
-                feed(new RequestInput.KeyUnknown());
+                feed(new RequestInput.KeyNotFound());
             } else if (result instanceof ClaimResult.Before found) {
                 before = found.settled();
-                feed(new RequestInput.AnsweredBefore());
+                feed(new RequestInput.RecordedAnswerFound());
             } else {
                 feed(new RequestInput.ClaimRefused(((ClaimResult.Refused) result).refusal()));
             }
@@ -302,8 +304,8 @@
             if (router.life().over()) {
                 return;
             }
-            boolean wanted = !machine.answered();
-            feed(new RequestInput.Served(vm));
+            boolean wanted = !machine.isAnswered();
+            feed(new RequestInput.AnswerStarted(vm));
             if (wanted) {
                 answered(request, new String(outcome.body().get()));
             }
@@ -339,7 +341,7 @@
             if (chance == 0) {
                 flow.later(() -> flow.feed(new RequestInput.NotSent(vm)));
             } else if (chance == 1) {
-                flow.later(() -> flow.feed(new RequestInput.Lost(vm)));
+                flow.later(() -> flow.feed(new RequestInput.ConnectionLost(vm)));
             } else {
                 arrived(flow, chance);
             }
@@ -348,11 +350,11 @@
         private void arrived(Flow flow, int chance) {
             Optional<Refusal> known = naive ? Optional.empty() : outcomes.begin(flow.request);
             if (known.isPresent()) {
-                flow.later(() -> flow.feed(new RequestInput.Refused(vm, known.get())));
+                flow.later(() -> flow.feed(new RequestInput.AgentRefused(vm, known.get())));
             } else if (chance == 2) {
-                outcomes.ended(flow.request, true);
+                outcomes.recordEnd(flow.request, true);
                 Refusal busy = Refusal.notRun(RefusalCode.OVERLOADED, "busy");
-                flow.later(() -> flow.feed(new RequestInput.Refused(vm, busy)));
+                flow.later(() -> flow.feed(new RequestInput.AgentRefused(vm, busy)));
             } else {
                 int born = life;
                 soon(() -> run(flow, chance, born));
@@ -361,7 +363,7 @@
 
         private void run(Flow flow, int chance, int born) {
             if (life != born) {
-                flow.later(() -> flow.feed(new RequestInput.Lost(vm)));
+                flow.later(() -> flow.feed(new RequestInput.ConnectionLost(vm)));
                 return;
             }
             execute(flow.request);
@@ -369,13 +371,13 @@
             ClaimRecord.Outcome outcome =
                     new ClaimRecord.Outcome(200, List.of(), Optional.of(answer.getBytes()));
             if (chance == 3) {
-                outcomes.ended(flow.request, false);
-                flow.later(() -> flow.feed(new RequestInput.Lost(vm)));
+                outcomes.recordEnd(flow.request, false);
+                flow.later(() -> flow.feed(new RequestInput.ConnectionLost(vm)));
                 return;
             }
-            outcomes.settled(flow.request, outcome);
+            outcomes.recordAnswer(flow.request, outcome);
             if (chance == 4) {
-                flow.later(() -> flow.feed(new RequestInput.Lost(vm)));
+                flow.later(() -> flow.feed(new RequestInput.ConnectionLost(vm)));
             } else {
                 flow.later(() -> flow.served(vm, outcome));
             }
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.exchange.Refusal;
 import io.damaskyoke.exchange.RefusalCode;
 import io.damaskyoke.exchange.Request;
@@ -20,7 +20,7 @@
     private static final VmId AGENT = VmId.of("agent-1");
     private static final Duration DEADLINE = Duration.ofSeconds(20);
 
-    private final SameThreadControl control = new SameThreadControl();
+    private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore();
     private final ClaimRouter router = ClaimRouter.start(new Life(control), store, "router:1", 1);
 
--- a/damaskyoke/src/test/java/io/damaskyoke/router/Life.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/Life.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.router;
 
-import io.damaskyoke.control.Control;
-import io.damaskyoke.control.SameThreadControl;
+import io.damaskyoke.control.ControlThread;
+import io.damaskyoke.control.TestControlThread;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -9,12 +9,12 @@
 import java.util.function.Supplier;
 
 /** The control thread of a process that can die and can be frozen. */
-public final class Life implements Control {
-    private final SameThreadControl control;
+public final class Life implements ControlThread {
+    private final TestControlThread control;
     private boolean over;
     private Instant frozenUntil = Instant.MIN;
 
-    Life(SameThreadControl control) {
+    Life(TestControlThread control) {
         this.control = control;
     }
 
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public <T> CompletionStage<T> ask(Supplier<T> step) {
-        return control.ask(step);
+    public <T> CompletionStage<T> call(Supplier<T> step) {
+        return control.call(step);
     }
 
     @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/settings/SettingsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/settings/SettingsTest.java
@@ -54,7 +54,7 @@
         String own = "claims.max-wait = \"5s\"\nclaims.max-body = \"1KiB\"\n";
         RouterSettings set = Settings.parseRouter(SMALLEST_ROUTER + own, "r.toml");
         assertEquals(Duration.ofSeconds(5), set.claims().maxWait());
-        assertEquals(1024, set.claims().maxBody());
+        assertEquals(1024, set.claims().maxBodyBytes());
     }
 
     @Test
