--- a/damaskyoke/src/main/java/io/damaskyoke/control/SuspendAwareClock.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/SuspendAwareClock.java
@@ -16,13 +16,13 @@
  */
 public final class SuspendAwareClock implements InstantSource {
     /** Smaller differences are drift and scheduling; leases have a margin of 0.1 s. */
-    private static final Duration LEAST_LEAP = Duration.ofMillis(150);
+    private static final Duration MIN_JUMP = Duration.ofMillis(150);
 
     private final LongSupplier counter;
     private final InstantSource timeOfDay;
     private final long startNanos;
     private final Instant start;
-    private long leapNanos;
+    private long suspendedNanos;
     private long offsetNanos;
 
     /** Creates a clock from a monotonic counter in nanoseconds and a time-of-day clock. */
@@ -42,11 +42,11 @@
     public synchronized Instant instant() {
         long elapsed = counter.getAsLong() - startNanos;
         long offset = Duration.between(start, timeOfDay.instant()).toNanos() - elapsed;
-        long leap = offset - offsetNanos;
-        if (Math.abs(leap) >= LEAST_LEAP.toNanos()) {
-            leapNanos += Math.max(0, leap);
+        long jump = offset - offsetNanos;
+        if (Math.abs(jump) >= MIN_JUMP.toNanos()) {
+            suspendedNanos += Math.max(0, jump);
         }
         offsetNanos = offset;
-        return start.plusNanos(elapsed + leapNanos);
+        return start.plusNanos(elapsed + suspendedNanos);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimBatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimBatcher.java
@@ -33,9 +33,9 @@
 public final class ClaimBatcher implements StateMachine<ClaimInput, ClaimAction> {
     private final ClaimSettings settings;
     private final RandomGenerator random;
-    private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
-    private List<Waiting> underWay = List.of();
-    private Instant notBefore = Instant.MIN;
+    private final Map<Long, PendingWrite> waiting = new LinkedHashMap<>();
+    private List<PendingWrite> inFlight = List.of();
+    private Instant retryAt = Instant.MIN;
     private int failures;
 
     private ClaimBatcher(ClaimSettings settings, RandomGenerator random) {
@@ -56,7 +56,7 @@
 
     /** Returns the number of writes that wait or are in the commit in flight. */
     public int pending() {
-        return waiting.size() + underWay.size();
+        return waiting.size() + inFlight.size();
     }
 
     @Override
@@ -69,8 +69,8 @@
         } else if (input instanceof ClaimInput.CommitFailed failed) {
             failed(failed.mayHaveTakenEffect(), now);
         }
-        giveUpLate(now, actions);
-        commitOrWait(now, actions);
+        abandonExpired(now, actions);
+        commitOrScheduleWake(now, actions);
         return actions;
     }
 
@@ -79,97 +79,100 @@
     // one is given up at once.
     private void submit(ClaimWrite write, Instant now, List<ClaimAction> actions) {
         if (pending() >= settings.maxPending()) {
-            actions.add(
-                    new ClaimAction.CompleteWrite(
-                            write.id(), new ClaimAction.Result.Abandoned(false)));
+            actions.add(new ClaimAction.CompleteWrite(write.id(), new Result.Abandoned(false)));
             return;
         }
-        Duration gather = write.urgent() ? settings.batchDelay() : settings.backgroundBatchDelay();
-        waiting.put(write.id(), new Waiting(write, now.plus(gather), false));
+        Duration delay = write.urgent() ? settings.batchDelay() : settings.backgroundBatchDelay();
+        waiting.put(write.id(), new PendingWrite(write, now.plus(delay), false));
     }
 
     private void answered(TxnResult result, List<ClaimAction> actions) {
-        List<Waiting> done = takeUnderWay();
+        List<PendingWrite> writes = takeInFlight();
         failures = 0;
         if (result.committed()) {
-            for (Waiting each : done) {
-                actions.add(done(each, new Result.Written(result.revision())));
+            for (PendingWrite each : writes) {
+                actions.add(complete(each, new Result.Written(result.revision())));
             }
             return;
         }
         Map<String, Entry> found = new HashMap<>();
         result.found().forEach(entry -> found.put(entry.key(), entry));
-        List<Waiting> again = new ArrayList<>();
-        for (Waiting each : done) {
-            Optional<Entry> there = Optional.ofNullable(found.get(each.write.key()));
-            if (each.write.isAppliedIn(there)) {
-                long revision = there.map(Entry::modRevision).orElse(result.revision());
-                actions.add(done(each, new Result.Written(revision)));
-            } else if (each.write.conflictsWith(there)) {
-                actions.add(done(each, new Result.Conflict(there)));
+        List<PendingWrite> retried = new ArrayList<>();
+        for (PendingWrite each : writes) {
+            Optional<Entry> current = Optional.ofNullable(found.get(each.write.key()));
+            if (each.write.isAppliedIn(current)) {
+                long revision = current.map(Entry::modRevision).orElse(result.revision());
+                actions.add(complete(each, new Result.Written(revision)));
+            } else if (each.write.conflictsWith(current)) {
+                actions.add(complete(each, new Result.Conflict(current)));
             } else {
-                again.add(each);
+                retried.add(each);
             }
         }
-        putBack(again);
+        requeue(retried);
     }
 
     private void failed(boolean mayHaveTakenEffect, Instant now) {
-        List<Waiting> again = new ArrayList<>();
-        for (Waiting each : takeUnderWay()) {
-            again.add(new Waiting(each.write, each.due, each.mayHave || mayHaveTakenEffect));
+        List<PendingWrite> retried = new ArrayList<>();
+        for (PendingWrite each : takeInFlight()) {
+            retried.add(
+                    new PendingWrite(
+                            each.write, each.dueAt, each.mayHaveTakenEffect || mayHaveTakenEffect));
         }
-        putBack(again);
-        notBefore = now.plus(pause());
+        requeue(retried);
+        retryAt = now.plus(backoff());
         failures++;
     }
 
-    private Duration pause() {
+    private Duration backoff() {
         long limit = settings.initialBackoff().toMillis() << Math.min(failures, 10);
         long millis = Math.min(limit, settings.maxBackoff().toMillis());
         return Duration.ofMillis(millis / 2 + random.nextLong(millis / 2 + 1));
     }
 
-    private void giveUpLate(Instant now, List<ClaimAction> actions) {
+    private void abandonExpired(Instant now, List<ClaimAction> actions) {
         waiting.values()
                 .removeIf(
                         each -> {
-                            boolean late = !now.isBefore(each.write.giveUpAt());
-                            if (late) {
+                            boolean expired = !now.isBefore(each.write.giveUpAt());
+                            if (expired) {
                                 actions.add(
-                                        done(each, new ClaimAction.Result.Abandoned(each.mayHave)));
+                                        complete(
+                                                each,
+                                                new Result.Abandoned(each.mayHaveTakenEffect)));
                             }
-                            return late;
+                            return expired;
                         });
     }
 
-    private void commitOrWait(Instant now, List<ClaimAction> actions) {
-        if (!underWay.isEmpty() || waiting.isEmpty()) {
+    private void commitOrScheduleWake(Instant now, List<ClaimAction> actions) {
+        if (!inFlight.isEmpty() || waiting.isEmpty()) {
             return;
         }
-        Instant due = waiting.values().stream().map(Waiting::due).min(Instant::compareTo).get();
-        Instant next = due.isBefore(notBefore) ? notBefore : due;
+        Instant dueAt =
+                waiting.values().stream().map(PendingWrite::dueAt).min(Instant::compareTo).get();
+        Instant next = dueAt.isBefore(retryAt) ? retryAt : dueAt;
         if (now.isBefore(next)) {
-            Instant end =
+            Instant giveUpAt =
                     waiting.values().stream()
                             .map(each -> each.write.giveUpAt())
                             .min(Instant::compareTo)
                             .get();
-            actions.add(new ClaimAction.WakeAt(end.isBefore(next) ? end : next));
+            actions.add(new ClaimAction.WakeAt(giveUpAt.isBefore(next) ? giveUpAt : next));
             return;
         }
-        underWay = nextBatch();
-        underWay.forEach(each -> waiting.remove(each.write.id()));
-        actions.add(new ClaimAction.Commit(underWay.stream().map(Waiting::write).toList()));
+        inFlight = nextBatch();
+        inFlight.forEach(each -> waiting.remove(each.write.id()));
+        actions.add(new ClaimAction.Commit(inFlight.stream().map(PendingWrite::write).toList()));
     }
 
     // The store rejects a transaction that changes a key twice. So the second of two writes to the
     // same key waits for the next transaction, where it finds the result of the first.
-    private List<Waiting> nextBatch() {
-        List<Waiting> batch = new ArrayList<>();
+    private List<PendingWrite> nextBatch() {
+        List<PendingWrite> batch = new ArrayList<>();
         Set<String> keys = new HashSet<>();
         int bytes = 0;
-        for (Waiting each : waiting.values()) {
+        for (PendingWrite each : waiting.values()) {
             bytes += each.write.size();
             boolean full =
                     batch.size() >= settings.maxOperations()
@@ -184,22 +187,22 @@
         return batch;
     }
 
-    private List<Waiting> takeUnderWay() {
-        List<Waiting> taken = underWay;
-        underWay = List.of();
+    private List<PendingWrite> takeInFlight() {
+        List<PendingWrite> taken = inFlight;
+        inFlight = List.of();
         return taken;
     }
 
-    private void putBack(List<Waiting> again) {
-        Map<Long, Waiting> later = new LinkedHashMap<>(waiting);
+    private void requeue(List<PendingWrite> retried) {
+        Map<Long, PendingWrite> later = new LinkedHashMap<>(waiting);
         waiting.clear();
-        again.forEach(each -> waiting.put(each.write.id(), each));
+        retried.forEach(each -> waiting.put(each.write.id(), each));
         waiting.putAll(later);
     }
 
-    private static ClaimAction done(Waiting each, Result result) {
+    private static ClaimAction complete(PendingWrite each, Result result) {
         return new ClaimAction.CompleteWrite(each.write.id(), result);
     }
 
-    private record Waiting(ClaimWrite write, Instant due, boolean mayHave) {}
+    private record PendingWrite(ClaimWrite write, Instant dueAt, boolean mayHaveTakenEffect) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimRecord.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimRecord.java
@@ -108,18 +108,19 @@
         }
     }
 
-    private static void write(Outcome answer, ObjectNode into) {
-        into.put("status", answer.status());
-        ArrayNode headers = into.putArray("headers");
+    private static void write(Outcome answer, ObjectNode target) {
+        target.put("status", answer.status());
+        ArrayNode headers = target.putArray("headers");
         answer.headers().forEach(header -> headers.add(header.name()).add(header.value()));
-        answer.body().ifPresent(body -> into.put("body", body));
+        answer.body().ifPresent(body -> target.put("body", body));
     }
 
     private static Outcome readOutcome(JsonNode node) throws IOException {
         List<Header> headers = new ArrayList<>();
-        JsonNode texts = node.path("headers");
-        for (int i = 0; i + 1 < texts.size(); i += 2) {
-            headers.add(new Header(texts.get(i).asText(), texts.get(i + 1).asText()));
+        JsonNode namesAndValues = node.path("headers");
+        for (int i = 0; i + 1 < namesAndValues.size(); i += 2) {
+            headers.add(
+                    new Header(namesAndValues.get(i).asText(), namesAndValues.get(i + 1).asText()));
         }
         JsonNode body = node.get("body");
         return new Outcome(
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimSettings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimSettings.java
@@ -52,7 +52,7 @@
      * @param timeLeft time until the deadline of the request
      */
     public Duration claimTimeout(Duration timeLeft) {
-        Duration half = timeLeft.dividedBy(2);
-        return half.compareTo(maxWait) < 0 ? half : maxWait;
+        Duration halfOfTimeLeft = timeLeft.dividedBy(2);
+        return halfOfTimeLeft.compareTo(maxWait) < 0 ? halfOfTimeLeft : maxWait;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimWrite.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimWrite.java
@@ -37,11 +37,11 @@
     /**
      * Returns the operation for the store.
      *
-     * @param presentLease id of the lease that is used unless the write names its own
+     * @param currentLease id of the lease that is used unless the write names its own
      */
-    public Write toStoreWrite(long presentLease) {
+    public Write toStoreWrite(long currentLease) {
         return value.<Write>map(
-                        bytes -> new Write.Put(key, bytes, lease == 0 ? presentLease : lease))
+                        bytes -> new Write.Put(key, bytes, lease == 0 ? currentLease : lease))
                 .orElseGet(() -> new Write.Delete(key));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/KeyedOutcomes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/KeyedOutcomes.java
@@ -16,7 +16,7 @@
  * crashes before it records an answer, another router gets the outcome from here. Not thread-safe.
  */
 public final class KeyedOutcomes {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final VmId vm;
     private final int capacity;
@@ -50,7 +50,7 @@
 
     /** Records the answer of the request. */
     public void recordAnswer(Request request, ClaimRecord.Outcome outcome) {
-        change(request, record(request).settled(outcome));
+        replace(request, newRecord(request).settled(outcome));
     }
 
     /**
@@ -59,9 +59,9 @@
      * @param notRun true if it did not run and never will; false if it may have run
      */
     public void recordEnd(Request request, boolean notRun) {
-        change(
+        replace(
                 request,
-                record(request).withState(notRun ? ClaimState.NOT_RUN : ClaimState.UNKNOWN));
+                newRecord(request).withState(notRun ? ClaimState.NOT_RUN : ClaimState.UNKNOWN));
     }
 
     /** Returns what is known of a key, or empty if no request with it is remembered. */
@@ -69,15 +69,15 @@
         return Optional.ofNullable(records.get(new Key(workspace, key)));
     }
 
-    private void change(Request request, ClaimRecord now) {
+    private void replace(Request request, ClaimRecord updated) {
         Key key = key(request);
-        ClaimRecord there = records.get(key);
-        if (there != null && there.exchange().equals(request.id())) {
-            put(key, now);
+        ClaimRecord current = records.get(key);
+        if (current != null && current.exchange().equals(request.id())) {
+            put(key, updated);
         }
     }
 
-    private ClaimRecord record(Request request) {
+    private ClaimRecord newRecord(Request request) {
         return ClaimRecord.claimed(request.id(), vm, "", request.deadline());
     }
 
@@ -100,7 +100,7 @@
                 ? Refusal.mayHaveRun(
                                 RefusalCode.IN_PROGRESS,
                                 "a request with this Idempotency-Key is still running")
-                        .retryAfter(COME_BACK)
+                        .retryAfter(RETRY_AFTER)
                 : Refusal.mayHaveRun(
                         RefusalCode.OUTCOME_UNKNOWN,
                         "a request with this Idempotency-Key reached this agent before");
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/AgentLoad.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/AgentLoad.java
@@ -26,9 +26,9 @@
     /**
      * Returns the ratio of running and queued requests to the limit; 1.0 means fully used.
      *
-     * @param extra number of requests to add that the agent has not reported yet
+     * @param additionalRequests number of requests to add to the reported ones
      */
-    public double utilization(int extra) {
-        return (double) (running + waiting + extra) / Math.max(1, limit);
+    public double utilization(int additionalRequests) {
+        return (double) (running + waiting + additionalRequests) / Math.max(1, limit);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/Fleet.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/Fleet.java
@@ -27,23 +27,23 @@
 public final class Fleet {
     private static final int HASH_SEED = 0x2f0b4c47;
 
-    private final AvailabilityZone here;
-    private final Map<VmId, AgentEndpoint> members = new TreeMap<>();
+    private final AvailabilityZone localZone;
+    private final Map<VmId, AgentEndpoint> endpoints = new TreeMap<>();
     private final Map<VmId, AgentLoad> loads = new HashMap<>();
     private final Map<VmId, Integer> outstanding = new HashMap<>();
-    private final Map<VmId, Instant> suspended = new HashMap<>();
+    private final Map<VmId, Instant> suspendedUntil = new HashMap<>();
     private final Set<VmId> draining = new HashSet<>();
     private Set<VmId> leaving = Set.of();
-    private Map<ModelName, Set<VmId>> holders = Map.of();
+    private Map<ModelName, Set<VmId>> replicaHolders = Map.of();
     private Map<PoolName, List<AgentEndpoint>> pools = Map.of();
 
-    private Fleet(AvailabilityZone here) {
-        this.here = here;
+    private Fleet(AvailabilityZone localZone) {
+        this.localZone = localZone;
     }
 
     /** Creates an empty fleet for a router in this availability zone. */
-    public static Fleet from(AvailabilityZone here) {
-        return new Fleet(here);
+    public static Fleet from(AvailabilityZone localZone) {
+        return new Fleet(localZone);
     }
 
     /**
@@ -53,23 +53,23 @@
      * @param listedAsLeaving VMs that are leaving and get no new requests
      */
     public void update(Collection<AgentEndpoint> present, Set<VmId> listedAsLeaving) {
-        members.clear();
-        present.forEach(member -> members.put(member.vm(), member));
-        pools = members.values().stream().collect(Collectors.groupingBy(AgentEndpoint::pool));
-        loads.keySet().retainAll(members.keySet());
-        suspended.keySet().retainAll(members.keySet());
-        draining.retainAll(members.keySet());
+        endpoints.clear();
+        present.forEach(agent -> endpoints.put(agent.vm(), agent));
+        pools = endpoints.values().stream().collect(Collectors.groupingBy(AgentEndpoint::pool));
+        loads.keySet().retainAll(endpoints.keySet());
+        suspendedUntil.keySet().retainAll(endpoints.keySet());
+        draining.retainAll(endpoints.keySet());
         leaving = Set.copyOf(listedAsLeaving);
     }
 
     /** Sets the VMs that may hold a replica of each model; requests are sent only to these. */
     public void setReplicaHolders(Map<ModelName, Set<VmId>> newHolders) {
-        holders = Map.copyOf(newHolders);
+        replicaHolders = Map.copyOf(newHolders);
     }
 
     /** Returns true if at least one VM may hold the model. */
     public boolean hasReplicaHolder(ModelName model) {
-        return holders.containsKey(model);
+        return replicaHolders.containsKey(model);
     }
 
     /** Records the load that an agent reported. */
@@ -85,13 +85,13 @@
     /** Clears the state of an agent that restarted; a new incarnation accepts requests again. */
     public void markRestarted(VmId vm) {
         draining.remove(vm);
-        suspended.remove(vm);
+        suspendedUntil.remove(vm);
         loads.remove(vm);
     }
 
     /** Excludes an unreachable agent from selection for this time. */
     public void suspend(VmId vm, Instant now, Duration time) {
-        suspended.put(vm, now.plus(time));
+        suspendedUntil.put(vm, now.plus(time));
     }
 
     /** Counts a request that was sent to an agent as outstanding. */
@@ -111,12 +111,12 @@
 
     /** Returns the endpoint of an agent, or empty if the agent is unknown. */
     public Optional<AgentEndpoint> endpoint(VmId vm) {
-        return Optional.ofNullable(members.get(vm));
+        return Optional.ofNullable(endpoints.get(vm));
     }
 
     /** Returns the endpoints of all known agents, ordered by VM. */
     public List<AgentEndpoint> endpoints() {
-        return List.copyOf(members.values());
+        return List.copyOf(endpoints.values());
     }
 
     /** Returns the load that an agent last reported. */
@@ -133,12 +133,16 @@
      * @param tried agents that already got the request and are excluded
      */
     public Optional<VmId> selectForModel(Model model, Set<VmId> tried, Instant now) {
-        List<AgentEndpoint> homes = candidatesFor(model, tried, now);
+        List<AgentEndpoint> candidates = candidatesFor(model, tried, now);
         ModelName name = model.name();
-        return leastLoaded(homes, member -> hasLoaded(member, name) && utilization(member) < 1.0)
-                .or(() -> leastLoaded(homes, member -> load(member.vm()).loading().contains(name)))
-                .or(() -> leastLoaded(homes, member -> hasLoaded(member, name)))
-                .or(() -> homes.stream().findFirst().map(AgentEndpoint::vm));
+        return leastLoaded(candidates, agent -> hasLoaded(agent, name) && utilization(agent) < 1.0)
+                .or(
+                        () ->
+                                leastLoaded(
+                                        candidates,
+                                        agent -> load(agent.vm()).loading().contains(name)))
+                .or(() -> leastLoaded(candidates, agent -> hasLoaded(agent, name)))
+                .or(() -> candidates.stream().findFirst().map(AgentEndpoint::vm));
     }
 
     /**
@@ -148,22 +152,22 @@
      * @param tried agents that already got the request and are excluded
      */
     public Optional<VmId> selectForService(PoolName pool, Set<VmId> tried, Instant now) {
-        List<AgentEndpoint> servers =
+        List<AgentEndpoint> candidates =
                 pools.getOrDefault(pool, List.of()).stream()
-                        .filter(member -> isSelectable(member.vm(), tried, now))
+                        .filter(agent -> isSelectable(agent.vm(), tried, now))
                         .toList();
-        return leastLoaded(servers, member -> true);
+        return leastLoaded(candidates, agent -> true);
     }
 
     private List<AgentEndpoint> candidatesFor(Model model, Set<VmId> tried, Instant now) {
         String name = model.base().orElse(model.name()).value();
-        return holders.getOrDefault(model.name(), Set.of()).stream()
-                .map(members::get)
-                .filter(member -> member != null && member.pool().equals(model.pool()))
-                .filter(member -> isSelectable(member.vm(), tried, now))
+        return replicaHolders.getOrDefault(model.name(), Set.of()).stream()
+                .map(endpoints::get)
+                .filter(agent -> agent != null && agent.pool().equals(model.pool()))
+                .filter(agent -> isSelectable(agent.vm(), tried, now))
                 .sorted(
                         Comparator.comparingInt(
-                                        (AgentEndpoint member) -> rendezvousWeight(name, member))
+                                        (AgentEndpoint agent) -> rendezvousWeight(name, agent))
                                 .reversed())
                 .toList();
     }
@@ -176,29 +180,30 @@
     }
 
     private boolean isSuspended(VmId vm, Instant now) {
-        Instant until = suspended.get(vm);
+        Instant until = suspendedUntil.get(vm);
         return until != null && now.isBefore(until);
     }
 
-    private boolean hasLoaded(AgentEndpoint member, ModelName model) {
-        return load(member.vm()).loaded().contains(model);
+    private boolean hasLoaded(AgentEndpoint agent, ModelName model) {
+        return load(agent.vm()).loaded().contains(model);
     }
 
-    private double utilization(AgentEndpoint member) {
-        return load(member.vm()).utilization(outstanding.getOrDefault(member.vm(), 0));
+    private double utilization(AgentEndpoint agent) {
+        return load(agent.vm()).utilization(outstanding.getOrDefault(agent.vm(), 0));
     }
 
-    private Optional<VmId> leastLoaded(List<AgentEndpoint> choice, Predicate<AgentEndpoint> fit) {
-        return choice.stream()
-                .filter(fit)
+    private Optional<VmId> leastLoaded(
+            List<AgentEndpoint> candidates, Predicate<AgentEndpoint> filter) {
+        return candidates.stream()
+                .filter(filter)
                 .min(
                         Comparator.comparingDouble(this::utilization)
-                                .thenComparing(member -> !member.zone().equals(here)))
+                                .thenComparing(agent -> !agent.zone().equals(localZone)))
                 .map(AgentEndpoint::vm);
     }
 
     // Rendezvous hashing: when a VM joins or leaves, only the models on that VM move.
-    private static int rendezvousWeight(String name, AgentEndpoint member) {
-        return MurmurHash3$.MODULE$.stringHash(name + '@' + member.vm().value(), HASH_SEED);
+    private static int rendezvousWeight(String name, AgentEndpoint agent) {
+        return MurmurHash3$.MODULE$.stringHash(name + '@' + agent.vm().value(), HASH_SEED);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestMachine.java
@@ -25,21 +25,21 @@
  * agent, so it is moved before the request is sent to another agent.
  */
 public final class RequestMachine implements StateMachine<RequestInput, RequestAction> {
-    private static final Duration SUSPENSION = Duration.ofSeconds(2);
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration SUSPENSION_TIME = Duration.ofSeconds(2);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final boolean idempotent;
-    private final boolean keyed;
-    private final RequestMachine.AgentSelector choice;
+    private final boolean requiresClaim;
+    private final AgentSelector selector;
     private final RetryBudget budget;
     private final Set<VmId> tried = new HashSet<>();
     private State state = State.NEW;
-    private VmId current;
+    private VmId selectedAgent;
     private boolean lookedUp;
     private boolean claimHeld;
     private boolean mayHaveRun;
     private Refusal lastRefusal;
-    private Refusal pending;
+    private Refusal pendingRefusal;
 
     /** Selects the agents to which a request is sent. */
     @FunctionalInterface
@@ -49,33 +49,29 @@
     }
 
     private RequestMachine(
-            boolean idempotent,
-            boolean keyed,
-            RequestMachine.AgentSelector choice,
-            RetryBudget budget) {
+            boolean idempotent, boolean requiresClaim, AgentSelector selector, RetryBudget budget) {
         this.idempotent = idempotent;
-        this.keyed = keyed;
-        this.choice = choice;
+        this.requiresClaim = requiresClaim;
+        this.selector = selector;
         this.budget = budget;
     }
 
     /** Creates a machine for a request without an idempotency key. */
     public static RequestMachine of(
-            boolean idempotent, RequestMachine.AgentSelector choice, RetryBudget budget) {
+            boolean idempotent, AgentSelector selector, RetryBudget budget) {
         return new RequestMachine(
                 idempotent,
                 false,
-                Objects.requireNonNull(choice, "choice"),
+                Objects.requireNonNull(selector, "selector"),
                 Objects.requireNonNull(budget, "budget"));
     }
 
     /** Creates a machine for a non-idempotent request whose key must be claimed before sending. */
-    public static RequestMachine withIdempotencyKey(
-            RequestMachine.AgentSelector choice, RetryBudget budget) {
+    public static RequestMachine withIdempotencyKey(AgentSelector selector, RetryBudget budget) {
         return new RequestMachine(
                 false,
                 true,
-                Objects.requireNonNull(choice, "choice"),
+                Objects.requireNonNull(selector, "selector"),
                 Objects.requireNonNull(budget, "budget"));
     }
 
@@ -91,7 +87,7 @@
 
     /** Returns the agent that was selected last, or empty if none was selected yet. */
     public Optional<VmId> currentAgent() {
-        return Optional.ofNullable(current);
+        return Optional.ofNullable(selectedAgent);
     }
 
     private enum State {
@@ -101,9 +97,9 @@
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
                 if (input instanceof RequestInput.Admitted) {
                     request.budget.recordFirstAttempt();
-                    return request.sendOn(now);
+                    return request.sendToNextAgent(now);
                 }
-                return request.giveUp(input);
+                return request.abort(input);
             }
         },
         /** No agent is available to claim the key for, so the key is only looked up. */
@@ -111,15 +107,15 @@
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
                 if (input instanceof RequestInput.KeyNotFound) {
-                    return request.sendOn(now);
+                    return request.sendToNextAgent(now);
                 }
                 if (input instanceof RequestInput.ClaimRefused refused) {
                     return request.reply(refused.refusal());
                 }
                 if (input instanceof RequestInput.RecordedAnswerFound) {
-                    return request.replay();
+                    return request.replayAnswer();
                 }
-                return request.giveUp(input);
+                return request.abort(input);
             }
         },
         /** The key is being claimed for an agent, or the claim is being moved to one. */
@@ -127,15 +123,17 @@
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
                 if (input instanceof RequestInput.KeyClaimed claimed) {
-                    return request.fromCurrent(claimed.vm()) ? request.claimed() : List.of();
+                    return request.isSelectedAgent(claimed.vm())
+                            ? request.sendClaimed()
+                            : List.of();
                 }
                 if (input instanceof RequestInput.ClaimRefused refused) {
                     return request.reply(refused.refusal());
                 }
                 if (input instanceof RequestInput.RecordedAnswerFound) {
-                    return request.replay();
+                    return request.replayAnswer();
                 }
-                return request.giveUp(input);
+                return request.abort(input);
             }
         },
         /** The request was sent to an agent, which has not answered yet. */
@@ -143,20 +141,26 @@
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
                 if (input instanceof RequestInput.AnswerStarted served) {
-                    return request.fromCurrent(served.vm()) ? request.deliver() : List.of();
+                    return request.isSelectedAgent(served.vm())
+                            ? request.deliverAnswer()
+                            : List.of();
                 }
                 if (input instanceof RequestInput.AgentRefused refused) {
-                    return request.fromCurrent(refused.vm())
-                            ? request.refused(refused.refusal(), now)
+                    return request.isSelectedAgent(refused.vm())
+                            ? request.handleAgentRefusal(refused.refusal(), now)
                             : List.of();
                 }
                 if (input instanceof RequestInput.NotSent notSent) {
-                    return request.fromCurrent(notSent.vm()) ? request.unreachable(now) : List.of();
+                    return request.isSelectedAgent(notSent.vm())
+                            ? request.retryAfterSendFailure(now)
+                            : List.of();
                 }
                 if (input instanceof RequestInput.ConnectionLost lost) {
-                    return request.fromCurrent(lost.vm()) ? request.lost(now) : List.of();
+                    return request.isSelectedAgent(lost.vm())
+                            ? request.handleConnectionLoss(now)
+                            : List.of();
                 }
-                return request.giveUp(input);
+                return request.abort(input);
             }
         },
         /** The request will be refused as not run once the release of its claim is confirmed. */
@@ -164,9 +168,9 @@
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
                 if (input instanceof RequestInput.ClaimReleaseFinished released) {
-                    return request.released(released.confirmed());
+                    return request.replyAfterRelease(released.confirmed());
                 }
-                return request.givesUpWaiting(input) ? request.released(false) : List.of();
+                return request.endsRequest(input) ? request.replyAfterRelease(false) : List.of();
             }
         },
         /** The caller got its answer; later inputs only release the claim. */
@@ -174,29 +178,29 @@
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
                 if (input instanceof RequestInput.KeyClaimed) {
-                    return request.claimedTooLate();
+                    return request.releaseLateClaim();
                 }
-                return request.surelyNotRun(input) ? request.release() : List.of();
+                return request.confirmsNotRun(input) ? request.releaseClaim() : List.of();
             }
         };
 
         abstract List<RequestAction> step(RequestMachine request, RequestInput input, Instant now);
     }
 
-    private boolean fromCurrent(VmId vm) {
-        return vm.equals(current);
+    private boolean isSelectedAgent(VmId vm) {
+        return vm.equals(selectedAgent);
     }
 
-    private List<RequestAction> sendOn(Instant now) {
-        Optional<VmId> next = choice.select(Set.copyOf(tried), now);
+    private List<RequestAction> sendToNextAgent(Instant now) {
+        Optional<VmId> next = selector.select(Set.copyOf(tried), now);
         if (next.isEmpty()) {
-            return keyed && !claimHeld && !lookedUp ? lookUp() : reply(whyNone());
+            return requiresClaim && !claimHeld && !lookedUp ? lookUpKey() : reply(noAgentRefusal());
         }
-        current = next.get();
-        tried.add(current);
-        if (keyed) {
+        selectedAgent = next.get();
+        tried.add(selectedAgent);
+        if (requiresClaim) {
             state = State.CLAIMING;
-            return List.of(new RequestAction.ClaimKey(current));
+            return List.of(new RequestAction.ClaimKey(selectedAgent));
         }
         return send();
     }
@@ -204,7 +208,7 @@
     // The pool may be down because of the same payment that is repeated here. If it were refused
     // without a lookup, the caller would learn only once an agent is back that the payment was
     // made.
-    private List<RequestAction> lookUp() {
+    private List<RequestAction> lookUpKey() {
         lookedUp = true;
         state = State.LOOKING_UP;
         return List.of(new RequestAction.LookUpKey());
@@ -212,27 +216,27 @@
 
     private List<RequestAction> send() {
         state = State.SENT;
-        return List.of(new RequestAction.Send(current));
+        return List.of(new RequestAction.Send(selectedAgent));
     }
 
-    private List<RequestAction> claimed() {
+    private List<RequestAction> sendClaimed() {
         claimHeld = true;
         return send();
     }
 
-    private List<RequestAction> replay() {
+    private List<RequestAction> replayAnswer() {
         state = State.ANSWERED;
         return List.of(new RequestAction.ReplayAnswer());
     }
 
     // The claim was granted after the request had been answered, so the request was never sent. If
     // the claim stayed, every repeat with the key would be refused as "outcome unknown".
-    private List<RequestAction> claimedTooLate() {
+    private List<RequestAction> releaseLateClaim() {
         claimHeld = true;
-        return release();
+        return releaseClaim();
     }
 
-    private List<RequestAction> release() {
+    private List<RequestAction> releaseClaim() {
         if (!claimHeld) {
             return List.of();
         }
@@ -240,53 +244,55 @@
         return List.of(new RequestAction.ReleaseClaim());
     }
 
-    private boolean surelyNotRun(RequestInput input) {
+    private boolean confirmsNotRun(RequestInput input) {
         if (input instanceof RequestInput.AgentRefused refused) {
-            return fromCurrent(refused.vm()) && refused.refusal().notRun();
+            return isSelectedAgent(refused.vm()) && refused.refusal().notRun();
         }
-        return input instanceof RequestInput.NotSent notSent && fromCurrent(notSent.vm());
+        return input instanceof RequestInput.NotSent notSent && isSelectedAgent(notSent.vm());
     }
 
-    private List<RequestAction> deliver() {
+    private List<RequestAction> deliverAnswer() {
         state = State.ANSWERED;
-        return List.of(new RequestAction.DeliverAnswer(current));
+        return List.of(new RequestAction.DeliverAnswer(selectedAgent));
     }
 
-    private List<RequestAction> refused(Refusal refusal, Instant now) {
+    private List<RequestAction> handleAgentRefusal(Refusal refusal, Instant now) {
         lastRefusal = refusal;
         if (!refusal.notRun()) {
             mayHaveRun = true;
         }
         if (refusal.notRun() && refusal.code() == RefusalCode.STOPPING) {
-            return turnedAway(now);
+            return retryWithoutBudget(now);
         }
-        boolean again = refusal.notRun() && worthAnotherAgent(refusal.code());
-        return again ? retry(now) : reply(refusal);
+        boolean retryable = refusal.notRun() && isRetryableElsewhere(refusal.code());
+        return retryable ? retry(now) : reply(refusal);
     }
 
     // A stopping agent sends nothing to its upstream, so this retry adds no load. If it were
-    // charged
-    // to the budget, a planned stop would use the budget up, and requests would be refused while
-    // other agents are idle. Suspending the agent keeps it from causing a free retry per request.
-    private List<RequestAction> turnedAway(Instant now) {
-        return concat(new RequestAction.SuspendAgent(current, SUSPENSION), sendOn(now));
+    // charged to the budget, a planned stop would use the budget up, and requests would be refused
+    // while other agents are idle. Suspending the agent keeps it from causing a free retry per
+    // request.
+    private List<RequestAction> retryWithoutBudget(Instant now) {
+        return prepend(
+                new RequestAction.SuspendAgent(selectedAgent, SUSPENSION_TIME),
+                sendToNextAgent(now));
     }
 
-    private List<RequestAction> unreachable(Instant now) {
-        RequestAction suspend = new RequestAction.SuspendAgent(current, SUSPENSION);
-        return concat(suspend, retry(now));
+    private List<RequestAction> retryAfterSendFailure(Instant now) {
+        RequestAction suspend = new RequestAction.SuspendAgent(selectedAgent, SUSPENSION_TIME);
+        return prepend(suspend, retry(now));
     }
 
     // The agent may have passed the request to its upstream before the connection broke. Sending a
     // payment again could charge a customer twice, so only an idempotent request is retried; any
     // other is answered as "outcome unknown".
-    private List<RequestAction> lost(Instant now) {
+    private List<RequestAction> handleConnectionLoss(Instant now) {
         mayHaveRun = true;
-        RequestAction suspend = new RequestAction.SuspendAgent(current, SUSPENSION);
+        RequestAction suspend = new RequestAction.SuspendAgent(selectedAgent, SUSPENSION_TIME);
         if (idempotent) {
-            return concat(suspend, retry(now));
+            return prepend(suspend, retry(now));
         }
-        return concat(
+        return prepend(
                 suspend,
                 reply(
                         Refusal.mayHaveRun(
@@ -296,20 +302,20 @@
 
     private List<RequestAction> retry(Instant now) {
         if (!budget.takeRetry()) {
-            return reply(whyNone());
+            return reply(noAgentRefusal());
         }
-        return sendOn(now);
+        return sendToNextAgent(now);
     }
 
-    private Refusal whyNone() {
+    private Refusal noAgentRefusal() {
         if (lastRefusal != null) {
             return lastRefusal;
         }
         String message = "no upstream for this request can be reached";
-        return Refusal.notRun(RefusalCode.NO_UPSTREAM, message).retryAfter(COME_BACK);
+        return Refusal.notRun(RefusalCode.NO_UPSTREAM, message).retryAfter(RETRY_AFTER);
     }
 
-    private List<RequestAction> giveUp(RequestInput input) {
+    private List<RequestAction> abort(RequestInput input) {
         if (input instanceof RequestInput.DeadlinePassed) {
             return cancelAndReply(RefusalCode.DEADLINE_EXCEEDED, "the deadline has passed");
         }
@@ -326,42 +332,42 @@
     // repeat with the same key. If it were cancelled, its outcome would stay unknown forever.
     private List<RequestAction> cancelAndReply(RefusalCode code, String message) {
         boolean sent = state == State.SENT;
-        boolean finishes = claimHeld && code != RefusalCode.KEY_WITHDRAWN;
+        boolean keepsRunning = claimHeld && code != RefusalCode.KEY_WITHDRAWN;
         mayHaveRun |= sent;
         List<RequestAction> reply = reply(Refusal.notRun(code, message));
-        if (!sent || finishes) {
+        if (!sent || keepsRunning) {
             return reply;
         }
-        return concat(new RequestAction.CancelAtAgent(current, message), reply);
+        return prepend(new RequestAction.CancelAtAgent(selectedAgent, message), reply);
     }
 
     // "Not run" from the second agent is true of that agent only: the first one may have run the
     // request before its connection broke. The caller would then send a payment again, so the
     // answer takes all attempts into account.
     private List<RequestAction> reply(Refusal refusal) {
-        boolean notRun = refusal.notRun() && !mayHaveRun && !earlierTryPossible(refusal);
+        boolean notRun = refusal.notRun() && !mayHaveRun && !earlierAttemptMayHaveRun(refusal);
         if (notRun && claimHeld) {
-            return releaseFirst(refusal);
+            return releaseClaimThenReply(refusal);
         }
-        List<RequestAction> release = mayHaveRun ? List.of() : release();
+        List<RequestAction> release = mayHaveRun ? List.of() : releaseClaim();
         return Stream.concat(release.stream(), finalReply(refusal, notRun).stream()).toList();
     }
 
     // While the agent's "not run" was in transit, a repeat at another router may have taken over
-    // the
-    // claim and run. If told "not run", this caller would pay again under another key. The claim is
-    // removed by compare-and-swap, so a confirmed removal proves that no repeat took it over.
-    private List<RequestAction> releaseFirst(Refusal refusal) {
-        pending = refusal;
+    // the claim and run. If told "not run", this caller would pay again under another key. The
+    // claim is removed by compare-and-swap, so a confirmed removal proves that no repeat took it
+    // over.
+    private List<RequestAction> releaseClaimThenReply(Refusal refusal) {
+        pendingRefusal = refusal;
         state = State.RELEASING;
-        return release();
+        return releaseClaim();
     }
 
-    private List<RequestAction> released(boolean confirmed) {
-        return finalReply(pending, confirmed);
+    private List<RequestAction> replyAfterRelease(boolean confirmed) {
+        return finalReply(pendingRefusal, confirmed);
     }
 
-    private boolean givesUpWaiting(RequestInput input) {
+    private boolean endsRequest(RequestInput input) {
         return input instanceof RequestInput.DeadlinePassed
                 || input instanceof RequestInput.CallerKeyWithdrawn
                 || input instanceof RequestInput.CallerDisconnected;
@@ -369,26 +375,26 @@
 
     private List<RequestAction> finalReply(Refusal refusal, boolean notRun) {
         state = State.ANSWERED;
-        Refusal honest =
+        Refusal corrected =
                 new Refusal(refusal.code(), refusal.message(), notRun, refusal.retryAfter());
-        return List.of(new RequestAction.Refuse(honest));
+        return List.of(new RequestAction.Refuse(corrected));
     }
 
     // Before this router holds the claim, a request with the same key may have run through another
     // router. "Not run" would then be true of this attempt but false of the payment, and the caller
     // would pay again under another key.
-    private boolean earlierTryPossible(Refusal refusal) {
-        return keyed && !claimHeld && refusal.code() != RefusalCode.KEY_REUSED;
+    private boolean earlierAttemptMayHaveRun(Refusal refusal) {
+        return requiresClaim && !claimHeld && refusal.code() != RefusalCode.KEY_REUSED;
     }
 
-    private static boolean worthAnotherAgent(RefusalCode code) {
+    private static boolean isRetryableElsewhere(RefusalCode code) {
         return switch (code) {
             case OVERLOADED, NO_UPSTREAM, LOAD_FAILED, DEADLINE_UNREACHABLE -> true;
             default -> false;
         };
     }
 
-    private static List<RequestAction> concat(RequestAction first, List<RequestAction> rest) {
+    private static List<RequestAction> prepend(RequestAction first, List<RequestAction> rest) {
         return Stream.concat(Stream.of(first), rest.stream()).toList();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RetryBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RetryBudget.java
@@ -7,10 +7,10 @@
  * are then overloaded and fail too. With it, their load grows by at most the ratio.
  */
 public final class RetryBudget {
-    private static final double START = 10.0;
+    private static final double MAX_RETRIES = 10.0;
 
     private final double ratio;
-    private double left = START;
+    private double availableRetries = MAX_RETRIES;
 
     private RetryBudget(double ratio) {
         this.ratio = ratio;
@@ -31,15 +31,15 @@
 
     /** Records a first attempt, which adds {@code ratio} retries to the budget. */
     public void recordFirstAttempt() {
-        left = Math.min(START, left + ratio);
+        availableRetries = Math.min(MAX_RETRIES, availableRetries + ratio);
     }
 
     /** Takes one retry from the budget; returns false if less than one is left. */
     public boolean takeRetry() {
-        if (left < 1.0) {
+        if (availableRetries < 1.0) {
             return false;
         }
-        left -= 1.0;
+        availableRetries -= 1.0;
         return true;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/SharedRetryBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/SharedRetryBudget.java
@@ -13,7 +13,7 @@
  */
 public final class SharedRetryBudget {
     /** Fraction that is used; the rest is kept for routers that just started with empty counts. */
-    private static final double PART = 0.7;
+    private static final double USABLE_FRACTION = 0.7;
 
     private final Duration window;
     private final double ratio;
@@ -37,7 +37,7 @@
     /** Records a caller's request to the service. */
     public void recordRequest(Instant now) {
         requests.add(now);
-        expire(requests, now);
+        removeExpired(requests, now);
     }
 
     /**
@@ -46,11 +46,11 @@
      * @param routers number of routers that share the extra
      */
     public boolean takeRetry(int routers, Instant now) {
-        boolean left = hasRetryLeft(routers, now);
-        if (left) {
+        boolean allowed = hasRetryLeft(routers, now);
+        if (allowed) {
             retries.add(now);
         }
-        return left;
+        return allowed;
     }
 
     /**
@@ -59,13 +59,14 @@
      * @param routers number of routers that share the extra
      */
     public boolean hasRetryLeft(int routers, Instant now) {
-        expire(requests, now);
-        expire(retries, now);
-        double most = PART * (ratio * requests.size() + extra / Math.max(1, routers));
-        return retries.size() + 1 <= most;
+        removeExpired(requests, now);
+        removeExpired(retries, now);
+        double maxRetries =
+                USABLE_FRACTION * (ratio * requests.size() + extra / Math.max(1, routers));
+        return retries.size() + 1 <= maxRetries;
     }
 
-    private void expire(ArrayDeque<Instant> times, Instant now) {
+    private void removeExpired(ArrayDeque<Instant> times, Instant now) {
         while (!times.isEmpty() && !times.peek().plus(window).isAfter(now)) {
             times.remove();
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/FairScheduler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/FairScheduler.java
@@ -14,17 +14,17 @@
  * virtual time, so it has neither debt nor credit.
  */
 final class FairScheduler {
-    private final ToDoubleFunction<WorkspaceId> weight;
-    private final Map<WorkspaceId, Double> finish = new HashMap<>();
+    private final ToDoubleFunction<WorkspaceId> weightOf;
+    private final Map<WorkspaceId, Double> finishTimes = new HashMap<>();
     private double virtualTime;
 
-    FairScheduler(ToDoubleFunction<WorkspaceId> weight) {
-        this.weight = weight;
+    FairScheduler(ToDoubleFunction<WorkspaceId> weightOf) {
+        this.weightOf = weightOf;
     }
 
     /** Returns the virtual start time of the workspace's next request; the lowest goes first. */
     double nextStart(WorkspaceId workspace) {
-        return Math.max(virtualTime, finish.getOrDefault(workspace, 0.0));
+        return Math.max(virtualTime, finishTimes.getOrDefault(workspace, 0.0));
     }
 
     /**
@@ -35,7 +35,8 @@
     void recordRun(WorkspaceId workspace, double cost) {
         double start = nextStart(workspace);
         virtualTime = start;
-        finish.put(workspace, start + cost / Math.max(1e-6, weight.applyAsDouble(workspace)));
-        finish.values().removeIf(end -> end <= virtualTime);
+        finishTimes.put(
+                workspace, start + cost / Math.max(1e-6, weightOf.applyAsDouble(workspace)));
+        finishTimes.values().removeIf(end -> end <= virtualTime);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServiceTimes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServiceTimes.java
@@ -10,25 +10,25 @@
  * model.
  */
 final class ServiceTimes {
-    private static final double NEWEST = 0.1;
+    private static final double NEWEST_WEIGHT = 0.1;
 
     /**
      * Estimate before any measurement. It is low, since an estimate above the real time delays the
      * workspace that ran first for upstream time that it never used.
      */
-    private static final double UNKNOWN_SECONDS = 0.05;
+    private static final double DEFAULT_SECONDS = 0.05;
 
-    private static final double LEAST_SECONDS = 0.01;
+    private static final double MIN_SECONDS = 0.01;
 
-    private final Map<Optional<ModelName>, Double> seconds = new HashMap<>();
+    private final Map<Optional<ModelName>, Double> averages = new HashMap<>();
 
     void record(Optional<ModelName> model, double measured) {
-        seconds.merge(model, measured, (old, now) -> old + NEWEST * (now - old));
+        averages.merge(model, measured, (old, now) -> old + NEWEST_WEIGHT * (now - old));
     }
 
     /** Returns the average in seconds, or empty if no request of this model has finished. */
     Optional<Double> averageSeconds(Optional<ModelName> model) {
-        return Optional.ofNullable(seconds.get(model));
+        return Optional.ofNullable(averages.get(model));
     }
 
     /**
@@ -36,6 +36,6 @@
      * since runs would then cost nothing in fair queueing.
      */
     double estimateSeconds(Optional<ModelName> model) {
-        return Math.max(LEAST_SECONDS, seconds.getOrDefault(model, UNKNOWN_SECONDS));
+        return Math.max(MIN_SECONDS, averages.getOrDefault(model, DEFAULT_SECONDS));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingMachine.java
@@ -28,21 +28,21 @@
  * many requests mostly delays its own.
  */
 public final class ServingMachine implements StateMachine<ServingInput, ServingAction> {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
-    private static final double NANOS = 1e9;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final int maxRunning;
     private final int maxWaiting;
-    private final Map<ExchangeId, Waiting> waiting = new LinkedHashMap<>();
-    private final Map<ExchangeId, Running> running = new HashMap<>();
-    private final ServiceTimes times = new ServiceTimes();
-    private final FairScheduler order;
+    private final Map<ExchangeId, QueuedRequest> waiting = new LinkedHashMap<>();
+    private final Map<ExchangeId, RunningRequest> running = new HashMap<>();
+    private final ServiceTimes serviceTimes = new ServiceTimes();
+    private final FairScheduler scheduler;
     private boolean draining;
 
     private ServingMachine(int maxRunning, int maxWaiting, ToDoubleFunction<WorkspaceId> weight) {
         this.maxRunning = maxRunning;
         this.maxWaiting = maxWaiting;
-        this.order = new FairScheduler(weight);
+        this.scheduler = new FairScheduler(weight);
     }
 
     /**
@@ -74,8 +74,8 @@
     @Override
     public List<ServingAction> on(ServingInput input, Instant now) {
         List<ServingAction> actions = new ArrayList<>();
-        take(input, now, actions);
-        runWhatCan(now, actions);
+        apply(input, now, actions);
+        startRequests(now, actions);
         return actions;
     }
 
@@ -99,39 +99,39 @@
         return draining && running.isEmpty() && waiting.isEmpty();
     }
 
-    private void take(ServingInput input, Instant now, List<ServingAction> actions) {
+    private void apply(ServingInput input, Instant now, List<ServingAction> actions) {
         if (input instanceof ServingInput.RequestArrived arrived) {
             arrive(arrived, now, actions);
-        } else if (input instanceof ServingInput.ModelReady given) {
-            ready(given.id());
+        } else if (input instanceof ServingInput.ModelReady ready) {
+            markReady(ready.id());
         } else if (input instanceof ServingInput.ModelUnavailable refused) {
             unavailable(refused, actions);
         } else if (input instanceof ServingInput.RunFinished finished) {
             finish(finished.id(), now, actions);
-        } else if (input instanceof ServingInput.RequestCancelled gone) {
-            gone(gone.id(), actions);
+        } else if (input instanceof ServingInput.RequestCancelled cancelled) {
+            cancel(cancelled.id(), actions);
         } else if (input instanceof ServingInput.DrainStarted) {
             draining = true;
         } else {
-            refuseLate(now, actions);
+            refuseExpired(now, actions);
         }
     }
 
     private void arrive(
             ServingInput.RequestArrived arrived, Instant now, List<ServingAction> actions) {
-        Optional<Refusal> refusal = atTheDoor(arrived, now);
+        Optional<Refusal> refusal = admissionRefusal(arrived, now);
         if (refusal.isPresent()) {
             actions.add(new ServingAction.Refuse(arrived.id(), refusal.get()));
             return;
         }
         if (waiting.size() >= maxWaiting) {
-            makeRoom(actions);
+            evictNewestOfLargest(actions);
         }
-        waiting.put(arrived.id(), new Waiting(arrived));
-        arrived.model().ifPresent(model -> actions.add(want(model, arrived)));
+        waiting.put(arrived.id(), new QueuedRequest(arrived));
+        arrived.model().ifPresent(model -> actions.add(acquireModel(model, arrived)));
     }
 
-    private Optional<Refusal> atTheDoor(ServingInput.RequestArrived arrived, Instant now) {
+    private Optional<Refusal> admissionRefusal(ServingInput.RequestArrived arrived, Instant now) {
         if (draining) {
             return refusal(
                     RefusalCode.STOPPING, "this agent is stopping and accepts no new requests");
@@ -139,41 +139,45 @@
         if (!now.isBefore(arrived.deadline())) {
             return refusal(RefusalCode.DEADLINE_EXCEEDED, "the deadline has passed");
         }
-        if (waiting.size() >= maxWaiting && !canMakeRoom(arrived)) {
+        if (waiting.size() >= maxWaiting && !canEvictFor(arrived)) {
             return refusal(RefusalCode.OVERLOADED, "the queue of this agent is full");
         }
-        return unreachable(arrived, now);
+        return deadlineRefusal(arrived, now);
     }
 
     // One workspace that fills the queue would cause refusals for all others, even within their
-    // rate
-    // limits. So a request of another workspace replaces the newest one of the workspace that has
-    // the most queued requests.
-    private boolean canMakeRoom(ServingInput.RequestArrived arrived) {
-        return waitingOf(longestLine()) > waitingOf(arrived.workspace()) + 1;
+    // rate limits. So a request of another workspace replaces the newest one of the workspace that
+    // has the most queued requests.
+    private boolean canEvictFor(ServingInput.RequestArrived arrived) {
+        return queuedOf(workspaceWithMostQueued()) > queuedOf(arrived.workspace()) + 1;
     }
 
-    private void makeRoom(List<ServingAction> actions) {
-        WorkspaceId longest = longestLine();
-        Waiting last = null;
-        for (Waiting request : waiting.values()) {
-            if (request.arrived.workspace().equals(longest)) {
+    private void evictNewestOfLargest(List<ServingAction> actions) {
+        WorkspaceId largest = workspaceWithMostQueued();
+        QueuedRequest last = null;
+        for (QueuedRequest request : waiting.values()) {
+            if (request.arrived.workspace().equals(largest)) {
                 last = request;
             }
         }
         waiting.remove(last.arrived.id());
-        letGo(last, actions);
+        releaseModelOf(last, actions);
         Refusal full = refusal(RefusalCode.OVERLOADED, "the queue of this agent is full").get();
         actions.add(new ServingAction.Refuse(last.arrived.id(), full));
     }
 
-    private WorkspaceId longestLine() {
-        Map<WorkspaceId, Integer> lines = new LinkedHashMap<>();
-        waiting.values().forEach(each -> lines.merge(each.arrived.workspace(), 1, Integer::sum));
-        return lines.entrySet().stream().max(Map.Entry.comparingByValue()).get().getKey();
+    private WorkspaceId workspaceWithMostQueued() {
+        Map<WorkspaceId, Integer> queuedByWorkspace = new LinkedHashMap<>();
+        waiting.values()
+                .forEach(
+                        each -> queuedByWorkspace.merge(each.arrived.workspace(), 1, Integer::sum));
+        return queuedByWorkspace.entrySet().stream()
+                .max(Map.Entry.comparingByValue())
+                .get()
+                .getKey();
     }
 
-    private long waitingOf(WorkspaceId workspace) {
+    private long queuedOf(WorkspaceId workspace) {
         return waiting.values().stream()
                 .filter(request -> request.arrived.workspace().equals(workspace))
                 .count();
@@ -182,43 +186,43 @@
     // The requests ahead are those of the same workspace and, for each of them and for the new one,
     // one of every other workspace. This is less than the whole queue if another workspace filled
     // it.
-    private Optional<Refusal> unreachable(ServingInput.RequestArrived arrived, Instant now) {
-        Optional<Double> own = times.averageSeconds(arrived.model());
+    private Optional<Refusal> deadlineRefusal(ServingInput.RequestArrived arrived, Instant now) {
+        Optional<Double> own = serviceTimes.averageSeconds(arrived.model());
         if (own.isEmpty() || running.size() < maxRunning) {
             return Optional.empty();
         }
         double wait = secondsAhead(arrived.workspace()) / maxRunning;
-        double left = Duration.between(now, arrived.deadline()).toMillis() / 1000.0;
-        if (wait + own.get() <= left) {
+        double secondsLeft = Duration.between(now, arrived.deadline()).toMillis() / 1000.0;
+        if (wait + own.get() <= secondsLeft) {
             return Optional.empty();
         }
-        long back = (long) Math.ceil(1000 * Math.max(wait + own.get() - left, 0));
+        long retryMillis = (long) Math.ceil(1000 * Math.max(wait + own.get() - secondsLeft, 0));
         Refusal refusal =
                 Refusal.notRun(
                         RefusalCode.DEADLINE_UNREACHABLE,
                         "the deadline can't be met with the requests in the queue");
-        return Optional.of(refusal.retryAfter(Duration.ofMillis(back)));
+        return Optional.of(refusal.retryAfter(Duration.ofMillis(retryMillis)));
     }
 
     private double secondsAhead(WorkspaceId workspace) {
-        long line = waitingOf(workspace) + 1;
-        Map<WorkspaceId, Integer> taken = new HashMap<>();
+        long position = queuedOf(workspace) + 1;
+        Map<WorkspaceId, Integer> counted = new HashMap<>();
         double seconds = 0;
-        for (Waiting request : waiting.values()) {
-            int before = taken.merge(request.arrived.workspace(), 1, Integer::sum);
-            if (request.ready && before <= line) {
-                seconds += times.estimateSeconds(request.arrived.model());
+        for (QueuedRequest request : waiting.values()) {
+            int before = counted.merge(request.arrived.workspace(), 1, Integer::sum);
+            if (request.ready && before <= position) {
+                seconds += serviceTimes.estimateSeconds(request.arrived.model());
             }
         }
         return seconds;
     }
 
     private static Optional<Refusal> refusal(RefusalCode code, String message) {
-        return Optional.of(Refusal.notRun(code, message).retryAfter(COME_BACK));
+        return Optional.of(Refusal.notRun(code, message).retryAfter(RETRY_AFTER));
     }
 
-    private void ready(ExchangeId id) {
-        Waiting request = waiting.get(id);
+    private void markReady(ExchangeId id) {
+        QueuedRequest request = waiting.get(id);
         if (request != null) {
             request.ready = true;
         }
@@ -231,64 +235,66 @@
     }
 
     private void finish(ExchangeId id, Instant now, List<ServingAction> actions) {
-        Running ended = running.remove(id);
-        if (ended != null) {
-            double seconds = Duration.between(ended.since(), now).toNanos() / NANOS;
-            times.record(ended.model(), seconds);
-            ended.model().ifPresent(name -> actions.add(new ServingAction.ReleaseModel(name)));
+        RunningRequest finished = running.remove(id);
+        if (finished != null) {
+            double seconds =
+                    Duration.between(finished.startedAt(), now).toNanos() / NANOS_PER_SECOND;
+            serviceTimes.record(finished.model(), seconds);
+            finished.model().ifPresent(name -> actions.add(new ServingAction.ReleaseModel(name)));
         }
     }
 
-    private void gone(ExchangeId id, List<ServingAction> actions) {
-        Waiting request = waiting.remove(id);
+    private void cancel(ExchangeId id, List<ServingAction> actions) {
+        QueuedRequest request = waiting.remove(id);
         if (request != null) {
-            letGo(request, actions);
+            releaseModelOf(request, actions);
         }
     }
 
-    private void refuseLate(Instant now, List<ServingAction> actions) {
+    private void refuseExpired(Instant now, List<ServingAction> actions) {
         Refusal late =
                 Refusal.notRun(
                         RefusalCode.DEADLINE_EXCEEDED,
                         "the deadline passed while the request was queued");
-        Iterator<Waiting> all = waiting.values().iterator();
+        Iterator<QueuedRequest> all = waiting.values().iterator();
         while (all.hasNext()) {
-            Waiting request = all.next();
+            QueuedRequest request = all.next();
             if (!now.isBefore(request.arrived.deadline())) {
                 all.remove();
-                letGo(request, actions);
+                releaseModelOf(request, actions);
                 actions.add(new ServingAction.Refuse(request.arrived.id(), late));
             }
         }
     }
 
-    private void runWhatCan(Instant now, List<ServingAction> actions) {
+    private void startRequests(Instant now, List<ServingAction> actions) {
         while (running.size() < maxRunning) {
-            Optional<Waiting> next = next();
+            Optional<QueuedRequest> next = nextRequest();
             if (next.isEmpty()) {
                 return;
             }
             ServingInput.RequestArrived request = next.get().arrived;
             waiting.remove(request.id());
-            order.recordRun(request.workspace(), times.estimateSeconds(request.model()));
-            running.put(request.id(), new Running(request.model(), now));
+            scheduler.recordRun(request.workspace(), serviceTimes.estimateSeconds(request.model()));
+            running.put(request.id(), new RunningRequest(request.model(), now));
             actions.add(new ServingAction.Run(request.id()));
         }
     }
 
     /** Returns the ready request with the earliest deadline of the workspace that is next. */
-    private Optional<Waiting> next() {
+    private Optional<QueuedRequest> nextRequest() {
         return waiting.values().stream()
                 .filter(request -> request.ready)
                 .min(
                         Comparator.comparingDouble(
-                                        (Waiting each) -> order.nextStart(each.arrived.workspace()))
+                                        (QueuedRequest each) ->
+                                                scheduler.nextStart(each.arrived.workspace()))
                                 .thenComparing(each -> each.arrived.deadline()));
     }
 
-    private record Running(Optional<ModelName> model, Instant since) {}
+    private record RunningRequest(Optional<ModelName> model, Instant startedAt) {}
 
-    private static void letGo(Waiting request, List<ServingAction> actions) {
+    private static void releaseModelOf(QueuedRequest request, List<ServingAction> actions) {
         ExchangeId id = request.arrived.id();
         request.arrived
                 .model()
@@ -300,17 +306,18 @@
                 .ifPresent(actions::add);
     }
 
-    private static ServingAction want(ModelName model, ServingInput.RequestArrived request) {
+    private static ServingAction acquireModel(
+            ModelName model, ServingInput.RequestArrived request) {
         return new ServingAction.AcquireModel(
                 request.id(), model, request.workspace(), request.deadline());
     }
 
     /** A queued request; one for a plain service is ready from the start. */
-    private static final class Waiting {
+    private static final class QueuedRequest {
         private final ServingInput.RequestArrived arrived;
         private boolean ready;
 
-        Waiting(ServingInput.RequestArrived arrived) {
+        QueuedRequest(ServingInput.RequestArrived arrived) {
             this.arrived = arrived;
             this.ready = arrived.model().isEmpty();
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/SuspendAwareClockTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/SuspendAwareClockTest.java
@@ -14,17 +14,17 @@
     private final SuspendAwareClock clock = new SuspendAwareClock(() -> nanos, () -> timeOfDay);
 
     @Test
-    void aFreezeCountsThoughTheCounterStoodStill() {
+    void timeInSuspensionIsCountedThoughTheCounterStops() {
         // A leader's VM is suspended for six seconds after it renewed its lease. The monotonic
         // counter does not advance, so without the correction the lease would still look valid.
-        pass(Duration.ofMillis(100));
+        advance(Duration.ofMillis(100));
         timeOfDay = timeOfDay.plusSeconds(6);
         assertEquals(START.plusMillis(6_100), clock.instant());
     }
 
     @Test
-    void aClockThatIsSetBackChangesNothing() {
-        pass(Duration.ofMillis(100));
+    void settingTheTimeOfDayBackChangesNothing() {
+        advance(Duration.ofMillis(100));
         timeOfDay = timeOfDay.minusSeconds(2);
         assertEquals(START.plusMillis(100), clock.instant());
         timeOfDay = timeOfDay.plusSeconds(2);
@@ -32,17 +32,17 @@
     }
 
     @Test
-    void smallDriftIsLeftOut() {
+    void smallDriftIsIgnored() {
         for (int i = 0; i < 10; i++) {
-            pass(Duration.ofMillis(100));
+            advance(Duration.ofMillis(100));
             timeOfDay = timeOfDay.plusMillis(50);
             clock.instant();
         }
         assertEquals(START.plusMillis(1_000), clock.instant());
     }
 
-    private void pass(Duration time) {
-        nanos += time.toNanos();
-        timeOfDay = timeOfDay.plus(time);
+    private void advance(Duration duration) {
+        nanos += duration.toNanos();
+        timeOfDay = timeOfDay.plus(duration);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/claims/ClaimBatcherSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/claims/ClaimBatcherSessionTest.java
@@ -12,46 +12,46 @@
 
 class ClaimBatcherSessionTest {
     private final ClaimBatcher batcher = ClaimBatcher.of(ClaimSettings.defaults(), new Random(1));
-    private final StringBuilder lines = new StringBuilder();
+    private final StringBuilder transcript = new StringBuilder();
     private long now;
 
     @Test
     void aWholeSession() {
-        say("Two claims arrive within the batching delay and share a transaction");
+        heading("Two claims arrive within the batching delay and share a transaction");
         claim(1, "a", 10_000);
         after(2);
         claim(2, "b", 10_000);
         tick(10);
-        say("Writes that arrive during the commit wait, two of them for the same key");
+        heading("Writes that arrive during the commit wait, two of them for the same key");
         claim(3, "c", 10_000);
         claim(4, "c", 10_000);
         claim(5, "d", 10_000);
         answered(true, 7);
         tick(10);
-        say("The key d exists, so the transaction fails; c is committed again without it");
+        heading("The key d exists, so the transaction fails; c is committed again without it");
         answered(false, 8, entry("d", "by another", 3));
         answered(true, 9);
-        say("The second claim of c conflicts with the first");
+        heading("The second claim of c conflicts with the first");
         answered(false, 9, entry("c", "claim 3", 9));
-        say("The answer of a commit is lost; the retry finds that the claim was written");
+        heading("The answer of a commit is lost; the retry finds that the claim was written");
         claim(6, "e", 10_000);
         tick(10);
         feed("lost", new ClaimInput.CommitFailed(true));
         tick(60);
         answered(false, 12, entry("e", "claim 6", 11));
-        say("The store is down: the backoff grows, and a claim past its deadline is given up");
+        heading("The store is down: the backoff grows, and a claim past its deadline is given up");
         claim(7, "f", 120);
         tick(10);
         feed("store down", new ClaimInput.CommitFailed(false));
         tick(50);
         feed("store down", new ClaimInput.CommitFailed(false));
         tick(100);
-        say("A settlement that no request waits for is batched for longer");
+        heading("A settlement that no request waits for is batched for longer");
         settle(8, "a", 7);
         tick(100);
         tick(150);
         answered(true, 13);
-        Approvals.verify(lines);
+        Approvals.verify(transcript);
     }
 
     private void claim(long id, String key, long millis) {
@@ -91,14 +91,14 @@
         now += millis;
     }
 
-    private void say(String what) {
-        lines.append("\n# ").append(what).append('\n');
+    private void heading(String text) {
+        transcript.append("\n# ").append(text).append('\n');
     }
 
-    private void feed(String what, ClaimInput input) {
-        lines.append(now).append(" ms ").append(what).append('\n');
+    private void feed(String description, ClaimInput input) {
+        transcript.append(now).append(" ms ").append(description).append('\n');
         for (ClaimAction action : batcher.on(input, Instant.ofEpochMilli(now))) {
-            lines.append("    ").append(text(action)).append('\n');
+            transcript.append("    ").append(text(action)).append('\n');
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/RequestMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/RequestMachineTest.java
@@ -23,7 +23,7 @@
                     List.of(ONE, TWO).stream().filter(vm -> !tried.contains(vm)).findFirst();
 
     @Test
-    void aRequestThatDidNotLeaveGoesToTheNextAgent() {
+    void aRequestThatWasNotSentGoesToTheNextAgent() {
         RequestMachine request = started(false, BOTH);
         List<RequestAction> actions = request.on(new RequestInput.NotSent(ONE), NOW);
         assertEquals(new RequestAction.Send(TWO), actions.get(1));
@@ -32,7 +32,7 @@
     // The agent crashes after the payment was sent to it and before it answers. It may have passed
     // the payment to its upstream, so no other agent may get it.
     @Test
-    void aPaymentWhoseAgentDiedIsNotSentAgain() {
+    void aPaymentWhoseAgentCrashedIsNotSentAgain() {
         RequestMachine request = started(false, BOTH);
         Refusal refusal = refusalIn(request.on(new RequestInput.ConnectionLost(ONE), NOW));
         assertEquals(RefusalCode.OUTCOME_UNKNOWN, refusal.code());
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aLookupWhoseAgentDiedIsSentAgain() {
+    void anIdempotentRequestWhoseAgentCrashedIsSentAgain() {
         RequestMachine request = started(true, BOTH);
         List<RequestAction> actions = request.on(new RequestInput.ConnectionLost(ONE), NOW);
         assertEquals(new RequestAction.Send(TWO), actions.get(1));
@@ -49,7 +49,7 @@
     // The connection to the first agent breaks, so that agent may have run the request. The second
     // agent's "not run" is true of itself only and must not reach the caller.
     @Test
-    void aSecondAgentsNotRunDoesNotHideWhatTheFirstMayHaveDone() {
+    void aRefusalAfterALostAttemptIsNotReportedAsNotRun() {
         RequestMachine request = started(true, BOTH);
         request.on(new RequestInput.ConnectionLost(ONE), NOW);
         Refusal busy = Refusal.notRun(RefusalCode.OVERLOADED, "busy");
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aLateAnswerOfAnAgentThatWasGivenUpIsIgnored() {
+    void aLateAnswerOfAnEarlierAgentIsIgnored() {
         RequestMachine request = started(true, BOTH);
         request.on(new RequestInput.NotSent(ONE), NOW);
         assertEquals(List.of(), request.on(new RequestInput.AnswerStarted(ONE), NOW));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void thereIsOneAnswerWhateverComesAfterIt() {
+    void inputsAfterTheAnswerCauseNoSecondAnswer() {
         RequestMachine request = started(true, BOTH);
         request.on(new RequestInput.DeadlinePassed(), NOW);
         assertTrue(request.isAnswered());
@@ -78,7 +78,7 @@
 
     // All agents of the pool are down. Without a budget each request would be tried at every agent.
     @Test
-    void retriesStopWhenTheBudgetIsUsedUp() {
+    void noRetryIsMadeWhenTheBudgetIsUsedUp() {
         RetryBudget budget = RetryBudget.of(0);
         while (budget.takeRetry()) {
             continue;
@@ -94,7 +94,7 @@
     // The first agent refused the request without running it. The claim names the agent that is
     // asked for the outcome, so it must move before the request is sent to the second agent.
     @Test
-    void aClaimedPaymentGoesToAnotherAgentOnlyAfterItsClaimHas() {
+    void theClaimMovesBeforeThePaymentGoesToAnotherAgent() {
         RequestMachine request = claimed();
         Refusal busy = Refusal.notRun(RefusalCode.OVERLOADED, "busy");
         assertEquals(
@@ -108,7 +108,7 @@
     // If the claim were not released before the refusal, repeats with the key would be refused as
     // "outcome unknown" for a day.
     @Test
-    void aClaimedPaymentThatSurelyDidNotRunGivesItsClaimBack() {
+    void aClaimedPaymentThatDidNotRunReleasesItsClaimFirst() {
         RequestMachine request = claimed();
         assertEquals(List.of(new RequestAction.ReleaseClaim()), refusedByTheAgent(request));
         List<RequestAction> actions = request.on(new RequestInput.ClaimReleaseFinished(true), NOW);
@@ -118,7 +118,7 @@
     // While the agent's refusal is in transit, a repeat at another router takes over the claim and
     // runs. The release then fails, and the caller must not be told "not run".
     @Test
-    void aPaymentWhoseClaimWasTakenOverIsNotCalledNotRun() {
+    void aPaymentWhoseClaimWasTakenOverIsNotReportedAsNotRun() {
         RequestMachine request = claimed();
         refusedByTheAgent(request);
         List<RequestAction> actions = request.on(new RequestInput.ClaimReleaseFinished(false), NOW);
@@ -126,10 +126,9 @@
     }
 
     // The store is unavailable, so the release is not confirmed. The caller still gets its answer
-    // by
-    // the deadline, without "not run".
+    // by the deadline, without "not run".
     @Test
-    void aReleaseThatTakesTooLongDoesNotHoldTheAnswerBack() {
+    void aSlowReleaseDoesNotDelayTheAnswerPastTheDeadline() {
         RequestMachine request = claimed();
         refusedByTheAgent(request);
         List<RequestAction> actions = request.on(new RequestInput.DeadlinePassed(), NOW);
@@ -141,7 +140,7 @@
     // "Not run" would be true of this attempt only, and the caller would pay again under another
     // key.
     @Test
-    void aPaymentThatCouldNotBeClaimedIsNotCalledNotRun() {
+    void aPaymentThatCouldNotBeClaimedIsNotReportedAsNotRun() {
         RequestMachine request = RequestMachine.withIdempotencyKey(BOTH, RetryBudget.of(0.2));
         request.on(new RequestInput.Admitted(), NOW);
         assertEquals(false, refusalIn(request.on(new RequestInput.DeadlinePassed(), NOW)).notRun());
@@ -153,7 +152,7 @@
     // A payment is repeated while its pool has no agent, so its key can't be claimed. The key must
     // still be looked up before the request is refused.
     @Test
-    void aRepeatWithoutAnyAgentIsLookedUpAndGetsItsRecordedAnswer() {
+    void aRepeatWithoutAnyAgentGetsTheRecordedAnswer() {
         RequestMachine request =
                 RequestMachine.withIdempotencyKey((tried, now) -> Optional.empty(), BUDGET);
         assertEquals(
@@ -165,10 +164,9 @@
     }
 
     // The lookup finds nothing, but it does not claim the key: an earlier attempt may still claim
-    // it
-    // a moment later, so the caller is asked to retry and not told "not run".
+    // it a moment later, so the caller is asked to retry and not told "not run".
     @Test
-    void anUnknownKeyWithoutAnyAgentIsRefusedButNotCalledNotRun() {
+    void anUnknownKeyWithoutAnyAgentIsRefusedButNotReportedAsNotRun() {
         RequestMachine request =
                 RequestMachine.withIdempotencyKey((tried, now) -> Optional.empty(), BUDGET);
         request.on(new RequestInput.Admitted(), NOW);
@@ -179,7 +177,7 @@
     }
 
     @Test
-    void anAgentThatCameBackDuringTheLookGetsThePayment() {
+    void anAgentThatReturnsDuringTheLookupGetsThePayment() {
         List<VmId> agents = new ArrayList<>();
         RequestMachine request =
                 RequestMachine.withIdempotencyKey(
@@ -192,10 +190,9 @@
     }
 
     // The caller disconnects while the payment runs. The payment is not cancelled, so that its
-    // answer
-    // is recorded for a repeat; if the agent later reports "not run", the claim is released.
+    // answer is recorded for a repeat; if the agent later reports "not run", the claim is released.
     @Test
-    void aClaimedPaymentGoesOnWithoutItsCaller() {
+    void aClaimedPaymentContinuesWhenItsCallerDisconnects() {
         RequestMachine request = claimed();
         List<RequestAction> actions = request.on(new RequestInput.CallerDisconnected(), NOW);
         assertEquals(1, actions.size());
@@ -207,7 +204,7 @@
     }
 
     @Test
-    void withNoAgentTheCallerIsToldWhenToComeBack() {
+    void withoutAnyAgentTheRefusalSaysWhenToRetry() {
         RequestMachine request =
                 RequestMachine.of(true, (tried, now) -> Optional.empty(), RetryBudget.of(0.2));
         Refusal refusal = refusalIn(request.on(new RequestInput.Admitted(), NOW));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/RetryBudgetTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/RetryBudgetTest.java
@@ -23,30 +23,31 @@
     private static final int CAPACITY = 210;
     private static final int SECONDS = 100;
     private static final double RATIO = 0.1;
-    private static final double START = 10;
-    private static final VmId DEAD = vm(0);
+    private static final double MAX_RETRIES = 10;
+    private static final VmId DOWN = vm(0);
     private static final List<VmId> ALL =
             IntStream.range(0, UPSTREAMS).mapToObj(RetryBudgetTest::vm).toList();
 
-    private final Map<VmId, Integer> taken = new HashMap<>();
-    private int triesOfTheRest;
+    private final Map<VmId, Integer> attempts = new HashMap<>();
+    private int attemptsAtTheRest;
 
     // One of five upstreams is down and the others have 5 % spare capacity, so about a fifth of the
     // requests can't be served. Every refusal for overload causes another attempt, so the remaining
     // upstreams get more than 1.5 times their normal attempts while they are full.
     @Test
-    void withoutABudgetTheRestGetManyTimesTheirLoad() {
+    void withoutASharedBudgetTheRemainingUpstreamsAreOverloaded() {
         double factor = loadOfTheRest(() -> RetryBudget.of(RATIO));
         assertTrue(factor > 1.5, () -> "load factor " + factor);
     }
 
     // The same failure with one budget for all requests: the load grows by at most the ratio.
     @Test
-    void withABudgetTheLoadOfTheRestGrowsByTheRatioAtMost() {
+    void withABudgetTheLoadOfTheRemainingUpstreamsGrowsByAtMostTheRatio() {
         RetryBudget budget = RetryBudget.of(RATIO);
         double factor = loadOfTheRest(() -> budget);
         double requests = REQUESTS_PER_SECOND * SECONDS;
-        double most = (requests * (1 + RATIO) + START) / (requests * (UPSTREAMS - 1) / UPSTREAMS);
+        double most =
+                (requests * (1 + RATIO) + MAX_RETRIES) / (requests * (UPSTREAMS - 1) / UPSTREAMS);
         assertTrue(factor <= most, () -> "load factor " + factor);
     }
 
@@ -67,10 +68,9 @@
     }
 
     // If the agent were not suspended, every request could cause a free attempt at it; suspended,
-    // it
-    // only affects the requests already in transit.
+    // it only affects the requests already in transit.
     @Test
-    void anAgentThatStopsIsLeftOut() {
+    void aStoppingAgentIsSuspended() {
         RequestMachine request = machine(ALL, RetryBudget.of(RATIO));
         request.on(new RequestInput.Admitted(), Instant.EPOCH);
         RequestAction first = refuse(request, vm(0), RefusalCode.STOPPING).get(0);
@@ -80,7 +80,7 @@
     private double loadOfTheRest(Supplier<RetryBudget> budgets) {
         Random random = new Random(31);
         for (int second = 0; second < SECONDS; second++) {
-            taken.clear();
+            attempts.clear();
             for (int i = 0; i < REQUESTS_PER_SECOND; i++) {
                 List<VmId> order = new ArrayList<>(ALL);
                 Collections.shuffle(order, random);
@@ -88,17 +88,17 @@
             }
         }
         double normal = (double) REQUESTS_PER_SECOND * SECONDS * (UPSTREAMS - 1) / UPSTREAMS;
-        return triesOfTheRest / normal;
+        return attemptsAtTheRest / normal;
     }
 
     private void serve(RequestMachine request) {
         request.on(new RequestInput.Admitted(), Instant.EPOCH);
         while (!request.isAnswered()) {
             VmId vm = request.currentAgent().orElseThrow();
-            triesOfTheRest += vm.equals(DEAD) ? 0 : 1;
-            if (vm.equals(DEAD)) {
+            attemptsAtTheRest += vm.equals(DOWN) ? 0 : 1;
+            if (vm.equals(DOWN)) {
                 request.on(new RequestInput.ConnectionLost(vm), Instant.EPOCH);
-            } else if (taken.merge(vm, 1, Integer::sum) > CAPACITY) {
+            } else if (attempts.merge(vm, 1, Integer::sum) > CAPACITY) {
                 refuse(request, vm, RefusalCode.OVERLOADED);
             } else {
                 request.on(new RequestInput.AnswerStarted(vm), Instant.EPOCH);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/SharedRetryBudgetTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/SharedRetryBudgetTest.java
@@ -17,7 +17,7 @@
     private static final double EXTRA = 52;
 
     @Test
-    void aRouterWithoutRequestsHasItsEvenPartOfTheExtra() {
+    void aRouterWithoutRequestsGetsItsEqualShareOfTheExtra() {
         SharedRetryBudget budget = new SharedRetryBudget(WINDOW, RATIO, EXTRA);
         int taken = 0;
         while (budget.takeRetry(ROUTERS, Instant.EPOCH)) {
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void noSlidingWindowHasMoreThanTheBound() {
+    void retriesStayWithinTheLimitInEveryWindow() {
         // All upstreams fail, and each router retries every request once. In any ten seconds the
         // retries of all routers together stay within the common limit.
         SplittableRandom random = new SplittableRandom(7);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/serving/FairWaitingTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/serving/FairWaitingTest.java
@@ -26,7 +26,7 @@
     private ServingMachine agent = ServingMachine.of(1, 4);
 
     @Test
-    void aModestWorkspaceGoesBeforeTheLineOfAGreedyOne() {
+    void aRequestOfAnotherWorkspaceRunsBeforeTheQueueOfTheBusiestOne() {
         // Served in order of arrival, the modest workspace would wait for the whole queue.
         for (int i = 1; i <= 4; i++) {
             arrive(i, "greedy", DEADLINE);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aFullQueueLetsAnotherWorkspaceInAtTheCostOfTheLongestLine() {
+    void aFullQueueReplacesTheNewestRequestOfTheLargestWorkspace() {
         for (int i = 1; i <= 5; i++) {
             arrive(i, "greedy", DEADLINE);
         }
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aWorkspaceOfTwiceTheWeightGetsTwoTurnsOfThree() {
+    void aWorkspaceWithTwiceTheWeightGetsTwoOfThreeRuns() {
         agent = ServingMachine.of(1, 100, each -> each.value().equals("heavy") ? 2.0 : 1.0);
         for (int i = 1; i <= 30; i++) {
             arrive(i, i % 2 == 0 ? "heavy" : "light", DEADLINE);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aDeadlineThatTheQueueMakesUnreachableIsRefusedAtOnceWithATimeToComeBack() {
+    void aRequestThatCannotMeetItsDeadlineIsRefusedAtOnceWithARetryTime() {
         // Without the check the caller would be refused only when the deadline has passed.
         arrive(1, "kitchens", DEADLINE);
         agent.on(new ServingInput.RunFinished(id(1)), NOW.plusSeconds(4));
@@ -93,7 +93,7 @@
         // twice, or queued past the first tick after its deadline.
         Random random = new Random(seed);
         agent = ServingMachine.of(3, 10);
-        Map<ExchangeId, Instant> open = new HashMap<>();
+        Map<ExchangeId, Instant> unanswered = new HashMap<>();
         List<ExchangeId> running = new ArrayList<>();
         Instant now = NOW;
         for (int step = 0; step < 300; step++) {
@@ -102,38 +102,44 @@
             int kind = random.nextInt(4);
             if (kind <= 1) {
                 Instant deadline = now.plusMillis(random.nextInt(5_000));
-                WorkspaceId line = WorkspaceId.of("workspace-" + random.nextInt(3));
-                input = new ServingInput.RequestArrived(id(step), line, Optional.empty(), deadline);
-                open.put(id(step), deadline);
+                WorkspaceId workspaceId = WorkspaceId.of("workspace-" + random.nextInt(3));
+                input =
+                        new ServingInput.RequestArrived(
+                                id(step), workspaceId, Optional.empty(), deadline);
+                unanswered.put(id(step), deadline);
             } else if (kind == 2 && !running.isEmpty()) {
                 ExchangeId done = running.remove(random.nextInt(running.size()));
                 input = new ServingInput.RunFinished(done);
             }
             for (ServingAction action : agent.on(input, now)) {
-                ExchangeId told = told(action);
-                assertTrue(open.remove(told) != null, () -> told + " was answered twice");
+                ExchangeId answered = idOf(action);
+                assertTrue(
+                        unanswered.remove(answered) != null,
+                        () -> answered + " was answered twice");
                 if (action instanceof ServingAction.Run) {
-                    running.add(told);
+                    running.add(answered);
                 }
             }
             assertTrue(running.size() <= 3);
             if (input instanceof ServingInput.Tick) {
                 Instant tick = now;
-                assertTrue(open.values().stream().allMatch(tick::isBefore));
+                assertTrue(unanswered.values().stream().allMatch(tick::isBefore));
             }
         }
     }
 
-    private static ExchangeId told(ServingAction action) {
+    private static ExchangeId idOf(ServingAction action) {
         return action instanceof ServingAction.Run run
                 ? run.id()
                 : ((ServingAction.Refuse) action).id();
     }
 
     private List<ServingAction> arrive(long number, String workspace, Instant deadline) {
-        WorkspaceId line = WorkspaceId.of(workspace);
+        WorkspaceId workspaceId = WorkspaceId.of(workspace);
         return agent.on(
-                new ServingInput.RequestArrived(id(number), line, Optional.empty(), deadline), NOW);
+                new ServingInput.RequestArrived(
+                        id(number), workspaceId, Optional.empty(), deadline),
+                NOW);
     }
 
     private List<ServingAction> finish(long number) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingMachineTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void noMoreRunThanTheUpstreamTakes() {
+    void atMostMaxRunningRequestsAreAtTheUpstream() {
         agent.on(arrival(1, Optional.empty()), NOW);
         assertEquals(List.of(), agent.on(arrival(2, Optional.empty()), NOW));
         List<ServingAction> actions = agent.on(new ServingInput.RunFinished(id(1)), NOW);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aFailedLoadRefusesWhoWaitsForIt() {
+    void aFailedLoadRefusesTheRequestThatWaitsForIt() {
         agent.on(arrival(1, Optional.of(MODEL)), NOW);
         List<ServingAction> actions =
                 agent.on(new ServingInput.ModelUnavailable(id(1), NO_LOAD), NOW);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void whoWaitsPastItsDeadlineIsRefusedAsNotRun() {
+    void aQueuedRequestPastItsDeadlineIsRefusedAsNotRun() {
         agent.on(arrival(1, Optional.of(MODEL)), NOW);
         List<ServingAction> actions = agent.on(new ServingInput.Tick(), DEADLINE);
         assertEquals(new ServingAction.CancelAcquire(id(1), MODEL), actions.get(0));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aDrainingAgentFinishesWhatItHasAndTakesNothingNew() {
+    void aDrainingAgentFinishesItsRequestsAndRefusesNewOnes() {
         agent.on(arrival(1, Optional.empty()), NOW);
         agent.on(new ServingInput.DrainStarted(), NOW);
         List<ServingAction> actions = agent.on(arrival(2, Optional.empty()), NOW);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/serving/ServingSessionTest.java
@@ -15,12 +15,12 @@
     private static final Optional<ModelName> CUT_SHEET = Optional.of(ModelName.of("cut-sheet"));
 
     private final ServingMachine agent = ServingMachine.of(1, 3);
-    private final StringBuilder lines = new StringBuilder();
+    private final StringBuilder transcript = new StringBuilder();
     private long now;
 
     @Test
     void aWholeSession() {
-        say("Two requests wait for the load of the same model");
+        heading("Two requests wait for the load of the same model");
         arrive(1, "kitchens", CUT_SHEET, 10_000);
         arrive(2, "kitchens", CUT_SHEET, 10_000);
         after(900);
@@ -28,7 +28,7 @@
         feed("ready 2", new ServingInput.ModelReady(id(2)));
         after(1_000);
         feed("finished 1", new ServingInput.RunFinished(id(1)));
-        say(
+        heading(
                 "One workspace fills the queue; another one's request replaces its newest and runs"
                         + " first");
         arrive(3, "kitchens", Optional.empty(), 20_000);
@@ -36,23 +36,23 @@
         arrive(5, "kitchens", Optional.empty(), 20_000);
         arrive(6, "leases", Optional.empty(), 20_000);
         feed("finished 2", new ServingInput.RunFinished(id(2)));
-        say("A queued request is cancelled; a load fails; a deadline can't be met");
-        feed("gone 4", new ServingInput.RequestCancelled(id(4)));
+        heading("A queued request is cancelled; a load fails; a deadline can't be met");
+        feed("cancelled 4", new ServingInput.RequestCancelled(id(4)));
         arrive(7, "leases", CUT_SHEET, 5_000);
         Refusal failed = Refusal.notRun(RefusalCode.LOAD_FAILED, "the engine said no");
         feed("unavailable 7", new ServingInput.ModelUnavailable(id(7), failed));
         arrive(8, "leases", CUT_SHEET, 50);
         after(50);
         feed("tick", new ServingInput.Tick());
-        say("The agent drains: it refuses new requests and finishes those it has");
+        heading("The agent drains: it refuses new requests and finishes those it has");
         feed("drain", new ServingInput.DrainStarted());
         arrive(9, "leases", Optional.empty(), 10_000);
         for (long number : new long[] {6, 3, 5}) {
             after(100);
             feed("finished " + number, new ServingInput.RunFinished(id(number)));
         }
-        lines.append("drained: ").append(agent.isDrained()).append('\n');
-        Approvals.verify(lines);
+        transcript.append("drained: ").append(agent.isDrained()).append('\n');
+        Approvals.verify(transcript);
     }
 
     private void arrive(long number, String workspace, Optional<ModelName> model, long millis) {
@@ -67,14 +67,14 @@
         now += millis;
     }
 
-    private void say(String what) {
-        lines.append("\n# ").append(what).append('\n');
+    private void heading(String text) {
+        transcript.append("\n# ").append(text).append('\n');
     }
 
-    private void feed(String what, ServingInput input) {
-        lines.append(now).append(" ms ").append(what).append('\n');
+    private void feed(String description, ServingInput input) {
+        transcript.append(now).append(" ms ").append(description).append('\n');
         for (ServingAction action : agent.on(input, Instant.ofEpochMilli(now))) {
-            lines.append("    ").append(action).append('\n');
+            transcript.append("    ").append(action).append('\n');
         }
     }
 
