--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimBatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/ClaimBatcher.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.claims;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.claims.ClaimAction.Result;
 import io.damaskyoke.platform.KeyValueStore.Entry;
 import io.damaskyoke.platform.KeyValueStore.TxnResult;
@@ -18,22 +18,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Gathers changes of claims for a few milliseconds and commits them in one transaction, one
- * transaction at a time: {@code batcher.on(new ClaimInput.Submit(write), now)}.
+ * State machine that batches writes of claims for a few milliseconds and commits them in one
+ * transaction, with one commit in flight at a time: {@code batcher.on(new
+ * ClaimInput.WriteSubmitted(write), now)}.
  *
- * <p>The platform's service counts calls, not keys; so what comes while a commit is under way
- * shares the next one. If some of them are blocked, those are told so and the rest goes again.
+ * <p>The platform's store service counts calls, not keys, so writes that arrive during a commit
+ * share the next one. If a transaction fails because of conflicts, the conflicting writes are
+ * reported and the others are committed again.
  *
- * <p>After a lost answer the same transaction is sent again. Every claim holds the id of its
- * request, so a change that finds its own value in the store knows that it took effect the first
- * time; nothing else can have written that value.
+ * <p>If the answer of a commit is lost, its writes are committed again. Every claim contains the id
+ * of its request, so a write that finds its own value in the store took effect the first time; no
+ * other request can have written that value.
  */
-public final class ClaimBatcher implements Machine<ClaimInput, ClaimAction> {
+public final class ClaimBatcher implements StateMachine<ClaimInput, ClaimAction> {
     private final ClaimSettings settings;
     private final RandomGenerator random;
-    private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
-    private List<Waiting> underWay = List.of();
-    private Instant notBefore = Instant.MIN;
+    private final Map<Long, PendingWrite> waiting = new LinkedHashMap<>();
+    private List<PendingWrite> inFlight = List.of();
+    private Instant retryAt = Instant.MIN;
     private int failures;
 
     private ClaimBatcher(ClaimSettings settings, RandomGenerator random) {
@@ -41,127 +43,140 @@
         this.random = random;
     }
 
-    /** A batcher with nothing to do; the random source spreads retries. */
+    /**
+     * Creates a batcher without pending writes.
+     *
+     * @param random source of the jitter of the backoff
+     */
     public static ClaimBatcher of(ClaimSettings settings, RandomGenerator random) {
         return new ClaimBatcher(
                 Objects.requireNonNull(settings, "settings"),
                 Objects.requireNonNull(random, "random"));
     }
 
-    /** How many changes wait or are under way. */
+    /** Returns the number of writes that wait or are in the commit in flight. */
     public int pending() {
-        return waiting.size() + underWay.size();
+        return waiting.size() + inFlight.size();
     }
 
     @Override
     public List<ClaimAction> on(ClaimInput input, Instant now) {
         List<ClaimAction> actions = new ArrayList<>();
-        if (input instanceof ClaimInput.Submit submit) {
+        if (input instanceof ClaimInput.WriteSubmitted submit) {
             submit(submit.write(), now, actions);
-        } else if (input instanceof ClaimInput.Answered answered) {
+        } else if (input instanceof ClaimInput.CommitAnswered answered) {
             answered(answered.result(), actions);
-        } else if (input instanceof ClaimInput.Failed failed) {
+        } else if (input instanceof ClaimInput.CommitFailed failed) {
             failed(failed.mayHaveTakenEffect(), now);
         }
-        giveUpLate(now, actions);
-        commitOrWait(now, actions);
+        abandonExpired(now, actions);
+        commitOrScheduleWake(now, actions);
         return actions;
     }
 
-    // An outage would fill the router with payments that wait, until lookups, which need no claim,
-    // find no place; so only so many may wait, and the next is refused at once.
+    // During an outage of the store, waiting payments would fill the router until idempotent
+    // requests, which need no claim, were refused too. So pending writes are limited, and the next
+    // one is given up at once.
     private void submit(ClaimWrite write, Instant now, List<ClaimAction> actions) {
         if (pending() >= settings.maxPending()) {
-            actions.add(new ClaimAction.Done(write.id(), new Result.GaveUp(false)));
+            actions.add(new ClaimAction.CompleteWrite(write.id(), new Result.Abandoned(false)));
             return;
         }
-        Duration gather = write.urgent() ? settings.gather() : settings.lazyGather();
-        waiting.put(write.id(), new Waiting(write, now.plus(gather), false));
+        Duration delay = write.urgent() ? settings.batchDelay() : settings.backgroundBatchDelay();
+        waiting.put(write.id(), new PendingWrite(write, now.plus(delay), false));
     }
 
     private void answered(TxnResult result, List<ClaimAction> actions) {
-        List<Waiting> done = takeUnderWay();
+        List<PendingWrite> writes = takeInFlight();
         failures = 0;
         if (result.committed()) {
-            for (Waiting each : done) {
-                actions.add(done(each, new Result.Written(result.revision())));
+            for (PendingWrite each : writes) {
+                actions.add(complete(each, new Result.Written(result.revision())));
             }
             return;
         }
         Map<String, Entry> found = new HashMap<>();
         result.found().forEach(entry -> found.put(entry.key(), entry));
-        List<Waiting> again = new ArrayList<>();
-        for (Waiting each : done) {
-            Optional<Entry> there = Optional.ofNullable(found.get(each.write.key()));
-            if (each.write.madeBy(there)) {
-                long revision = there.map(Entry::modRevision).orElse(result.revision());
-                actions.add(done(each, new Result.Written(revision)));
-            } else if (each.write.blockedBy(there)) {
-                actions.add(done(each, new Result.Conflict(there)));
+        List<PendingWrite> retried = new ArrayList<>();
+        for (PendingWrite each : writes) {
+            Optional<Entry> current = Optional.ofNullable(found.get(each.write.key()));
+            if (each.write.isAppliedIn(current)) {
+                long revision = current.map(Entry::modRevision).orElse(result.revision());
+                actions.add(complete(each, new Result.Written(revision)));
+            } else if (each.write.conflictsWith(current)) {
+                actions.add(complete(each, new Result.Conflict(current)));
             } else {
-                again.add(each);
+                retried.add(each);
             }
         }
-        putBack(again);
+        requeue(retried);
     }
 
     private void failed(boolean mayHaveTakenEffect, Instant now) {
-        List<Waiting> again = new ArrayList<>();
-        for (Waiting each : takeUnderWay()) {
-            again.add(new Waiting(each.write, each.due, each.mayHave || mayHaveTakenEffect));
+        List<PendingWrite> retried = new ArrayList<>();
+        for (PendingWrite each : takeInFlight()) {
+            retried.add(
+                    new PendingWrite(
+                            each.write, each.dueAt, each.mayHaveTakenEffect || mayHaveTakenEffect));
         }
-        putBack(again);
-        notBefore = now.plus(pause());
+        requeue(retried);
+        retryAt = now.plus(backoff());
         failures++;
     }
 
-    private Duration pause() {
-        long limit = settings.retryFirst().toMillis() << Math.min(failures, 10);
-        long millis = Math.min(limit, settings.retryMost().toMillis());
+    private Duration backoff() {
+        long limit = settings.initialBackoff().toMillis() << Math.min(failures, 10);
+        long millis = Math.min(limit, settings.maxBackoff().toMillis());
         return Duration.ofMillis(millis / 2 + random.nextLong(millis / 2 + 1));
     }
 
-    private void giveUpLate(Instant now, List<ClaimAction> actions) {
+    private void abandonExpired(Instant now, List<ClaimAction> actions) {
         waiting.values()
                 .removeIf(
                         each -> {
-                            boolean late = !now.isBefore(each.write.giveUp());
-                            if (late) {
-                                actions.add(done(each, new Result.GaveUp(each.mayHave)));
+                            boolean expired = !now.isBefore(each.write.giveUpAt());
+                            if (expired) {
+                                actions.add(
+                                        complete(
+                                                each,
+                                                new Result.Abandoned(each.mayHaveTakenEffect)));
                             }
-                            return late;
+                            return expired;
                         });
     }
 
-    private void commitOrWait(Instant now, List<ClaimAction> actions) {
-        if (!underWay.isEmpty() || waiting.isEmpty()) {
+    private void commitOrScheduleWake(Instant now, List<ClaimAction> actions) {
+        if (!inFlight.isEmpty() || waiting.isEmpty()) {
             return;
         }
-        Instant due = waiting.values().stream().map(Waiting::due).min(Instant::compareTo).get();
-        Instant next = due.isBefore(notBefore) ? notBefore : due;
+        Instant dueAt =
+                waiting.values().stream().map(PendingWrite::dueAt).min(Instant::compareTo).get();
+        Instant next = dueAt.isBefore(retryAt) ? retryAt : dueAt;
         if (now.isBefore(next)) {
-            Instant end =
+            Instant giveUpAt =
                     waiting.values().stream()
-                            .map(each -> each.write.giveUp())
+                            .map(each -> each.write.giveUpAt())
                             .min(Instant::compareTo)
                             .get();
-            actions.add(new ClaimAction.WakeAt(end.isBefore(next) ? end : next));
+            actions.add(new ClaimAction.WakeAt(giveUpAt.isBefore(next) ? giveUpAt : next));
             return;
         }
-        underWay = nextBatch();
-        underWay.forEach(each -> waiting.remove(each.write.id()));
-        actions.add(new ClaimAction.Commit(underWay.stream().map(Waiting::write).toList()));
+        inFlight = nextBatch();
+        inFlight.forEach(each -> waiting.remove(each.write.id()));
+        actions.add(new ClaimAction.Commit(inFlight.stream().map(PendingWrite::write).toList()));
     }
 
-    // A transaction must not change a key twice, or the store refuses the whole of it; so the
-    // second of two repeats that come together waits for the next one, where it finds the first.
-    private List<Waiting> nextBatch() {
-        List<Waiting> batch = new ArrayList<>();
+    // The store rejects a transaction that changes a key twice. So the second of two writes to the
+    // same key waits for the next transaction, where it finds the result of the first.
+    private List<PendingWrite> nextBatch() {
+        List<PendingWrite> batch = new ArrayList<>();
         Set<String> keys = new HashSet<>();
         int bytes = 0;
-        for (Waiting each : waiting.values()) {
+        for (PendingWrite each : waiting.values()) {
             bytes += each.write.size();
-            boolean full = batch.size() >= settings.maxOperations() || bytes > settings.maxBytes();
+            boolean full =
+                    batch.size() >= settings.maxOperations()
+                            || bytes > settings.maxTransactionBytes();
             if (full && !batch.isEmpty()) {
                 break;
             }
@@ -172,22 +187,22 @@
         return batch;
     }
 
-    private List<Waiting> takeUnderWay() {
-        List<Waiting> taken = underWay;
-        underWay = List.of();
+    private List<PendingWrite> takeInFlight() {
+        List<PendingWrite> taken = inFlight;
+        inFlight = List.of();
         return taken;
     }
 
-    private void putBack(List<Waiting> again) {
-        Map<Long, Waiting> later = new LinkedHashMap<>(waiting);
+    private void requeue(List<PendingWrite> retried) {
+        Map<Long, PendingWrite> later = new LinkedHashMap<>(waiting);
         waiting.clear();
-        again.forEach(each -> waiting.put(each.write.id(), each));
+        retried.forEach(each -> waiting.put(each.write.id(), each));
         waiting.putAll(later);
     }
 
-    private static ClaimAction done(Waiting each, Result result) {
-        return new ClaimAction.Done(each.write.id(), result);
+    private static ClaimAction complete(PendingWrite each, Result result) {
+        return new ClaimAction.CompleteWrite(each.write.id(), result);
     }
 
-    private record Waiting(ClaimWrite write, Instant due, boolean mayHave) {}
+    private record PendingWrite(ClaimWrite write, Instant dueAt, boolean mayHaveTakenEffect) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/claims/RepeatPolicy.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/claims/RepeatPolicy.java
@@ -7,92 +7,97 @@
 import java.util.Optional;
 
 /**
- * What a request gets whose key is claimed already, from what the store holds and what the agent
- * named there says of it.
+ * Decides how to handle a request whose idempotency key is already claimed, from the claim in the
+ * store and the report of the agent named in it.
  *
- * <p>{@code not_run} is about the request that the key names, not about this repeat of it: a caller
- * who reads "not run" may pay another way, and must not when the first try may have run.
+ * <p>{@code not_run} refers to the operation that the key identifies, not only to this repeat: a
+ * caller who reads "not run" may pay another way, and must not do so if the first attempt may have
+ * run.
  */
 public final class RepeatPolicy {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private RepeatPolicy() {}
 
-    /** What to do with a repeat. */
-    public sealed interface Verdict {
-        /** Give the recorded answer. */
-        record Replay(ClaimRecord settled) implements Verdict {}
+    /** How a repeat is handled. */
+    public sealed interface Decision {
+        /** Return the recorded answer. */
+        record Replay(ClaimRecord settled) implements Decision {}
 
-        /** Refuse. */
-        record Refuse(Refusal refusal) implements Verdict {}
+        /** Refuse the repeat. */
+        record Refuse(Refusal refusal) implements Decision {}
 
-        /** The claim's request surely never runs: replace the claim by one's own, and run. */
-        record TakeOver() implements Verdict {}
+        /** Replace the claim and run the repeat, since the claim's request never runs. */
+        record TakeOver() implements Decision {}
 
-        /** Ask the claim's agent first. */
-        record AskAgent() implements Verdict {}
+        /** Query the agent named in the claim, then decide from its report. */
+        record AskAgent() implements Decision {}
     }
 
-    /** The verdict from the store alone. */
-    public static Verdict fromStore(ClaimRecord found, String digest) {
+    /** Decides from the claim in the store. */
+    public static Decision decideFromStore(ClaimRecord found, String digest) {
         if (!found.digest().equals(digest)) {
             return refuse(
                     Refusal.notRun(
                             RefusalCode.KEY_REUSED,
-                            "this Idempotency-Key came before with another request"));
+                            "this Idempotency-Key was used before with a different request"));
         }
         return switch (found.state()) {
             case SETTLED -> replay(found);
             case UNKNOWN -> unknown();
-            case NOT_RUN -> new Verdict.TakeOver();
-            case CLAIMED -> new Verdict.AskAgent();
+            case NOT_RUN -> new Decision.TakeOver();
+            case CLAIMED -> new Decision.AskAgent();
         };
     }
 
     /**
-     * The verdict once the agent was asked.
+     * Decides after the agent was queried.
      *
-     * @param agent the agent's word; empty if it knows nothing of the key or can't be reached
+     * @param agent the agent's report; empty if it has no record of the key or can't be reached
      */
-    public static Verdict fromAgent(ClaimRecord found, Optional<ClaimRecord> agent, Instant now) {
-        Optional<ClaimRecord> same = agent.filter(told -> told.exchange().equals(found.exchange()));
-        if (same.isPresent()) {
-            return switch (same.get().state()) {
-                case SETTLED -> replay(found.settled(same.get().outcome().orElseThrow()));
+    public static Decision decideFromAgent(
+            ClaimRecord found, Optional<ClaimRecord> agent, Instant now) {
+        Optional<ClaimRecord> report =
+                agent.filter(record -> record.exchange().equals(found.exchange()));
+        if (report.isPresent()) {
+            return switch (report.get().state()) {
+                case SETTLED -> replay(found.settled(report.get().outcome().orElseThrow()));
                 case UNKNOWN -> unknown();
-                case NOT_RUN -> new Verdict.TakeOver();
+                case NOT_RUN -> new Decision.TakeOver();
                 case CLAIMED -> inProgress();
             };
         }
         return now.isBefore(found.until()) ? inProgress() : unknown();
     }
 
-    private static Verdict replay(ClaimRecord settled) {
+    private static Decision replay(ClaimRecord settled) {
         if (settled.outcome().orElseThrow().body().isPresent()) {
-            return new Verdict.Replay(settled);
+            return new Decision.Replay(settled);
         }
         return refuse(
                 Refusal.mayHaveRun(
                         RefusalCode.ANSWER_NOT_KEPT,
-                        "it ran once and was answered with status "
+                        "the request ran once and was answered with status "
                                 + settled.outcome().get().status()
                                 + "; the body was not kept"));
     }
 
-    private static Verdict unknown() {
+    private static Decision unknown() {
         return refuse(
                 Refusal.mayHaveRun(
                         RefusalCode.OUTCOME_UNKNOWN,
-                        "a request with this key may have run; it will not be run again"));
+                        "a request with this Idempotency-Key may have run; it is not run again"));
     }
 
-    private static Verdict inProgress() {
+    private static Decision inProgress() {
         return refuse(
-                Refusal.mayHaveRun(RefusalCode.IN_PROGRESS, "a request with this key is under way")
-                        .retryAfter(COME_BACK));
+                Refusal.mayHaveRun(
+                                RefusalCode.IN_PROGRESS,
+                                "a request with this Idempotency-Key is still running")
+                        .retryAfter(RETRY_AFTER));
     }
 
-    private static Verdict refuse(Refusal refusal) {
-        return new Verdict.Refuse(refusal);
+    private static Decision refuse(Refusal refusal) {
+        return new Decision.Refuse(refusal);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RecentOutcomes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/RecentOutcomes.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.crashes;
 
-import io.damaskyoke.control.RecentlyUsed;
+import io.damaskyoke.control.LruMap;
 import java.time.Instant;
 import java.util.Map;
 import java.util.Optional;
@@ -27,7 +27,7 @@
 
     /** Creates a memory of at most this many requests; the least recently seen ones are evicted. */
     public RecentOutcomes(int maxRequests) {
-        this.outcomes = new RecentlyUsed<>(maxRequests);
+        this.outcomes = new LruMap<>(maxRequests);
     }
 
     /** Records that a run that was sent at {@code sentAt} has succeeded now. */
--- a/damaskyoke/src/main/java/io/damaskyoke/control/crashes/SuspectRequests.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/crashes/SuspectRequests.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.crashes;
 
-import io.damaskyoke.control.RecentlyUsed;
+import io.damaskyoke.control.LruMap;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -23,12 +23,12 @@
 
     private final CrashSettings settings;
     private final Map<RequestDigest, CrashEvidence> evidence;
-    private final Map<UpstreamCrash, Instant> crashes = new RecentlyUsed<>(MAX_CRASHES);
+    private final Map<UpstreamCrash, Instant> crashes = new LruMap<>(MAX_CRASHES);
 
     /** Creates a counter without suspects. */
     public SuspectRequests(CrashSettings settings) {
         this.settings = settings;
-        this.evidence = new RecentlyUsed<>(settings.maxSuspects());
+        this.evidence = new LruMap<>(settings.maxSuspects());
     }
 
     /**
--- a/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/loads/LoadPlanner.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.loads;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.direct.EngineSpec;
 import io.damaskyoke.control.upstreams.HeldModels;
 import io.damaskyoke.control.upstreams.ModelRef;
@@ -30,7 +30,7 @@
  * upstream must have accepted before, so a delayed order finds another number and is not carried
  * out, and an upstream never holds more than was counted.
  */
-public final class LoadPlanner implements Machine<LoadInput, LoadAction> {
+public final class LoadPlanner implements StateMachine<LoadInput, LoadAction> {
     /**
      * Minimum time between report requests to an upstream. Reports lag by about a tenth of a
      * second, so more frequent requests return nothing new.
--- a/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/rates/RateMachine.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.rates;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.control.configuration.Workspace;
 import io.damaskyoke.id.Incarnation;
 import io.damaskyoke.id.VmId;
@@ -20,7 +20,7 @@
  * that arrives leads to exactly one {@code AdmitRequest} or {@code RefuseRequest}, at the latest at
  * the first tick after its queue timeout.
  */
-public final class RateMachine implements Machine<RateInput, RateAction> {
+public final class RateMachine implements StateMachine<RateInput, RateAction> {
     /** How often the store is read for a workspace whose first table another router must write. */
     private static final Duration FOUNDING_READ_PERIOD = Duration.ofMillis(200);
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/Fleet.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/Fleet.java
@@ -21,138 +21,158 @@
 import scala.util.hashing.MurmurHash3$;
 
 /**
- * The agents that a router knows, and what it knows of each: {@code fleet.holder(model, tried,
- * now)}. Belongs to the control thread.
+ * The agents known to a router with their load and state, from which it selects one for a request:
+ * {@code fleet.selectForModel(model, tried, now)}. Used on the control thread only.
  */
 public final class Fleet {
     private static final int HASH_SEED = 0x2f0b4c47;
 
-    private final AvailabilityZone here;
-    private final Map<VmId, Member> members = new TreeMap<>();
+    private final AvailabilityZone localZone;
+    private final Map<VmId, AgentEndpoint> endpoints = new TreeMap<>();
     private final Map<VmId, AgentLoad> loads = new HashMap<>();
     private final Map<VmId, Integer> outstanding = new HashMap<>();
-    private final Map<VmId, Instant> suspended = new HashMap<>();
+    private final Map<VmId, Instant> suspendedUntil = new HashMap<>();
     private final Set<VmId> draining = new HashSet<>();
     private Set<VmId> leaving = Set.of();
-    private Map<ModelName, Set<VmId>> holders = Map.of();
-    private Map<PoolName, List<Member>> pools = Map.of();
+    private Map<ModelName, Set<VmId>> replicaHolders = Map.of();
+    private Map<PoolName, List<AgentEndpoint>> pools = Map.of();
 
-    private Fleet(AvailabilityZone here) {
-        this.here = here;
+    private Fleet(AvailabilityZone localZone) {
+        this.localZone = localZone;
     }
 
-    /** An empty fleet, seen from this availability zone. */
-    public static Fleet from(AvailabilityZone here) {
-        return new Fleet(here);
+    /** Creates an empty fleet for a router in this availability zone. */
+    public static Fleet from(AvailabilityZone localZone) {
+        return new Fleet(localZone);
     }
 
-    /** Takes in who is there now and who is leaving; what is known of those that stay is kept. */
-    public void update(Collection<Member> present, Set<VmId> listedAsLeaving) {
-        members.clear();
-        present.forEach(member -> members.put(member.vm(), member));
-        pools = members.values().stream().collect(Collectors.groupingBy(Member::pool));
-        loads.keySet().retainAll(members.keySet());
-        suspended.keySet().retainAll(members.keySet());
-        draining.retainAll(members.keySet());
+    /**
+     * Replaces the list of agents; the known load and state of agents that stay is kept.
+     *
+     * @param present endpoints of all registered agents
+     * @param listedAsLeaving VMs that are leaving and get no new requests
+     */
+    public void update(Collection<AgentEndpoint> present, Set<VmId> listedAsLeaving) {
+        endpoints.clear();
+        present.forEach(agent -> endpoints.put(agent.vm(), agent));
+        pools = endpoints.values().stream().collect(Collectors.groupingBy(AgentEndpoint::pool));
+        loads.keySet().retainAll(endpoints.keySet());
+        suspendedUntil.keySet().retainAll(endpoints.keySet());
+        draining.retainAll(endpoints.keySet());
         leaving = Set.copyOf(listedAsLeaving);
     }
 
-    /** Takes in who may hold a replica of each model; requests go nowhere else. */
-    public void placed(Map<ModelName, Set<VmId>> newHolders) {
-        holders = Map.copyOf(newHolders);
+    /** Sets the VMs that may hold a replica of each model; requests are sent only to these. */
+    public void setReplicaHolders(Map<ModelName, Set<VmId>> newHolders) {
+        replicaHolders = Map.copyOf(newHolders);
     }
 
-    /** True if some VM may hold the model. */
-    public boolean isPlaced(ModelName model) {
-        return holders.containsKey(model);
+    /** Returns true if at least one VM may hold the model. */
+    public boolean hasReplicaHolder(ModelName model) {
+        return replicaHolders.containsKey(model);
     }
 
-    /** Takes in what an agent says of its load. */
-    public void loaded(VmId vm, AgentLoad load) {
+    /** Records the load that an agent reported. */
+    public void updateLoad(VmId vm, AgentLoad load) {
         loads.put(vm, load);
     }
 
-    /** An agent says that it takes no new work. */
-    public void draining(VmId vm) {
+    /** Marks an agent as draining, so that it is not selected. */
+    public void markDraining(VmId vm) {
         draining.add(vm);
     }
 
-    /** A new life of an agent, which takes work again whatever its last life said. */
-    public void returned(VmId vm) {
+    /** Clears the state of an agent that restarted; a new incarnation accepts requests again. */
+    public void markRestarted(VmId vm) {
         draining.remove(vm);
-        suspended.remove(vm);
+        suspendedUntil.remove(vm);
         loads.remove(vm);
     }
 
-    /** Keeps an agent that can't be reached out of the choice for a while. */
+    /** Excludes an unreachable agent from selection for this time. */
     public void suspend(VmId vm, Instant now, Duration time) {
-        suspended.put(vm, now.plus(time));
+        suspendedUntil.put(vm, now.plus(time));
     }
 
-    /** Counts a request that was sent to an agent and not answered yet. */
-    public void sent(VmId vm) {
+    /** Counts a request that was sent to an agent as outstanding. */
+    public void countSent(VmId vm) {
         outstanding.merge(vm, 1, Integer::sum);
     }
 
-    /** Counts a request that an agent is done with. */
-    public void done(VmId vm) {
+    /** Counts an outstanding request of an agent as finished. */
+    public void countFinished(VmId vm) {
         outstanding.computeIfPresent(vm, (id, count) -> count > 1 ? count - 1 : null);
     }
 
-    /** True while a request that was sent to an agent is not over. */
-    public boolean isBusy(VmId vm) {
+    /** Returns true if the agent has outstanding requests from this router. */
+    public boolean hasOutstandingRequests(VmId vm) {
         return outstanding.containsKey(vm);
     }
 
-    /** Where an agent is reached, if it is known. */
-    public Optional<Member> member(VmId vm) {
-        return Optional.ofNullable(members.get(vm));
+    /** Returns the endpoint of an agent, or empty if the agent is unknown. */
+    public Optional<AgentEndpoint> endpoint(VmId vm) {
+        return Optional.ofNullable(endpoints.get(vm));
     }
 
-    /** All agents known, by VM. */
-    public List<Member> members() {
-        return List.copyOf(members.values());
+    /** Returns the endpoints of all known agents, ordered by VM. */
+    public List<AgentEndpoint> endpoints() {
+        return List.copyOf(endpoints.values());
     }
 
-    /** What an agent last said of its load. */
+    /** Returns the load that an agent last reported. */
     public AgentLoad load(VmId vm) {
         return loads.getOrDefault(vm, AgentLoad.UNKNOWN);
     }
 
     /**
-     * The agent for a model. One that has it in memory and is not full is best; else one that is
-     * loading it; else the first of those with a right to it, on which all routers agree without
-     * talking, so that a burst of first requests at many routers meets at one agent.
+     * Selects the agent for a request to a model: an agent with free capacity that has loaded the
+     * model, else one that is loading it, else a full one that has loaded it, else the first of the
+     * agents that may hold it in rendezvous order. All routers compute the same order, so a burst
+     * of first requests at many routers loads the model at one agent only.
+     *
+     * @param tried agents that already got the request and are excluded
      */
-    public Optional<VmId> holder(Model model, Set<VmId> tried, Instant now) {
-        List<Member> homes = homes(model, tried, now);
+    public Optional<VmId> selectForModel(Model model, Set<VmId> tried, Instant now) {
+        List<AgentEndpoint> candidates = candidatesFor(model, tried, now);
         ModelName name = model.name();
-        return best(homes, member -> holds(member, name) && pressure(member) < 1.0)
-                .or(() -> best(homes, member -> load(member.vm()).loading().contains(name)))
-                .or(() -> best(homes, member -> holds(member, name)))
-                .or(() -> homes.stream().findFirst().map(Member::vm));
+        return leastLoaded(candidates, agent -> hasLoaded(agent, name) && utilization(agent) < 1.0)
+                .or(
+                        () ->
+                                leastLoaded(
+                                        candidates,
+                                        agent -> load(agent.vm()).loading().contains(name)))
+                .or(() -> leastLoaded(candidates, agent -> hasLoaded(agent, name)))
+                .or(() -> candidates.stream().findFirst().map(AgentEndpoint::vm));
     }
 
-    /** The agent of a plain service with the least to do, the nearest zone first among equals. */
-    public Optional<VmId> server(PoolName pool, Set<VmId> tried, Instant now) {
-        List<Member> servers =
+    /**
+     * Selects the least loaded agent in the pool of a plain service; among equals, one in the
+     * router's own availability zone is preferred.
+     *
+     * @param tried agents that already got the request and are excluded
+     */
+    public Optional<VmId> selectForService(PoolName pool, Set<VmId> tried, Instant now) {
+        List<AgentEndpoint> candidates =
                 pools.getOrDefault(pool, List.of()).stream()
-                        .filter(member -> isChoosable(member.vm(), tried, now))
+                        .filter(agent -> isSelectable(agent.vm(), tried, now))
                         .toList();
-        return best(servers, member -> true);
+        return leastLoaded(candidates, agent -> true);
     }
 
-    private List<Member> homes(Model model, Set<VmId> tried, Instant now) {
+    private List<AgentEndpoint> candidatesFor(Model model, Set<VmId> tried, Instant now) {
         String name = model.base().orElse(model.name()).value();
-        return holders.getOrDefault(model.name(), Set.of()).stream()
-                .map(members::get)
-                .filter(member -> member != null && member.pool().equals(model.pool()))
-                .filter(member -> isChoosable(member.vm(), tried, now))
-                .sorted(Comparator.comparingInt((Member member) -> weight(name, member)).reversed())
+        return replicaHolders.getOrDefault(model.name(), Set.of()).stream()
+                .map(endpoints::get)
+                .filter(agent -> agent != null && agent.pool().equals(model.pool()))
+                .filter(agent -> isSelectable(agent.vm(), tried, now))
+                .sorted(
+                        Comparator.comparingInt(
+                                        (AgentEndpoint agent) -> rendezvousWeight(name, agent))
+                                .reversed())
                 .toList();
     }
 
-    private boolean isChoosable(VmId vm, Set<VmId> tried, Instant now) {
+    private boolean isSelectable(VmId vm, Set<VmId> tried, Instant now) {
         return !leaving.contains(vm)
                 && !draining.contains(vm)
                 && !tried.contains(vm)
@@ -160,29 +180,30 @@
     }
 
     private boolean isSuspended(VmId vm, Instant now) {
-        Instant until = suspended.get(vm);
+        Instant until = suspendedUntil.get(vm);
         return until != null && now.isBefore(until);
     }
 
-    private boolean holds(Member member, ModelName model) {
-        return load(member.vm()).loaded().contains(model);
+    private boolean hasLoaded(AgentEndpoint agent, ModelName model) {
+        return load(agent.vm()).loaded().contains(model);
     }
 
-    private double pressure(Member member) {
-        return load(member.vm()).pressure(outstanding.getOrDefault(member.vm(), 0));
+    private double utilization(AgentEndpoint agent) {
+        return load(agent.vm()).utilization(outstanding.getOrDefault(agent.vm(), 0));
     }
 
-    private Optional<VmId> best(List<Member> choice, Predicate<Member> fit) {
-        return choice.stream()
-                .filter(fit)
+    private Optional<VmId> leastLoaded(
+            List<AgentEndpoint> candidates, Predicate<AgentEndpoint> filter) {
+        return candidates.stream()
+                .filter(filter)
                 .min(
-                        Comparator.comparingDouble(this::pressure)
-                                .thenComparing(member -> !member.zone().equals(here)))
-                .map(Member::vm);
+                        Comparator.comparingDouble(this::utilization)
+                                .thenComparing(agent -> !agent.zone().equals(localZone)))
+                .map(AgentEndpoint::vm);
     }
 
-    // Rendezvous hashing: when a VM comes or goes, only the models at home there move.
-    private static int weight(String name, Member member) {
-        return MurmurHash3$.MODULE$.stringHash(name + '@' + member.vm().value(), HASH_SEED);
+    // Rendezvous hashing: when a VM joins or leaves, only the models on that VM move.
+    private static int rendezvousWeight(String name, AgentEndpoint agent) {
+        return MurmurHash3$.MODULE$.stringHash(name + '@' + agent.vm().value(), HASH_SEED);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/routing/RequestMachine.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.routing;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.exchange.Refusal;
 import io.damaskyoke.exchange.RefusalCode;
 import io.damaskyoke.id.VmId;
@@ -14,63 +14,64 @@
 import java.util.stream.Stream;
 
 /**
- * One request's way through its router: to an agent, to another one if it was not run, and to
- * exactly one answer.
+ * State machine that routes one request: it sends the request to an agent, retries at another one
+ * where that is safe, and gives the caller exactly one answer.
  *
- * <p>A request that may have reached an upstream is sent again only if it is idempotent. One that
- * surely did not run goes elsewhere as long as the retry budget and other agents last; one that a
- * stopping agent turned away goes on without cost.
+ * <p>A request that may have reached an upstream is retried only if it is idempotent. One that did
+ * not run is retried while the retry budget and untried agents last. A refusal by a stopping agent
+ * is retried without using the budget.
  *
- * <p>A request with an idempotency key is claimed before it is sent. The claim names the agent, so
- * the way to another agent leads through the claim again.
+ * <p>The idempotency key of a request is claimed before the request is sent. The claim names the
+ * agent, so it is moved before the request is sent to another agent.
  */
-public final class RequestMachine implements Machine<RequestInput, RequestAction> {
-    private static final Duration SUSPENSION = Duration.ofSeconds(2);
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+public final class RequestMachine implements StateMachine<RequestInput, RequestAction> {
+    private static final Duration SUSPENSION_TIME = Duration.ofSeconds(2);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final boolean idempotent;
-    private final boolean keyed;
-    private final AgentChoice choice;
+    private final boolean requiresClaim;
+    private final AgentSelector selector;
     private final RetryBudget budget;
     private final Set<VmId> tried = new HashSet<>();
     private State state = State.NEW;
-    private VmId current;
+    private VmId selectedAgent;
     private boolean lookedUp;
     private boolean claimHeld;
     private boolean mayHaveRun;
     private Refusal lastRefusal;
-    private Refusal pending;
+    private Refusal pendingRefusal;
 
-    /** Picks an agent that was not tried yet. */
+    /** Selects the agents to which a request is sent. */
     @FunctionalInterface
-    public interface AgentChoice {
-        /** The next agent to try, or none. */
-        Optional<VmId> next(Set<VmId> tried, Instant now);
+    public interface AgentSelector {
+        /** Returns an agent that is not in {@code tried}, or empty if there is none. */
+        Optional<VmId> select(Set<VmId> tried, Instant now);
     }
 
     private RequestMachine(
-            boolean idempotent, boolean keyed, AgentChoice choice, RetryBudget budget) {
+            boolean idempotent, boolean requiresClaim, AgentSelector selector, RetryBudget budget) {
         this.idempotent = idempotent;
-        this.keyed = keyed;
-        this.choice = choice;
+        this.requiresClaim = requiresClaim;
+        this.selector = selector;
         this.budget = budget;
     }
 
-    /** A machine for a new request. */
-    public static RequestMachine of(boolean idempotent, AgentChoice choice, RetryBudget budget) {
+    /** Creates a machine for a request without an idempotency key. */
+    public static RequestMachine of(
+            boolean idempotent, AgentSelector selector, RetryBudget budget) {
         return new RequestMachine(
                 idempotent,
                 false,
-                Objects.requireNonNull(choice, "choice"),
+                Objects.requireNonNull(selector, "selector"),
                 Objects.requireNonNull(budget, "budget"));
     }
 
-    /** A machine for a non-idempotent request whose idempotency key has to be claimed first. */
-    public static RequestMachine keyed(AgentChoice choice, RetryBudget budget) {
+    /** Creates a machine for a non-idempotent request whose key must be claimed before sending. */
+    public static RequestMachine withIdempotencyKey(AgentSelector selector, RetryBudget budget) {
         return new RequestMachine(
                 false,
                 true,
-                Objects.requireNonNull(choice, "choice"),
+                Objects.requireNonNull(selector, "selector"),
                 Objects.requireNonNull(budget, "budget"));
     }
 
@@ -79,308 +80,321 @@
         return state.step(this, input, now);
     }
 
-    /** True once the one answer was given or begun. */
-    public boolean answered() {
+    /** Returns true once the caller got its answer, or the first part of it. */
+    public boolean isAnswered() {
         return state == State.ANSWERED;
     }
 
-    /** The agent that has the request now, if one has. */
-    public Optional<VmId> current() {
-        return Optional.ofNullable(current);
+    /** Returns the agent that was selected last, or empty if none was selected yet. */
+    public Optional<VmId> currentAgent() {
+        return Optional.ofNullable(selectedAgent);
     }
 
     private enum State {
-        /** Nothing was done yet. */
+        /** The request has not been processed yet. */
         NEW {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Start) {
-                    request.budget.firstTry();
-                    return request.sendOn(now);
+                if (input instanceof RequestInput.Admitted) {
+                    request.budget.recordFirstAttempt();
+                    return request.sendToNextAgent(now);
                 }
-                return request.giveUp(input);
+                return request.abort(input);
             }
         },
-        /** There is no agent to claim its key for, so the key is only looked up. */
+        /** No agent is available to claim the key for, so the key is only looked up. */
         LOOKING_UP {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.KeyUnknown) {
-                    return request.sendOn(now);
+                if (input instanceof RequestInput.KeyNotFound) {
+                    return request.sendToNextAgent(now);
                 }
                 if (input instanceof RequestInput.ClaimRefused refused) {
                     return request.reply(refused.refusal());
                 }
-                if (input instanceof RequestInput.AnsweredBefore) {
-                    return request.replay();
+                if (input instanceof RequestInput.RecordedAnswerFound) {
+                    return request.replayAnswer();
                 }
-                return request.giveUp(input);
+                return request.abort(input);
             }
         },
-        /** Its key is being claimed for an agent, or the claim is being moved to one. */
+        /** The key is being claimed for an agent, or the claim is being moved to one. */
         CLAIMING {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Claimed claimed) {
-                    return request.fromCurrent(claimed.vm()) ? request.claimed() : List.of();
+                if (input instanceof RequestInput.KeyClaimed claimed) {
+                    return request.isSelectedAgent(claimed.vm())
+                            ? request.sendClaimed()
+                            : List.of();
                 }
                 if (input instanceof RequestInput.ClaimRefused refused) {
                     return request.reply(refused.refusal());
                 }
-                if (input instanceof RequestInput.AnsweredBefore) {
-                    return request.replay();
+                if (input instanceof RequestInput.RecordedAnswerFound) {
+                    return request.replayAnswer();
                 }
-                return request.giveUp(input);
+                return request.abort(input);
             }
         },
-        /** An agent has it and has not answered. */
+        /** The request was sent to an agent, which has not answered yet. */
         SENT {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Served served) {
-                    return request.fromCurrent(served.vm()) ? request.deliver() : List.of();
+                if (input instanceof RequestInput.AnswerStarted served) {
+                    return request.isSelectedAgent(served.vm())
+                            ? request.deliverAnswer()
+                            : List.of();
                 }
-                if (input instanceof RequestInput.Refused refused) {
-                    return request.fromCurrent(refused.vm())
-                            ? request.refused(refused.refusal(), now)
+                if (input instanceof RequestInput.AgentRefused refused) {
+                    return request.isSelectedAgent(refused.vm())
+                            ? request.handleAgentRefusal(refused.refusal(), now)
                             : List.of();
                 }
                 if (input instanceof RequestInput.NotSent notSent) {
-                    return request.fromCurrent(notSent.vm()) ? request.unreachable(now) : List.of();
+                    return request.isSelectedAgent(notSent.vm())
+                            ? request.retryAfterSendFailure(now)
+                            : List.of();
                 }
-                if (input instanceof RequestInput.Lost lost) {
-                    return request.fromCurrent(lost.vm()) ? request.lost(now) : List.of();
+                if (input instanceof RequestInput.ConnectionLost lost) {
+                    return request.isSelectedAgent(lost.vm())
+                            ? request.handleConnectionLoss(now)
+                            : List.of();
                 }
-                return request.giveUp(input);
+                return request.abort(input);
             }
         },
-        /** It is to be refused as not run, once its claim is known to be given back. */
+        /** The request will be refused as not run once the release of its claim is confirmed. */
         RELEASING {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Released released) {
-                    return request.released(released.confirmed());
+                if (input instanceof RequestInput.ClaimReleaseFinished released) {
+                    return request.replyAfterRelease(released.confirmed());
                 }
-                return request.givesUpWaiting(input) ? request.released(false) : List.of();
+                return request.endsRequest(input) ? request.replyAfterRelease(false) : List.of();
             }
         },
-        /** The one answer was given or begun; whatever comes now is late. */
+        /** The caller got its answer; later inputs only release the claim. */
         ANSWERED {
             @Override
             List<RequestAction> step(RequestMachine request, RequestInput input, Instant now) {
-                if (input instanceof RequestInput.Claimed) {
-                    return request.claimedTooLate();
+                if (input instanceof RequestInput.KeyClaimed) {
+                    return request.releaseLateClaim();
                 }
-                return request.surelyNotRun(input) ? request.release() : List.of();
+                return request.confirmsNotRun(input) ? request.releaseClaim() : List.of();
             }
         };
 
         abstract List<RequestAction> step(RequestMachine request, RequestInput input, Instant now);
     }
 
-    private boolean fromCurrent(VmId vm) {
-        return vm.equals(current);
+    private boolean isSelectedAgent(VmId vm) {
+        return vm.equals(selectedAgent);
     }
 
-    private List<RequestAction> sendOn(Instant now) {
-        Optional<VmId> next = choice.next(Set.copyOf(tried), now);
+    private List<RequestAction> sendToNextAgent(Instant now) {
+        Optional<VmId> next = selector.select(Set.copyOf(tried), now);
         if (next.isEmpty()) {
-            return keyed && !claimHeld && !lookedUp ? lookUp() : reply(whyNone());
+            return requiresClaim && !claimHeld && !lookedUp ? lookUpKey() : reply(noAgentRefusal());
         }
-        current = next.get();
-        tried.add(current);
-        if (keyed) {
+        selectedAgent = next.get();
+        tried.add(selectedAgent);
+        if (requiresClaim) {
             state = State.CLAIMING;
-            return List.of(new RequestAction.Claim(current));
+            return List.of(new RequestAction.ClaimKey(selectedAgent));
         }
         return send();
     }
 
-    // Its pool may be down because of the very payment that is repeated here. Refused unseen, the
-    // caller would not learn until an agent is back that it was paid long ago.
-    private List<RequestAction> lookUp() {
+    // The pool may be down because of the same payment that is repeated here. If it were refused
+    // without a lookup, the caller would learn only once an agent is back that the payment was
+    // made.
+    private List<RequestAction> lookUpKey() {
         lookedUp = true;
         state = State.LOOKING_UP;
-        return List.of(new RequestAction.LookUp());
+        return List.of(new RequestAction.LookUpKey());
     }
 
     private List<RequestAction> send() {
         state = State.SENT;
-        return List.of(new RequestAction.Send(current));
+        return List.of(new RequestAction.Send(selectedAgent));
     }
 
-    private List<RequestAction> claimed() {
+    private List<RequestAction> sendClaimed() {
         claimHeld = true;
         return send();
     }
 
-    private List<RequestAction> replay() {
+    private List<RequestAction> replayAnswer() {
         state = State.ANSWERED;
-        return List.of(new RequestAction.Replay());
+        return List.of(new RequestAction.ReplayAnswer());
     }
 
-    // The claim was granted after the request had been given up, so it was never sent. Left alone,
-    // the claim would make every repeat of the key end as "outcome unknown".
-    private List<RequestAction> claimedTooLate() {
+    // The claim was granted after the request had been answered, so the request was never sent. If
+    // the claim stayed, every repeat with the key would be refused as "outcome unknown".
+    private List<RequestAction> releaseLateClaim() {
         claimHeld = true;
-        return release();
+        return releaseClaim();
     }
 
-    private List<RequestAction> release() {
+    private List<RequestAction> releaseClaim() {
         if (!claimHeld) {
             return List.of();
         }
         claimHeld = false;
-        return List.of(new RequestAction.Release());
+        return List.of(new RequestAction.ReleaseClaim());
     }
 
-    private boolean surelyNotRun(RequestInput input) {
-        if (input instanceof RequestInput.Refused refused) {
-            return fromCurrent(refused.vm()) && refused.refusal().notRun();
+    private boolean confirmsNotRun(RequestInput input) {
+        if (input instanceof RequestInput.AgentRefused refused) {
+            return isSelectedAgent(refused.vm()) && refused.refusal().notRun();
         }
-        return input instanceof RequestInput.NotSent notSent && fromCurrent(notSent.vm());
+        return input instanceof RequestInput.NotSent notSent && isSelectedAgent(notSent.vm());
     }
 
-    private List<RequestAction> deliver() {
+    private List<RequestAction> deliverAnswer() {
         state = State.ANSWERED;
-        return List.of(new RequestAction.Deliver(current));
+        return List.of(new RequestAction.DeliverAnswer(selectedAgent));
     }
 
-    private List<RequestAction> refused(Refusal refusal, Instant now) {
+    private List<RequestAction> handleAgentRefusal(Refusal refusal, Instant now) {
         lastRefusal = refusal;
         if (!refusal.notRun()) {
             mayHaveRun = true;
         }
         if (refusal.notRun() && refusal.code() == RefusalCode.STOPPING) {
-            return turnedAway(now);
+            return retryWithoutBudget(now);
         }
-        boolean again = refusal.notRun() && worthAnotherAgent(refusal.code());
-        return again ? retry(now) : reply(refusal);
+        boolean retryable = refusal.notRun() && isRetryableElsewhere(refusal.code());
+        return retryable ? retry(now) : reply(refusal);
     }
 
-    // A stopping agent hands nothing to its upstream, so the next try is no second load on any. On
-    // the budget, a planned stop would use it up, and callers would be refused beside idle agents.
-    // An agent that is left out can't take every request's free try.
-    private List<RequestAction> turnedAway(Instant now) {
-        return concat(new RequestAction.Suspend(current, SUSPENSION), sendOn(now));
+    // A stopping agent sends nothing to its upstream, so this retry adds no load. If it were
+    // charged to the budget, a planned stop would use the budget up, and requests would be refused
+    // while other agents are idle. Suspending the agent keeps it from causing a free retry per
+    // request.
+    private List<RequestAction> retryWithoutBudget(Instant now) {
+        return prepend(
+                new RequestAction.SuspendAgent(selectedAgent, SUSPENSION_TIME),
+                sendToNextAgent(now));
     }
 
-    private List<RequestAction> unreachable(Instant now) {
-        RequestAction suspend = new RequestAction.Suspend(current, SUSPENSION);
-        return concat(suspend, retry(now));
+    private List<RequestAction> retryAfterSendFailure(Instant now) {
+        RequestAction suspend = new RequestAction.SuspendAgent(selectedAgent, SUSPENSION_TIME);
+        return prepend(suspend, retry(now));
     }
 
-    // The frame left and the link broke: the agent may have handed the request over. Sending it
-    // again would run a payment twice, which shows as a grower charged twice; so only an idempotent
-    // request goes elsewhere, and the caller of any other is told that the outcome is unknown.
-    private List<RequestAction> lost(Instant now) {
+    // The agent may have passed the request to its upstream before the connection broke. Sending a
+    // payment again could charge a customer twice, so only an idempotent request is retried; any
+    // other is answered as "outcome unknown".
+    private List<RequestAction> handleConnectionLoss(Instant now) {
         mayHaveRun = true;
-        RequestAction suspend = new RequestAction.Suspend(current, SUSPENSION);
+        RequestAction suspend = new RequestAction.SuspendAgent(selectedAgent, SUSPENSION_TIME);
         if (idempotent) {
-            return concat(suspend, retry(now));
+            return prepend(suspend, retry(now));
         }
-        return concat(
+        return prepend(
                 suspend,
                 reply(
                         Refusal.mayHaveRun(
                                 RefusalCode.OUTCOME_UNKNOWN,
-                                "the way to the upstream broke; the request may have run")));
+                                "the connection to the upstream broke; the request may have run")));
     }
 
     private List<RequestAction> retry(Instant now) {
         if (!budget.takeRetry()) {
-            return reply(whyNone());
+            return reply(noAgentRefusal());
         }
-        return sendOn(now);
+        return sendToNextAgent(now);
     }
 
-    private Refusal whyNone() {
+    private Refusal noAgentRefusal() {
         if (lastRefusal != null) {
             return lastRefusal;
         }
-        String message = "no upstream for this request can be reached now";
-        return Refusal.notRun(RefusalCode.NO_UPSTREAM, message).retryAfter(COME_BACK);
+        String message = "no upstream for this request can be reached";
+        return Refusal.notRun(RefusalCode.NO_UPSTREAM, message).retryAfter(RETRY_AFTER);
     }
 
-    private List<RequestAction> giveUp(RequestInput input) {
+    private List<RequestAction> abort(RequestInput input) {
         if (input instanceof RequestInput.DeadlinePassed) {
             return cancelAndReply(RefusalCode.DEADLINE_EXCEEDED, "the deadline has passed");
         }
-        if (input instanceof RequestInput.KeyWithdrawn) {
+        if (input instanceof RequestInput.CallerKeyWithdrawn) {
             return cancelAndReply(RefusalCode.KEY_WITHDRAWN, "the caller key was withdrawn");
         }
-        if (input instanceof RequestInput.CallerGone) {
-            return cancelAndReply(RefusalCode.REQUEST_TIMEOUT, "the caller is gone");
+        if (input instanceof RequestInput.CallerDisconnected) {
+            return cancelAndReply(RefusalCode.REQUEST_TIMEOUT, "the caller disconnected");
         }
         return List.of();
     }
 
-    // A claimed request goes on when its caller has left: its answer is recorded, and the caller
-    // who comes back with the key gets it. Cancelled, its outcome would stay unknown for ever.
+    // A claimed request keeps running when its caller disconnects: its answer is recorded for a
+    // repeat with the same key. If it were cancelled, its outcome would stay unknown forever.
     private List<RequestAction> cancelAndReply(RefusalCode code, String message) {
         boolean sent = state == State.SENT;
-        boolean finishes = claimHeld && code != RefusalCode.KEY_WITHDRAWN;
+        boolean keepsRunning = claimHeld && code != RefusalCode.KEY_WITHDRAWN;
         mayHaveRun |= sent;
         List<RequestAction> reply = reply(Refusal.notRun(code, message));
-        if (!sent || finishes) {
+        if (!sent || keepsRunning) {
             return reply;
         }
-        return concat(new RequestAction.Cancel(current, message), reply);
+        return prepend(new RequestAction.CancelAtAgent(selectedAgent, message), reply);
     }
 
-    // A second agent may truly say "not run" of a request that the first one ran before its link
-    // broke. Passed on, it makes the caller send a payment again; so what any try may have done
-    // decides what the caller is told.
+    // "Not run" from the second agent is true of that agent only: the first one may have run the
+    // request before its connection broke. The caller would then send a payment again, so the
+    // answer takes all attempts into account.
     private List<RequestAction> reply(Refusal refusal) {
-        boolean notRun = refusal.notRun() && !mayHaveRun && !earlierTryPossible(refusal);
+        boolean notRun = refusal.notRun() && !mayHaveRun && !earlierAttemptMayHaveRun(refusal);
         if (notRun && claimHeld) {
-            return releaseFirst(refusal);
+            return releaseClaimThenReply(refusal);
         }
-        List<RequestAction> release = mayHaveRun ? List.of() : release();
+        List<RequestAction> release = mayHaveRun ? List.of() : releaseClaim();
         return Stream.concat(release.stream(), finalReply(refusal, notRun).stream()).toList();
     }
 
-    // While the agent's "not run" was on its way here, a repeat at another router may have taken
-    // the claim over and run. Told "not run", this caller would pay again under another key. The
-    // claim's removal is a compare-and-swap, so if it is confirmed no repeat has taken it.
-    private List<RequestAction> releaseFirst(Refusal refusal) {
-        pending = refusal;
+    // While the agent's "not run" was in transit, a repeat at another router may have taken over
+    // the claim and run. If told "not run", this caller would pay again under another key. The
+    // claim is removed by compare-and-swap, so a confirmed removal proves that no repeat took it
+    // over.
+    private List<RequestAction> releaseClaimThenReply(Refusal refusal) {
+        pendingRefusal = refusal;
         state = State.RELEASING;
-        return release();
+        return releaseClaim();
     }
 
-    private List<RequestAction> released(boolean confirmed) {
-        return finalReply(pending, confirmed);
+    private List<RequestAction> replyAfterRelease(boolean confirmed) {
+        return finalReply(pendingRefusal, confirmed);
     }
 
-    private boolean givesUpWaiting(RequestInput input) {
+    private boolean endsRequest(RequestInput input) {
         return input instanceof RequestInput.DeadlinePassed
-                || input instanceof RequestInput.KeyWithdrawn
-                || input instanceof RequestInput.CallerGone;
+                || input instanceof RequestInput.CallerKeyWithdrawn
+                || input instanceof RequestInput.CallerDisconnected;
     }
 
     private List<RequestAction> finalReply(Refusal refusal, boolean notRun) {
         state = State.ANSWERED;
-        Refusal honest =
+        Refusal corrected =
                 new Refusal(refusal.code(), refusal.message(), notRun, refusal.retryAfter());
-        return List.of(new RequestAction.Reply(honest));
+        return List.of(new RequestAction.Refuse(corrected));
     }
 
-    // As long as the key is not claimed here, nobody here knows whether it came before, at another
-    // router, and ran. "Not run" would then be true of this try and false of the payment, and the
-    // caller would pay again under another key.
-    private boolean earlierTryPossible(Refusal refusal) {
-        return keyed && !claimHeld && refusal.code() != RefusalCode.KEY_REUSED;
+    // Before this router holds the claim, a request with the same key may have run through another
+    // router. "Not run" would then be true of this attempt but false of the payment, and the caller
+    // would pay again under another key.
+    private boolean earlierAttemptMayHaveRun(Refusal refusal) {
+        return requiresClaim && !claimHeld && refusal.code() != RefusalCode.KEY_REUSED;
     }
 
-    private static boolean worthAnotherAgent(RefusalCode code) {
+    private static boolean isRetryableElsewhere(RefusalCode code) {
         return switch (code) {
             case OVERLOADED, NO_UPSTREAM, LOAD_FAILED, DEADLINE_UNREACHABLE -> true;
             default -> false;
         };
     }
 
-    private static List<RequestAction> concat(RequestAction first, List<RequestAction> rest) {
+    private static List<RequestAction> prepend(RequestAction first, List<RequestAction> rest) {
         return Stream.concat(Stream.of(first), rest.stream()).toList();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/serving/ServingMachine.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.serving;
 
-import io.damaskyoke.control.Machine;
+import io.damaskyoke.control.StateMachine;
 import io.damaskyoke.exchange.Refusal;
 import io.damaskyoke.exchange.RefusalCode;
 import io.damaskyoke.id.ExchangeId;
@@ -19,43 +19,54 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The requests at one agent: those that wait and those at the upstream.
+ * State machine of one agent's requests: it queues them and decides which one runs next at the
+ * upstream and which are refused.
  *
- * <p>Every request that arrives leads to exactly one {@code Run} or one {@code Refuse}, at the
- * latest at the first tick after its deadline. No more than {@code maxRunning} are at the upstream.
- * Workspaces take turns by weight, so that one which sends too much delays mostly itself.
+ * <p>Every request leads to exactly one {@code Run} or {@code Refuse}, at the latest at the first
+ * tick after its deadline, unless it is cancelled before. At most {@code maxRunning} requests are
+ * at the upstream at once. Workspaces share the upstream by weight, so a workspace that sends too
+ * many requests mostly delays its own.
  */
-public final class ServingMachine implements Machine<ServingInput, ServingAction> {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
-    private static final double NANOS = 1e9;
+public final class ServingMachine implements StateMachine<ServingInput, ServingAction> {
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final int maxRunning;
     private final int maxWaiting;
-    private final Map<ExchangeId, Waiting> waiting = new LinkedHashMap<>();
-    private final Map<ExchangeId, Running> running = new HashMap<>();
-    private final ServiceTimes times = new ServiceTimes();
-    private final FairOrder order;
+    private final Map<ExchangeId, QueuedRequest> waiting = new LinkedHashMap<>();
+    private final Map<ExchangeId, RunningRequest> running = new HashMap<>();
+    private final ServiceTimes serviceTimes = new ServiceTimes();
+    private final FairScheduler scheduler;
     private boolean draining;
 
     private ServingMachine(int maxRunning, int maxWaiting, ToDoubleFunction<WorkspaceId> weight) {
         this.maxRunning = maxRunning;
         this.maxWaiting = maxWaiting;
-        this.order = new FairOrder(weight);
+        this.scheduler = new FairScheduler(weight);
     }
 
     /**
-     * A machine for an upstream that takes this many at once, before a queue of this length in
-     * which all workspaces weigh the same.
+     * Creates a machine in which all workspaces have the same weight.
+     *
+     * @param maxRunning maximum number of concurrent requests at the upstream
+     * @param maxWaiting maximum number of queued requests
      */
     public static ServingMachine of(int maxRunning, int maxWaiting) {
         return of(maxRunning, maxWaiting, workspace -> 1.0);
     }
 
-    /** The same, with each workspace's weight in fair waiting. */
+    /**
+     * Creates a machine with the weights of the workspaces.
+     *
+     * @param maxRunning maximum number of concurrent requests at the upstream
+     * @param maxWaiting maximum number of queued requests
+     * @param weight a workspace's share of upstream time relative to the others
+     */
     public static ServingMachine of(
             int maxRunning, int maxWaiting, ToDoubleFunction<WorkspaceId> weight) {
         if (maxRunning < 1 || maxWaiting < 1) {
-            throw new IllegalArgumentException("limits must be at least 1 running and 1 waiting");
+            throw new IllegalArgumentException(
+                    "maximum running and waiting requests must be at least 1");
         }
         return new ServingMachine(maxRunning, maxWaiting, weight);
     }
@@ -63,234 +74,250 @@
     @Override
     public List<ServingAction> on(ServingInput input, Instant now) {
         List<ServingAction> actions = new ArrayList<>();
-        take(input, now, actions);
-        runWhatCan(now, actions);
+        apply(input, now, actions);
+        startRequests(now, actions);
         return actions;
     }
 
-    /** Requests at the upstream. */
+    /** Returns the number of requests at the upstream. */
     public int running() {
         return running.size();
     }
 
-    /** True if this request is at the upstream. */
+    /** Returns true if this request is at the upstream. */
     public boolean isRunning(ExchangeId id) {
         return running.containsKey(id);
     }
 
-    /** Requests that wait. */
+    /** Returns the number of queued requests. */
     public int waiting() {
         return waiting.size();
     }
 
-    /** True once nothing runs or waits and nothing new is taken. */
-    public boolean drained() {
+    /** Returns true if the agent is draining and has no running or queued requests. */
+    public boolean isDrained() {
         return draining && running.isEmpty() && waiting.isEmpty();
     }
 
-    private void take(ServingInput input, Instant now, List<ServingAction> actions) {
-        if (input instanceof ServingInput.Arrived arrived) {
+    private void apply(ServingInput input, Instant now, List<ServingAction> actions) {
+        if (input instanceof ServingInput.RequestArrived arrived) {
             arrive(arrived, now, actions);
-        } else if (input instanceof ServingInput.Ready given) {
-            ready(given.id());
-        } else if (input instanceof ServingInput.Unavailable refused) {
+        } else if (input instanceof ServingInput.ModelReady ready) {
+            markReady(ready.id());
+        } else if (input instanceof ServingInput.ModelUnavailable refused) {
             unavailable(refused, actions);
-        } else if (input instanceof ServingInput.Finished finished) {
+        } else if (input instanceof ServingInput.RunFinished finished) {
             finish(finished.id(), now, actions);
-        } else if (input instanceof ServingInput.Gone gone) {
-            gone(gone.id(), actions);
-        } else if (input instanceof ServingInput.Drain) {
+        } else if (input instanceof ServingInput.RequestCancelled cancelled) {
+            cancel(cancelled.id(), actions);
+        } else if (input instanceof ServingInput.DrainStarted) {
             draining = true;
         } else {
-            refuseLate(now, actions);
+            refuseExpired(now, actions);
         }
     }
 
-    private void arrive(ServingInput.Arrived arrived, Instant now, List<ServingAction> actions) {
-        Optional<Refusal> refusal = atTheDoor(arrived, now);
+    private void arrive(
+            ServingInput.RequestArrived arrived, Instant now, List<ServingAction> actions) {
+        Optional<Refusal> refusal = admissionRefusal(arrived, now);
         if (refusal.isPresent()) {
             actions.add(new ServingAction.Refuse(arrived.id(), refusal.get()));
             return;
         }
         if (waiting.size() >= maxWaiting) {
-            makeRoom(actions);
+            evictNewestOfLargest(actions);
         }
-        waiting.put(arrived.id(), new Waiting(arrived));
-        arrived.model().ifPresent(model -> actions.add(want(model, arrived)));
+        waiting.put(arrived.id(), new QueuedRequest(arrived));
+        arrived.model().ifPresent(model -> actions.add(acquireModel(model, arrived)));
     }
 
-    private Optional<Refusal> atTheDoor(ServingInput.Arrived arrived, Instant now) {
+    private Optional<Refusal> admissionRefusal(ServingInput.RequestArrived arrived, Instant now) {
         if (draining) {
-            return refusal(RefusalCode.STOPPING, "this agent takes no new work");
+            return refusal(
+                    RefusalCode.STOPPING, "this agent is stopping and accepts no new requests");
         }
         if (!now.isBefore(arrived.deadline())) {
             return refusal(RefusalCode.DEADLINE_EXCEEDED, "the deadline has passed");
         }
-        if (waiting.size() >= maxWaiting && !canMakeRoom(arrived)) {
-            return refusal(RefusalCode.OVERLOADED, "too many requests wait here");
+        if (waiting.size() >= maxWaiting && !canEvictFor(arrived)) {
+            return refusal(RefusalCode.OVERLOADED, "the queue of this agent is full");
         }
-        return unreachable(arrived, now);
+        return deadlineRefusal(arrived, now);
     }
 
-    // A queue that one workspace has filled would refuse all others, though they keep within their
-    // rates. So a newcomer of another one takes the place of the longest waiting line's last.
-    private boolean canMakeRoom(ServingInput.Arrived arrived) {
-        return waitingOf(longestLine()) > waitingOf(arrived.workspace()) + 1;
+    // One workspace that fills the queue would cause refusals for all others, even within their
+    // rate limits. So a request of another workspace replaces the newest one of the workspace that
+    // has the most queued requests.
+    private boolean canEvictFor(ServingInput.RequestArrived arrived) {
+        return queuedOf(workspaceWithMostQueued()) > queuedOf(arrived.workspace()) + 1;
     }
 
-    private void makeRoom(List<ServingAction> actions) {
-        WorkspaceId longest = longestLine();
-        Waiting last = null;
-        for (Waiting request : waiting.values()) {
-            if (request.arrived.workspace().equals(longest)) {
+    private void evictNewestOfLargest(List<ServingAction> actions) {
+        WorkspaceId largest = workspaceWithMostQueued();
+        QueuedRequest last = null;
+        for (QueuedRequest request : waiting.values()) {
+            if (request.arrived.workspace().equals(largest)) {
                 last = request;
             }
         }
         waiting.remove(last.arrived.id());
-        letGo(last, actions);
-        Refusal full = refusal(RefusalCode.OVERLOADED, "too many requests wait here").get();
+        releaseModelOf(last, actions);
+        Refusal full = refusal(RefusalCode.OVERLOADED, "the queue of this agent is full").get();
         actions.add(new ServingAction.Refuse(last.arrived.id(), full));
     }
 
-    private WorkspaceId longestLine() {
-        Map<WorkspaceId, Integer> lines = new LinkedHashMap<>();
-        waiting.values().forEach(each -> lines.merge(each.arrived.workspace(), 1, Integer::sum));
-        return lines.entrySet().stream().max(Map.Entry.comparingByValue()).get().getKey();
+    private WorkspaceId workspaceWithMostQueued() {
+        Map<WorkspaceId, Integer> queuedByWorkspace = new LinkedHashMap<>();
+        waiting.values()
+                .forEach(
+                        each -> queuedByWorkspace.merge(each.arrived.workspace(), 1, Integer::sum));
+        return queuedByWorkspace.entrySet().stream()
+                .max(Map.Entry.comparingByValue())
+                .get()
+                .getKey();
     }
 
-    private long waitingOf(WorkspaceId workspace) {
+    private long queuedOf(WorkspaceId workspace) {
         return waiting.values().stream()
                 .filter(request -> request.arrived.workspace().equals(workspace))
                 .count();
     }
 
-    // What stands ahead is the own line and, for each of its turns, one turn of every other line:
-    // less than the whole queue where another workspace has filled it.
-    private Optional<Refusal> unreachable(ServingInput.Arrived arrived, Instant now) {
-        Optional<Double> own = times.known(arrived.model());
+    // The requests ahead are those of the same workspace and, for each of them and for the new one,
+    // one of every other workspace. This is less than the whole queue if another workspace filled
+    // it.
+    private Optional<Refusal> deadlineRefusal(ServingInput.RequestArrived arrived, Instant now) {
+        Optional<Double> own = serviceTimes.averageSeconds(arrived.model());
         if (own.isEmpty() || running.size() < maxRunning) {
             return Optional.empty();
         }
         double wait = secondsAhead(arrived.workspace()) / maxRunning;
-        double left = Duration.between(now, arrived.deadline()).toMillis() / 1000.0;
-        if (wait + own.get() <= left) {
+        double secondsLeft = Duration.between(now, arrived.deadline()).toMillis() / 1000.0;
+        if (wait + own.get() <= secondsLeft) {
             return Optional.empty();
         }
-        long back = (long) Math.ceil(1000 * Math.max(wait + own.get() - left, 0));
+        long retryMillis = (long) Math.ceil(1000 * Math.max(wait + own.get() - secondsLeft, 0));
         Refusal refusal =
                 Refusal.notRun(
                         RefusalCode.DEADLINE_UNREACHABLE,
-                        "the deadline can't be met with what waits here");
-        return Optional.of(refusal.retryAfter(Duration.ofMillis(back)));
+                        "the deadline can't be met with the requests in the queue");
+        return Optional.of(refusal.retryAfter(Duration.ofMillis(retryMillis)));
     }
 
     private double secondsAhead(WorkspaceId workspace) {
-        long line = waitingOf(workspace) + 1;
-        Map<WorkspaceId, Integer> taken = new HashMap<>();
+        long position = queuedOf(workspace) + 1;
+        Map<WorkspaceId, Integer> counted = new HashMap<>();
         double seconds = 0;
-        for (Waiting request : waiting.values()) {
-            int before = taken.merge(request.arrived.workspace(), 1, Integer::sum);
-            if (request.ready && before <= line) {
-                seconds += times.cost(request.arrived.model());
+        for (QueuedRequest request : waiting.values()) {
+            int before = counted.merge(request.arrived.workspace(), 1, Integer::sum);
+            if (request.ready && before <= position) {
+                seconds += serviceTimes.estimateSeconds(request.arrived.model());
             }
         }
         return seconds;
     }
 
     private static Optional<Refusal> refusal(RefusalCode code, String message) {
-        return Optional.of(Refusal.notRun(code, message).retryAfter(COME_BACK));
+        return Optional.of(Refusal.notRun(code, message).retryAfter(RETRY_AFTER));
     }
 
-    private void ready(ExchangeId id) {
-        Waiting request = waiting.get(id);
+    private void markReady(ExchangeId id) {
+        QueuedRequest request = waiting.get(id);
         if (request != null) {
             request.ready = true;
         }
     }
 
-    private void unavailable(ServingInput.Unavailable refused, List<ServingAction> actions) {
+    private void unavailable(ServingInput.ModelUnavailable refused, List<ServingAction> actions) {
         if (waiting.remove(refused.id()) != null) {
             actions.add(new ServingAction.Refuse(refused.id(), refused.refusal()));
         }
     }
 
     private void finish(ExchangeId id, Instant now, List<ServingAction> actions) {
-        Running ended = running.remove(id);
-        if (ended != null) {
-            double seconds = Duration.between(ended.since(), now).toNanos() / NANOS;
-            times.took(ended.model(), seconds);
-            ended.model().ifPresent(name -> actions.add(new ServingAction.Leave(name)));
+        RunningRequest finished = running.remove(id);
+        if (finished != null) {
+            double seconds =
+                    Duration.between(finished.startedAt(), now).toNanos() / NANOS_PER_SECOND;
+            serviceTimes.record(finished.model(), seconds);
+            finished.model().ifPresent(name -> actions.add(new ServingAction.ReleaseModel(name)));
         }
     }
 
-    private void gone(ExchangeId id, List<ServingAction> actions) {
-        Waiting request = waiting.remove(id);
+    private void cancel(ExchangeId id, List<ServingAction> actions) {
+        QueuedRequest request = waiting.remove(id);
         if (request != null) {
-            letGo(request, actions);
+            releaseModelOf(request, actions);
         }
     }
 
-    private void refuseLate(Instant now, List<ServingAction> actions) {
-        Refusal late = Refusal.notRun(RefusalCode.DEADLINE_EXCEEDED, "waited too long");
-        Iterator<Waiting> all = waiting.values().iterator();
+    private void refuseExpired(Instant now, List<ServingAction> actions) {
+        Refusal late =
+                Refusal.notRun(
+                        RefusalCode.DEADLINE_EXCEEDED,
+                        "the deadline passed while the request was queued");
+        Iterator<QueuedRequest> all = waiting.values().iterator();
         while (all.hasNext()) {
-            Waiting request = all.next();
+            QueuedRequest request = all.next();
             if (!now.isBefore(request.arrived.deadline())) {
                 all.remove();
-                letGo(request, actions);
+                releaseModelOf(request, actions);
                 actions.add(new ServingAction.Refuse(request.arrived.id(), late));
             }
         }
     }
 
-    private void runWhatCan(Instant now, List<ServingAction> actions) {
+    private void startRequests(Instant now, List<ServingAction> actions) {
         while (running.size() < maxRunning) {
-            Optional<Waiting> next = next();
+            Optional<QueuedRequest> next = nextRequest();
             if (next.isEmpty()) {
                 return;
             }
-            ServingInput.Arrived request = next.get().arrived;
+            ServingInput.RequestArrived request = next.get().arrived;
             waiting.remove(request.id());
-            order.ran(request.workspace(), times.cost(request.model()));
-            running.put(request.id(), new Running(request.model(), now));
+            scheduler.recordRun(request.workspace(), serviceTimes.estimateSeconds(request.model()));
+            running.put(request.id(), new RunningRequest(request.model(), now));
             actions.add(new ServingAction.Run(request.id()));
         }
     }
 
-    /** Of the workspace whose turn it is, the request with the earliest deadline. */
-    private Optional<Waiting> next() {
+    /** Returns the ready request with the earliest deadline of the workspace that is next. */
+    private Optional<QueuedRequest> nextRequest() {
         return waiting.values().stream()
                 .filter(request -> request.ready)
                 .min(
                         Comparator.comparingDouble(
-                                        (Waiting each) -> order.start(each.arrived.workspace()))
+                                        (QueuedRequest each) ->
+                                                scheduler.nextStart(each.arrived.workspace()))
                                 .thenComparing(each -> each.arrived.deadline()));
     }
 
-    private record Running(Optional<ModelName> model, Instant since) {}
+    private record RunningRequest(Optional<ModelName> model, Instant startedAt) {}
 
-    private static void letGo(Waiting request, List<ServingAction> actions) {
+    private static void releaseModelOf(QueuedRequest request, List<ServingAction> actions) {
         ExchangeId id = request.arrived.id();
         request.arrived
                 .model()
                 .map(
                         model ->
                                 request.ready
-                                        ? new ServingAction.Leave(model)
-                                        : new ServingAction.GiveUp(id, model))
+                                        ? new ServingAction.ReleaseModel(model)
+                                        : new ServingAction.CancelAcquire(id, model))
                 .ifPresent(actions::add);
     }
 
-    private static ServingAction want(ModelName model, ServingInput.Arrived request) {
-        return new ServingAction.Want(request.id(), model, request.workspace(), request.deadline());
+    private static ServingAction acquireModel(
+            ModelName model, ServingInput.RequestArrived request) {
+        return new ServingAction.AcquireModel(
+                request.id(), model, request.workspace(), request.deadline());
     }
 
-    /** A request that waits; one for a plain service is ready from the start. */
-    private static final class Waiting {
-        private final ServingInput.Arrived arrived;
+    /** A queued request; one for a plain service is ready from the start. */
+    private static final class QueuedRequest {
+        private final ServingInput.RequestArrived arrived;
         private boolean ready;
 
-        Waiting(ServingInput.Arrived arrived) {
+        QueuedRequest(ServingInput.RequestArrived arrived) {
             this.arrived = arrived;
             this.ready = arrived.model().isEmpty();
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/RequestMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/RequestMachineTest.java
@@ -18,220 +18,225 @@
     private static final VmId ONE = VmId.of("agent-1");
     private static final VmId TWO = VmId.of("agent-2");
     private static final RetryBudget BUDGET = RetryBudget.of(0.2);
-    private static final RequestMachine.AgentChoice BOTH =
+    private static final RequestMachine.AgentSelector BOTH =
             (tried, now) ->
                     List.of(ONE, TWO).stream().filter(vm -> !tried.contains(vm)).findFirst();
 
     @Test
-    void aRequestThatDidNotLeaveGoesToTheNextAgent() {
+    void aRequestThatWasNotSentGoesToTheNextAgent() {
         RequestMachine request = started(false, BOTH);
         List<RequestAction> actions = request.on(new RequestInput.NotSent(ONE), NOW);
         assertEquals(new RequestAction.Send(TWO), actions.get(1));
     }
 
-    // The caller of a payment sees "outcome unknown". The frame left, the agent died before it
-    // answered. It may have handed the payment over, so no other agent may get it.
+    // The agent crashes after the payment was sent to it and before it answers. It may have passed
+    // the payment to its upstream, so no other agent may get it.
     @Test
-    void aPaymentWhoseAgentDiedIsNotSentAgain() {
+    void aPaymentWhoseAgentCrashedIsNotSentAgain() {
         RequestMachine request = started(false, BOTH);
-        Refusal refusal = refusalIn(request.on(new RequestInput.Lost(ONE), NOW));
+        Refusal refusal = refusalIn(request.on(new RequestInput.ConnectionLost(ONE), NOW));
         assertEquals(RefusalCode.OUTCOME_UNKNOWN, refusal.code());
         assertEquals(false, refusal.notRun());
     }
 
     @Test
-    void aLookupWhoseAgentDiedIsSentAgain() {
+    void anIdempotentRequestWhoseAgentCrashedIsSentAgain() {
         RequestMachine request = started(true, BOTH);
-        List<RequestAction> actions = request.on(new RequestInput.Lost(ONE), NOW);
+        List<RequestAction> actions = request.on(new RequestInput.ConnectionLost(ONE), NOW);
         assertEquals(new RequestAction.Send(TWO), actions.get(1));
     }
 
-    // The caller sees a refusal that does not claim "not run". The first agent was lost with the
-    // request and may have run it; the second refuses and says, of itself, that it did not.
+    // The connection to the first agent breaks, so that agent may have run the request. The second
+    // agent's "not run" is true of itself only and must not reach the caller.
     @Test
-    void aSecondAgentsNotRunDoesNotHideWhatTheFirstMayHaveDone() {
+    void aRefusalAfterALostAttemptIsNotReportedAsNotRun() {
         RequestMachine request = started(true, BOTH);
-        request.on(new RequestInput.Lost(ONE), NOW);
+        request.on(new RequestInput.ConnectionLost(ONE), NOW);
         Refusal busy = Refusal.notRun(RefusalCode.OVERLOADED, "busy");
-        Refusal refusal = refusalIn(request.on(new RequestInput.Refused(TWO, busy), NOW));
+        Refusal refusal = refusalIn(request.on(new RequestInput.AgentRefused(TWO, busy), NOW));
         assertEquals(RefusalCode.OVERLOADED, refusal.code());
         assertEquals(false, refusal.notRun());
     }
 
     @Test
-    void aLateAnswerOfAnAgentThatWasGivenUpIsIgnored() {
+    void aLateAnswerOfAnEarlierAgentIsIgnored() {
         RequestMachine request = started(true, BOTH);
         request.on(new RequestInput.NotSent(ONE), NOW);
-        assertEquals(List.of(), request.on(new RequestInput.Served(ONE), NOW));
-        List<RequestAction> actions = request.on(new RequestInput.Served(TWO), NOW);
-        assertEquals(List.of(new RequestAction.Deliver(TWO)), actions);
+        assertEquals(List.of(), request.on(new RequestInput.AnswerStarted(ONE), NOW));
+        List<RequestAction> actions = request.on(new RequestInput.AnswerStarted(TWO), NOW);
+        assertEquals(List.of(new RequestAction.DeliverAnswer(TWO)), actions);
     }
 
     @Test
-    void thereIsOneAnswerWhateverComesAfterIt() {
+    void inputsAfterTheAnswerCauseNoSecondAnswer() {
         RequestMachine request = started(true, BOTH);
         request.on(new RequestInput.DeadlinePassed(), NOW);
-        assertTrue(request.answered());
-        assertEquals(List.of(), request.on(new RequestInput.Served(ONE), NOW));
+        assertTrue(request.isAnswered());
+        assertEquals(List.of(), request.on(new RequestInput.AnswerStarted(ONE), NOW));
         assertEquals(List.of(), request.on(new RequestInput.DeadlinePassed(), NOW));
     }
 
-    // The caller sees "no upstream" at once. All agents of the pool are dead; without a budget each
-    // request would be tried at each of them.
+    // All agents of the pool are down. Without a budget each request would be tried at every agent.
     @Test
-    void retriesStopWhenTheBudgetIsUsedUp() {
+    void noRetryIsMadeWhenTheBudgetIsUsedUp() {
         RetryBudget budget = RetryBudget.of(0);
         while (budget.takeRetry()) {
             continue;
         }
         RequestMachine request = RequestMachine.of(true, BOTH, budget);
-        request.on(new RequestInput.Start(), NOW);
+        request.on(new RequestInput.Admitted(), NOW);
         Refusal refusal = refusalIn(request.on(new RequestInput.NotSent(ONE), NOW));
         assertEquals(RefusalCode.NO_UPSTREAM, refusal.code());
         assertTrue(refusal.notRun());
         assertTrue(refusal.retryAfter().isPresent());
     }
 
-    // The caller sees an answer from the second agent. The first refused and surely did not run it;
-    // the claim, which names the agent to ask about the outcome, moves before the request does.
+    // The first agent refused the request without running it. The claim names the agent that is
+    // asked for the outcome, so it must move before the request is sent to the second agent.
     @Test
-    void aClaimedPaymentGoesToAnotherAgentOnlyAfterItsClaimHas() {
+    void theClaimMovesBeforeThePaymentGoesToAnotherAgent() {
         RequestMachine request = claimed();
         Refusal busy = Refusal.notRun(RefusalCode.OVERLOADED, "busy");
         assertEquals(
-                List.of(new RequestAction.Claim(TWO)),
-                request.on(new RequestInput.Refused(ONE, busy), NOW));
+                List.of(new RequestAction.ClaimKey(TWO)),
+                request.on(new RequestInput.AgentRefused(ONE, busy), NOW));
         assertEquals(
                 List.of(new RequestAction.Send(TWO)),
-                request.on(new RequestInput.Claimed(TWO), NOW));
+                request.on(new RequestInput.KeyClaimed(TWO), NOW));
     }
 
-    // The caller is told "not run" and may pay another way. The claim is given back first, or a
-    // repeat of the key would be told for a day that its outcome is unknown.
+    // If the claim were not released before the refusal, repeats with the key would be refused as
+    // "outcome unknown" for a day.
     @Test
-    void aClaimedPaymentThatSurelyDidNotRunGivesItsClaimBack() {
+    void aClaimedPaymentThatDidNotRunReleasesItsClaimFirst() {
         RequestMachine request = claimed();
-        assertEquals(List.of(new RequestAction.Release()), refusedByTheAgent(request));
-        List<RequestAction> actions = request.on(new RequestInput.Released(true), NOW);
+        assertEquals(List.of(new RequestAction.ReleaseClaim()), refusedByTheAgent(request));
+        List<RequestAction> actions = request.on(new RequestInput.ClaimReleaseFinished(true), NOW);
         assertEquals(true, refusalIn(actions).notRun());
     }
 
-    // The caller is not told "not run". The agent's refusal was on its way when a repeat at another
-    // router asked the agent, took the claim over and ran; the claim can't be given back any more.
+    // While the agent's refusal is in transit, a repeat at another router takes over the claim and
+    // runs. The release then fails, and the caller must not be told "not run".
     @Test
-    void aPaymentWhoseClaimWasTakenOverIsNotCalledNotRun() {
+    void aPaymentWhoseClaimWasTakenOverIsNotReportedAsNotRun() {
         RequestMachine request = claimed();
         refusedByTheAgent(request);
-        List<RequestAction> actions = request.on(new RequestInput.Released(false), NOW);
+        List<RequestAction> actions = request.on(new RequestInput.ClaimReleaseFinished(false), NOW);
         assertEquals(false, refusalIn(actions).notRun());
     }
 
-    // The caller gets its answer by its deadline. The store is out, so nobody can say whether the
-    // claim is given back, and "not run" is not said.
+    // The store is unavailable, so the release is not confirmed. The caller still gets its answer
+    // by the deadline, without "not run".
     @Test
-    void aReleaseThatTakesTooLongDoesNotHoldTheAnswerBack() {
+    void aSlowReleaseDoesNotDelayTheAnswerPastTheDeadline() {
         RequestMachine request = claimed();
         refusedByTheAgent(request);
         List<RequestAction> actions = request.on(new RequestInput.DeadlinePassed(), NOW);
         assertEquals(false, refusalIn(actions).notRun());
-        assertEquals(List.of(), request.on(new RequestInput.Released(true), NOW));
+        assertEquals(List.of(), request.on(new RequestInput.ClaimReleaseFinished(true), NOW));
     }
 
-    // The store is out, so nobody knows whether the key came before and ran at another router. "Not
-    // run" would be true of this try only, and the caller would pay again under another key.
+    // The store is unavailable, so a request with the same key may have run through another router.
+    // "Not run" would be true of this attempt only, and the caller would pay again under another
+    // key.
     @Test
-    void aPaymentThatCouldNotBeClaimedIsNotCalledNotRun() {
-        RequestMachine request = RequestMachine.keyed(BOTH, RetryBudget.of(0.2));
-        request.on(new RequestInput.Start(), NOW);
+    void aPaymentThatCouldNotBeClaimedIsNotReportedAsNotRun() {
+        RequestMachine request = RequestMachine.withIdempotencyKey(BOTH, RetryBudget.of(0.2));
+        request.on(new RequestInput.Admitted(), NOW);
         assertEquals(false, refusalIn(request.on(new RequestInput.DeadlinePassed(), NOW)).notRun());
         assertEquals(
-                List.of(new RequestAction.Release()),
-                request.on(new RequestInput.Claimed(ONE), NOW));
+                List.of(new RequestAction.ReleaseClaim()),
+                request.on(new RequestInput.KeyClaimed(ONE), NOW));
     }
 
-    // The caller repeats a payment and sees its recorded answer. The pool's last agent is gone, so
-    // there is nobody to claim the key for; it is looked up all the same before any refusal.
+    // A payment is repeated while its pool has no agent, so its key can't be claimed. The key must
+    // still be looked up before the request is refused.
     @Test
-    void aRepeatWithoutAnyAgentIsLookedUpAndGetsItsRecordedAnswer() {
-        RequestMachine request = RequestMachine.keyed((tried, now) -> Optional.empty(), BUDGET);
+    void aRepeatWithoutAnyAgentGetsTheRecordedAnswer() {
+        RequestMachine request =
+                RequestMachine.withIdempotencyKey((tried, now) -> Optional.empty(), BUDGET);
         assertEquals(
-                List.of(new RequestAction.LookUp()), request.on(new RequestInput.Start(), NOW));
+                List.of(new RequestAction.LookUpKey()),
+                request.on(new RequestInput.Admitted(), NOW));
         assertEquals(
-                List.of(new RequestAction.Replay()),
-                request.on(new RequestInput.AnsweredBefore(), NOW));
+                List.of(new RequestAction.ReplayAnswer()),
+                request.on(new RequestInput.RecordedAnswerFound(), NOW));
     }
 
-    // The caller is told to come back with the same key. The look found nothing, but it holds
-    // nothing either: an earlier try may claim the key a moment later, so "not run" is not said.
+    // The lookup finds nothing, but it does not claim the key: an earlier attempt may still claim
+    // it a moment later, so the caller is asked to retry and not told "not run".
     @Test
-    void anUnknownKeyWithoutAnyAgentIsRefusedButNotCalledNotRun() {
-        RequestMachine request = RequestMachine.keyed((tried, now) -> Optional.empty(), BUDGET);
-        request.on(new RequestInput.Start(), NOW);
-        Refusal refusal = refusalIn(request.on(new RequestInput.KeyUnknown(), NOW));
+    void anUnknownKeyWithoutAnyAgentIsRefusedButNotReportedAsNotRun() {
+        RequestMachine request =
+                RequestMachine.withIdempotencyKey((tried, now) -> Optional.empty(), BUDGET);
+        request.on(new RequestInput.Admitted(), NOW);
+        Refusal refusal = refusalIn(request.on(new RequestInput.KeyNotFound(), NOW));
         assertEquals(RefusalCode.NO_UPSTREAM, refusal.code());
         assertEquals(false, refusal.notRun());
         assertTrue(refusal.retryAfter().isPresent());
     }
 
     @Test
-    void anAgentThatCameBackDuringTheLookGetsThePayment() {
+    void anAgentThatReturnsDuringTheLookupGetsThePayment() {
         List<VmId> agents = new ArrayList<>();
         RequestMachine request =
-                RequestMachine.keyed((tried, now) -> agents.stream().findFirst(), BUDGET);
-        request.on(new RequestInput.Start(), NOW);
+                RequestMachine.withIdempotencyKey(
+                        (tried, now) -> agents.stream().findFirst(), BUDGET);
+        request.on(new RequestInput.Admitted(), NOW);
         agents.add(ONE);
         assertEquals(
-                List.of(new RequestAction.Claim(ONE)),
-                request.on(new RequestInput.KeyUnknown(), NOW));
+                List.of(new RequestAction.ClaimKey(ONE)),
+                request.on(new RequestInput.KeyNotFound(), NOW));
     }
 
-    // The buyer leaves while the payment runs. It is not cancelled, so that its answer is there
-    // when the buyer comes back; if the agent then says that it never ran, the claim is given back.
+    // The caller disconnects while the payment runs. The payment is not cancelled, so that its
+    // answer is recorded for a repeat; if the agent later reports "not run", the claim is released.
     @Test
-    void aClaimedPaymentGoesOnWithoutItsCaller() {
+    void aClaimedPaymentContinuesWhenItsCallerDisconnects() {
         RequestMachine request = claimed();
-        List<RequestAction> actions = request.on(new RequestInput.CallerGone(), NOW);
+        List<RequestAction> actions = request.on(new RequestInput.CallerDisconnected(), NOW);
         assertEquals(1, actions.size());
         assertEquals(false, refusalIn(actions).notRun());
         Refusal late = Refusal.notRun(RefusalCode.DEADLINE_UNREACHABLE, "too late");
         assertEquals(
-                List.of(new RequestAction.Release()),
-                request.on(new RequestInput.Refused(ONE, late), NOW));
+                List.of(new RequestAction.ReleaseClaim()),
+                request.on(new RequestInput.AgentRefused(ONE, late), NOW));
     }
 
     @Test
-    void withNoAgentTheCallerIsToldWhenToComeBack() {
+    void withoutAnyAgentTheRefusalSaysWhenToRetry() {
         RequestMachine request =
                 RequestMachine.of(true, (tried, now) -> Optional.empty(), RetryBudget.of(0.2));
-        Refusal refusal = refusalIn(request.on(new RequestInput.Start(), NOW));
+        Refusal refusal = refusalIn(request.on(new RequestInput.Admitted(), NOW));
         assertEquals(RefusalCode.NO_UPSTREAM, refusal.code());
         assertTrue(refusal.retryAfter().isPresent());
     }
 
-    private static RequestMachine started(boolean idempotent, RequestMachine.AgentChoice choice) {
+    private static RequestMachine started(boolean idempotent, RequestMachine.AgentSelector choice) {
         RequestMachine request = RequestMachine.of(idempotent, choice, RetryBudget.of(0.2));
         assertEquals(
-                List.of(new RequestAction.Send(ONE)), request.on(new RequestInput.Start(), NOW));
+                List.of(new RequestAction.Send(ONE)), request.on(new RequestInput.Admitted(), NOW));
         return request;
     }
 
     private static RequestMachine claimed() {
-        RequestMachine request = RequestMachine.keyed(BOTH, RetryBudget.of(0.2));
+        RequestMachine request = RequestMachine.withIdempotencyKey(BOTH, RetryBudget.of(0.2));
         assertEquals(
-                List.of(new RequestAction.Claim(ONE)), request.on(new RequestInput.Start(), NOW));
+                List.of(new RequestAction.ClaimKey(ONE)),
+                request.on(new RequestInput.Admitted(), NOW));
         assertEquals(
                 List.of(new RequestAction.Send(ONE)),
-                request.on(new RequestInput.Claimed(ONE), NOW));
+                request.on(new RequestInput.KeyClaimed(ONE), NOW));
         return request;
     }
 
     private static List<RequestAction> refusedByTheAgent(RequestMachine request) {
         Refusal no = Refusal.notRun(RefusalCode.KEY_WITHDRAWN, "withdrawn");
-        return request.on(new RequestInput.Refused(ONE, no), NOW);
+        return request.on(new RequestInput.AgentRefused(ONE, no), NOW);
     }
 
     private static Refusal refusalIn(List<RequestAction> actions) {
         RequestAction last = actions.get(actions.size() - 1);
-        return assertInstanceOf(RequestAction.Reply.class, last).refusal();
+        return assertInstanceOf(RequestAction.Refuse.class, last).refusal();
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/RetryBudgetTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/RetryBudgetTest.java
@@ -23,36 +23,37 @@
     private static final int CAPACITY = 210;
     private static final int SECONDS = 100;
     private static final double RATIO = 0.1;
-    private static final double START = 10;
-    private static final VmId DEAD = vm(0);
+    private static final double MAX_RETRIES = 10;
+    private static final VmId DOWN = vm(0);
     private static final List<VmId> ALL =
             IntStream.range(0, UPSTREAMS).mapToObj(RetryBudgetTest::vm).toList();
 
-    private final Map<VmId, Integer> taken = new HashMap<>();
-    private int triesOfTheRest;
+    private final Map<VmId, Integer> attempts = new HashMap<>();
+    private int attemptsAtTheRest;
 
-    // One of five upstreams is dead, and the others have 5 % to spare: a fifth of the requests has
-    // nowhere to go. Each refusal for overload makes a further try elsewhere, so that the rest get
-    // half as many tries again as there are requests, just when they have no room.
+    // One of five upstreams is down and the others have 5 % spare capacity, so about a fifth of the
+    // requests can't be served. Every refusal for overload causes another attempt, so the remaining
+    // upstreams get more than 1.5 times their normal attempts while they are full.
     @Test
-    void withoutABudgetTheRestGetManyTimesTheirLoad() {
+    void withoutASharedBudgetTheRemainingUpstreamsAreOverloaded() {
         double factor = loadOfTheRest(() -> RetryBudget.of(RATIO));
         assertTrue(factor > 1.5, () -> "load factor " + factor);
     }
 
-    // The same with one budget for all requests: no more than the ratio comes on top.
+    // The same failure with one budget for all requests: the load grows by at most the ratio.
     @Test
-    void withABudgetTheLoadOfTheRestGrowsByTheRatioAtMost() {
+    void withABudgetTheLoadOfTheRemainingUpstreamsGrowsByAtMostTheRatio() {
         RetryBudget budget = RetryBudget.of(RATIO);
         double factor = loadOfTheRest(() -> budget);
         double requests = REQUESTS_PER_SECOND * SECONDS;
-        double most = (requests * (1 + RATIO) + START) / (requests * (UPSTREAMS - 1) / UPSTREAMS);
+        double most =
+                (requests * (1 + RATIO) + MAX_RETRIES) / (requests * (UPSTREAMS - 1) / UPSTREAMS);
         assertTrue(factor <= most, () -> "load factor " + factor);
     }
 
-    // A roll-out stops agents one after the other; each says "not run, I am stopping" to what was
-    // on its way to it. Nothing ran, so sending it on adds no load; were it charged, the budget
-    // would be used up by a planned stop, and callers be refused though other agents are idle.
+    // A rollout stops agents one at a time, and each refuses the requests in transit to it as not
+    // run. Retrying them adds no load. If the budget were charged, a planned stop would use it up,
+    // and requests would be refused while other agents are idle.
     @Test
     void whatAStoppingAgentTurnsAwayIsSentOnWithoutCost() {
         RetryBudget budget = RetryBudget.of(0);
@@ -61,25 +62,25 @@
         }
         List<VmId> both = List.of(vm(0), vm(1));
         RequestMachine request = machine(both, budget);
-        request.on(new RequestInput.Start(), Instant.EPOCH);
+        request.on(new RequestInput.Admitted(), Instant.EPOCH);
         List<RequestAction> actions = refuse(request, vm(0), RefusalCode.STOPPING);
         assertEquals(new RequestAction.Send(vm(1)), actions.get(actions.size() - 1));
     }
 
-    // An agent that says so for ever would cost each request a free try; left out for a while, it
-    // costs one only to those that were on their way.
+    // If the agent were not suspended, every request could cause a free attempt at it; suspended,
+    // it only affects the requests already in transit.
     @Test
-    void anAgentThatStopsIsLeftOut() {
+    void aStoppingAgentIsSuspended() {
         RequestMachine request = machine(ALL, RetryBudget.of(RATIO));
-        request.on(new RequestInput.Start(), Instant.EPOCH);
+        request.on(new RequestInput.Admitted(), Instant.EPOCH);
         RequestAction first = refuse(request, vm(0), RefusalCode.STOPPING).get(0);
-        assertEquals(vm(0), ((RequestAction.Suspend) first).vm());
+        assertEquals(vm(0), ((RequestAction.SuspendAgent) first).vm());
     }
 
     private double loadOfTheRest(Supplier<RetryBudget> budgets) {
         Random random = new Random(31);
         for (int second = 0; second < SECONDS; second++) {
-            taken.clear();
+            attempts.clear();
             for (int i = 0; i < REQUESTS_PER_SECOND; i++) {
                 List<VmId> order = new ArrayList<>(ALL);
                 Collections.shuffle(order, random);
@@ -87,20 +88,20 @@
             }
         }
         double normal = (double) REQUESTS_PER_SECOND * SECONDS * (UPSTREAMS - 1) / UPSTREAMS;
-        return triesOfTheRest / normal;
+        return attemptsAtTheRest / normal;
     }
 
     private void serve(RequestMachine request) {
-        request.on(new RequestInput.Start(), Instant.EPOCH);
-        while (!request.answered()) {
-            VmId vm = request.current().orElseThrow();
-            triesOfTheRest += vm.equals(DEAD) ? 0 : 1;
-            if (vm.equals(DEAD)) {
-                request.on(new RequestInput.Lost(vm), Instant.EPOCH);
-            } else if (taken.merge(vm, 1, Integer::sum) > CAPACITY) {
+        request.on(new RequestInput.Admitted(), Instant.EPOCH);
+        while (!request.isAnswered()) {
+            VmId vm = request.currentAgent().orElseThrow();
+            attemptsAtTheRest += vm.equals(DOWN) ? 0 : 1;
+            if (vm.equals(DOWN)) {
+                request.on(new RequestInput.ConnectionLost(vm), Instant.EPOCH);
+            } else if (attempts.merge(vm, 1, Integer::sum) > CAPACITY) {
                 refuse(request, vm, RefusalCode.OVERLOADED);
             } else {
-                request.on(new RequestInput.Served(vm), Instant.EPOCH);
+                request.on(new RequestInput.AnswerStarted(vm), Instant.EPOCH);
             }
         }
     }
@@ -114,7 +115,7 @@
 
     private static List<RequestAction> refuse(RequestMachine request, VmId vm, RefusalCode code) {
         Refusal refusal = Refusal.notRun(code, "no");
-        return request.on(new RequestInput.Refused(vm, refusal), Instant.EPOCH);
+        return request.on(new RequestInput.AgentRefused(vm, refusal), Instant.EPOCH);
     }
 
     private static VmId vm(int number) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/routing/SharedRetryBudgetTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/routing/SharedRetryBudgetTest.java
@@ -17,19 +17,19 @@
     private static final double EXTRA = 52;
 
     @Test
-    void aRouterWithoutRequestsHasItsEvenPartOfTheExtra() {
+    void aRouterWithoutRequestsGetsItsEqualShareOfTheExtra() {
         SharedRetryBudget budget = new SharedRetryBudget(WINDOW, RATIO, EXTRA);
         int taken = 0;
-        while (budget.take(ROUTERS, Instant.EPOCH)) {
+        while (budget.takeRetry(ROUTERS, Instant.EPOCH)) {
             taken++;
         }
         assertEquals(9, taken);
     }
 
     @Test
-    void noSlidingWindowHasMoreThanTheBound() {
-        // Every upstream fails for a while, and each router tries every request once more. Over any
-        // ten seconds the second sends of all routers stay within the common bound.
+    void retriesStayWithinTheLimitInEveryWindow() {
+        // All upstreams fail, and each router retries every request once. In any ten seconds the
+        // retries of all routers together stay within the common limit.
         SplittableRandom random = new SplittableRandom(7);
         List<SharedRetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < ROUTERS; i++) {
@@ -40,9 +40,9 @@
         for (int millis = 0; millis < 40_000; millis += 10) {
             Instant now = Instant.ofEpochMilli(millis);
             SharedRetryBudget budget = budgets.get(random.nextInt(ROUTERS));
-            budget.requested(now);
+            budget.recordRequest(now);
             requestsAt.add(millis);
-            if (budget.take(ROUTERS, now)) {
+            if (budget.takeRetry(ROUTERS, now)) {
                 retriesAt.add(millis);
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/serving/FairWaitingTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/serving/FairWaitingTest.java
@@ -26,8 +26,8 @@
     private ServingMachine agent = ServingMachine.of(1, 4);
 
     @Test
-    void aModestWorkspaceGoesBeforeTheLineOfAGreedyOne() {
-        // The greedy one's fourth request would otherwise be served before the modest one's first.
+    void aRequestOfAnotherWorkspaceRunsBeforeTheQueueOfTheBusiestOne() {
+        // Served in order of arrival, the modest workspace would wait for the whole queue.
         for (int i = 1; i <= 4; i++) {
             arrive(i, "greedy", DEADLINE);
         }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aFullQueueLetsAnotherWorkspaceInAtTheCostOfTheLongestLine() {
+    void aFullQueueReplacesTheNewestRequestOfTheLargestWorkspace() {
         for (int i = 1; i <= 5; i++) {
             arrive(i, "greedy", DEADLINE);
         }
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aWorkspaceOfTwiceTheWeightGetsTwoTurnsOfThree() {
+    void aWorkspaceWithTwiceTheWeightGetsTwoOfThreeRuns() {
         agent = ServingMachine.of(1, 100, each -> each.value().equals("heavy") ? 2.0 : 1.0);
         for (int i = 1; i <= 30; i++) {
             arrive(i, i % 2 == 0 ? "heavy" : "light", DEADLINE);
@@ -65,7 +65,7 @@
         long last = 1;
         for (int turn = 0; turn < 15; turn++) {
             Instant end = NOW.plusMillis(50 * (turn + 1));
-            List<ServingAction> actions = agent.on(new ServingInput.Finished(id(last)), end);
+            List<ServingAction> actions = agent.on(new ServingInput.RunFinished(id(last)), end);
             last = ((ServingAction.Run) actions.get(0)).id().counter();
             heavy += last % 2 == 0 ? 1 : 0;
         }
@@ -74,10 +74,10 @@
     }
 
     @Test
-    void aDeadlineThatTheQueueMakesUnreachableIsRefusedAtOnceWithATimeToComeBack() {
-        // Held back until its deadline the caller would learn nothing sooner than that.
+    void aRequestThatCannotMeetItsDeadlineIsRefusedAtOnceWithARetryTime() {
+        // Without the check the caller would be refused only when the deadline has passed.
         arrive(1, "kitchens", DEADLINE);
-        agent.on(new ServingInput.Finished(id(1)), NOW.plusSeconds(4));
+        agent.on(new ServingInput.RunFinished(id(1)), NOW.plusSeconds(4));
         arrive(2, "kitchens", DEADLINE);
         arrive(3, "kitchens", DEADLINE);
         List<ServingAction> actions = arrive(4, "kitchens", NOW.plusSeconds(7));
@@ -89,11 +89,11 @@
 
     @Property(seed = "31", tries = 100)
     void eachArrivalIsRunOrRefusedOnceAndInTime(@ForAll long seed) {
-        // Arrivals, ends, callers that go and time in any order: nobody is forgotten, told twice,
-        // or held past the first tick after the deadline.
+        // For arrivals, ends of runs and ticks in any order, no request is forgotten, answered
+        // twice, or queued past the first tick after its deadline.
         Random random = new Random(seed);
         agent = ServingMachine.of(3, 10);
-        Map<ExchangeId, Instant> open = new HashMap<>();
+        Map<ExchangeId, Instant> unanswered = new HashMap<>();
         List<ExchangeId> running = new ArrayList<>();
         Instant now = NOW;
         for (int step = 0; step < 300; step++) {
@@ -102,42 +102,48 @@
             int kind = random.nextInt(4);
             if (kind <= 1) {
                 Instant deadline = now.plusMillis(random.nextInt(5_000));
-                WorkspaceId line = WorkspaceId.of("workspace-" + random.nextInt(3));
-                input = new ServingInput.Arrived(id(step), line, Optional.empty(), deadline);
-                open.put(id(step), deadline);
+                WorkspaceId workspaceId = WorkspaceId.of("workspace-" + random.nextInt(3));
+                input =
+                        new ServingInput.RequestArrived(
+                                id(step), workspaceId, Optional.empty(), deadline);
+                unanswered.put(id(step), deadline);
             } else if (kind == 2 && !running.isEmpty()) {
                 ExchangeId done = running.remove(random.nextInt(running.size()));
-                input = new ServingInput.Finished(done);
+                input = new ServingInput.RunFinished(done);
             }
             for (ServingAction action : agent.on(input, now)) {
-                ExchangeId told = told(action);
-                assertTrue(open.remove(told) != null, () -> told + " was told twice");
+                ExchangeId answered = idOf(action);
+                assertTrue(
+                        unanswered.remove(answered) != null,
+                        () -> answered + " was answered twice");
                 if (action instanceof ServingAction.Run) {
-                    running.add(told);
+                    running.add(answered);
                 }
             }
             assertTrue(running.size() <= 3);
             if (input instanceof ServingInput.Tick) {
                 Instant tick = now;
-                assertTrue(open.values().stream().allMatch(tick::isBefore));
+                assertTrue(unanswered.values().stream().allMatch(tick::isBefore));
             }
         }
     }
 
-    private static ExchangeId told(ServingAction action) {
+    private static ExchangeId idOf(ServingAction action) {
         return action instanceof ServingAction.Run run
                 ? run.id()
                 : ((ServingAction.Refuse) action).id();
     }
 
     private List<ServingAction> arrive(long number, String workspace, Instant deadline) {
-        WorkspaceId line = WorkspaceId.of(workspace);
+        WorkspaceId workspaceId = WorkspaceId.of(workspace);
         return agent.on(
-                new ServingInput.Arrived(id(number), line, Optional.empty(), deadline), NOW);
+                new ServingInput.RequestArrived(
+                        id(number), workspaceId, Optional.empty(), deadline),
+                NOW);
     }
 
     private List<ServingAction> finish(long number) {
-        return agent.on(new ServingInput.Finished(id(number)), NOW);
+        return agent.on(new ServingInput.RunFinished(id(number)), NOW);
     }
 
     private static ExchangeId id(long number) {
