--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseAction.java
@@ -3,23 +3,26 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** What a {@link LeaseMachine} wants done. */
+/** Actions that a {@link LeaseMachine} asks its caller to carry out. */
 public sealed interface LeaseAction {
-    /** Have the store grant a lease; ends in Granted or Failed. */
+    /** Asks the store for a lease of this term; answered by Granted or Failed. */
     record Grant(Duration term) implements LeaseAction {}
 
-    /** Write the key under the lease unless it is there; ends in Acquired or Failed. */
+    /**
+     * Writes the leader's key under the lease unless the key exists; answered by Acquired or
+     * Failed.
+     */
     record Acquire(long lease) implements LeaseAction {}
 
-    /** Keep it alive; ends in Kept or Failed. */
+    /** Renews the lease; answered by Kept or Failed. */
     record Keep(long lease, Instant askedAt) implements LeaseAction {}
 
-    /** Give it back, as nothing hangs on it. */
+    /** Revokes a lease that is no longer needed. */
     record Revoke(long lease) implements LeaseAction {}
 
-    /** This process plans from now on. */
+    /** Starts the leader's work: this process now holds the lease. */
     record Won() implements LeaseAction {}
 
-    /** This process plans no longer. */
+    /** Stops the leader's work: this process no longer holds the lease. */
     record Lost() implements LeaseAction {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * Keeps one lease among all routers, so that one of them at a time plans the placement: {@code
- * lease.on(new LeaseInput.Tick(), now)}.
+ * Acquires and renews a lease that one process at a time holds, such as the lease of the router
+ * that plans the placement: {@code lease.on(new LeaseInput.Tick(), now)}.
  *
- * <p>The lease saves work and keeps planners from undoing each other's plans. It guards nothing: a
- * holder that was paused past its end still believes in it until its next step, and its proposals
- * then fail in the compare and swap.
+ * <p>The lease saves work and keeps leaders from undoing each other's plans; correctness does not
+ * depend on it. A leader that was paused beyond the expiry still considers itself the leader until
+ * its next step, and its proposals then fail in the compare-and-swap.
  */
 public final class LeaseMachine implements Machine<LeaseInput, LeaseAction> {
     private final Duration term;
@@ -20,28 +20,35 @@
     private Instant asked = Instant.MIN;
     private Instant until = Instant.MIN;
 
-    /** A machine without the lease; it ends by itself {@code term} after it was last kept. */
+    /**
+     * Creates a machine that does not hold the lease.
+     *
+     * @param term how long after its last renewal the lease expires
+     */
     public LeaseMachine(Duration term) {
         this.term = term;
     }
 
     private enum State {
-        /** Another process has it, or nobody. */
+        /** Another process holds the lease, or none does. */
         FREE,
         /** The store was asked for a lease. */
         GRANTING,
-        /** The store was asked to write the key under it. */
+        /** The store was asked to write the leader's key under the lease. */
         ACQUIRING,
-        /** This process has it until the time runs out. */
+        /** This process holds the lease until it expires. */
         HELD
     }
 
-    /** True if this process holds the lease, as far as can be told without asking. */
+    /**
+     * Returns true if this process holds the lease, judged by its own clock and without asking the
+     * store.
+     */
     public boolean held(Instant now) {
         return state == State.HELD && now.isBefore(until);
     }
 
-    /** The store's number of the lease that was last granted. */
+    /** Returns the store's id of the lease that was granted last. */
     public long lease() {
         return lease;
     }
@@ -106,7 +113,7 @@
         return List.of();
     }
 
-    // Ending the lease takes away just the key under it, and never that of the next holder.
+    // Revoking the lease deletes only the key stored under it, never the key of the next leader.
     private List<LeaseAction> resign() {
         boolean held = state == State.HELD;
         state = State.FREE;
@@ -118,8 +125,9 @@
         return List.of(new LeaseAction.Lost());
     }
 
-    // Counted from before the question: the store may have begun the term then. The margin is for
-    // clocks that run at different speeds.
+    // The term counts from the moment at which the request was sent, since the store may have
+    // started it then. A tenth of the term is kept as a margin for clocks that run at different
+    // speeds.
     private Instant endOf(Instant from) {
         return from.plus(term.multipliedBy(9).dividedBy(10));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementException.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementException.java
@@ -2,24 +2,24 @@
 
 import io.damaskyoke.DamaskyokeException;
 
-/** Something is wrong with the placement table. */
+/** Thrown when the placement table holds an unreadable value or an illegal change is proposed. */
 public final class PlacementException extends DamaskyokeException {
     private static final long serialVersionUID = 1L;
 
-    /** What went wrong. */
+    /** Tells the kinds of failure apart. */
     public enum Code {
-        /** A stored value is not a shard. */
+        /** A stored key or value can't be read as a shard. */
         UNREADABLE,
-        /** A proposed value can't be reached from the stored one. */
+        /** The proposed value is not a legal successor of the stored one. */
         ILLEGAL_CHANGE
     }
 
-    /** Says what went wrong. */
+    /** Creates an exception without a cause. */
     public PlacementException(Code code, String message) {
         super(code, message, null);
     }
 
-    /** Says what went wrong below. */
+    /** Creates an exception with the failure that caused it. */
     public PlacementException(Code code, String message, Throwable cause) {
         super(code, message, cause);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementStore.java
@@ -18,8 +18,10 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The placement table in the platform's store. Every write is checked to be a legal change of what
- * was read, and takes effect only if that still stands. Whoever gets no clear answer reads again.
+ * Reads and writes the placement table in the platform's store.
+ *
+ * <p>Every write is checked to be a legal change of the value that was read, and takes effect only
+ * if that value is still stored. A caller that gets no clear answer reads the table again.
  */
 public final class PlacementStore {
     private static final String FOLDER = "/placement/";
@@ -31,26 +33,27 @@
     private final KeyValueStore store;
     private final String prefix;
 
-    /** The table under this prefix. */
+    /** Creates a store client for the table under this key prefix. */
     public PlacementStore(KeyValueStore store, String prefix) {
         this.store = store;
         this.prefix = prefix;
     }
 
-    /** A number that changes with every write of a shard; 0 before the first. */
+    /** Returns a number that changes with every write of a shard; 0 before the first write. */
     public CompletionStage<Long> version() {
         return store.read(prefix + VERSION)
                 .thenApply(entry -> entry.map(KeyValueStore.Entry::modRevision).orElse(0L));
     }
 
-    /** The whole table by one call. */
+    /** Reads the whole table in one call. */
     public CompletionStage<PlacementTable> read() {
         return store.list(prefix + FOLDER).thenApply(this::table);
     }
 
     /**
-     * Swaps a shard for what a planner wants. True if it took effect; it doesn't if the shard was
-     * written meanwhile, or if a configuration newer than the planner's has been accepted.
+     * Replaces a shard by a planner's proposal. Returns true if it took effect; it does not if the
+     * shard was written in the meantime, or if a configuration newer than the planner's has been
+     * accepted.
      */
     public CompletionStage<Boolean> plan(Planner.Proposal proposal, Configuration configuration) {
         check(
@@ -58,14 +61,23 @@
                         proposal.read(),
                         proposal.value(),
                         name -> maxReplicas(configuration, name)));
-        // A planner with an old configuration would give more rights than the newest allows. The
-        // log has one key for each number, so the absence of the next one says there is no newer.
+        // A planner with an old configuration would grant more than the newest one allows. The log
+        // has one key per sequence number, so if the next one is absent, there is no newer
+        // configuration.
         Condition newest =
                 new Condition.Absent(LogKeys.entry(prefix, configuration.sequence() + 1));
         return swap(proposal.shard(), proposal.value(), proposal.modRevision(), List.of(newest));
     }
 
-    /** Swaps a shard for what a holder, or somebody who hears from the VM, makes of it. */
+    /**
+     * Replaces a shard by a change to the grants of one VM, made by that VM or by a process that
+     * has received a message from it. Returns true if it took effect.
+     *
+     * @param number the shard's number
+     * @param read the shard as it was read
+     * @param holder the VM whose grants change
+     * @param change computes the new value from the one that was read
+     */
     public CompletionStage<Boolean> change(
             int number, PlacementTable.Stored read, VmId holder, UnaryOperator<Shard> change) {
         Shard value = change.apply(read.shard());
@@ -73,7 +85,7 @@
         return swap(number, value, read.modRevision(), List.of());
     }
 
-    /** Writes the planner's key under the lease; false if another process has it. */
+    /** Writes the planner's key under the lease; returns false if another process holds it. */
     public CompletionStage<Boolean> acquireLease(long lease, byte[] holder) {
         return store.commit(
                         List.of(new Condition.Absent(prefix + LEASE)),
@@ -114,7 +126,9 @@
             return Integer.parseInt(key.substring((prefix + FOLDER).length()));
         } catch (NumberFormatException e) {
             throw new PlacementException(
-                    PlacementException.Code.UNREADABLE, "not the key of a shard: " + key, e);
+                    PlacementException.Code.UNREADABLE,
+                    "can't read the shard number at the end of the key " + key,
+                    e);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementTable.java
@@ -12,39 +12,43 @@
 import java.util.stream.Stream;
 
 /**
- * All shards as they stood at one revision of the store. Immutable.
+ * An immutable view of all shards at one revision of the store.
  *
- * @param revision of the read; a view is never replaced by one of a lower revision
- * @param shards by number; those missing were never written
+ * @param revision the store's revision at the read; a view is never replaced by one of a lower
+ *     revision
+ * @param shards the shards by number; a missing shard was never written
  */
 public record PlacementTable(long revision, Map<Integer, Stored> shards) {
-    /** What is known before the first read. */
+    /** The table before the first read. */
     public static final PlacementTable UNREAD = new PlacementTable(0, Map.of());
 
-    /** A shard and the revision that a compare and swap of it has to name. */
+    /**
+     * A shard and the store's revision that a compare-and-swap of it has to name; 0 if it was never
+     * written.
+     */
     public record Stored(Shard shard, long modRevision) {}
 
-    /** Copies the map in the order of numbers. */
+    /** Copies the map, ordered by shard number. */
     public PlacementTable {
         shards = Collections.unmodifiableSortedMap(new TreeMap<>(shards));
     }
 
-    /** True once something was read; an empty store counts as read. */
+    /** Returns true once the table has been read; an empty store counts as read. */
     public boolean isRead() {
         return revision > 0;
     }
 
-    /** The shard with this number. */
+    /** Returns the shard with this number, an empty one if it was never written. */
     public Stored shard(int number) {
         return shards.getOrDefault(number, new Stored(Shard.EMPTY, 0));
     }
 
-    /** Every right of a VM. */
+    /** Returns all grants of a VM. */
     public List<Right> of(VmId vm) {
         return all().filter(right -> right.vm().equals(vm)).toList();
     }
 
-    /** The VMs whose right to each model is usable. */
+    /** Returns, for each model, the VMs that hold a usable grant for it. */
     public Map<ModelName, Set<VmId>> holders() {
         Map<ModelName, Set<VmId>> holders = new HashMap<>();
         all().filter(Right::usable)
@@ -55,7 +59,7 @@
         return holders;
     }
 
-    /** Every right there is. */
+    /** Returns all grants. */
     public Stream<Right> all() {
         return shards.values().stream().flatMap(stored -> stored.shard().rights().stream());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Planner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/Planner.java
@@ -19,12 +19,15 @@
 import java.util.function.Predicate;
 
 /**
- * Decides which VM gets a right to which model: {@code planner.on(new View(...), now)} gives the
- * shards to swap. A right stays where it is unless its VM leaves or is gone, or the configuration
- * no longer wants it there. New ones go to the VM with the least to hold, over all zones first.
+ * Decides which VM is granted a replica of which model: {@code planner.on(new View(...), now)}
+ * returns the shards to replace.
  *
- * <p>It may be wrong about who leads, and about the present table: each proposal names the revision
- * that it was worked out from, and takes effect only if that still stands.
+ * <p>A grant stays where it is unless its VM leaves or is gone, or the configuration no longer
+ * wants it there. A new grant goes to the VM with the fewest granted bytes in the zone that has the
+ * fewest replicas of the model.
+ *
+ * <p>Two planners may run at once, and a planner's table may be out of date: each proposal names
+ * the revision that it was computed from, and takes effect only if that revision is still stored.
  */
 public final class Planner implements Machine<Planner.View, Planner.Proposal> {
     private final Duration goneAfter;
@@ -33,27 +36,32 @@
     private final Map<Mark, Instant> suspectedSince = new HashMap<>();
 
     /**
-     * Times of a planner.
+     * Creates a planner.
      *
-     * @param goneAfter how long a VM is off the list, and silent, before it is suspected
-     * @param suspectTime how long a suspicion stands for all to see before a right is taken
+     * @param goneAfter how long a VM must be missing from the list, and silent, before it is
+     *     suspected
+     * @param suspectTime how long a suspicion must be visible to all before the grant is revoked
      */
     public Planner(Duration goneAfter, Duration suspectTime) {
         this.goneAfter = goneAfter;
         this.suspectTime = suspectTime;
     }
 
-    /** A VM that is listed and registered; one that leaves is given no rights. */
+    /**
+     * A VM that is listed and registered.
+     *
+     * @param leaving true if it is shutting down and must not receive new grants
+     */
     public record Candidate(VmId vm, PoolName pool, AvailabilityZone zone, boolean leaving) {}
 
     /**
-     * What a planner sees.
+     * The inputs of one planning run.
      *
      * @param table the newest table read
-     * @param models in force
+     * @param models the models of the configuration in force
      * @param candidates the VMs that are listed and registered
-     * @param listed every VM on the list, leaving ones included
-     * @param heard VMs that were heard from lately
+     * @param listed every VM on the platform's list, including those that are leaving
+     * @param heard the VMs that this router has received messages from recently
      */
     public record View(
             PlacementTable table,
@@ -62,7 +70,15 @@
             Set<VmId> listed,
             Set<VmId> heard) {}
 
-    /** A shard to be swapped for a new value if it still stands at the revision; 0: absent. */
+    /**
+     * A replacement of one shard.
+     *
+     * @param shard the shard's number
+     * @param read the value that the plan was computed from
+     * @param value the new value
+     * @param modRevision the revision at which {@code read} must still be stored; 0 if it must be
+     *     absent
+     */
     public record Proposal(int shard, Shard read, Shard value, long modRevision) {}
 
     @Override
@@ -110,9 +126,10 @@
         view.table().all().forEach(right -> holders.add(right.vm()));
         Set<VmId> absent = new HashSet<>(holders);
         absent.removeAll(view.listed());
-        // A platform list that comes back cut short makes most of the fleet look gone. All rights
-        // would move at once while the VMs still hold their replicas. Half of the holders is more
-        // than an availability zone, so the real losses that are expected stay below it.
+        // A truncated platform list makes most of the fleet look gone. All grants would move at
+        // once while the VMs still hold their replicas, so the list is ignored if more than half of
+        // the holders are missing. Half of the holders is more than one availability zone, so the
+        // real losses that are expected stay below it.
         if (absent.size() > 1 && absent.size() * 2 > holders.size()) {
             absent.clear();
         }
@@ -133,8 +150,8 @@
         return cleared;
     }
 
-    // The time starts anew whenever the shard was written. Otherwise a suspicion that was cleared
-    // and raised again between two of our reads would seem to have stood all the while.
+    // The period starts again whenever the shard was written. Otherwise a suspicion that was
+    // cleared and raised again between two reads would seem to have been visible all the time.
     private void noteSuspected(View view, Instant now) {
         Set<Mark> suspected = new HashSet<>();
         for (PlacementTable.Stored stored : view.table().shards().values()) {
@@ -153,8 +170,9 @@
                 .map(right -> mustGo(right, view) ? right.toRelease() : right);
     }
 
-    // Taken only after everybody had the time to see the suspicion and to clear it. A timeout alone
-    // would take the right of a VM that is merely slow, and two VMs would hold the model.
+    // A grant is revoked only after every process has had time to see the suspicion and to clear
+    // it. A timeout alone would revoke the grant of a VM that is merely slow, and two VMs would
+    // hold the model.
     private boolean isTaken(Right right, PlacementTable.Stored stored, Instant now) {
         Instant since = suspectedSince.get(new Mark(right.fencing(), stored));
         return right.suspected()
@@ -168,7 +186,7 @@
         return since != null && !now.isBefore(since.plus(goneAfter));
     }
 
-    // A VM without a registration in view keeps its rights: what can't be read says nothing.
+    // A VM without a visible registration keeps its grants: a missing registration proves nothing.
     private static boolean mustGo(Right right, View view) {
         Model model = view.models().get(right.model());
         return model == null
@@ -180,14 +198,14 @@
                                                 || !candidate.pool().equals(model.pool()));
     }
 
-    /** One suspicion as it stood at one revision of its shard. */
+    /** A suspicion of one grant, as it stood at one revision of its shard. */
     private record Mark(long fencing, long modRevision) {
         Mark(long fencing, PlacementTable.Stored stored) {
             this(fencing, stored.modRevision());
         }
     }
 
-    /** How much each VM may have to hold, by the rights that it has. */
+    /** Counts how many bytes each VM may have to hold for its grants. */
     private static final class Loads {
         private final Map<VmId, Long> bytes = new HashMap<>();
 
@@ -204,7 +222,7 @@
         }
     }
 
-    /** Fits one shard to the configuration. */
+    /** Adapts the grants of one shard to the configuration. */
     private static final class Grants {
         private final View view;
         private final Loads loads;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingFeed.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingFeed.java
@@ -12,13 +12,13 @@
 import java.util.function.Supplier;
 
 /**
- * Looks at the table's version in the store at the pace of the fleet's size, and when asked to, and
- * reads the table itself only if the version is a new one.
+ * Polls the table's version in the store, at an interval that depends on the size of the fleet and
+ * on request, and reads the table itself only if the version has changed.
  *
- * <p>What a process knows may thus be some seconds old. A router with an old view sends to an agent
- * that has no right any more and refuses; an agent with an old view keeps a replica under a right
- * that nobody but itself removes, except for one that stood suspected (see {@link
- * ReadPace#LONGEST}).
+ * <p>A process's view may therefore be some seconds old. A router with an old view sends to an
+ * agent that no longer has a grant, and the agent refuses; an agent with an old view keeps a
+ * replica under a grant that only the agent itself removes, unless the grant was marked suspected
+ * (see {@link ReadPace#LONGEST}).
  */
 public final class PollingFeed implements PlacementFeed {
     private static final Duration TICK = Duration.ofMillis(250);
@@ -34,7 +34,11 @@
     private boolean reading;
     private final List<Runnable> next = new ArrayList<>();
 
-    /** A feed that waits for {@code pause}, asked each time, between two looks. */
+    /**
+     * Creates a feed.
+     *
+     * @param pause returns the wait until the next read; called before each read
+     */
     public PollingFeed(
             Control control, PlacementStore store, Supplier<Duration> pause, Metrics metrics) {
         this.control = control;
@@ -56,8 +60,8 @@
         }
     }
 
-    // A step that comes while a read is under way waits for the next one: the one under way may
-    // have seen the store as it was before the step had a reason to ask.
+    // A step that is added while a read is in progress waits for the next read: the current one may
+    // have seen the store as it was before the step's reason arose.
     @Override
     public void refresh(Runnable afterwards) {
         next.add(afterwards);
@@ -75,7 +79,7 @@
     }
 
     // Every write of a shard sets the version in the same transaction. The version is read before
-    // the table: a write in between is then seen as new by the next look, and none is missed.
+    // the table, so a write in between shows as a new version at the next read, and none is missed.
     private CompletionStage<Look> look() {
         PlacementTable known = table;
         long before = version;
@@ -98,9 +102,9 @@
         }
     }
 
-    // An old table taken last would bring back a right that its holder has handed back, and two VMs
-    // would load the model; so the revision only grows. The known table is told again at each look,
-    // as a listener may now hear from a VM that it didn't hear from before.
+    // An older table would bring back a grant that its holder has released, and two VMs would load
+    // the model, so the revision only grows. A known table is passed to the listener again at each
+    // read, since the listener may by now receive messages from a VM that it did not reach before.
     private void take(Look found, Throwable failure) {
         if (failure != null) {
             metrics.count("placement_read_failures");
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/ReadPace.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/ReadPace.java
@@ -4,20 +4,20 @@
 import java.util.Random;
 
 /**
- * How long a process waits between two looks at the table, so that all together stay below a
- * budget: {@code pace.next(2_780)}.
+ * Computes how long a process waits between two reads of the placement table, so that all processes
+ * together stay below a limit: {@code pace.next(2_780)}.
  */
 public final class ReadPace {
-    /** Looks a second of all processes together, of the 2,000 reads that the store gives. */
+    /** Reads per second of all processes together; the store serves 2,000. */
     public static final int BUDGET = 700;
 
-    /** Small fleets look this often. */
+    /** The interval between reads in a small fleet. */
     public static final Duration SHORTEST = Duration.ofSeconds(1);
 
     /**
-     * Nobody looks less often, also if the budget is then exceeded. A right that was marked
-     * suspected may be taken after 15 s; an agent that isn't gone has to find the mark and clear it
-     * before that, or its model is loaded elsewhere too. This leaves it three looks.
+     * The longest interval, kept even if the limit is then exceeded. A grant marked as suspected
+     * may be revoked after 15 s; an agent that is not gone has to find the mark and clear it before
+     * that, or its model is loaded elsewhere too. This interval leaves it three reads.
      */
     public static final Duration LONGEST = Duration.ofSeconds(4);
 
@@ -25,12 +25,16 @@
 
     private final Random random;
 
-    /** A pace whose jitter keeps processes that started together from looking together. */
+    /** Creates a pace whose jitter keeps processes that started together from reading together. */
     public ReadPace(Random random) {
         this.random = random;
     }
 
-    /** The wait until the next look in a deployment of so many routers and agents. */
+    /**
+     * Returns the wait until the next read.
+     *
+     * @param processes the number of routers and agents in the deployment
+     */
     public Duration next(int processes) {
         long share = 1_000L * processes / BUDGET;
         long millis = Math.min(LONGEST.toMillis(), Math.max(SHORTEST.toMillis(), share));
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Right.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/Right.java
@@ -4,27 +4,29 @@
 import io.damaskyoke.id.VmId;
 
 /**
- * One VM's right to hold one replica of a model. It counts as a replica until it is removed from
- * the table, whatever its marks.
+ * Allows one VM to hold one replica of a model. It counts as a replica until it is removed from the
+ * table, whatever its marks.
  *
- * @param model which model or adapter
- * @param vm who may hold it
- * @param fencing a number that no other right of the shard had or will have
- * @param releasing the holder is asked to unload and then to remove the right; never taken back
- * @param suspected the VM seems to be gone; anybody who hears from it clears the mark
+ * @param model the model or adapter
+ * @param vm the VM that may hold it
+ * @param fencing the fencing token, which no other grant of the shard ever has
+ * @param releasing true if the holder is asked to unload the model and then to remove the grant;
+ *     never reset
+ * @param suspected true if the VM seems to be gone; any process that receives a message from it
+ *     clears the mark
  */
 public record Right(ModelName model, VmId vm, long fencing, boolean releasing, boolean suspected) {
-    /** A new right without marks. */
+    /** Returns a new grant without marks. */
     public static Right granted(ModelName model, VmId vm, long fencing) {
         return new Right(model, vm, fencing, false, false);
     }
 
-    /** True if the holder may load under it. */
+    /** Returns true if the holder may load the model under this grant. */
     public boolean usable() {
         return !releasing;
     }
 
-    /** The same without suspicion: somebody has heard from the VM. */
+    /** Returns a copy that is not marked suspected, for use when the VM has been heard from. */
     public Right cleared() {
         return suspected(false);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Shard.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/Shard.java
@@ -13,14 +13,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The rights of some models, as one value in the store. An adapter's rights are in the shard of its
- * base, so that both can change at once.
+ * The grants of some models, stored as one value. An adapter's grants are in the shard of its base
+ * model, so that both can change at once.
  *
- * @param lastFencing the highest fencing number ever given here
- * @param rights by model, then VM
+ * @param lastFencing the highest fencing token ever used in this shard
+ * @param rights the grants, ordered by model, then VM
  */
 public record Shard(long lastFencing, List<Right> rights) {
-    /** How many shards there are; a deployment must never change it. */
+    /** The number of shards; a deployment must never change it. */
     public static final int COUNT = 64;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -28,41 +28,41 @@
             Comparator.comparing((Right right) -> right.model().value())
                     .thenComparing(right -> right.vm().value());
 
-    /** What stands where nothing was written yet. */
+    /** The value of a shard that was never written. */
     public static final Shard EMPTY = new Shard(0, List.of());
 
-    /** Sorts the rights, so that equal tables have equal bytes. */
+    /** Sorts the grants, so that equal shards have equal bytes. */
     public Shard {
         rights = rights.stream().sorted(ORDER).toList();
     }
 
-    /** The shard of a model; for an adapter pass its base. */
+    /** Returns the number of a model's shard; for an adapter pass its base model. */
     public static int number(ModelName model) {
         return Math.floorMod(model.value().hashCode(), COUNT);
     }
 
-    /** The same without these rights. */
+    /** Returns a copy without the grants that match. */
     public Shard without(Predicate<Right> which) {
         return new Shard(lastFencing, rights.stream().filter(which.negate()).toList());
     }
 
-    /** The same with each right passed through the change. */
+    /** Returns a copy with the change applied to each grant. */
     public Shard map(UnaryOperator<Right> change) {
         return new Shard(lastFencing, rights.stream().map(change).toList());
     }
 
-    /** The stored form. */
+    /** Returns the stored JSON form. */
     public byte[] toJson() {
         try {
             List<StoredRight> stored = rights.stream().map(StoredRight::of).toList();
             return JSON.writeValueAsBytes(new Stored(lastFencing, stored));
         } catch (JsonProcessingException e) {
             throw new PlacementException(
-                    PlacementException.Code.UNREADABLE, "can't write a shard", e);
+                    PlacementException.Code.UNREADABLE, "can't write a shard as JSON", e);
         }
     }
 
-    /** Reads the stored form, or throws a {@link PlacementException}. */
+    /** Parses the stored JSON form; throws a {@link PlacementException} if it can't be read. */
     public static Shard parse(byte[] json) {
         try {
             Stored stored = JSON.readValue(json, Stored.class);
@@ -70,7 +70,9 @@
                     stored.fencing(), stored.rights().stream().map(StoredRight::right).toList());
         } catch (IOException | IllegalArgumentException e) {
             throw new PlacementException(
-                    PlacementException.Code.UNREADABLE, "can't read a shard", e);
+                    PlacementException.Code.UNREADABLE,
+                    "can't read a shard from its stored JSON",
+                    e);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Transition.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/Transition.java
@@ -9,45 +9,52 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Which new value of a shard may be proposed for the one that was read.
+ * Checks whether a new value of a shard is a legal change of the value that was read.
  *
- * <p>Every writer passes through here just before its compare and swap. A mistake in a planner, or
- * a planner of an older release, then shows as a refused proposal and not as a second copy of a
- * model on an engine that has no room for it. The compare and swap itself makes it enough: what is
- * checked is what is replaced.
+ * <p>Every writer calls it just before its compare-and-swap. A mistake in a planner, or a planner
+ * of an older release, then shows as a refused proposal and not as a second copy of a model on an
+ * engine that has no memory for it. The compare-and-swap guarantees that the value that was checked
+ * is the one that is replaced.
  */
 public final class Transition {
     private Transition() {}
 
     /**
-     * What is wrong with a planner's proposal; empty if it may be written.
+     * Returns what is wrong with a planner's proposal; empty if it may be written.
      *
-     * @param maxReplicas how many rights of a model there may be, 0 if it is not configured
+     * @param maxReplicas returns how many grants a model may have, 0 if it is not configured
      */
     public static Optional<String> ofPlanner(
             Shard read, Shard proposed, ToIntFunction<ModelName> maxReplicas) {
         for (Right before : read.rights()) {
             Optional<Right> after = find(proposed, before);
             if (after.isEmpty() && !before.suspected()) {
-                return Optional.of("removes a right that its holder has not released: " + before);
+                return Optional.of(
+                        "a planner may remove a grant only while it is marked suspected: "
+                                + before);
             }
             if (after.isPresent() && before.releasing() && !after.get().releasing()) {
-                return Optional.of("takes a release back: " + before);
+                return Optional.of("a grant marked releasing must keep the mark: " + before);
             }
         }
         return grants(read, proposed, maxReplicas);
     }
 
-    /** What is wrong with a holder's proposal, which may only concern its own rights. */
+    /**
+     * Returns what is wrong with a VM's proposal, which may change only its own grants; empty if it
+     * may be written.
+     */
     public static Optional<String> ofHolder(Shard read, Shard proposed, VmId holder) {
         for (Right before : read.rights()) {
             Optional<Right> after = find(proposed, before);
             boolean own = before.vm().equals(holder);
             if (after.isEmpty() && !(own && before.releasing())) {
-                return Optional.of("removes a right that is not being released: " + before);
+                return Optional.of(
+                        "a VM may remove only its own grants, and only those marked releasing: "
+                                + before);
             }
             if (after.isPresent() && before.releasing() != after.get().releasing()) {
-                return Optional.of("only a planner asks for a release: " + before);
+                return Optional.of("only a planner may mark a grant as releasing: " + before);
             }
         }
         return grants(read, proposed, model -> 0);
@@ -56,19 +63,20 @@
     private static Optional<String> grants(
             Shard read, Shard proposed, ToIntFunction<ModelName> maxReplicas) {
         if (proposed.lastFencing() < read.lastFencing()) {
-            return Optional.of("sets the fencing number back");
+            return Optional.of("the highest fencing token must not decrease");
         }
         Set<Long> numbers = new HashSet<>();
         for (Right right : proposed.rights()) {
             boolean isNew = find(read, right).isEmpty();
             if (isNew && !isFresh(right, read, proposed, numbers)) {
-                return Optional.of("a new right needs a new fencing number: " + right);
+                return Optional.of("a new grant needs a new fencing token: " + right);
             }
             if (isNew && count(proposed, right.model()) > maxReplicas.applyAsInt(right.model())) {
-                return Optional.of("more rights than were decided: " + right.model());
+                return Optional.of(
+                        "more grants than maxReplicas allows for model " + right.model());
             }
             if (isNew && isTwice(proposed, right)) {
-                return Optional.of("two rights to one model on one VM: " + right);
+                return Optional.of("two grants for one model on one VM: " + right);
             }
         }
         return Optional.empty();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which VM may hold a replica of which model: durable rights in the store, changed by compare and
- * swap only, and used by their holders without asking anybody.
+ * Decides which VM may hold a replica of which model. Grants are durable entries in the store, are
+ * changed by compare-and-swap only, and are used by the VMs that hold them without asking anyone.
  */
 package io.damaskyoke.control.placement;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/EngineVm.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/EngineVm.java
@@ -21,7 +21,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** A VM of the world: an engine that ignores fencing, and an agent that can die beside it. */
+/** A simulated VM: an engine that ignores fencing tokens, and an agent beside it that can crash. */
 final class EngineVm {
     static final long MEMORY = 100;
     private static final int LAG = 7;
@@ -72,14 +72,14 @@
         return loading + held.values().stream().mapToLong(Model::memoryBytes).sum();
     }
 
-    /** The agent dies; what it has ordered goes on at the engine. */
+    /** Crashes the agent; its orders continue at the engine. */
     void killAgent() {
         agentDownFor = 1 + world.random.nextInt(40);
         life++;
         waiting.clear();
     }
 
-    /** The whole VM goes, and comes back empty under its old name. */
+    /** Stops the whole VM for some steps; it comes back empty under its old name. */
     void lose(int steps) {
         vmDownFor = steps;
         life++;
@@ -95,12 +95,18 @@
 
     void faultsNow(List<String> found) {
         if (usedBytes() > MEMORY) {
-            found.add("memory of " + id + ": " + usedBytes());
+            found.add("engine over its memory: " + id + " uses " + usedBytes());
         }
         waiting.forEach(
                 (request, deadline) -> {
                     if (deadline.isBefore(world.now)) {
-                        found.add("request " + request + " waits at " + id + " past " + deadline);
+                        found.add(
+                                "request "
+                                        + request
+                                        + " still waits at "
+                                        + id
+                                        + " after its deadline "
+                                        + deadline);
                     }
                 });
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/LeaseMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/LeaseMachineTest.java
@@ -17,8 +17,8 @@
 
     @Test
     void aHolderThatResignsEndsItsOwnLeaseAndHoldsNothing() {
-        // The leader is slow and resigns. It ends its lease, and with it its own key. Were
-        // it to remove the key by name, again at each slow tick, it would remove its successors'.
+        // Guards against a slow leader that removes the key by name when it resigns, again at each
+        // slow tick, and so removes the keys of its successors.
         hold(7);
         assertEquals(
                 List.of(new LeaseAction.Revoke(7), new LeaseAction.Lost()),
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementPropertyTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementPropertyTest.java
@@ -16,10 +16,11 @@
 
     @Property(seed = "21", tries = 60)
     void noMoreReplicasThanDecidedThroughEveryFault(@ForAll long seed) {
-        // Three routers plan at once and are frozen and thawed with proposals in hand; agents die
-        // in the middle of loads; VMs vanish and come back, or are only mislaid by the list; the
-        // store goes down and loses answers; reports are old; engines obey any order. After each
-        // step no model is held by more engines than decided, and no engine holds too much.
+        // Three routers plan at once and are frozen and resumed with pending proposals; agents
+        // crash in the middle of loads; VMs vanish and come back, or are only missing from the
+        // list; the store goes down and loses answers; reports are old; engines obey any order.
+        // After each step no model is held by more engines than configured, and no engine holds too
+        // much.
         PlacementWorld world = new PlacementWorld(seed, Policy.OURS);
         world.run(STEPS);
         assertEquals(List.of(), world.broken);
@@ -28,8 +29,9 @@
 
     @Property(seed = "22", tries = 20)
     void afterTheFaultsEveryModelHasItsRightsAgain(@ForAll long seed) {
-        // Safety could be had by never moving a right, and a model whose VM is gone would be
-        // refused for ever. Once the faults end, all rights stand where they are of use.
+        // Guards against a planner that is safe only because it never moves a grant: a model whose
+        // VM is gone would be refused forever. Once the faults end, all grants are on VMs that can
+        // use them.
         PlacementWorld world = new PlacementWorld(seed, Policy.OURS);
         world.run(STEPS / 3);
         world.calm(CALM);
@@ -51,15 +53,15 @@
 
     @Test
     void aRightTakenOnATimeoutAloneIsUsedByTwo() {
-        // The list mislays a VM that lives, and the store is out of its reach. Its right is given
-        // to another, which loads the model while the first one still holds it.
+        // The list omits a VM that is running but can't reach the store. Its grant is given to
+        // another VM, which loads the model while the first one still holds it.
         assertTrue(brokenWorlds(Policy.TIMEOUT_ONLY) > 0);
     }
 
     @Test
     void aRightHandedBackBeforeTheEngineIsClearIsUsedByTwo() {
-        // The VM is to leave. Its agent confirms the release at once, and the new holder has
-        // loaded the model before the old engine lets go of it: an answer still streams there.
+        // The VM is leaving. Its agent confirms the release at once, and the new holder loads the
+        // model before the old engine unloads it, since an answer is still streaming there.
         assertTrue(brokenWorlds(Policy.BLIND_RELEASE) > 0);
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSessionTest.java
@@ -33,30 +33,34 @@
 
     @Test
     void aWholeSession() {
-        say("A router wins the lease and gives the first rights, over both zones");
+        say("A router acquires the lease and creates the first grants, in both zones");
         lease(0, new LeaseInput.Tick());
         lease(0, new LeaseInput.Granted(7));
         lease(0, new LeaseInput.Acquired(true));
         model("edges", 2, null);
         model("edges-oak", 1, "edges");
         plan(0, Set.of(ONE, TWO, THREE), Set.of(), Set.of());
-        say("An operator lowers the limit: the surplus is asked back, not taken");
+        say("An operator lowers the limit: surplus grants are marked releasing, not removed");
         model("edges", 1, null);
         plan(5, Set.of(ONE, TWO, THREE), Set.of(), Set.of());
-        say("One VM is to leave: nothing is given anew before its holder has handed back");
+        say("One VM is leaving: nothing is granted again before its holder has released it");
         plan(5, Set.of(ONE, TWO, THREE), Set.of(ONE), Set.of());
         handBack(ONE);
         handBack(TWO);
         plan(1, Set.of(ONE, TWO, THREE), Set.of(ONE), Set.of());
-        say("The new holder vanishes from the list but is heard: nothing happens");
+        say("The new holder is missing from the list but still sends messages: nothing changes");
         plan(1, Set.of(ONE, TWO), Set.of(), Set.of(TWO, THREE));
         plan(60, Set.of(ONE, TWO), Set.of(), Set.of(TWO, THREE));
-        say("It falls silent: suspected after 30 s, taken 15 s after that, given to another");
+        say(
+                "It is silent: suspected after 30 s, revoked after another 15 s, granted to another"
+                        + " VM");
         plan(1, Set.of(ONE, TWO), Set.of(), Set.of());
         plan(30, Set.of(ONE, TWO), Set.of(), Set.of());
         plan(1, Set.of(ONE, TWO), Set.of(), Set.of());
         plan(15, Set.of(ONE, TWO), Set.of(), Set.of());
-        say("The store falls silent, and the router knows by its own clock that it leads no more");
+        say(
+                "The store does not answer, and the router sees by its own clock that its lease"
+                        + " expired");
         lease(0, new LeaseInput.Tick());
         Approvals.verify(lines);
     }
@@ -97,7 +101,7 @@
                                                 right ->
                                                         right.vm().equals(vm) && right.releasing()),
                                 ++revision));
-        lines.append(now.getEpochSecond()).append("s ").append(vm).append(" hands back\n");
+        lines.append(now.getEpochSecond()).append("s ").append(vm).append(" releases its grants\n");
     }
 
     private static Planner.Candidate candidate(VmId vm, boolean leaving) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementWorld.java
@@ -23,8 +23,8 @@
 import java.util.function.IntPredicate;
 
 /**
- * Three routers that all plan, four VMs with real holders, and a store, with seeded faults. It
- * knows what every engine really holds and checks the rules after each step.
+ * Simulates three routers that all plan, four VMs with real replica managers, and a store, with
+ * seeded faults. It knows what every engine really holds and checks the rules after each step.
  */
 public final class PlacementWorld {
     static final Duration STEP = Duration.ofMillis(250);
@@ -59,7 +59,10 @@
         populate();
     }
 
-    /** A world over somebody else's store, where routers follow a log and plan under a lease. */
+    /**
+     * Creates a simulation over a given store, in which routers follow a log and plan under a
+     * lease.
+     */
     public PlacementWorld(
             long seed,
             Policy policy,
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Lets routers and VMs go on, without faults or checks of this world's own. */
+    /** Runs one step of the routers and VMs, without faults or checks of this simulation's own. */
     public void stepAt(Instant time) {
         now = time;
         noteList();
@@ -96,7 +99,10 @@
         vms.values().forEach(EngineVm::step);
     }
 
-    /** Has messages and answers arrive from now on, and everybody come back. */
+    /**
+     * Ends all faults: messages and answers arrive from now on, and every VM, agent and router
+     * comes back.
+     */
     public void endFaults() {
         faults = false;
         mislaid.clear();
@@ -104,27 +110,27 @@
         routers.forEach(PlannerRouter::thaw);
     }
 
-    /** Freezes a router, with proposals in its hands. */
+    /** Freezes a router that may have pending proposals. */
     public void freezeRouter(int router, int steps) {
         routers.get(router).freeze(steps);
     }
 
-    /** Has a router start anew, knowing nothing. */
+    /** Restarts a router without any state. */
     public void replaceRouter(int router) {
         routers.set(router, new PlannerRouter(this));
     }
 
-    /** Has a VM go and come back empty after some steps. */
+    /** Stops a VM, which comes back empty after some steps. */
     public void loseVm(int vm, int steps) {
         vm(vm).lose(steps);
     }
 
-    /** Kills an agent beside its engine. */
+    /** Crashes an agent; its engine keeps running. */
     public void killAgent(int vm) {
         vm(vm).killAgent();
     }
 
-    /** Leaves a living VM out of the list, or puts it back. */
+    /** Omits a running VM from the list, or puts it back. */
     public void mislay(int vm, boolean away) {
         if (away) {
             mislaid.add(vm(vm).id);
@@ -133,22 +139,25 @@
         }
     }
 
-    /** How many engines hold or load the model. */
+    /** Returns how many engines hold or load the model. */
     public long holding(ModelName model) {
         return vms.values().stream().filter(vm -> vm.holds(model)).count();
     }
 
-    /** How many requests an engine was ready for. */
+    /** Returns how many requests were sent on to an engine. */
     public int served() {
         return served;
     }
 
-    /** The models of the world, as they are before any ticket. */
+    /** Returns the models that are configured before any ticket. */
     public Map<ModelName, Model> models() {
         return models;
     }
 
-    /** What is wrong right now with engines' memory and with requests that wait. */
+    /**
+     * Returns current violations: engines over their memory, and requests still waiting after their
+     * deadline.
+     */
     public List<String> faultsNow() {
         List<String> found = new ArrayList<>();
         vms.values().forEach(vm -> vm.faultsNow(found));
@@ -177,7 +186,7 @@
         }
     }
 
-    /** Ends every fault and lets the rights settle. */
+    /** Ends every fault and lets the grants settle. */
     void calm(int steps) {
         faults = false;
         fake.down(false);
@@ -193,7 +202,7 @@
         return policy == Policy.OWN_VIEW;
     }
 
-    /** The VMs on the platform's list as it stood some steps ago. */
+    /** Returns the VMs on the platform's list as it was some steps ago. */
     Set<VmId> listed(int age) {
         return lists.get(Math.max(0, lists.size() - 1 - age));
     }
@@ -234,17 +243,17 @@
         }
     }
 
-    // Every replica counts that an engine really holds or is loading, whoever ordered it.
+    // Counts every replica that an engine really holds or is loading, whoever ordered it.
     private void check() {
         for (Model model : models.values()) {
             long held = vms.values().stream().filter(vm -> vm.holds(model.name())).count();
             if (held > model.maxReplicas()) {
-                broken.add(now + " replicas of " + model.name() + ": " + held);
+                broken.add(now + " too many replicas of " + model.name() + ": " + held);
             }
         }
         for (EngineVm vm : vms.values()) {
             if (vm.usedBytes() > EngineVm.MEMORY) {
-                broken.add(now + " memory of " + vm.id + ": " + vm.usedBytes());
+                broken.add(now + " engine over its memory: " + vm.id + " uses " + vm.usedBytes());
             }
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlannerRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlannerRouter.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** A router of the world: it always believes that it has the lease, and is frozen at times. */
+/** A simulated router, which always believes that it holds the lease and is frozen at times. */
 final class PlannerRouter {
     private final PlacementWorld world;
     private final Planner planner;
@@ -20,7 +20,7 @@
     private PlacementTable table = PlacementTable.UNREAD;
     private int frozenFor;
 
-    /** A proposal in hand, and the configuration that it was worked out from. */
+    /** A pending proposal, and the configuration that it was computed from. */
     private record Delayed(Planner.Proposal proposal, Configuration configuration) {}
 
     PlannerRouter(PlacementWorld world) {
@@ -110,7 +110,7 @@
         }
     }
 
-    // The naive router's homes are the first of the VMs that it believes to be there.
+    // The naive router chooses the first of the VMs that it believes to be running.
     private List<VmId> homes(Model model) {
         if (!world.ownView()) {
             return List.copyOf(table.holders().getOrDefault(model.name(), Set.of()));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingFeedTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingFeedTest.java
@@ -37,16 +37,17 @@
 
     @Test
     void aFleetOfTheDesignSizeStaysWithinTheBudget() {
-        // 380 routers and 2,400 agents that look each second read 2,780 times a second, and the
-        // store refuses the reads that requests and configuration need. So the wait grows.
+        // Guards against an interval that ignores the fleet's size: 380 routers and 2,400 agents
+        // that read each second read 2,780 times a second, and the store refuses the reads that
+        // requests and configuration need.
         int reads = readsASecond(2_780);
         assertTrue(reads > 0 && reads <= ReadPace.BUDGET, reads + " reads a second");
     }
 
     @Test
     void aMarkIsFoundThreeTimesBeforeTheRightMayBeTakenHoweverLargeTheFleet() {
-        // An agent that looks too seldom doesn't find that it is suspected; its right is taken and
-        // the model is loaded elsewhere, while it still holds it.
+        // Guards against an agent that reads too seldom to find that it is suspected: its grant is
+        // revoked and the model is loaded elsewhere while it still holds it.
         ReadPace pace = new ReadPace(new Random(1));
         for (int i = 0; i < 1_000; i++) {
             assertTrue(pace.next(1_000_000).multipliedBy(3).toMillis() < 15_000);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/TransitionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/TransitionTest.java
@@ -55,9 +55,9 @@
 
     @Test
     void aPlannerWithAnOldConfigurationChangesNothing() {
-        // A router was paused before an operator lowered the limit. It thaws, reads the table, and
-        // would give the rights that its old configuration allows. The log has gone on, so the
-        // swap fails.
+        // Guards against a router that was paused before an operator lowered the limit: when it
+        // resumes, it reads the table and would grant what its old configuration allows. The log
+        // has gone on, so the swap fails.
         FakeStore fake = new FakeStore();
         PlacementStore store = new PlacementStore(fake, "t");
         Planner.Proposal grant =
