--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Failures.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Failures.java
@@ -8,7 +8,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The pauses after failed loads; each failure in a row doubles the next pause. */
+/**
+ * Computes the backoff after failed loads: each failure in a row doubles the next pause, up to 64
+ * times the first.
+ */
 final class Failures {
     private static final int MAX_DOUBLINGS = 6;
 
@@ -34,7 +37,7 @@
         failures.keySet().retainAll(models);
     }
 
-    /** How much longer not to try; empty if it may be tried now. */
+    /** Returns the time left before the next attempt; empty if a load may be ordered now. */
     Optional<Duration> pause(ModelName model, Instant now) {
         Failure failure = failures.get(model);
         return failure == null || !now.isBefore(failure.until)
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/HeldRights.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/HeldRights.java
@@ -7,15 +7,18 @@
 import java.util.TreeMap;
 
 /**
- * The rights in force, and those that are no longer in force but have to be handed back: a right is
- * owed until nothing of its model is held any more.
+ * Tracks the grants in force, and those that are no longer in force but not yet released: such a
+ * grant is released once the engine holds nothing of its model.
  */
 final class HeldRights {
     private final TreeMap<ModelName, Long> owed = new TreeMap<>();
     private Rights inForce = Rights.of(Map.of());
     private long lastFencing;
 
-    /** Takes in new rights; what the table holds without one is owed from now on. */
+    /**
+     * Replaces the grants in force; a model that the table holds without a grant must be released
+     * from now on.
+     */
     void change(Rights rights, ReplicaTable table) {
         owed.putAll(inForce.granted());
         for (Replica replica : table.all()) {
@@ -27,17 +30,22 @@
         rights.granted().values().forEach(this::noteFencing);
     }
 
-    /** True if the model may be held. */
+    /** Returns true if the model may be held. */
     boolean hold(ModelName model) {
         return inForce.hold(model);
     }
 
-    /** The number for an order about the model, also for letting go of what may not be held. */
+    /**
+     * Returns the fencing token for an order about the model, also for the unload of a model that
+     * may no longer be held.
+     */
     long fencing(ModelName model) {
         return inForce.fencing(model).orElse(owed.getOrDefault(model, lastFencing));
     }
 
-    /** Hands back what is owed and of which nothing is held any more. */
+    /**
+     * Releases the grants that are no longer in force and whose model the engine no longer holds.
+     */
     List<ReplicaAction> released(ReplicaTable table) {
         List<ReplicaAction> actions = new ArrayList<>();
         for (ModelName model : List.copyOf(owed.keySet())) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadCosts.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadCosts.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What a cold start of each model would cost: how long a load takes, and how soon it is needed. */
+/**
+ * Estimates what a cold start of each model would cost, from how long a load takes and how often
+ * the model is used.
+ */
 final class LoadCosts {
     private static final double NEWEST_WEIGHT = 0.3;
 
@@ -29,14 +32,19 @@
                 model, took, (old, newest) -> old.plus(scaled(newest.minus(old), NEWEST_WEIGHT)));
     }
 
-    /** How long a load takes: an exponentially weighted mean, or the settings' guess. */
+    /**
+     * Returns how long a load takes: an exponentially weighted mean, or the estimate of the
+     * settings before the first load.
+     */
     Duration estimate(Model model) {
         Duration guess =
                 model.base().isPresent() ? settings.adapterEstimate() : settings.modelEstimate();
         return times.getOrDefault(model.name(), guess);
     }
 
-    /** Seconds of cold start to be expected per byte that an unload would free. */
+    /**
+     * Returns the cold start time to be expected, in seconds, per byte that an unload would free.
+     */
     double perByte(Model model, long bytes, Instant now) {
         double seconds = estimate(model).toNanos() / 1e9;
         return seconds * rate(model.name(), now) / Math.max(1, bytes);
@@ -48,7 +56,7 @@
         rates.keySet().retainAll(models);
     }
 
-    /** Uses in the last half-life or so. */
+    /** Returns the number of uses, weighted by age: a use counts half after each half-life. */
     double rate(ModelName model, Instant now) {
         Rate rate = rates.get(model);
         if (rate == null) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadSlots.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadSlots.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Foretells when loads end that have to wait for one of the engine's few slots. */
+/** Predicts when loads end that have to wait for one of the engine's load slots. */
 final class LoadSlots {
     private final PriorityQueue<Duration> freeAfter = new PriorityQueue<>();
 
-    /** Begins with the time left of the running loads; other slots are free now. */
+    /** Creates the slots from the time left of the running loads; the other slots are free now. */
     LoadSlots(List<Duration> running, int slots) {
         freeAfter.addAll(running);
         while (freeAfter.size() < slots) {
@@ -16,7 +16,7 @@
         }
     }
 
-    /** Queues a load and gives the time until it ends. */
+    /** Queues a load and returns the time until it ends. */
     Duration add(Duration load) {
         Duration end = freeAfter.remove().plus(load);
         freeAfter.add(end);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Replica.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Replica.java
@@ -4,38 +4,41 @@
 import java.time.Instant;
 import java.util.Optional;
 
-/** One model or adapter that takes memory of the engine, or may. */
+/** A model or adapter that uses memory of the engine, or may use it. */
 final class Replica {
-    /** Where it stands. Memory counts in each of them. */
+    /** The state of a replica; its memory is counted in every phase. */
     enum Phase {
         /** A load was ordered. */
         LOADING,
-        /** The engine confirmed the load, or reported it. */
+        /** The engine confirmed or reported the load. */
         LOADED,
         /** An unload was ordered. */
         UNLOADING,
-        /** An order was lost or cut off: the engine may hold it or not. */
+        /** An order failed or its answer was lost: the engine may hold the model or not. */
         UNKNOWN
     }
 
     final ModelName name;
     Phase phase;
 
-    /** When the phase began; an older report says nothing about it. */
+    /** When the phase began; a report made before then says nothing about it. */
     Instant since;
 
-    /** Which weights; empty if the engine didn't say and we didn't order it. */
+    /**
+     * The version of the weights; empty if the engine did not report it and the load was not
+     * ordered here.
+     */
     Optional<String> version = Optional.empty();
 
     Optional<ModelName> base = Optional.empty();
 
-    /** False for what an engine reported before the models were configured. */
+    /** False if an engine reported it before the models were configured. */
     boolean baseKnown;
 
     long bytes;
     int uses;
 
-    /** Reports in a row that no longer list it although it is loaded. */
+    /** Number of consecutive reports that did not list the replica although it is loaded. */
     int missing;
 
     Replica(ModelName name, Phase phase, Instant since, long bytes) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaAction.java
@@ -7,22 +7,25 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** What a {@link ReplicaHolder} wants done. */
+/** Actions that a {@link ReplicaHolder} asks its caller to carry out. */
 public sealed interface ReplicaAction {
-    /** Order the load; ends in Loaded or LoadFailed. */
+    /** Orders the load; answered by Loaded or LoadFailed. */
     record Load(Model model, long fencing) implements ReplicaAction {}
 
-    /** Order the unload; ends in Unloaded or UnloadFailed. */
+    /** Orders the unload; answered by Unloaded or UnloadFailed. */
     record Unload(ModelName model, long fencing) implements ReplicaAction {}
 
-    /** Send the request now; the replica stays until Finished comes for it. */
+    /**
+     * Sends the request to the engine now; the replica stays loaded until Finished is received for
+     * it.
+     */
     record Ready(ExchangeId request, ModelName model) implements ReplicaAction {}
 
-    /** Refuse the request as not run. */
+    /** Refuses the request as not executed. */
     record Refuse(
             ExchangeId request, ModelName model, RefusalCode code, Optional<Duration> retryAfter)
             implements ReplicaAction {}
 
-    /** Hand the right back: nothing of the model is held any more. */
+    /** Releases the grant: the engine holds nothing of the model any more. */
     record Release(ModelName model, long fencing) implements ReplicaAction {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaHolder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaHolder.java
@@ -17,13 +17,13 @@
 import java.util.stream.Collectors;
 
 /**
- * Owns the memory of one engine: loads what requests wait for, unloads what is cheapest to load
- * again, and tells each request to go ahead or gives it up in time.
+ * Manages the memory of one engine: loads the models that queued requests need, unloads those that
+ * are cheapest to load again, and lets each request proceed or refuses it before its deadline.
  *
  * <p>{@code new ReplicaHolder(ReplicaSettings.defaults()).on(new ReplicaInput.Wanted(...), now)}.
- * It begins without rights, models and inventory, and orders nothing before it has all three. Each
- * Wanted is answered once: Ready counts as a use until Finished comes, so nothing can be unloaded
- * between the answer and the sending.
+ * It starts without grants, models and inventory, and orders nothing before it has all three. Each
+ * Wanted is answered once: Ready counts as a use until Finished is received, so nothing can be
+ * unloaded between the answer and the sending.
  */
 public final class ReplicaHolder implements Machine<ReplicaInput, ReplicaAction> {
     private static final Duration PREFETCH = Duration.ofMinutes(1);
@@ -39,7 +39,7 @@
     private final HeldRights rights = new HeldRights();
     private Map<ModelName, Model> models = Map.of();
 
-    /** A holder that knows nothing yet. */
+    /** Creates a state machine that has received no input yet. */
     public ReplicaHolder(ReplicaSettings settings) {
         this.settings = settings;
         table = new ReplicaTable(settings);
@@ -60,30 +60,30 @@
         return actions;
     }
 
-    /** The models that are in memory now, by the engine's own word. */
+    /** Returns the models that the engine confirmed or reported as loaded. */
     public Set<ModelName> loaded() {
         return in(Phase.LOADED);
     }
 
-    /** The models being loaded. */
+    /** Returns the models that are being loaded. */
     public Set<ModelName> loading() {
         return in(Phase.LOADING);
     }
 
     /**
-     * True if the engine surely holds nothing of the model and has no order about it, by an
-     * inventory that is younger than this process. Only then may a right to it be handed back.
+     * Returns true if the engine certainly holds nothing of the model and has no order about it, by
+     * an inventory that is younger than this process. Only then may a grant for it be released.
      */
     public boolean isClearOf(ModelName model) {
         return table.complete() && table.get(model) == null;
     }
 
-    /** What the engine has for models, in bytes; 0 before its first report. */
+    /** Returns the engine's memory for models, in bytes; 0 before its first report. */
     public long memoryBytes() {
         return table.capacity();
     }
 
-    /** What of it is taken or reserved, in bytes. */
+    /** Returns the memory that is used or reserved, in bytes. */
     public long memoryUsedBytes() {
         return table.capacity() - table.free();
     }
@@ -185,7 +185,7 @@
         }
     }
 
-    /** Lets go of what nobody has used for long, so that its accelerators can rest. */
+    /** Unloads models that have not been used for long, so that their accelerators can idle. */
     private void unloadIdle(List<ReplicaAction> actions, Instant now) {
         for (Replica replica : List.copyOf(table.all())) {
             boolean old =
@@ -207,7 +207,10 @@
         actions.add(new ReplicaAction.Unload(replica.name, rights.fencing(replica.name)));
     }
 
-    /** True if requests may go to it: loaded, in force, with a right, and so is its base. */
+    /**
+     * Returns true if requests may be sent to the replica: it is loaded in the configured version,
+     * has a grant, and its base is usable too.
+     */
     private boolean isUsable(Replica replica) {
         Model model = models.get(replica.name);
         return replica.phase == Phase.LOADED
@@ -261,7 +264,7 @@
         }
     }
 
-    /** Why the model can't be had here at all now. */
+    /** Returns why the model can't be served here at all at present; empty if it can. */
     private Optional<Refused> refusal(ModelName name, Instant now) {
         Model model = models.get(name);
         if (model == null || !mayHold(model)) {
@@ -305,7 +308,10 @@
         return table.get(model) == null ? pass.slots.add(load) : load;
     }
 
-    /** How long until the model can serve once a load can be ordered; an overdue load ends soon. */
+    /**
+     * Returns how long until the model can serve once a load can be ordered; a load that is overdue
+     * is expected to end at once.
+     */
     private Duration timeToLoad(ModelName name, Instant now) {
         Model model = models.get(name);
         Replica replica = table.get(name);
@@ -340,7 +346,10 @@
         pass.actions.add(new ReplicaAction.Refuse(waiter.request(), want.model, code, retryAfter));
     }
 
-    /** Orders the load, or its base's first, or the unloads that make room for it. */
+    /**
+     * Orders the load of the model, or first that of its base, or the unloads that free the memory
+     * for it.
+     */
     private void load(Want want, Pass pass) {
         Model model = models.get(want.model);
         if (!table.complete() || model == null || !mayHold(model)) {
@@ -406,7 +415,10 @@
 
     private record Refused(RefusalCode code, Optional<Duration> retryAfter) {}
 
-    /** What one walk over the waiting models, nearest deadline first, has given away so far. */
+    /**
+     * The state of one pass over the queued models, nearest deadline first: the memory and load
+     * slots already assigned.
+     */
     private static final class Pass {
         private final List<ReplicaAction> actions;
         private final Instant now;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaInput.java
@@ -8,16 +8,16 @@
 import java.time.Instant;
 import java.util.Map;
 
-/** What a {@link ReplicaHolder} is told. */
+/** Events that a {@link ReplicaHolder} reacts to. */
 public sealed interface ReplicaInput {
     /** A request needs the model by its deadline; answered by one Ready or one Refuse. */
     record Wanted(ExchangeId request, ModelName model, Instant deadline, WorkspaceId workspace)
             implements ReplicaInput {}
 
-    /** A request that still waits is no longer wanted; it gets no answer. */
+    /** A queued request was canceled; it gets no answer. */
     record GivenUp(ExchangeId request, ModelName model) implements ReplicaInput {}
 
-    /** A request that was Ready has ended, well or not. */
+    /** A request that was Ready has ended, successfully or not. */
     record Finished(ModelName model) implements ReplicaInput {}
 
     /** The engine confirmed a load. */
@@ -26,7 +26,7 @@
     /**
      * A load failed.
      *
-     * @param mayBeHeld false only if the engine itself said that it doesn't hold the model
+     * @param mayBeHeld false only if the engine itself answered that it does not hold the model
      */
     record LoadFailed(ModelName model, boolean mayBeHeld) implements ReplicaInput {}
 
@@ -36,15 +36,15 @@
     /** An unload failed, or its answer was lost. */
     record UnloadFailed(ModelName model) implements ReplicaInput {}
 
-    /** The engine's report came; it may be old by the settings' report lag. */
+    /** A report of the engine was received; it may be as old as the report lag of the settings. */
     record Reported(Engine.Report report) implements ReplicaInput {}
 
-    /** These models and adapters are in force. */
+    /** These models and adapters are configured. */
     record Configured(Map<ModelName, Model> models) implements ReplicaInput {}
 
-    /** These rights are in force. */
+    /** These grants are in force. */
     record RightsChanged(Rights rights) implements ReplicaInput {}
 
-    /** Time has passed. Wanted a few times a second. */
+    /** Time has passed; to be sent several times a second. */
     record Tick() implements ReplicaInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaSettings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaSettings.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * The limits and first guesses of a {@link ReplicaHolder}.
+ * Limits and initial estimates of a {@link ReplicaHolder}.
  *
- * @param loadsAtOnce loads that may be in flight at the engine
- * @param reportLag how old a report can be when it comes
- * @param modelEstimate how long a load takes, until one has been seen
- * @param adapterEstimate the same for adapters
- * @param retryDelay the pause after the first failed order; doubles with each further one
- * @param rateHalfLife after which time a use counts half
+ * @param loadsAtOnce how many loads may be in progress at the engine
+ * @param reportLag how old a report can be when it is received
+ * @param modelEstimate how long the load of a model takes, until one has been measured
+ * @param adapterEstimate how long the load of an adapter takes, until one has been measured
+ * @param retryDelay the pause after the first failed load; doubled after each further failure
+ * @param rateHalfLife the time after which a use counts half
  */
 public record ReplicaSettings(
         int loadsAtOnce,
@@ -19,14 +19,14 @@
         Duration adapterEstimate,
         Duration retryDelay,
         Duration rateHalfLife) {
-    /** Refuses a limit that would never let anything load. */
+    /** Rejects a limit that would never let anything load. */
     public ReplicaSettings {
         if (loadsAtOnce < 1) {
             throw new IllegalArgumentException("loadsAtOnce must be at least 1: " + loadsAtOnce);
         }
     }
 
-    /** Two loads at once, reports up to two seconds old. */
+    /** Returns the defaults: two concurrent loads, and reports that are up to two seconds old. */
     public static ReplicaSettings defaults() {
         return new ReplicaSettings(
                 2,
@@ -37,13 +37,13 @@
                 Duration.ofMinutes(10));
     }
 
-    /** The same with another limit of loads in flight. */
+    /** Returns a copy with another limit of concurrent loads. */
     public ReplicaSettings loadsAtOnce(int limit) {
         return new ReplicaSettings(
                 limit, reportLag, modelEstimate, adapterEstimate, retryDelay, rateHalfLife);
     }
 
-    /** The same with other guesses for loads that were not seen yet. */
+    /** Returns a copy with other estimates for loads that have not been measured yet. */
     public ReplicaSettings firstEstimates(Duration model, Duration adapter) {
         return new ReplicaSettings(
                 loadsAtOnce, reportLag, model, adapter, retryDelay, rateHalfLife);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaTable.java
@@ -12,12 +12,13 @@
 import java.util.TreeMap;
 
 /**
- * The account of an engine's memory.
+ * Accounts for an engine's memory.
  *
- * <p>Memory counts from before the order until the engine confirms that it is free. A report can
- * add to the account at any time. It takes away only what is in doubt, and only once it is younger
- * than the doubt: an old report, or one that lies low, would otherwise let a load in where the
- * engine has no room, and it would fail for everybody on the VM.
+ * <p>Memory is counted from before a load is ordered until the engine confirms that it is free. A
+ * report can add to the account at any time. It removes only replicas in the UNKNOWN phase, and
+ * only if it is younger than that phase: an old report, or one that understates the use, would
+ * otherwise let a load start for which the engine has no memory, and it would fail for every
+ * request on the VM.
  */
 final class ReplicaTable {
     private static final int MISSING_LIMIT = 3;
@@ -35,10 +36,11 @@
     }
 
     /**
-     * True once a report has come that is younger than this process. The one before us may have
-     * ordered a load just before it died; an older report doesn't show it, and the memory would
-     * seem free. After an unload it would show a model that is no longer there, and requests would
-     * be sent to it. Until then all that is listed counts, and serves nobody.
+     * Returns true once a report has been received that is younger than this process. The previous
+     * process may have ordered a load just before it crashed; an older report does not show it, and
+     * the memory would seem free. After an unload, an older report would show a model that is no
+     * longer there, and requests would be sent to it. Until then everything that is listed is
+     * counted but not used.
      */
     boolean complete() {
         return complete;
@@ -82,7 +84,7 @@
                 .anyMatch(replica -> replica.base.equals(Optional.of(base)));
     }
 
-    /** Takes the memory for a load that is about to be ordered. */
+    /** Reserves the memory for a load that is about to be ordered. */
     void reserve(Model model, Instant now) {
         Replica replica = new Replica(model.name(), Phase.LOADING, now, model.memoryBytes());
         replica.version = Optional.of(model.version());
@@ -92,7 +94,7 @@
         freed.remove(model.name());
     }
 
-    /** Learns the bases of adapters that were reported before the models were known. */
+    /** Sets the bases of adapters that were reported before the models were configured. */
     void configured(Map<ModelName, Model> models) {
         replicas.values().forEach(replica -> learnBase(replica, models));
     }
@@ -105,22 +107,22 @@
         }
     }
 
-    /** Gives the memory back: the engine said that it is free. */
+    /** Frees the memory: the engine confirmed that it is free. */
     void free(ModelName name, Instant now) {
         replicas.remove(name);
         freed.put(name, now);
     }
 
     /**
-     * Keeps counting a replica of which nobody knows whether the engine holds it. Only a report
-     * settles it: an unload to make sure may overtake a load that still runs, and free what then
-     * comes to be held.
+     * Keeps counting a replica of which it is unknown whether the engine holds it. Only a report
+     * settles it: a precautionary unload may overtake a load that is still running, and free memory
+     * that is then used.
      */
     void doubt(Replica replica, Instant now) {
         replica.enter(Phase.UNKNOWN, now);
     }
 
-    /** Takes in a report, given the models in force. */
+    /** Applies a report, given the configured models. */
     void report(Engine.Report report, Map<ModelName, Model> models, Instant now) {
         capacity = report.memoryBytes();
         complete |= isAfterLag(started, now);
@@ -135,7 +137,10 @@
         }
     }
 
-    /** Counts what the engine holds and we didn't know of, but for what it has just let go. */
+    /**
+     * Counts models that the engine holds and that were unknown here, except those that were just
+     * unloaded.
+     */
     private void adopt(
             Map<ModelName, Engine.Held> held,
             Phase phase,
@@ -155,7 +160,10 @@
         }
     }
 
-    /** What the first reports list stands as long as this process, so a young one settles it. */
+    /**
+     * Models in the first reports count as held since this process started, so that a report
+     * younger than this process settles them.
+     */
     private Instant adoptedAt(Instant now) {
         return complete ? now : started;
     }
@@ -175,8 +183,9 @@
     }
 
     /**
-     * True if the engine no longer lists what it confirmed. It may have been restarted, or the
-     * report is wrong. The replica serves no more, and only a confirmed unload frees its memory.
+     * Returns true if the engine no longer lists a replica that it confirmed. It may have been
+     * restarted, or the report is wrong. The replica serves no more requests, and only a confirmed
+     * unload frees its memory.
      */
     static boolean lost(Replica replica) {
         return replica.missing >= MISSING_LIMIT;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Victims.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Victims.java
@@ -11,7 +11,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Chooses what to unload: where the next cold start costs least for the memory it frees. */
+/**
+ * Chooses the replicas to evict: those whose next cold start costs least for the memory that they
+ * free.
+ */
 final class Victims {
     private final ReplicaTable table;
     private final LoadCosts costs;
@@ -22,11 +25,12 @@
     }
 
     /**
-     * The cheapest that free so much memory; empty if all together don't. A base comes after its
-     * adapters, since the engine can't keep an adapter without it.
+     * Returns the cheapest replicas that together free this much memory; empty if all together do
+     * not. A base comes after its adapters, since the engine can't keep an adapter without it.
      *
-     * @param needed models that are waited for, and their bases
-     * @param below only replicas whose cost per byte is lower than this
+     * @param bytes the memory to free
+     * @param needed the models that requests are queued for, and their bases
+     * @param below only replicas whose cost per byte is lower than this are chosen
      */
     Optional<List<Replica>> toFree(
             long bytes,
@@ -53,7 +57,10 @@
         return Optional.of(withoutSuperfluous(chosen, freed - bytes));
     }
 
-    /** Spares the dearest of those that the last, large one has made superfluous. */
+    /**
+     * Removes the most expensive replicas that became unnecessary when the last, large one was
+     * chosen.
+     */
     private List<Replica> withoutSuperfluous(List<Replica> chosen, long excess) {
         List<Replica> kept = new ArrayList<>(chosen);
         long left = excess;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Want.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Want.java
@@ -6,9 +6,9 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The requests that wait for one model. */
+/** The requests queued for one model. */
 final class Want {
-    /** Who must have it first comes first; a load that nobody waits for comes last. */
+    /** Orders by earliest deadline; a load that no request is queued for comes last. */
     static final Comparator<Want> BY_DEADLINE =
             Comparator.comparing(Want::deadline).thenComparing(want -> want.model);
 
@@ -16,8 +16,9 @@
     final List<ReplicaInput.Wanted> waiters = new ArrayList<>();
 
     /**
-     * Until when to load even if nobody waits. Callers with short deadlines are refused while the
-     * model is cold; unless it is loaded for their return, each would be refused for ever.
+     * The time until which to load the model even if no request is queued. Callers with short
+     * deadlines are refused while the model is cold; unless it is loaded before they retry, each of
+     * them would be refused forever.
      */
     Instant prefetchUntil = Instant.MIN;
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineWorld.java
@@ -18,7 +18,10 @@
 import java.util.TreeSet;
 import java.util.function.Supplier;
 
-/** An engine with seeded faults around a machine; it knows the truth and checks the rules. */
+/**
+ * Simulates an engine with seeded faults around a state machine; it knows the true state of the
+ * engine and checks the rules.
+ */
 final class EngineWorld {
     static final ReplicaSettings SETTINGS = ReplicaSettings.defaults();
     private static final long STEP_MILLIS = 250;
@@ -69,7 +72,7 @@
             step(i < steps - 200);
         }
         if (!waiting.isEmpty()) {
-            broken.add("never answered: " + waiting);
+            broken.add("requests never answered: " + waiting);
         }
     }
 
@@ -94,7 +97,7 @@
         feed(new ReplicaInput.Tick());
         for (ReplicaInput.Wanted wanted : waiting.values()) {
             if (wanted.deadline().isBefore(now)) {
-                broken.add("answered late: " + wanted);
+                broken.add("request not answered by its deadline: " + wanted);
             }
         }
     }
@@ -112,19 +115,19 @@
         machine.on(input, now).forEach(this::carryOut);
         long used = memoryUsed();
         if (used > memory) {
-            broken.add(now + " overcommitted: " + used);
+            broken.add(now + " engine over its memory: uses " + used);
         }
     }
 
     private void carryOut(ReplicaAction action) {
         if (action instanceof ReplicaAction.Load load) {
             if (loads.containsKey(load.model().name()) || held.containsKey(load.model().name())) {
-                broken.add("second load: " + load);
+                broken.add("load ordered for a model that is loading or loaded: " + load);
             }
             loads.put(load.model().name(), job(load.model(), 1_000 + random.nextInt(4_000)));
         } else if (action instanceof ReplicaAction.Unload unload) {
             if (uses.getOrDefault(unload.model(), 0) > 0) {
-                broken.add("unloaded in use: " + unload);
+                broken.add("unload ordered for a model in use: " + unload);
             }
             unloads.put(unload.model(), job(models.get(unload.model()), 250));
         } else if (action instanceof ReplicaAction.Ready ready) {
@@ -134,7 +137,7 @@
             Engine.Held is = held.get(ready.model());
             if (is == null
                     || !is.version().equals(Optional.of(models.get(ready.model()).version()))) {
-                broken.add("not held in the version in force: " + ready);
+                broken.add("the engine does not hold the configured version: " + ready);
             }
         } else if (action instanceof ReplicaAction.Refuse refuse) {
             answered(refuse.request());
@@ -143,7 +146,7 @@
 
     private void answered(ExchangeId request) {
         if (waiting.remove(request.counter()) == null) {
-            broken.add("answered twice: " + request);
+            broken.add("request answered twice: " + request);
         }
     }
 
@@ -219,7 +222,10 @@
         models.put(id, new Model(id, version, PoolName.of("p"), on, bytes, 1, Set.of()));
     }
 
-    /** Up to the settings' lag old, and at times with less memory in use than there is. */
+    /**
+     * Returns a report that is up to the settings' lag old, and at times understates the memory in
+     * use.
+     */
     private Engine.Report laggingReport() {
         int lag = (int) (SETTINGS.reportLag().toMillis() / STEP_MILLIS);
         int age = random.nextInt(Math.min(lag, history.size()));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/NaiveHolder.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/NaiveHolder.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Loads at once whatever a request needs, and believes what it is told. */
+/** Loads whatever a request needs at once, and trusts every input. */
 final class NaiveHolder implements Machine<ReplicaInput, ReplicaAction> {
     private final Set<ModelName> loaded = new HashSet<>();
     private final Set<ModelName> ordered = new HashSet<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaHolderPropertyTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaHolderPropertyTest.java
@@ -15,10 +15,10 @@
 
     @Property(seed = "11", tries = 200)
     void theRulesHoldThroughCrashesLostAnswersAndLyingReports(@ForAll long seed) {
-        // Orders fail, or take effect and lose their answer; reports are old and say too little is
-        // in use; the agent dies at any moment, with loads in flight; versions change. Still:
-        // memory is never exceeded, no model is loaded twice, nothing in use is unloaded, what is
-        // served has the version in force, and each request is answered once and in time.
+        // Orders fail, or take effect and lose their answer; reports are old and understate the
+        // use; the agent crashes at any moment, with loads in progress; versions change. Even so,
+        // memory is never exceeded, no model is loaded twice, nothing in use is unloaded, requests
+        // run on the configured version, and each request is answered once and in time.
         EngineWorld world =
                 new EngineWorld(seed, true, TIGHT, () -> new ReplicaHolder(EngineWorld.SETTINGS));
         world.run(STEPS);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaHolderSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaHolderSessionTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void aWholeSession() {
-        say("An agent starts: a process before it may have left orders behind, so it waits");
+        say("An agent starts: it waits, since an earlier process may have left orders behind");
         feed(new ReplicaInput.RightsChanged(Rights.all(7)));
         feed(configured(CUT, EDGES, TIDE));
         report(0);
@@ -40,39 +40,41 @@
         want("edges", 120);
         after(12, new ReplicaInput.Loaded(CUT.name()));
         after(1, new ReplicaInput.Loaded(EDGES.name()));
-        say("No room for tide while edges is in use; too short a deadline is refused at once");
+        say("No memory for tide while edges is in use; too short a deadline is refused");
         want("tide", 5);
         want("tide", 90);
         feed(new ReplicaInput.Finished(EDGES.name()));
         feed(new ReplicaInput.Finished(EDGES.name()));
         after(1, new ReplicaInput.Unloaded(EDGES.name()));
         after(1, new ReplicaInput.Unloaded(CUT.name()));
-        say("The engine has no memory for it after all: refused, then tried again after a pause");
+        say("The engine has no memory after all: refused, and loaded again after a pause");
         after(1, new ReplicaInput.LoadFailed(TIDE.name(), false));
         want("tide", 90);
         after(1, new ReplicaInput.Tick());
         want("tide", 90);
-        say("The answer is lost: its memory stays counted until a report settles it");
+        say("The answer to a load is lost: its memory is counted until a report settles it");
         after(9, new ReplicaInput.LoadFailed(TIDE.name(), true));
         want("cut-sheet", 60);
         report(1, held(TIDE));
         report(3, held(TIDE));
         after(1, new ReplicaInput.Unloaded(TIDE.name()));
         after(12, new ReplicaInput.Loaded(CUT.name()));
-        say("A new version waits for the running request, then replaces the old one");
+        say("A new version is loaded once the running request on the old one has ended");
         feed(configured(model("cut-sheet", "v2", null, 60), EDGES, TIDE));
         want("cut-sheet", 60);
         feed(new ReplicaInput.Finished(CUT.name()));
         after(1, new ReplicaInput.Unloaded(CUT.name()));
         after(12, new ReplicaInput.Loaded(CUT.name()));
         feed(new ReplicaInput.Finished(CUT.name()));
-        say("The engine was restarted and holds nothing: three reports, then an unload to be sure");
+        say(
+                "The engine was restarted and holds nothing: a precautionary unload after three"
+                        + " reports");
         report(3);
         report(3);
         report(3);
         after(1, new ReplicaInput.UnloadFailed(CUT.name()));
         report(3);
-        say("Rights arrive and move away: what is held without one is unloaded and handed back");
+        say("Grants are received and withdrawn: models without a grant are unloaded and released");
         feed(new ReplicaInput.RightsChanged(Rights.of(Map.of(TIDE.name(), 8L, CUT.name(), 9L))));
         want("tide", 60);
         want("edges", 60);
@@ -85,8 +87,9 @@
 
     @Test
     void anAdapterReportedBeforeTheModelsAreKnownIsServedWithoutALoad() {
-        // An agent restarts, and its engine's report is quicker than the configuration. The adapter
-        // must not be taken for a model of another base, unloaded and loaded again.
+        // Guards against an agent that restarts and receives the engine's report before the
+        // configuration: the adapter must not be taken for one of another base, unloaded and loaded
+        // again.
         feed(new ReplicaInput.RightsChanged(Rights.all(7)));
         report(0, held(CUT), held(EDGES));
         feed(configured(CUT, EDGES));
