--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageAction.java
@@ -3,11 +3,15 @@
 import io.damaskyoke.id.VmId;
 import java.time.Instant;
 
-/** What an {@link OutageConfirmation} wants done. */
+/** Actions that an {@link OutageConfirmation} asks its caller to carry out. */
 public sealed interface OutageAction {
-    /** Asks a router for its word; the answer carries the number. */
+    /** Asks a router for its state; the answer carries the number. */
     record Ask(VmId router, long number) implements OutageAction {}
 
-    /** As of then, no ticket beyond this entry had been accepted by any router. */
+    /**
+     * Confirms that, as of this time, no ticket beyond this entry had been accepted by any router.
+     *
+     * @param head the sequence number of the last entry
+     */
     record Confirm(long head, Instant asOf) implements OutageAction {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
@@ -12,16 +12,17 @@
 import java.util.Set;
 
 /**
- * Confirms the configuration while nobody reaches the store, by the word of every router.
+ * Confirms the configuration while no process can reach the store, from the answers of every
+ * router.
  *
- * <p>Only routers write tickets. If every router says "this is my last entry and no write of mine
- * is open", then whatever was accepted before the first of them was <em>asked</em> is known. So
- * that is the moment confirmed; what one accepts after its answer is newer and needs no promise.
- * One router that is silent, has an open write, or restarted and can't speak for its former life,
- * is enough for no confirmation: it may have withdrawn a key.
+ * <p>Only routers write tickets. If every router answers "this is my last entry and I have no
+ * pending write", then whatever was accepted before the first of them was <em>asked</em> is known.
+ * So that is the time of the confirmation; what a router accepts after its answer is newer and is
+ * not covered. One router that does not answer, has a pending write, or was restarted and can't
+ * answer for its former incarnation prevents the confirmation: it may have withdrawn a key.
  */
 public final class OutageConfirmation implements Machine<OutageInput, OutageAction> {
-    /** Routers up to which each relay asks all; see docs/design/configuration.md. */
+    /** The number of routers up to which each relay asks all; see docs/design/configuration.md. */
     public static final int MOST_ROUTERS = 64;
 
     private static final Duration PATIENCE = Duration.ofSeconds(3);
@@ -45,12 +46,14 @@
         this.self = self;
     }
 
-    /** A machine for the router on this VM. */
+    /** Creates a state machine for the router on this VM. */
     public static OutageConfirmation of(VmId self) {
         return new OutageConfirmation(self);
     }
 
-    /** True if this number is of an ask of such a machine, not of a relay's probe. */
+    /**
+     * Returns true if this number belongs to a question of such a machine, not to a relay's probe.
+     */
     public static boolean isAsk(long number) {
         return number > FIRST_NUMBER;
     }
@@ -107,7 +110,10 @@
         return actions;
     }
 
-    /** True while nothing has confirmed the configuration for seconds; asks go out then. */
+    /**
+     * Returns true while nothing has confirmed the configuration for several seconds; only then are
+     * routers asked.
+     */
     public boolean needed(Instant now) {
         return confirmed.filter(at -> now.isAfter(at.plus(PATIENCE))).isPresent();
     }
@@ -126,7 +132,8 @@
             asOf = asOf.isBefore(word.askedAt()) ? asOf : word.askedAt();
             head = Math.max(head, word.head());
         }
-        // Behind one of them: its entries are on their way, a later tick confirms.
+        // If this router is behind another one, the missing entries are being delivered, and a
+        // later tick confirms.
         if (head == own.head() && asOf.isAfter(confirmed.orElse(Instant.MIN))) {
             confirmed = Optional.of(asOf);
             actions.add(new OutageAction.Confirm(head, asOf));
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageInput.java
@@ -5,26 +5,40 @@
 import java.time.Instant;
 import java.util.Set;
 
-/** What an {@link OutageConfirmation} hears. */
+/** Events that an {@link OutageConfirmation} reacts to. */
 public sealed interface OutageInput {
-    /** The platform's list, asked for at this moment, names these routers. */
+    /** The platform's VM list, requested at {@code askedAt}, contains these routers. */
     record Listed(Set<VmId> routers, Instant askedAt) implements OutageInput {}
 
-    /** As of then, nothing newer than what is in force existed: the store or a peer says so. */
+    /**
+     * The store or a peer confirmed that, as of this time, nothing newer than the configuration in
+     * force existed.
+     */
     record Confirmed(Instant asOf) implements OutageInput {}
 
-    /** Time has passed; {@code self} is what this router would answer now. */
+    /**
+     * Time has passed.
+     *
+     * @param self the state that this router would answer now
+     */
     record Tick(Word self) implements OutageInput {}
 
-    /** A router, in this life of its, answered the ask with this number. */
+    /**
+     * A router answered a question.
+     *
+     * @param from the router's VM
+     * @param life the incarnation of the router that answered
+     * @param ask the number of the question
+     * @param word the state that it answered
+     */
     record Answered(VmId from, Incarnation life, long ask, Word word) implements OutageInput {}
 
     /**
-     * What a router says of itself.
+     * The state that a router reports of itself.
      *
-     * @param head the last entry it has
-     * @param settled whether none of its ticket writes is under way or of unknown outcome
-     * @param confirmedInThisLife whether it has confirmed its configuration since it started
+     * @param head the sequence number of the last entry that it has
+     * @param settled true if none of its ticket writes is pending or of unknown outcome
+     * @param confirmedInThisLife true if it has confirmed its configuration since it started
      */
     record Word(long head, boolean settled, boolean confirmedInThisLife) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RegistrationTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RegistrationTable.java
@@ -11,11 +11,12 @@
 import java.util.stream.Collectors;
 
 /**
- * The agents' registrations as of one revision of the store, and what has changed since others.
+ * Holds the agents' registrations as of one revision of the store, and which of them changed since
+ * earlier revisions.
  *
- * <p>Revisions are the store's own, so a process may take its next changes from another relay. The
- * last {@value #MOST_REMOVALS} removals are remembered; an asker who knows less than they cover
- * gets all there is.
+ * <p>Revisions are those of the store, so a process may take its next changes from another relay.
+ * The last {@value #MOST_REMOVALS} removals are remembered; a follower whose revision is older than
+ * these gets the whole table.
  */
 public final class RegistrationTable {
     static final int MOST_REMOVALS = 4_096;
@@ -28,41 +29,46 @@
     private long revision;
 
     /**
-     * A registration, or the end of one.
+     * A registration, or the removal of one.
      *
+     * @param vm the agent's VM
      * @param value the stored JSON; empty if it was removed
-     * @param revision of the store when it was set or removed
+     * @param revision the store's revision at which it was set or removed
      */
     public record Row(VmId vm, byte[] value, long revision) {
-        /** True if there is no registration any more. */
+        /** Returns true if the registration was removed. */
         public boolean removed() {
             return value.length == 0;
         }
     }
 
     /**
-     * What a process needs to come to {@code revision}; {@code full}: what is not in it is gone.
+     * The changes that bring a process to a revision.
+     *
+     * @param rows the changed registrations
+     * @param revision the store's revision after the changes
+     * @param full true if a registration that is not in {@code rows} does not exist
      */
     public record Delta(List<Row> rows, long revision, boolean full) {}
 
-    /** Revisions between which the table may have missed an agent that came and went. */
+    /** A range of revisions in which the table may have missed an agent that came and went. */
     private record Gap(long after, long before) {
         boolean holds(long known) {
             return after < known && known < before;
         }
     }
 
-    /** The store's revision that the table stands for; 0 before the first reading. */
+    /** Returns the store's revision that the table represents; 0 before the first read. */
     public long revision() {
         return revision;
     }
 
-    /** All registrations there are. */
+    /** Returns all current registrations. */
     public List<Row> all() {
         return rows.values().stream().filter(row -> !row.removed()).toList();
     }
 
-    /** Takes a change; one that is older than what is known changes nothing. */
+    /** Applies a change; one that is older than the known state changes nothing. */
     public void put(Row row) {
         Row before = rows.get(row.vm());
         if (before == null || before.revision() < row.revision()) {
@@ -74,7 +80,7 @@
         revision = Math.max(revision, row.revision());
     }
 
-    /** Takes a delta, unless the table is newer. */
+    /** Applies a delta, unless the table is newer. */
     public void take(Delta delta) {
         if (delta.revision() < revision) {
             return;
@@ -87,7 +93,10 @@
         revision = delta.revision();
     }
 
-    /** What has changed since that revision; all if the table doesn't know that. */
+    /**
+     * Returns what has changed since that revision; the whole table if the changes since then are
+     * not all known.
+     */
     public Delta since(long known) {
         if (known > revision) {
             return new Delta(List.of(), known, false);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayAction.java
@@ -4,20 +4,24 @@
 import java.time.Instant;
 import java.util.List;
 
-/** What a {@link RelayMachine} wants done. */
+/** Actions that a {@link RelayMachine} asks its caller to carry out. */
 public sealed interface RelayAction {
-    /** Keeps a watch on the store from now on, or gives it up. */
+    /** Starts a watch on the store, or stops it. */
     record Watch(boolean on) implements RelayAction {}
 
-    /** Keeps links to these and to no relay else. */
+    /** Keeps connections to these relays and to no other. */
     record Follow(List<Vm> relays) implements RelayAction {}
 
-    /** Asks a peer for what is missing; its answer carries the number. */
+    /** Asks a peer for missing entries; its answer carries the number. */
     record Probe(Vm peer, long number) implements RelayAction {}
 
     /** Reads the store once. */
     record AskStore() implements RelayAction {}
 
-    /** As of then it was known for sure that the log ended with this entry. */
+    /**
+     * Confirms that, as of this time, the log ended with this entry.
+     *
+     * @param head the sequence number of the last entry
+     */
     record Confirm(long head, Instant asOf) implements RelayAction {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayInput.java
@@ -7,27 +7,29 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a {@link RelayMachine} hears. */
+/** Events that a {@link RelayMachine} reacts to. */
 public sealed interface RelayInput {
     /** The platform's list of VMs was read. */
     record Listed(List<Vm> vms) implements RelayInput {}
 
-    /** Time has passed; to be sent a few times a second. */
+    /** Time has passed; to be sent several times a second. */
     record Tick() implements RelayInput {}
 
     /**
      * A peer answered a probe.
      *
-     * @param head the last entry that it has
-     * @param confirmedAge how long ago, at its answer, it knew for sure that the log ended there;
-     *     empty if it doesn't know
+     * @param from the peer's VM
+     * @param probe the number of the probe
+     * @param head the sequence number of the last entry that the peer has
+     * @param confirmedAge how long before its answer the peer had a confirmation that the log ended
+     *     there; empty if it has none
      */
     record Answered(VmId from, long probe, long head, Optional<Duration> confirmedAge)
             implements RelayInput {}
 
-    /** A peer's heartbeat or push names an entry that isn't in force here. */
+    /** A peer's heartbeat or push names an entry that is not in force here. */
     record Behind(VmId peer) implements RelayInput {}
 
-    /** The store itself confirmed, as of then, that nothing newer exists. */
+    /** The store confirmed that, as of this time, nothing newer exists. */
     record Confirmed(Instant asOf) implements RelayInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayMachine.java
@@ -18,13 +18,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides where a process gets its configuration from: from the store, if the plan makes it a relay
- * of its zone; else from those whom the {@link RelayPlan} names, here called its relays too, and
- * from the store only if they are silent.
+ * Decides where a process gets its configuration from: from the store if the {@link RelayPlan}
+ * makes it a relay of its zone; otherwise from the processes that the plan assigns to it, here
+ * called its relays too, and from the store only if they do not answer.
  *
- * <p>A peer's confirmation counts from the moment at which it was <em>asked</em>, less the age that
- * it gives. Counted from its arrival, an answer that had waited in the buffers of a process stopped
- * for a minute would confirm a configuration a minute old: a withdrawn key would go on working.
+ * <p>A peer's confirmation counts from the moment at which the peer was <em>asked</em>, less the
+ * age that it reports. Counted from its arrival, an answer that had waited in the buffers of a
+ * process stopped for a minute would confirm a configuration that is a minute old: a withdrawn key
+ * would go on working.
  */
 public final class RelayMachine implements Machine<RelayInput, RelayAction> {
     private static final int MOST_PROBES = 64;
@@ -58,7 +59,7 @@
         this.random = random;
     }
 
-    /** A machine for the process on this VM, which knows of no other yet. */
+    /** Creates a state machine for the process on this VM, which knows no other process yet. */
     public static RelayMachine of(
             VmId self, AvailabilityZone zone, RelaySettings settings, RandomGenerator random) {
         return new RelayMachine(self, zone, settings, random);
@@ -82,12 +83,14 @@
         return actions;
     }
 
-    /** True while this process is a relay of its zone. */
+    /** Returns true while this process is a relay of its zone. */
     public boolean relay() {
         return relay;
     }
 
-    /** True if one of the relays followed answered when it was last asked. */
+    /**
+     * Returns true if one of the relays that this process follows answered when it was last asked.
+     */
     public boolean answered() {
         return relays.stream()
                 .map(Vm::id)
@@ -152,7 +155,10 @@
         }
     }
 
-    /** A frozen relay costs its followers one answer's time, not a turn. */
+    /**
+     * Probes another relay when one is late, so that a frozen relay costs its followers one answer
+     * timeout, not a whole probe interval.
+     */
     private void askAnother(Instant now, List<RelayAction> actions) {
         Instant limit = now.minus(settings.answer());
         List<Vm> late =
@@ -198,8 +204,8 @@
         return Duration.ofMillis(random.nextLong(most.toMillis()));
     }
 
-    // Relays that answer but are unconfirmed can't reach the store either, as a rule. In an outage
-    // this holds for the whole fleet, which must not spend it asking.
+    // Relays that answer but are unconfirmed usually can't reach the store either. In an outage
+    // this holds for the whole fleet, which must not spend the store's capacity on asking.
     private Duration storePause(boolean silent) {
         Duration first = silent ? settings.storePeriod() : settings.unconfirmedPeriod();
         Duration pause = first.multipliedBy(1L << Math.min(storeTries, MOST_DOUBLINGS));
@@ -220,7 +226,8 @@
     }
 
     /**
-     * True if no relay has answered for too long; a relay that was never asked counts as silent.
+     * Returns true if no relay has answered within the silence limit. A relay that was never asked
+     * counts as silent.
      */
     private boolean silent(Instant now) {
         Instant limit = now.minus(settings.silence());
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayPlan.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayPlan.java
@@ -10,22 +10,22 @@
 import java.util.List;
 
 /**
- * Who passes the configuration on to whom in an availability zone, by rendezvous hashing over the
- * list of VMs.
+ * Assigns the processes of an availability zone to the processes that they follow for the
+ * configuration, by rendezvous hashing over the list of VMs.
  *
- * <p>Two relays read the store. In a large zone some more, the branches, follow the relays, and all
- * others follow two branches: with 185 processes in a zone a relay that answered each of them
- * itself would spend several times its 3 KB a second.
+ * <p>Two relays read the store. In a large zone some further processes, the branches, follow the
+ * relays, and all others follow two branches: with 185 processes in a zone, a relay that answered
+ * each of them itself would send several times its limit of 3 KB/s.
  *
- * <p>Nobody has to agree on the plan: who reads the same list makes the same one, and a VM that
- * comes or goes changes little of it. Two readers of different lists follow different processes for
- * a while, which costs a watch and harms nothing.
+ * <p>No agreement on the plan is needed: all processes that read the same list compute the same
+ * plan, and a VM that comes or goes changes little of it. Two readers of different lists follow
+ * different processes for a while, which costs one more watch and does no harm.
  */
 public final class RelayPlan {
-    /** Relays of a zone: a second one, so that the first may be frozen without anyone noticing. */
+    /** Relays per zone: with a second one, the first may be frozen without any effect. */
     public static final int RELAYS = 2;
 
-    /** Processes of a zone that the relays still serve themselves. */
+    /** The largest number of processes in a zone that the relays serve themselves. */
     public static final int SERVED_DIRECTLY = 24;
 
     private final List<Vm> relays;
@@ -37,8 +37,8 @@
     }
 
     /**
-     * The plan for one zone. Routers go before agents, since the slot beside an upstream is small;
-     * a VM that is leaving passes nothing on.
+     * Returns the plan for one zone. Routers are chosen before agents, since an agent has little
+     * capacity to spare beside its upstream; a VM that is leaving is not chosen.
      */
     public static RelayPlan of(Collection<Vm> listed, AvailabilityZone zone) {
         List<Vm> ranked =
@@ -55,17 +55,20 @@
         return new RelayPlan(ranked.subList(0, relays), ranked.subList(relays, relays + branches));
     }
 
-    /** The processes that read the store; fewer than two only in a zone of fewer VMs. */
+    /** Returns the processes that read the store; fewer than two only in a zone of fewer VMs. */
     public List<Vm> relays() {
         return relays;
     }
 
-    /** The processes that follow the relays and are followed by others; none in a small zone. */
+    /**
+     * Returns the processes that follow the relays and are followed by others; none in a small
+     * zone.
+     */
     public List<Vm> branches() {
         return branches;
     }
 
-    /** Whom this process asks, the first choice first; never itself. */
+    /** Returns the processes that this process asks, in order of preference; never itself. */
     public List<Vm> parents(VmId process) {
         boolean top = branches.isEmpty() || in(relays, process) || in(branches, process);
         if (top) {
@@ -77,8 +80,9 @@
                 .toList();
     }
 
-    // A relay has the branches to answer and a branch its share of the rest, twice. With the square
-    // root a busy branch has 38 links; with half as many branches again it and a relay are alike.
+    // A relay answers the branches, and a branch its share of the other processes, each of which
+    // asks two branches. With the square root a busy branch has 38 connections; with half as many
+    // branches again, a branch and a relay have about the same load.
     private static int branches(int size) {
         return (int) Math.ceil(1.5 * Math.sqrt(size));
     }
@@ -87,7 +91,10 @@
         return vms.stream().anyMatch(vm -> vm.id().equals(id));
     }
 
-    /** FNV-1a, and a finalizer that lets each bit of the names move each bit of the weight. */
+    /**
+     * Computes FNV-1a with a finalizer, so that each bit of the names affects each bit of the
+     * weight.
+     */
     private static long weight(VmId vm, String among) {
         long hash = 0xcbf29ce484222325L;
         for (char c : (among + "/" + vm.value()).toCharArray()) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RouterRoster.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RouterRoster.java
@@ -11,15 +11,16 @@
 import java.util.Set;
 
 /**
- * Which routers may have taken a ticket since a moment, by readings of the platform's list.
+ * Tracks which routers may have accepted a ticket since a given time, from successive reads of the
+ * platform's VM list.
  *
- * <p>A VM that the list dropped may still run, so it counts until a confirmation newer than its
- * going. It rests on this: nobody is listed, takes a ticket and is gone or restarted again within
- * {@link #GAP}. A longer pause between two readings is a blind spot, in which a router could have
- * come, withdrawn a key and gone.
+ * <p>A VM that is no longer listed may still run, so it counts until a confirmation that is newer
+ * than its removal from the list. This assumes that no router is listed, accepts a ticket and is
+ * gone or restarted again within {@link #GAP}. If two reads are further apart, a router could have
+ * come, withdrawn a key and gone unnoticed.
  */
 final class RouterRoster {
-    /** The longest pause between two readings that hides nobody. */
+    /** The longest interval between two reads in which no router can come and go unnoticed. */
     static final Duration GAP = Duration.ofSeconds(10);
 
     private final Map<VmId, Line> lines = new HashMap<>();
@@ -32,7 +33,12 @@
         private Optional<Incarnation> firstLife = Optional.empty();
     }
 
-    /** The list, asked for at this moment, names these. */
+    /**
+     * Records a read of the VM list.
+     *
+     * @param listed the routers on the list
+     * @param askedAt when the list was requested
+     */
     void read(Set<VmId> listed, Instant askedAt) {
         if (lastRead.isEmpty() || askedAt.isAfter(lastRead.get().plus(GAP))) {
             unbrokenSince = askedAt;
@@ -44,27 +50,30 @@
         lastRead = Optional.of(askedAt);
     }
 
-    /** Nothing newer than what is known existed then: who had gone before doesn't matter. */
+    /**
+     * Records that, as of this time, nothing newer than the known configuration existed; routers
+     * that left the list before then are forgotten.
+     */
     void confirmed(Instant asOf) {
         lines.values().removeIf(line -> line.goneAt.filter(at -> !at.isAfter(asOf)).isPresent());
     }
 
-    /** Everyone who may have taken a ticket, in order. */
+    /** Returns all routers that may have accepted a ticket, in order. */
     List<VmId> all() {
         return lines.keySet().stream().sorted().toList();
     }
 
-    /** When the newest list was asked for; nothing can be said of later. */
+    /** Returns when the newest list was requested; nothing is known about later times. */
     Optional<Instant> lastRead() {
         return lastRead;
     }
 
-    /** True if nobody can have come and gone unseen since then. */
+    /** Returns true if no router can have come and gone unnoticed since then. */
     boolean covers(Instant since) {
         return !unbrokenSince.isAfter(since);
     }
 
-    /** True if this life of a router can have had none before it that took tickets. */
+    /** Returns true if no earlier incarnation of the router can have accepted tickets. */
     boolean firstLife(VmId vm, Incarnation life, Instant now) {
         Line line = lines.get(vm);
         if (line == null) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/package-info.java
@@ -1,2 +1,5 @@
-/** Which processes read the configuration from the store, and how the others get it from them. */
+/**
+ * Decides which processes read the configuration from the store, and from which of them the others
+ * get it.
+ */
 package io.damaskyoke.control.relay;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/relay/RegistrationTableTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/relay/RegistrationTableTest.java
@@ -38,7 +38,10 @@
         assertTrue(delta.rows().get(0).removed());
     }
 
-    /** Whichever of two relays a follower asks, in whatever order, it ends where they are. */
+    /**
+     * Whichever of two relays a follower asks, in whatever order, it ends with the state of the
+     * relays.
+     */
     @Property(seed = "20261204", tries = 200)
     void aFollowerOfTwoRelaysEndsWhereTheyAre(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/relay/RelayMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/relay/RelayMachineTest.java
@@ -31,9 +31,10 @@
     private Instant now = START;
 
     /**
-     * Callers of a router that was stopped for a minute are refused as not run, instead of being
-     * served with a withdrawn key. The answer says "confirmed 100 ms ago" and was a minute in the
-     * buffers. The naive version counts from its arrival and claims to be confirmed now.
+     * Guards against a process that was stopped for a minute and serves requests with a withdrawn
+     * key: the answer says "confirmed 100 ms ago" and was in the buffers for a minute. The naive
+     * version counts from its arrival and would treat the configuration as confirmed now; callers
+     * must be refused as not executed instead.
      */
     @Test
     void anAnswerCountsFromTheMomentOfAsking() {
@@ -50,7 +51,7 @@
         assertEquals(now.minus(age), naiveConfirmation(now, age));
     }
 
-    /** Counts from the arrival of the answer: what a timestamp-less push would amount to. */
+    /** Counts from the arrival of the answer, as a push without a timestamp would. */
     private static Instant naiveConfirmation(Instant arrival, Duration age) {
         return arrival.minus(age);
     }
@@ -76,9 +77,9 @@
         run(6, TWO);
         note("router-2 is frozen too");
         run(16);
-        note("both are back");
+        note("both relays answer again");
         run(4, ONE, TWO);
-        note("router-2 leaves: this process becomes a relay");
+        note("router-2 is no longer listed: this process becomes a relay");
         feed(new RelayInput.Listed(List.of(ONE, SELF)));
         run(3, ONE);
         Approvals.verify(session);
