--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/SpreadWorld.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/SpreadWorld.java
@@ -112,25 +112,25 @@
         }
 
         private void tick() {
-            confirmed.ifPresent(at -> feed(new RelayInput.Confirmed(at)));
+            confirmed.ifPresent(at -> feed(new RelayInput.StoreConfirmed(at)));
             feed(new RelayInput.Tick());
             subscribers.values().removeIf(at -> at.isBefore(now.minus(REMEMBERED)));
         }
 
         private void carryOut(RelayAction action) {
-            if (action instanceof RelayAction.Watch watch) {
+            if (action instanceof RelayAction.WatchStore watch) {
                 watching = watch.on();
                 poll();
-            } else if (action instanceof RelayAction.Follow follow) {
+            } else if (action instanceof RelayAction.FollowRelays follow) {
                 parents = follow.relays();
-            } else if (action instanceof RelayAction.Probe probe) {
+            } else if (action instanceof RelayAction.ProbePeer probe) {
                 long from = sequence + 1;
                 send(
                         byVm.get(probe.peer().id()),
                         PROBE_BYTES,
                         peer -> peer.answer(this, probe.number(), from));
                 frozen |= freezesAsking;
-            } else if (action instanceof RelayAction.AskStore) {
+            } else if (action instanceof RelayAction.ReadStore) {
                 read();
             } else if (action instanceof RelayAction.Confirm confirm) {
                 confirm(confirm.head(), confirm.asOf());
@@ -147,7 +147,7 @@
                     payload,
                     peer -> {
                         peer.reach(head);
-                        peer.feed(new RelayInput.Answered(vm.id(), probe, head, age));
+                        peer.feed(new RelayInput.ProbeAnswered(vm.id(), probe, head, age));
                     });
         }
 
@@ -226,7 +226,7 @@
                     new Process(
                             vm,
                             RelayMachine.of(
-                                    vm.id(), vm.zone(), RelaySettings.standard(), random.split()));
+                                    vm.id(), vm.zone(), RelaySettings.defaults(), random.split()));
             processes.add(process);
             byVm.put(vm.id(), process);
             after(delay(0, 1_000_000), () -> begin(process, list));
@@ -312,7 +312,7 @@
 
     private void begin(Process process, List<VmList.Vm> list) {
         process.read();
-        process.feed(new RelayInput.Listed(list));
+        process.feed(new RelayInput.VmsListed(list));
         tick(process);
     }
 
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/ControlBenchmark.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/bench/ControlBenchmark.java
@@ -1,9 +1,9 @@
 package io.damaskyoke.lab.bench;
 
 import io.damaskyoke.control.configuration.Model;
+import io.damaskyoke.control.placement.PlacementPlanner;
 import io.damaskyoke.control.placement.PlacementTable;
-import io.damaskyoke.control.placement.Planner;
-import io.damaskyoke.control.placement.Right;
+import io.damaskyoke.control.placement.ReplicaGrant;
 import io.damaskyoke.control.placement.Shard;
 import io.damaskyoke.control.rates.RateAction;
 import io.damaskyoke.control.rates.RateInput;
@@ -53,8 +53,8 @@
     @Param({"12", "600", "2400"})
     public int agents;
 
-    private Planner planner;
-    private Planner.View view;
+    private PlacementPlanner planner;
+    private PlacementPlanner.View view;
     private byte[] storedShard;
     private byte[] storedShares;
     private Map<WorkspaceId, RateInput.Row> rows;
@@ -72,7 +72,7 @@
 
     /** One look of the lease holder at a table with nothing to change. */
     @Benchmark
-    public List<Planner.Proposal> plan() {
+    public List<PlacementPlanner.Proposal> plan() {
         return planner.on(view, NOW);
     }
 
@@ -105,28 +105,30 @@
 
     private void buildPlacement(int count) {
         Map<ModelName, Model> models = new HashMap<>();
-        Map<Integer, List<Right>> rights = new HashMap<>();
+        Map<Integer, List<ReplicaGrant>> rights = new HashMap<>();
         for (int i = 0; i < count; i++) {
             Model model = Samples.model(i);
             models.put(model.name(), model);
             for (int replica = 0; replica < model.maxReplicas(); replica++) {
-                rights.computeIfAbsent(Shard.number(model.name()), n -> new ArrayList<>())
-                        .add(Right.granted(model.name(), vm((i + replica) % agents), i + 1));
+                rights.computeIfAbsent(Shard.numberOf(model.name()), n -> new ArrayList<>())
+                        .add(ReplicaGrant.of(model.name(), vm((i + replica) % agents), i + 1));
             }
         }
         Map<Integer, PlacementTable.Stored> shards = new HashMap<>();
         rights.forEach(
                 (number, each) ->
                         shards.put(number, new PlacementTable.Stored(new Shard(count, each), 1)));
-        List<Planner.Candidate> candidates = new ArrayList<>();
+        List<PlacementPlanner.Candidate> candidates = new ArrayList<>();
         Set<VmId> listed = new HashSet<>();
         for (int i = 0; i < agents; i++) {
             AvailabilityZone zone = AvailabilityZone.of("zone-" + i % ZONES);
-            candidates.add(new Planner.Candidate(vm(i), Samples.POOL, zone, false));
+            candidates.add(new PlacementPlanner.Candidate(vm(i), Samples.POOL, zone, false));
             listed.add(vm(i));
         }
-        planner = new Planner(Duration.ofSeconds(30), Duration.ofSeconds(30));
-        view = new Planner.View(new PlacementTable(1, shards), models, candidates, listed, listed);
+        planner = new PlacementPlanner(Duration.ofSeconds(30), Duration.ofSeconds(30));
+        view =
+                new PlacementPlanner.View(
+                        new PlacementTable(1, shards), models, candidates, listed, listed);
         storedShard = shards.values().iterator().next().shard().toJson();
     }
 
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/ColdStartRun.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/ColdStartRun.java
@@ -2,14 +2,14 @@
 
 import io.damaskyoke.control.Machine;
 import io.damaskyoke.control.configuration.Model;
+import io.damaskyoke.control.placement.PlacementPlanner;
 import io.damaskyoke.control.placement.PlacementTable;
-import io.damaskyoke.control.placement.Planner;
-import io.damaskyoke.control.placement.Right;
+import io.damaskyoke.control.placement.ReplicaGrant;
+import io.damaskyoke.control.replicas.ModelGrants;
 import io.damaskyoke.control.replicas.ReplicaAction;
-import io.damaskyoke.control.replicas.ReplicaHolder;
 import io.damaskyoke.control.replicas.ReplicaInput;
+import io.damaskyoke.control.replicas.ReplicaManager;
 import io.damaskyoke.control.replicas.ReplicaSettings;
-import io.damaskyoke.control.replicas.Rights;
 import io.damaskyoke.control.routing.AgentLoad;
 import io.damaskyoke.control.routing.Fleet;
 import io.damaskyoke.control.routing.Member;
@@ -57,7 +57,7 @@
     private final Random random;
     private final Map<VmId, SimulatedVm> vms = new TreeMap<>();
     private final List<Fleet> fleets = new ArrayList<>();
-    private final Planner planner = new Planner(GONE_AFTER, SUSPECT_TIME);
+    private final PlacementPlanner planner = new PlacementPlanner(GONE_AFTER, SUSPECT_TIME);
     private final Map<ExchangeId, Pending> pending = new HashMap<>();
     private final PriorityQueue<Use> uses = new PriorityQueue<>();
     private final Map<Integer, PlacementTable.Stored> shards = new TreeMap<>();
@@ -141,9 +141,9 @@
     private Machine<ReplicaInput, ReplicaAction> holder() {
         return naive
                 ? new LruHolder()
-                : new ReplicaHolder(
+                : new ReplicaManager(
                         ReplicaSettings.defaults()
-                                .firstEstimates(Duration.ofSeconds(3), Duration.ofSeconds(1)));
+                                .withEstimates(Duration.ofSeconds(3), Duration.ofSeconds(1)));
     }
 
     private boolean middle(long at) {
@@ -209,7 +209,7 @@
         Instant deadline = Instant.ofEpochMilli(request.arrival.deadline() + 1_000);
         vms.get(to.get())
                 .feed(
-                        new ReplicaInput.Wanted(
+                        new ReplicaInput.RequestQueued(
                                 id, model.name(), deadline, WorkspaceId.of("kitchens")));
     }
 
@@ -254,7 +254,7 @@
                         .toList(),
                 Set.of());
         if (!storeOut) {
-            fleet.placed(table.holders());
+            fleet.placed(table.usableHolders());
         }
         if (heartbeat) {
             vms.values().stream().filter(vm -> vm.up).forEach(vm -> fleet.loaded(vm.id, load(vm)));
@@ -266,29 +266,33 @@
     }
 
     private void plan() {
-        List<Planner.Candidate> candidates =
+        List<PlacementPlanner.Candidate> candidates =
                 vms.values().stream()
                         .filter(vm -> vm.up)
-                        .map(vm -> new Planner.Candidate(vm.id, Workload.POOL, vm.zone, false))
+                        .map(
+                                vm ->
+                                        new PlacementPlanner.Candidate(
+                                                vm.id, Workload.POOL, vm.zone, false))
                         .toList();
         Set<VmId> up = new HashSet<>();
         candidates.forEach(candidate -> up.add(candidate.vm()));
         PlacementTable table = new PlacementTable(Math.max(1, revision), shards);
-        Planner.View view = new Planner.View(table, workload.models, candidates, up, up);
-        List<Planner.Proposal> proposals = planner.on(view, instant());
-        for (Planner.Proposal proposal : proposals) {
+        PlacementPlanner.View view =
+                new PlacementPlanner.View(table, workload.models, candidates, up, up);
+        List<PlacementPlanner.Proposal> proposals = planner.on(view, instant());
+        for (PlacementPlanner.Proposal proposal : proposals) {
             shards.put(proposal.shard(), new PlacementTable.Stored(proposal.value(), ++revision));
         }
         PlacementTable newer = new PlacementTable(Math.max(1, revision), shards);
         vms.values().stream().filter(vm -> vm.up).forEach(vm -> vm.rights(rights(newer, vm)));
     }
 
-    private static Rights rights(PlacementTable table, SimulatedVm vm) {
+    private static ModelGrants rights(PlacementTable table, SimulatedVm vm) {
         Map<ModelName, Long> granted = new TreeMap<>();
-        table.of(vm.id).stream()
-                .filter(Right::usable)
+        table.grantsOf(vm.id).stream()
+                .filter(ReplicaGrant::usable)
                 .forEach(right -> granted.put(right.model(), right.fencing()));
-        return Rights.of(granted);
+        return ModelGrants.of(granted);
     }
 
     private void check() {
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/LruHolder.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/LruHolder.java
@@ -23,43 +23,44 @@
 final class LruHolder implements Machine<ReplicaInput, ReplicaAction> {
     private final LinkedHashMap<ModelName, Integer> loaded = new LinkedHashMap<>(16, 0.75f, true);
     private final Set<ModelName> ordered = new HashSet<>();
-    private final List<ReplicaInput.Wanted> waiting = new ArrayList<>();
+    private final List<ReplicaInput.RequestQueued> waiting = new ArrayList<>();
     private Map<ModelName, Model> models = new TreeMap<>();
 
     @Override
     public List<ReplicaAction> on(ReplicaInput input, Instant now) {
         List<ReplicaAction> actions = new ArrayList<>();
-        if (input instanceof ReplicaInput.Configured configured) {
+        if (input instanceof ReplicaInput.ModelsConfigured configured) {
             models = configured.models();
-        } else if (input instanceof ReplicaInput.Wanted wanted) {
+        } else if (input instanceof ReplicaInput.RequestQueued wanted) {
             waiting.add(wanted);
-        } else if (input instanceof ReplicaInput.Finished finished) {
+        } else if (input instanceof ReplicaInput.RequestFinished finished) {
             loaded.computeIfPresent(finished.model(), (name, uses) -> uses - 1);
         } else if (input instanceof ReplicaInput.Loaded done) {
             ordered.remove(done.model());
             loaded.put(done.model(), 0);
             makeRoom(actions);
         }
-        for (ReplicaInput.Wanted wanted : List.copyOf(waiting)) {
+        for (ReplicaInput.RequestQueued wanted : List.copyOf(waiting)) {
             serve(wanted, now, actions);
         }
         return actions;
     }
 
-    private void serve(ReplicaInput.Wanted wanted, Instant now, List<ReplicaAction> actions) {
+    private void serve(
+            ReplicaInput.RequestQueued wanted, Instant now, List<ReplicaAction> actions) {
         Model model = models.get(wanted.model());
         boolean baseThere = model.base().map(loaded::containsKey).orElse(true);
         if (!now.isBefore(wanted.deadline())) {
             waiting.remove(wanted);
             RefusalCode late = RefusalCode.DEADLINE_EXCEEDED;
             actions.add(
-                    new ReplicaAction.Refuse(
+                    new ReplicaAction.RefuseRequest(
                             wanted.request(), wanted.model(), late, Optional.empty()));
         } else if (loaded.containsKey(model.name()) && baseThere) {
             waiting.remove(wanted);
             loaded.merge(model.name(), 1, Integer::sum);
             model.base().ifPresent(loaded::get);
-            actions.add(new ReplicaAction.Ready(wanted.request(), wanted.model()));
+            actions.add(new ReplicaAction.SendRequest(wanted.request(), wanted.model()));
         } else if (!baseThere) {
             order(models.get(model.base().get()), actions);
         } else {
@@ -69,7 +70,7 @@
 
     private void order(Model model, List<ReplicaAction> actions) {
         if (!loaded.containsKey(model.name()) && ordered.add(model.name())) {
-            actions.add(new ReplicaAction.Load(model, 1));
+            actions.add(new ReplicaAction.LoadModel(model, 1));
         }
     }
 
@@ -86,7 +87,7 @@
             if (!carries && loaded.getOrDefault(name, 0) <= 0) {
                 used -= models.get(name).memoryBytes();
                 loaded.remove(name);
-                actions.add(new ReplicaAction.Unload(name, 1));
+                actions.add(new ReplicaAction.UnloadModel(name, 1));
             }
         }
     }
--- a/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/SimulatedVm.java
+++ b/damaskyoke-lab/src/main/java/io/damaskyoke/lab/coldstart/SimulatedVm.java
@@ -2,9 +2,9 @@
 
 import io.damaskyoke.control.Machine;
 import io.damaskyoke.control.configuration.Model;
+import io.damaskyoke.control.replicas.ModelGrants;
 import io.damaskyoke.control.replicas.ReplicaAction;
 import io.damaskyoke.control.replicas.ReplicaInput;
-import io.damaskyoke.control.replicas.Rights;
 import io.damaskyoke.id.AvailabilityZone;
 import io.damaskyoke.id.ModelName;
 import io.damaskyoke.id.VmId;
@@ -53,7 +53,7 @@
     void start() {
         up = true;
         holder = maker.get();
-        feed(new ReplicaInput.Configured(run.workload.models));
+        feed(new ReplicaInput.ModelsConfigured(run.workload.models));
     }
 
     void lose() {
@@ -66,15 +66,15 @@
         loading.clear();
     }
 
-    void rights(Rights rights) {
-        feed(new ReplicaInput.RightsChanged(rights));
+    void rights(ModelGrants rights) {
+        feed(new ReplicaInput.GrantsChanged(rights));
     }
 
     void step(long millis) {
         endLoads();
         endUnloads();
         if (steps++ % REPORT_EVERY == 0) {
-            feed(new ReplicaInput.Reported(report()));
+            feed(new ReplicaInput.EngineReported(report()));
         }
         if (steps % 2 == 0) {
             feed(new ReplicaInput.Tick());
@@ -90,7 +90,7 @@
     void finished(ModelName model) {
         if (up && uses.getOrDefault(model, 0) > 0) {
             uses.merge(model, -1, Integer::sum);
-            feed(new ReplicaInput.Finished(model));
+            feed(new ReplicaInput.RequestFinished(model));
         }
     }
 
@@ -109,18 +109,18 @@
     }
 
     private void carryOut(ReplicaAction action) {
-        if (action instanceof ReplicaAction.Load load) {
+        if (action instanceof ReplicaAction.LoadModel load) {
             Model model = load.model();
             boolean cached = disk.get(model.name()) != null;
             SimulatedStore.Transfer transfer = new SimulatedStore.Transfer(model, cached);
             loading.put(model.name(), transfer);
             run.store.begin(transfer);
-        } else if (action instanceof ReplicaAction.Unload unload) {
+        } else if (action instanceof ReplicaAction.UnloadModel unload) {
             unloading.add(unload.model());
-        } else if (action instanceof ReplicaAction.Ready ready) {
+        } else if (action instanceof ReplicaAction.SendRequest ready) {
             uses.merge(ready.model(), 1, Integer::sum);
             run.ready(this, ready.request());
-        } else if (action instanceof ReplicaAction.Refuse refuse) {
+        } else if (action instanceof ReplicaAction.RefuseRequest refuse) {
             run.refused(this, refuse.request());
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
@@ -2,8 +2,8 @@
 
 import io.damaskyoke.control.Control;
 import io.damaskyoke.control.replicas.ReplicaAction;
-import io.damaskyoke.control.replicas.ReplicaHolder;
 import io.damaskyoke.control.replicas.ReplicaInput;
+import io.damaskyoke.control.replicas.ReplicaManager;
 import io.damaskyoke.control.replicas.ReplicaSettings;
 import io.damaskyoke.control.serving.ServingInput;
 import io.damaskyoke.exchange.Refusal;
@@ -28,7 +28,7 @@
 import java.util.function.Consumer;
 
 /**
- * The models in an engine's memory: feeds a {@link ReplicaHolder} with requests, orders' outcomes
+ * The models in an engine's memory: feeds a {@link ReplicaManager} with requests, orders' outcomes
  * and reports, and carries its orders out at the engine. Its state belongs to the control thread.
  */
 final class EngineReplicas implements Replicas {
@@ -42,12 +42,12 @@
 
     private final Control control;
     private final Engine engine;
-    private final ReplicaHolder holder;
+    private final ReplicaManager holder;
     private final Consumer<ServingInput> requests;
     private final Metrics metrics;
     private final Timeline timeline;
     private final Map<ModelName, ExchangeId> causes = new HashMap<>();
-    private final Map<ExchangeId, ReplicaInput.Wanted> asking = new HashMap<>();
+    private final Map<ExchangeId, ReplicaInput.RequestQueued> asking = new HashMap<>();
     private RightsFollower rights;
     private BooleanSupplier configured = () -> false;
 
@@ -59,10 +59,10 @@
         this.control = node.control();
         this.engine = engine;
         this.holder =
-                new ReplicaHolder(
+                new ReplicaManager(
                         ReplicaSettings.defaults()
-                                .loadsAtOnce(settings.loadsAtOnce())
-                                .firstEstimates(FIRST_MODEL_ESTIMATE, FIRST_ADAPTER_ESTIMATE));
+                                .withLoadsAtOnce(settings.loadsAtOnce())
+                                .withEstimates(FIRST_MODEL_ESTIMATE, FIRST_ADAPTER_ESTIMATE));
         this.requests = requests;
         this.metrics = node.metrics();
         this.timeline = node.timeline();
@@ -84,7 +84,8 @@
     @Override
     public void want(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline) {
         causes.put(model, id);
-        ReplicaInput.Wanted wanted = new ReplicaInput.Wanted(id, model, deadline, workspace);
+        ReplicaInput.RequestQueued wanted =
+                new ReplicaInput.RequestQueued(id, model, deadline, workspace);
         if (rights != null && !rights.hold(model)) {
             asking.put(id, wanted);
             rights.refresh(() -> asked(id));
@@ -96,7 +97,7 @@
     // A router may know of a right that was granted since we last read the table. The first request
     // of a new model would be refused by the one VM that may serve it; so we read once more first.
     private void asked(ExchangeId id) {
-        ReplicaInput.Wanted wanted = asking.remove(id);
+        ReplicaInput.RequestQueued wanted = asking.remove(id);
         if (wanted != null) {
             feed(wanted);
         }
@@ -106,23 +107,23 @@
     public void giveUp(ExchangeId id, ModelName model) {
         causes.remove(model, id);
         if (asking.remove(id) == null) {
-            feed(new ReplicaInput.GivenUp(id, model));
+            feed(new ReplicaInput.RequestCanceled(id, model));
         }
     }
 
     @Override
     public void leave(ModelName model) {
-        feed(new ReplicaInput.Finished(model));
+        feed(new ReplicaInput.RequestFinished(model));
     }
 
     @Override
     public Set<ModelName> loaded() {
-        return holder.loaded();
+        return holder.loadedModels();
     }
 
     @Override
     public Set<ModelName> loading() {
-        return holder.loading();
+        return holder.loadingModels();
     }
 
     @Override
@@ -139,12 +140,17 @@
         this.rights =
                 RightsFollower.start(
                         node,
-                        granted -> feed(new ReplicaInput.RightsChanged(granted)),
-                        holder::isClearOf);
-        feed(new ReplicaInput.Configured(node.configuration().current().models()));
+                        granted -> feed(new ReplicaInput.GrantsChanged(granted)),
+                        holder::holdsNothingOf);
+        feed(new ReplicaInput.ModelsConfigured(node.configuration().current().models()));
         node.configuration()
                 .onChange(
-                        now -> control.run(() -> feed(new ReplicaInput.Configured(now.models()))));
+                        now ->
+                                control.run(
+                                        () ->
+                                                feed(
+                                                        new ReplicaInput.ModelsConfigured(
+                                                                now.models()))));
         configured = () -> node.configuration().current().sequence() > 0;
         report();
         control.every(TICK, this::tick);
@@ -165,7 +171,7 @@
     // the VM would start cold. Without a report the holder orders nothing.
     private void reported(Engine.Report report, Throwable failure) {
         if (failure == null && rights.isKnown() && configured.getAsBoolean()) {
-            feed(new ReplicaInput.Reported(report));
+            feed(new ReplicaInput.EngineReported(report));
         } else if (failure != null) {
             metrics.count("engine_report_failures");
         }
@@ -179,14 +185,14 @@
     }
 
     private void carryOut(ReplicaAction action) {
-        if (action instanceof ReplicaAction.Load load) {
+        if (action instanceof ReplicaAction.LoadModel load) {
             load(load);
-        } else if (action instanceof ReplicaAction.Unload unload) {
+        } else if (action instanceof ReplicaAction.UnloadModel unload) {
             unload(unload);
-        } else if (action instanceof ReplicaAction.Ready ready) {
+        } else if (action instanceof ReplicaAction.SendRequest ready) {
             causes.remove(ready.model());
             later(new ServingInput.Ready(ready.request()));
-        } else if (action instanceof ReplicaAction.Refuse refuse) {
+        } else if (action instanceof ReplicaAction.RefuseRequest refuse) {
             Refusal refusal =
                     new Refusal(
                             refuse.code(),
@@ -204,7 +210,7 @@
         control.run(() -> requests.accept(input));
     }
 
-    private void load(ReplicaAction.Load order) {
+    private void load(ReplicaAction.LoadModel order) {
         ModelName model = order.model().name();
         Instant begun = control.clock().instant();
         Map<String, String> cause = cause(model);
@@ -238,7 +244,7 @@
         return request == null ? Map.of() : Map.of("request", request.toString());
     }
 
-    private void unload(ReplicaAction.Unload order) {
+    private void unload(ReplicaAction.UnloadModel order) {
         engine.unload(order.model(), order.fencing())
                 .whenComplete(
                         (ok, failure) -> control.run(() -> unloadEnded(order.model(), failure)));
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/RightsFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/RightsFollower.java
@@ -4,10 +4,10 @@
 import io.damaskyoke.control.placement.PlacementFeed;
 import io.damaskyoke.control.placement.PlacementStore;
 import io.damaskyoke.control.placement.PlacementTable;
-import io.damaskyoke.control.placement.PollingFeed;
-import io.damaskyoke.control.placement.Right;
+import io.damaskyoke.control.placement.PollingPlacementFeed;
+import io.damaskyoke.control.placement.ReplicaGrant;
 import io.damaskyoke.control.placement.Shard;
-import io.damaskyoke.control.replicas.Rights;
+import io.damaskyoke.control.replicas.ModelGrants;
 import io.damaskyoke.id.ModelName;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.metrics.Metrics;
@@ -31,7 +31,7 @@
     private final VmId vm;
     private final PlacementStore store;
     private final PlacementFeed feed;
-    private final Consumer<Rights> holder;
+    private final Consumer<ModelGrants> holder;
     private final Predicate<ModelName> isClear;
     private final Metrics metrics;
     private final Timeline timeline;
@@ -40,11 +40,11 @@
     private PlacementTable table = PlacementTable.UNREAD;
     private Map<ModelName, Long> granted = Map.of();
 
-    private RightsFollower(Node node, Consumer<Rights> holder, Predicate<ModelName> isClear) {
+    private RightsFollower(Node node, Consumer<ModelGrants> holder, Predicate<ModelName> isClear) {
         this.control = node.control();
         this.vm = node.vm();
         this.store = new PlacementStore(node.store(), node.storePrefix());
-        this.feed = new PollingFeed(control, store, node.placementPause(), node.metrics());
+        this.feed = new PollingPlacementFeed(control, store, node.placementPause(), node.metrics());
         this.holder = holder;
         this.isClear = isClear;
         this.metrics = node.metrics();
@@ -53,7 +53,8 @@
     }
 
     /** Begins to read; the holder hears nothing before the store has answered once. */
-    static RightsFollower start(Node node, Consumer<Rights> holder, Predicate<ModelName> isClear) {
+    static RightsFollower start(
+            Node node, Consumer<ModelGrants> holder, Predicate<ModelName> isClear) {
         RightsFollower follower = new RightsFollower(node, holder, isClear);
         follower.feed.start(follower::take);
         return follower;
@@ -83,7 +84,7 @@
         boolean first = !table.isRead();
         table = newer;
         Map<ModelName, Long> now = new TreeMap<>();
-        for (Right right : newer.of(vm)) {
+        for (ReplicaGrant right : newer.grantsOf(vm)) {
             if (right.usable()) {
                 now.put(right.model(), orderNumber(right));
             }
@@ -91,14 +92,14 @@
         if (first || !now.equals(granted)) {
             note(now);
             granted = now;
-            holder.accept(Rights.of(now));
+            holder.accept(ModelGrants.of(now));
         }
         tick();
     }
 
     // The right outlives this process, so its number alone would not tell the engine an order of
     // this life from one that the last life sent and the network delayed.
-    private long orderNumber(Right right) {
+    private long orderNumber(ReplicaGrant right) {
         return Math.max(right.fencing(), life);
     }
 
@@ -114,17 +115,17 @@
         Shard changed =
                 stored.shard()
                         .without(this::isReleased)
-                        .map(right -> right.vm().equals(vm) ? right.cleared() : right);
+                        .map(right -> right.vm().equals(vm) ? right.withoutSuspicion() : right);
         if (changed.equals(stored.shard()) || !swapping.add(number)) {
             return;
         }
-        store.change(number, stored, vm, read -> changed)
+        store.changeGrants(number, stored, vm, read -> changed)
                 .whenComplete(
                         (done, failure) ->
                                 control.run(() -> swapped(number, stored, done, failure)));
     }
 
-    private boolean isReleased(Right right) {
+    private boolean isReleased(ReplicaGrant right) {
         return right.vm().equals(vm) && right.releasing() && isClear.test(right.model());
     }
 
@@ -134,13 +135,13 @@
         if (failure != null) {
             metrics.count("placement_write_failures");
         } else if (done) {
-            released(stored.shard().rights())
+            released(stored.shard().grants())
                     .forEach(model -> timeline.add(EventType.RIGHT_RELEASED, model.value()));
         }
         feed.refresh();
     }
 
-    private List<ModelName> released(List<Right> rights) {
-        return rights.stream().filter(this::isReleased).map(Right::model).toList();
+    private List<ModelName> released(List<ReplicaGrant> rights) {
+        return rights.stream().filter(this::isReleased).map(ReplicaGrant::model).toList();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseInput.java
@@ -23,11 +23,11 @@
      * @param alive true if the lease still exists
      * @param askedAt when the renewal was sent
      */
-    record Kept(boolean alive, Instant askedAt) implements LeaseInput {}
+    record KeepAliveAnswered(boolean alive, Instant askedAt) implements LeaseInput {}
 
     /** The store did not answer. */
     record Failed() implements LeaseInput {}
 
     /** This process gives the lease up before it expires. */
-    record Resign() implements LeaseInput {}
+    record Resigned() implements LeaseInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
@@ -44,12 +44,12 @@
      * Returns true if this process holds the lease, judged by its own clock and without asking the
      * store.
      */
-    public boolean held(Instant now) {
+    public boolean isHeld(Instant now) {
         return state == State.HELD && now.isBefore(until);
     }
 
     /** Returns the store's id of the lease that was granted last. */
-    public long lease() {
+    public long leaseId() {
         return lease;
     }
 
@@ -61,18 +61,18 @@
         if (input instanceof LeaseInput.Tick) {
             return tick(now);
         }
-        if (input instanceof LeaseInput.Resign) {
+        if (input instanceof LeaseInput.Resigned) {
             return resign();
         }
         if (input instanceof LeaseInput.Granted granted && state == State.GRANTING) {
             state = State.ACQUIRING;
             lease = granted.lease();
-            return List.of(new LeaseAction.Acquire(lease));
+            return List.of(new LeaseAction.AcquireKey(lease));
         }
         if (input instanceof LeaseInput.Acquired acquired && state == State.ACQUIRING) {
             return acquired(acquired.won());
         }
-        if (input instanceof LeaseInput.Kept kept && state == State.HELD) {
+        if (input instanceof LeaseInput.KeepAliveAnswered kept && state == State.HELD) {
             return kept(kept);
         }
         if (input instanceof LeaseInput.Failed && state != State.HELD) {
@@ -85,11 +85,11 @@
         if (state == State.FREE && !now.isBefore(after(asked, term.dividedBy(2)))) {
             state = State.GRANTING;
             asked = now;
-            return List.of(new LeaseAction.Grant(term));
+            return List.of(new LeaseAction.GrantLease(term));
         }
         if (state == State.HELD && !now.isBefore(after(asked, term.dividedBy(4)))) {
             asked = now;
-            return List.of(new LeaseAction.Keep(lease, now));
+            return List.of(new LeaseAction.KeepAlive(lease, now));
         }
         return List.of();
     }
@@ -97,14 +97,14 @@
     private List<LeaseAction> acquired(boolean won) {
         if (!won) {
             state = State.FREE;
-            return List.of(new LeaseAction.Revoke(lease));
+            return List.of(new LeaseAction.RevokeLease(lease));
         }
         state = State.HELD;
         until = endOf(asked);
-        return List.of(new LeaseAction.Won());
+        return List.of(new LeaseAction.StartLeading());
     }
 
-    private List<LeaseAction> kept(LeaseInput.Kept kept) {
+    private List<LeaseAction> kept(LeaseInput.KeepAliveAnswered kept) {
         if (!kept.alive()) {
             return lose();
         }
@@ -117,12 +117,14 @@
     private List<LeaseAction> resign() {
         boolean held = state == State.HELD;
         state = State.FREE;
-        return held ? List.of(new LeaseAction.Revoke(lease), new LeaseAction.Lost()) : List.of();
+        return held
+                ? List.of(new LeaseAction.RevokeLease(lease), new LeaseAction.StopLeading())
+                : List.of();
     }
 
     private List<LeaseAction> lose() {
         state = State.FREE;
-        return List.of(new LeaseAction.Lost());
+        return List.of(new LeaseAction.StopLeading());
     }
 
     // The term counts from the moment at which the request was sent, since the store may have
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Planner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementPlanner.java
@@ -29,7 +29,8 @@
  * <p>Two planners may run at once, and a planner's table may be out of date: each proposal names
  * the revision that it was computed from, and takes effect only if that revision is still stored.
  */
-public final class Planner implements Machine<Planner.View, Planner.Proposal> {
+public final class PlacementPlanner
+        implements Machine<PlacementPlanner.View, PlacementPlanner.Proposal> {
     private final Duration goneAfter;
     private final Duration suspectTime;
     private final Map<VmId, Instant> absentSince = new HashMap<>();
@@ -42,7 +43,7 @@
      *     suspected
      * @param suspectTime how long a suspicion must be visible to all before the grant is revoked
      */
-    public Planner(Duration goneAfter, Duration suspectTime) {
+    public PlacementPlanner(Duration goneAfter, Duration suspectTime) {
         this.goneAfter = goneAfter;
         this.suspectTime = suspectTime;
     }
@@ -115,7 +116,7 @@
                 .forEach(
                         model ->
                                 families.computeIfAbsent(
-                                                Shard.number(model.base().orElse(model.name())),
+                                                Shard.numberOf(model.base().orElse(model.name())),
                                                 number -> new ArrayList<>())
                                         .add(model));
         return families;
@@ -123,7 +124,7 @@
 
     private void noteAbsent(View view, Instant now) {
         Set<VmId> holders = new HashSet<>();
-        view.table().all().forEach(right -> holders.add(right.vm()));
+        view.table().allGrants().forEach(right -> holders.add(right.vm()));
         Set<VmId> absent = new HashSet<>(holders);
         absent.removeAll(view.listed());
         // A truncated platform list makes most of the fleet look gone. All grants would move at
@@ -144,7 +145,7 @@
         suspectedSince.keySet().forEach(mark -> mine.add(mark.fencing()));
         Set<VmId> cleared = new HashSet<>();
         view.table()
-                .all()
+                .allGrants()
                 .filter(right -> !right.suspected() && mine.contains(right.fencing()))
                 .forEach(right -> cleared.add(right.vm()));
         return cleared;
@@ -155,8 +156,8 @@
     private void noteSuspected(View view, Instant now) {
         Set<Mark> suspected = new HashSet<>();
         for (PlacementTable.Stored stored : view.table().shards().values()) {
-            stored.shard().rights().stream()
-                    .filter(Right::suspected)
+            stored.shard().grants().stream()
+                    .filter(ReplicaGrant::suspected)
                     .forEach(right -> suspected.add(new Mark(right.fencing(), stored)));
         }
         suspectedSince.keySet().retainAll(suspected);
@@ -166,14 +167,14 @@
     private Shard clear(PlacementTable.Stored stored, View view, Instant now) {
         return stored.shard()
                 .without(right -> isTaken(right, stored, now))
-                .map(right -> right.suspected(isGone(right.vm(), now)))
-                .map(right -> mustGo(right, view) ? right.toRelease() : right);
+                .map(right -> right.withSuspected(isGone(right.vm(), now)))
+                .map(right -> mustGo(right, view) ? right.withReleasing() : right);
     }
 
     // A grant is revoked only after every process has had time to see the suspicion and to clear
     // it. A timeout alone would revoke the grant of a VM that is merely slow, and two VMs would
     // hold the model.
-    private boolean isTaken(Right right, PlacementTable.Stored stored, Instant now) {
+    private boolean isTaken(ReplicaGrant right, PlacementTable.Stored stored, Instant now) {
         Instant since = suspectedSince.get(new Mark(right.fencing(), stored));
         return right.suspected()
                 && isGone(right.vm(), now)
@@ -187,7 +188,7 @@
     }
 
     // A VM without a visible registration keeps its grants: a missing registration proves nothing.
-    private static boolean mustGo(Right right, View view) {
+    private static boolean mustGo(ReplicaGrant right, View view) {
         Model model = view.models().get(right.model());
         return model == null
                 || view.candidates().stream()
@@ -210,7 +211,9 @@
         private final Map<VmId, Long> bytes = new HashMap<>();
 
         Loads(View view) {
-            view.table().all().forEach(right -> add(right.vm(), view.models().get(right.model())));
+            view.table()
+                    .allGrants()
+                    .forEach(right -> add(right.vm(), view.models().get(right.model())));
         }
 
         void add(VmId vm, Model model) {
@@ -227,14 +230,14 @@
         private final View view;
         private final Loads loads;
         private final Instant now;
-        private final List<Right> rights;
+        private final List<ReplicaGrant> rights;
         private long lastFencing;
 
         Grants(Shard shard, View view, Loads loads, Instant now) {
             this.view = view;
             this.loads = loads;
             this.now = now;
-            this.rights = new ArrayList<>(shard.rights());
+            this.rights = new ArrayList<>(shard.grants());
             this.lastFencing = shard.lastFencing();
         }
 
@@ -247,15 +250,15 @@
         }
 
         private void releaseSurplus(Model model) {
-            List<Right> usable = usable(model.name());
+            List<ReplicaGrant> usable = usable(model.name());
             for (int i = 0; i < usable.size(); i++) {
-                Right right = usable.get(i);
+                ReplicaGrant right = usable.get(i);
                 boolean baseGone =
                         model.base().isPresent()
                                 && usable(model.base().get()).stream()
                                         .noneMatch(base -> base.vm().equals(right.vm()));
                 if (i >= model.maxReplicas() || baseGone) {
-                    rights.set(rights.indexOf(right), right.toRelease());
+                    rights.set(rights.indexOf(right), right.withReleasing());
                 }
             }
         }
@@ -269,7 +272,7 @@
                 }
                 VmId vm = choice.get(0).vm();
                 lastFencing = Math.max(lastFencing + 1, now.toEpochMilli());
-                rights.add(Right.granted(model.name(), vm, lastFencing));
+                rights.add(ReplicaGrant.of(model.name(), vm, lastFencing));
                 loads.add(vm, model);
                 held++;
             }
@@ -300,16 +303,16 @@
                     .count();
         }
 
-        private static Predicate<Right> at(VmId vm) {
+        private static Predicate<ReplicaGrant> at(VmId vm) {
             return right -> right.vm().equals(vm);
         }
 
-        private List<Right> of(ModelName model) {
+        private List<ReplicaGrant> of(ModelName model) {
             return rights.stream().filter(right -> right.model().equals(model)).toList();
         }
 
-        private List<Right> usable(ModelName model) {
-            return of(model).stream().filter(Right::usable).toList();
+        private List<ReplicaGrant> usable(ModelName model) {
+            return of(model).stream().filter(ReplicaGrant::usable).toList();
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementStore.java
@@ -55,9 +55,10 @@
      * shard was written in the meantime, or if a configuration newer than the planner's has been
      * accepted.
      */
-    public CompletionStage<Boolean> plan(Planner.Proposal proposal, Configuration configuration) {
+    public CompletionStage<Boolean> applyProposal(
+            PlacementPlanner.Proposal proposal, Configuration configuration) {
         check(
-                Transition.ofPlanner(
+                ShardTransition.findPlannerViolation(
                         proposal.read(),
                         proposal.value(),
                         name -> maxReplicas(configuration, name)));
@@ -78,10 +79,10 @@
      * @param holder the VM whose grants change
      * @param change computes the new value from the one that was read
      */
-    public CompletionStage<Boolean> change(
+    public CompletionStage<Boolean> changeGrants(
             int number, PlacementTable.Stored read, VmId holder, UnaryOperator<Shard> change) {
         Shard value = change.apply(read.shard());
-        check(Transition.ofHolder(read.shard(), value, holder));
+        check(ShardTransition.findHolderViolation(read.shard(), value, holder));
         return swap(number, value, read.modRevision(), List.of());
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementTable.java
@@ -44,14 +44,15 @@
     }
 
     /** Returns all grants of a VM. */
-    public List<Right> of(VmId vm) {
-        return all().filter(right -> right.vm().equals(vm)).toList();
+    public List<ReplicaGrant> grantsOf(VmId vm) {
+        return allGrants().filter(right -> right.vm().equals(vm)).toList();
     }
 
     /** Returns, for each model, the VMs that hold a usable grant for it. */
-    public Map<ModelName, Set<VmId>> holders() {
+    public Map<ModelName, Set<VmId>> usableHolders() {
         Map<ModelName, Set<VmId>> holders = new HashMap<>();
-        all().filter(Right::usable)
+        allGrants()
+                .filter(ReplicaGrant::usable)
                 .forEach(
                         right ->
                                 holders.computeIfAbsent(right.model(), name -> new TreeSet<>())
@@ -60,7 +61,7 @@
     }
 
     /** Returns all grants. */
-    public Stream<Right> all() {
-        return shards.values().stream().flatMap(stored -> stored.shard().rights().stream());
+    public Stream<ReplicaGrant> allGrants() {
+        return shards.values().stream().flatMap(stored -> stored.shard().grants().stream());
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/ReadPace.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingInterval.java
@@ -7,7 +7,7 @@
  * Computes how long a process waits between two reads of the placement table, so that all processes
  * together stay below a limit: {@code pace.next(2_780)}.
  */
-public final class ReadPace {
+public final class PollingInterval {
     /** Reads per second of all processes together; the store serves 2,000. */
     public static final int BUDGET = 700;
 
@@ -26,7 +26,7 @@
     private final Random random;
 
     /** Creates a pace whose jitter keeps processes that started together from reading together. */
-    public ReadPace(Random random) {
+    public PollingInterval(Random random) {
         this.random = random;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingFeed.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingPlacementFeed.java
@@ -18,9 +18,9 @@
  * <p>A process's view may therefore be some seconds old. A router with an old view sends to an
  * agent that no longer has a grant, and the agent refuses; an agent with an old view keeps a
  * replica under a grant that only the agent itself removes, unless the grant was marked suspected
- * (see {@link ReadPace#LONGEST}).
+ * (see {@link PollingInterval#LONGEST}).
  */
-public final class PollingFeed implements PlacementFeed {
+public final class PollingPlacementFeed implements PlacementFeed {
     private static final Duration TICK = Duration.ofMillis(250);
 
     private final Control control;
@@ -39,7 +39,7 @@
      *
      * @param pause returns the wait until the next read; called before each read
      */
-    public PollingFeed(
+    public PollingPlacementFeed(
             Control control, PlacementStore store, Supplier<Duration> pause, Metrics metrics) {
         this.control = control;
         this.store = store;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Right.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/ReplicaGrant.java
@@ -15,10 +15,11 @@
  * @param suspected true if the VM seems to be gone; any process that receives a message from it
  *     clears the mark
  */
-public record Right(ModelName model, VmId vm, long fencing, boolean releasing, boolean suspected) {
+public record ReplicaGrant(
+        ModelName model, VmId vm, long fencing, boolean releasing, boolean suspected) {
     /** Returns a new grant without marks. */
-    public static Right granted(ModelName model, VmId vm, long fencing) {
-        return new Right(model, vm, fencing, false, false);
+    public static ReplicaGrant of(ModelName model, VmId vm, long fencing) {
+        return new ReplicaGrant(model, vm, fencing, false, false);
     }
 
     /** Returns true if the holder may load the model under this grant. */
@@ -27,19 +28,19 @@
     }
 
     /** Returns a copy that is not marked suspected, for use when the VM has been heard from. */
-    public Right cleared() {
-        return suspected(false);
+    public ReplicaGrant withoutSuspicion() {
+        return withSuspected(false);
     }
 
-    Right toRelease() {
-        return new Right(model, vm, fencing, true, suspected);
+    ReplicaGrant withReleasing() {
+        return new ReplicaGrant(model, vm, fencing, true, suspected);
     }
 
-    Right suspected(boolean mark) {
-        return new Right(model, vm, fencing, releasing, mark);
+    ReplicaGrant withSuspected(boolean mark) {
+        return new ReplicaGrant(model, vm, fencing, releasing, mark);
     }
 
-    boolean isSameAs(Right other) {
+    boolean isSameGrant(ReplicaGrant other) {
         return model.equals(other.model) && vm.equals(other.vm) && fencing == other.fencing;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Shard.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/Shard.java
@@ -17,15 +17,15 @@
  * model, so that both can change at once.
  *
  * @param lastFencing the highest fencing token ever used in this shard
- * @param rights the grants, ordered by model, then VM
+ * @param grants the grants, ordered by model, then VM
  */
-public record Shard(long lastFencing, List<Right> rights) {
+public record Shard(long lastFencing, List<ReplicaGrant> grants) {
     /** The number of shards; a deployment must never change it. */
     public static final int COUNT = 64;
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Comparator<Right> ORDER =
-            Comparator.comparing((Right right) -> right.model().value())
+    private static final Comparator<ReplicaGrant> ORDER =
+            Comparator.comparing((ReplicaGrant right) -> right.model().value())
                     .thenComparing(right -> right.vm().value());
 
     /** The value of a shard that was never written. */
@@ -33,28 +33,28 @@
 
     /** Sorts the grants, so that equal shards have equal bytes. */
     public Shard {
-        rights = rights.stream().sorted(ORDER).toList();
+        grants = grants.stream().sorted(ORDER).toList();
     }
 
     /** Returns the number of a model's shard; for an adapter pass its base model. */
-    public static int number(ModelName model) {
+    public static int numberOf(ModelName model) {
         return Math.floorMod(model.value().hashCode(), COUNT);
     }
 
     /** Returns a copy without the grants that match. */
-    public Shard without(Predicate<Right> which) {
-        return new Shard(lastFencing, rights.stream().filter(which.negate()).toList());
+    public Shard without(Predicate<ReplicaGrant> which) {
+        return new Shard(lastFencing, grants.stream().filter(which.negate()).toList());
     }
 
     /** Returns a copy with the change applied to each grant. */
-    public Shard map(UnaryOperator<Right> change) {
-        return new Shard(lastFencing, rights.stream().map(change).toList());
+    public Shard map(UnaryOperator<ReplicaGrant> change) {
+        return new Shard(lastFencing, grants.stream().map(change).toList());
     }
 
     /** Returns the stored JSON form. */
     public byte[] toJson() {
         try {
-            List<StoredRight> stored = rights.stream().map(StoredRight::of).toList();
+            List<StoredRight> stored = grants.stream().map(StoredRight::of).toList();
             return JSON.writeValueAsBytes(new Stored(lastFencing, stored));
         } catch (JsonProcessingException e) {
             throw new PlacementException(
@@ -67,7 +67,7 @@
         try {
             Stored stored = JSON.readValue(json, Stored.class);
             return new Shard(
-                    stored.fencing(), stored.rights().stream().map(StoredRight::right).toList());
+                    stored.fencing(), stored.grants().stream().map(StoredRight::right).toList());
         } catch (IOException | IllegalArgumentException e) {
             throw new PlacementException(
                     PlacementException.Code.UNREADABLE,
@@ -78,7 +78,7 @@
 
     private record Stored(
             @JsonProperty("fencing") long fencing,
-            @JsonProperty("rights") List<StoredRight> rights) {}
+            @JsonProperty("rights") List<StoredRight> grants) {}
 
     @JsonInclude(JsonInclude.Include.NON_DEFAULT)
     private record StoredRight(
@@ -87,7 +87,7 @@
             @JsonProperty("fencing") long fencing,
             @JsonProperty("releasing") boolean releasing,
             @JsonProperty("suspected") boolean suspected) {
-        static StoredRight of(Right right) {
+        static StoredRight of(ReplicaGrant right) {
             return new StoredRight(
                     right.model().value(),
                     right.vm().value(),
@@ -96,8 +96,9 @@
                     right.suspected());
         }
 
-        Right right() {
-            return new Right(ModelName.of(model), VmId.of(vm), fencing, releasing, suspected);
+        ReplicaGrant right() {
+            return new ReplicaGrant(
+                    ModelName.of(model), VmId.of(vm), fencing, releasing, suspected);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Transition.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/ShardTransition.java
@@ -16,18 +16,18 @@
  * engine that has no memory for it. The compare-and-swap guarantees that the value that was checked
  * is the one that is replaced.
  */
-public final class Transition {
-    private Transition() {}
+public final class ShardTransition {
+    private ShardTransition() {}
 
     /**
      * Returns what is wrong with a planner's proposal; empty if it may be written.
      *
      * @param maxReplicas returns how many grants a model may have, 0 if it is not configured
      */
-    public static Optional<String> ofPlanner(
+    public static Optional<String> findPlannerViolation(
             Shard read, Shard proposed, ToIntFunction<ModelName> maxReplicas) {
-        for (Right before : read.rights()) {
-            Optional<Right> after = find(proposed, before);
+        for (ReplicaGrant before : read.grants()) {
+            Optional<ReplicaGrant> after = find(proposed, before);
             if (after.isEmpty() && !before.suspected()) {
                 return Optional.of(
                         "a planner may remove a grant only while it is marked suspected: "
@@ -44,9 +44,9 @@
      * Returns what is wrong with a VM's proposal, which may change only its own grants; empty if it
      * may be written.
      */
-    public static Optional<String> ofHolder(Shard read, Shard proposed, VmId holder) {
-        for (Right before : read.rights()) {
-            Optional<Right> after = find(proposed, before);
+    public static Optional<String> findHolderViolation(Shard read, Shard proposed, VmId holder) {
+        for (ReplicaGrant before : read.grants()) {
+            Optional<ReplicaGrant> after = find(proposed, before);
             boolean own = before.vm().equals(holder);
             if (after.isEmpty() && !(own && before.releasing())) {
                 return Optional.of(
@@ -66,7 +66,7 @@
             return Optional.of("the highest fencing token must not decrease");
         }
         Set<Long> numbers = new HashSet<>();
-        for (Right right : proposed.rights()) {
+        for (ReplicaGrant right : proposed.grants()) {
             boolean isNew = find(read, right).isEmpty();
             if (isNew && !isFresh(right, read, proposed, numbers)) {
                 return Optional.of("a new grant needs a new fencing token: " + right);
@@ -82,13 +82,14 @@
         return Optional.empty();
     }
 
-    private static boolean isFresh(Right right, Shard read, Shard proposed, Set<Long> numbers) {
+    private static boolean isFresh(
+            ReplicaGrant right, Shard read, Shard proposed, Set<Long> numbers) {
         return right.fencing() > read.lastFencing()
                 && right.fencing() <= proposed.lastFencing()
                 && numbers.add(right.fencing());
     }
 
-    private static boolean isTwice(Shard shard, Right right) {
+    private static boolean isTwice(Shard shard, ReplicaGrant right) {
         return rights(shard, right.model()).stream()
                         .filter(other -> other.vm().equals(right.vm()))
                         .count()
@@ -99,11 +100,11 @@
         return rights(shard, model).size();
     }
 
-    private static List<Right> rights(Shard shard, ModelName model) {
-        return shard.rights().stream().filter(right -> right.model().equals(model)).toList();
+    private static List<ReplicaGrant> rights(Shard shard, ModelName model) {
+        return shard.grants().stream().filter(right -> right.model().equals(model)).toList();
     }
 
-    private static Optional<Right> find(Shard shard, Right right) {
-        return shard.rights().stream().filter(right::isSameAs).findFirst();
+    private static Optional<ReplicaGrant> find(Shard shard, ReplicaGrant right) {
+        return shard.grants().stream().filter(right::isSameGrant).findFirst();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
@@ -54,18 +54,18 @@
     /**
      * Returns true if this number belongs to a question of such a machine, not to a relay's probe.
      */
-    public static boolean isAsk(long number) {
+    public static boolean isOutageQuestion(long number) {
         return number > FIRST_NUMBER;
     }
 
     @Override
     public List<OutageAction> on(OutageInput input, Instant now) {
-        if (input instanceof OutageInput.Listed list) {
+        if (input instanceof OutageInput.RoutersListed list) {
             listed = Set.copyOf(list.routers());
-            roster.read(listed, list.askedAt());
+            roster.recordListing(listed, list.askedAt());
         } else if (input instanceof OutageInput.Confirmed other) {
             confirmedElsewhere(other.asOf());
-        } else if (input instanceof OutageInput.Answered answer) {
+        } else if (input instanceof OutageInput.RouterAnswered answer) {
             take(answer, now);
         } else if (input instanceof OutageInput.Tick tick) {
             return tick(tick.self(), now);
@@ -76,18 +76,18 @@
     private void confirmedElsewhere(Instant asOf) {
         if (confirmed.isEmpty() || asOf.isAfter(confirmed.get())) {
             confirmed = Optional.of(asOf);
-            roster.confirmed(asOf);
+            roster.forgetGoneBefore(asOf);
         }
     }
 
-    private void take(OutageInput.Answered answer, Instant now) {
-        Asked ask = asked.remove(answer.ask());
+    private void take(OutageInput.RouterAnswered answer, Instant now) {
+        Asked ask = asked.remove(answer.number());
         if (ask == null || !ask.router().equals(answer.from())) {
             return;
         }
-        OutageInput.Word word = answer.word();
-        boolean firstLife = roster.firstLife(answer.from(), answer.life(), now);
-        if (word.settled() && (word.confirmedInThisLife() || firstLife)) {
+        OutageInput.RouterState word = answer.state();
+        boolean firstLife = roster.isFirstIncarnation(answer.from(), answer.incarnation(), now);
+        if (word.settled() && (word.confirmedInThisIncarnation() || firstLife)) {
             heard.merge(
                     answer.from(),
                     new Heard(ask.at(), word.head()),
@@ -95,10 +95,11 @@
         }
     }
 
-    private List<OutageAction> tick(OutageInput.Word own, Instant now) {
-        boolean sighted = confirmed.filter(roster::covers).isPresent();
-        boolean possible = sighted && listed.contains(self) && roster.all().size() <= MOST_ROUTERS;
-        if (!needed(now) || !possible) {
+    private List<OutageAction> tick(OutageInput.RouterState own, Instant now) {
+        boolean sighted = confirmed.filter(roster::isGaplessSince).isPresent();
+        boolean possible =
+                sighted && listed.contains(self) && roster.routers().size() <= MOST_ROUTERS;
+        if (!isNeeded(now) || !possible) {
             return List.of();
         }
         List<OutageAction> actions = new ArrayList<>();
@@ -114,12 +115,12 @@
      * Returns true while nothing has confirmed the configuration for several seconds; only then are
      * routers asked.
      */
-    public boolean needed(Instant now) {
+    public boolean isNeeded(Instant now) {
         return confirmed.filter(at -> now.isAfter(at.plus(PATIENCE))).isPresent();
     }
 
-    private void confirm(OutageInput.Word own, List<OutageAction> actions) {
-        if (!own.settled() || !own.confirmedInThisLife()) {
+    private void confirm(OutageInput.RouterState own, List<OutageAction> actions) {
+        if (!own.settled() || !own.confirmedInThisIncarnation()) {
             return;
         }
         Instant asOf = roster.lastRead().orElse(Instant.MIN);
@@ -144,11 +145,11 @@
         asked.values().removeIf(ask -> ask.at().plus(PATIENCE).isBefore(now));
         for (VmId router : others()) {
             asked.put(++lastNumber, new Asked(router, now));
-            actions.add(new OutageAction.Ask(router, lastNumber));
+            actions.add(new OutageAction.AskRouter(router, lastNumber));
         }
     }
 
     private List<VmId> others() {
-        return roster.all().stream().filter(vm -> !vm.equals(self)).toList();
+        return roster.routers().stream().filter(vm -> !vm.equals(self)).toList();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageInput.java
@@ -8,7 +8,7 @@
 /** Events that an {@link OutageConfirmation} reacts to. */
 public sealed interface OutageInput {
     /** The platform's VM list, requested at {@code askedAt}, contains these routers. */
-    record Listed(Set<VmId> routers, Instant askedAt) implements OutageInput {}
+    record RoutersListed(Set<VmId> routers, Instant askedAt) implements OutageInput {}
 
     /**
      * The store or a peer confirmed that, as of this time, nothing newer than the configuration in
@@ -21,24 +21,25 @@
      *
      * @param self the state that this router would answer now
      */
-    record Tick(Word self) implements OutageInput {}
+    record Tick(RouterState self) implements OutageInput {}
 
     /**
      * A router answered a question.
      *
      * @param from the router's VM
-     * @param life the incarnation of the router that answered
-     * @param ask the number of the question
-     * @param word the state that it answered
+     * @param incarnation the incarnation of the router that answered
+     * @param number the number of the question
+     * @param state the state that it answered
      */
-    record Answered(VmId from, Incarnation life, long ask, Word word) implements OutageInput {}
+    record RouterAnswered(VmId from, Incarnation incarnation, long number, RouterState state)
+            implements OutageInput {}
 
     /**
      * The state that a router reports of itself.
      *
      * @param head the sequence number of the last entry that it has
      * @param settled true if none of its ticket writes is pending or of unknown outcome
-     * @param confirmedInThisLife true if it has confirmed its configuration since it started
+     * @param confirmedInThisIncarnation true if it has confirmed its configuration since it started
      */
-    record Word(long head, boolean settled, boolean confirmedInThisLife) {}
+    record RouterState(long head, boolean settled, boolean confirmedInThisIncarnation) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RegistrationTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RegistrationTable.java
@@ -64,7 +64,7 @@
     }
 
     /** Returns all current registrations. */
-    public List<Row> all() {
+    public List<Row> registrations() {
         return rows.values().stream().filter(row -> !row.removed()).toList();
     }
 
@@ -81,7 +81,7 @@
     }
 
     /** Applies a delta, unless the table is newer. */
-    public void take(Delta delta) {
+    public void apply(Delta delta) {
         if (delta.revision() < revision) {
             return;
         }
@@ -97,12 +97,12 @@
      * Returns what has changed since that revision; the whole table if the changes since then are
      * not all known.
      */
-    public Delta since(long known) {
+    public Delta changesSince(long known) {
         if (known > revision) {
             return new Delta(List.of(), known, false);
         }
         if (known < since || known == 0 || gaps.stream().anyMatch(gap -> gap.holds(known))) {
-            return new Delta(all(), revision, true);
+            return new Delta(registrations(), revision, true);
         }
         List<Row> changed = new ArrayList<>();
         rows.values().stream().filter(row -> row.revision() > known).forEach(changed::add);
@@ -122,7 +122,7 @@
 
     private void removeAllBut(Delta delta) {
         Set<VmId> kept = delta.rows().stream().map(Row::vm).collect(Collectors.toSet());
-        for (Row row : all()) {
+        for (Row row : registrations()) {
             if (!kept.contains(row.vm())) {
                 put(new Row(row.vm(), new byte[0], delta.revision()));
             }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayAction.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayAction.java
@@ -7,16 +7,16 @@
 /** Actions that a {@link RelayMachine} asks its caller to carry out. */
 public sealed interface RelayAction {
     /** Starts a watch on the store, or stops it. */
-    record Watch(boolean on) implements RelayAction {}
+    record WatchStore(boolean on) implements RelayAction {}
 
     /** Keeps connections to these relays and to no other. */
-    record Follow(List<Vm> relays) implements RelayAction {}
+    record FollowRelays(List<Vm> relays) implements RelayAction {}
 
     /** Asks a peer for missing entries; its answer carries the number. */
-    record Probe(Vm peer, long number) implements RelayAction {}
+    record ProbePeer(Vm peer, long number) implements RelayAction {}
 
     /** Reads the store once. */
-    record AskStore() implements RelayAction {}
+    record ReadStore() implements RelayAction {}
 
     /**
      * Confirms that, as of this time, the log ended with this entry.
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayInput.java
@@ -10,7 +10,7 @@
 /** Events that a {@link RelayMachine} reacts to. */
 public sealed interface RelayInput {
     /** The platform's list of VMs was read. */
-    record Listed(List<Vm> vms) implements RelayInput {}
+    record VmsListed(List<Vm> vms) implements RelayInput {}
 
     /** Time has passed; to be sent several times a second. */
     record Tick() implements RelayInput {}
@@ -24,12 +24,12 @@
      * @param confirmedAge how long before its answer the peer had a confirmation that the log ended
      *     there; empty if it has none
      */
-    record Answered(VmId from, long probe, long head, Optional<Duration> confirmedAge)
+    record ProbeAnswered(VmId from, long probe, long head, Optional<Duration> confirmedAge)
             implements RelayInput {}
 
     /** A peer's heartbeat or push names an entry that is not in force here. */
-    record Behind(VmId peer) implements RelayInput {}
+    record NewerEntryAnnounced(VmId peer) implements RelayInput {}
 
     /** The store confirmed that, as of this time, nothing newer exists. */
-    record Confirmed(Instant asOf) implements RelayInput {}
+    record StoreConfirmed(Instant asOf) implements RelayInput {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayMachine.java
@@ -69,13 +69,13 @@
     public List<RelayAction> on(RelayInput input, Instant now) {
         begun = begun.or(() -> Optional.of(now));
         List<RelayAction> actions = new ArrayList<>();
-        if (input instanceof RelayInput.Listed listed) {
+        if (input instanceof RelayInput.VmsListed listed) {
             take(listed.vms(), actions);
-        } else if (input instanceof RelayInput.Answered answer) {
+        } else if (input instanceof RelayInput.ProbeAnswered answer) {
             take(answer, now, actions);
-        } else if (input instanceof RelayInput.Behind behind) {
+        } else if (input instanceof RelayInput.NewerEntryAnnounced behind) {
             catchUp(behind.peer(), now, actions);
-        } else if (input instanceof RelayInput.Confirmed store) {
+        } else if (input instanceof RelayInput.StoreConfirmed store) {
             confirm(store.asOf());
         } else {
             tick(now, actions);
@@ -84,14 +84,14 @@
     }
 
     /** Returns true while this process is a relay of its zone. */
-    public boolean relay() {
+    public boolean isRelay() {
         return relay;
     }
 
     /**
      * Returns true if one of the relays that this process follows answered when it was last asked.
      */
-    public boolean answered() {
+    public boolean hasResponsiveRelay() {
         return relays.stream()
                 .map(Vm::id)
                 .anyMatch(vm -> answered.containsKey(vm) && !waitedFor.contains(vm));
@@ -107,15 +107,15 @@
                         .toList();
         if (!others.equals(relays)) {
             relays = others;
-            actions.add(new RelayAction.Follow(others));
+            actions.add(new RelayAction.FollowRelays(others));
         }
         if (chosenHere != relay) {
             relay = chosenHere;
-            actions.add(new RelayAction.Watch(relay));
+            actions.add(new RelayAction.WatchStore(relay));
         }
     }
 
-    private void take(RelayInput.Answered answer, Instant now, List<RelayAction> actions) {
+    private void take(RelayInput.ProbeAnswered answer, Instant now, List<RelayAction> actions) {
         Sent sent = probes.remove(answer.probe());
         if (sent == null || !sent.peer().id().equals(answer.from())) {
             return;
@@ -141,7 +141,7 @@
     private void tick(Instant now, List<RelayAction> actions) {
         askAnother(now, actions);
         if (!now.isBefore(probeDue)) {
-            probeDue = now.plus(jittered(settings.probe()));
+            probeDue = now.plus(jittered(settings.probeInterval()));
             nextRelay().ifPresent(vm -> probe(vm, now, actions));
             if (unconfirmed(now)) {
                 anyRouter().ifPresent(vm -> probe(vm, now, actions));
@@ -160,7 +160,7 @@
      * timeout, not a whole probe interval.
      */
     private void askAnother(Instant now, List<RelayAction> actions) {
-        Instant limit = now.minus(settings.answer());
+        Instant limit = now.minus(settings.answerTimeout());
         List<Vm> late =
                 probes.values().stream()
                         .filter(sent -> sent.at().isBefore(limit))
@@ -180,7 +180,7 @@
         if (probes.size() > MOST_PROBES) {
             probes.remove(probes.keySet().iterator().next());
         }
-        actions.add(new RelayAction.Probe(peer, lastProbe));
+        actions.add(new RelayAction.ProbePeer(peer, lastProbe));
     }
 
     private void askStore(Instant now, List<RelayAction> actions) {
@@ -191,7 +191,7 @@
         if (now.isBefore(storeDue)) {
             return;
         }
-        actions.add(new RelayAction.AskStore());
+        actions.add(new RelayAction.ReadStore());
         storeDue = now.plus(jittered(storePause(silent)));
         storeTries++;
     }
@@ -200,16 +200,17 @@
         if (relays.isEmpty()) {
             return Duration.ZERO;
         }
-        Duration most = silent ? settings.answer() : settings.unconfirmedPeriod();
+        Duration most = silent ? settings.answerTimeout() : settings.unconfirmedStoreInterval();
         return Duration.ofMillis(random.nextLong(most.toMillis()));
     }
 
     // Relays that answer but are unconfirmed usually can't reach the store either. In an outage
     // this holds for the whole fleet, which must not spend the store's capacity on asking.
     private Duration storePause(boolean silent) {
-        Duration first = silent ? settings.storePeriod() : settings.unconfirmedPeriod();
+        Duration first =
+                silent ? settings.silentStoreInterval() : settings.unconfirmedStoreInterval();
         Duration pause = first.multipliedBy(1L << Math.min(storeTries, MOST_DOUBLINGS));
-        Duration longest = settings.longestStorePeriod();
+        Duration longest = settings.maxStoreInterval();
         return pause.compareTo(longest) < 0 ? pause : longest;
     }
 
@@ -222,7 +223,7 @@
 
     private boolean unconfirmed(Instant now) {
         Instant since = confirmed.orElse(begun.orElse(now));
-        return now.isAfter(since.plus(settings.patience()));
+        return now.isAfter(since.plus(settings.maxUnconfirmed()));
     }
 
     /**
@@ -230,7 +231,7 @@
      * counts as silent.
      */
     private boolean silent(Instant now) {
-        Instant limit = now.minus(settings.silence());
+        Instant limit = now.minus(settings.silenceTimeout());
         return relays.stream()
                 .map(vm -> answered.getOrDefault(vm.id(), begun.orElse(now)))
                 .noneMatch(at -> at.isAfter(limit));
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RouterRoster.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RouterRoster.java
@@ -39,7 +39,7 @@
      * @param listed the routers on the list
      * @param askedAt when the list was requested
      */
-    void read(Set<VmId> listed, Instant askedAt) {
+    void recordListing(Set<VmId> listed, Instant askedAt) {
         if (lastRead.isEmpty() || askedAt.isAfter(lastRead.get().plus(GAP))) {
             unbrokenSince = askedAt;
         }
@@ -54,12 +54,12 @@
      * Records that, as of this time, nothing newer than the known configuration existed; routers
      * that left the list before then are forgotten.
      */
-    void confirmed(Instant asOf) {
+    void forgetGoneBefore(Instant asOf) {
         lines.values().removeIf(line -> line.goneAt.filter(at -> !at.isAfter(asOf)).isPresent());
     }
 
     /** Returns all routers that may have accepted a ticket, in order. */
-    List<VmId> all() {
+    List<VmId> routers() {
         return lines.keySet().stream().sorted().toList();
     }
 
@@ -69,12 +69,12 @@
     }
 
     /** Returns true if no router can have come and gone unnoticed since then. */
-    boolean covers(Instant since) {
+    boolean isGaplessSince(Instant since) {
         return !unbrokenSince.isAfter(since);
     }
 
     /** Returns true if no earlier incarnation of the router can have accepted tickets. */
-    boolean firstLife(VmId vm, Incarnation life, Instant now) {
+    boolean isFirstIncarnation(VmId vm, Incarnation life, Instant now) {
         Line line = lines.get(vm);
         if (line == null) {
             return false;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Victims.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/EvictionPolicy.java
@@ -15,11 +15,11 @@
  * Chooses the replicas to evict: those whose next cold start costs least for the memory that they
  * free.
  */
-final class Victims {
+final class EvictionPolicy {
     private final ReplicaTable table;
     private final LoadCosts costs;
 
-    Victims(ReplicaTable table, LoadCosts costs) {
+    EvictionPolicy(ReplicaTable table, LoadCosts costs) {
         this.table = table;
         this.costs = costs;
     }
@@ -32,7 +32,7 @@
      * @param needed the models that requests are queued for, and their bases
      * @param below only replicas whose cost per byte is lower than this are chosen
      */
-    Optional<List<Replica>> toFree(
+    Optional<List<Replica>> chooseToFree(
             long bytes,
             Set<ModelName> needed,
             Map<ModelName, Model> models,
@@ -83,7 +83,7 @@
 
     private double cost(Replica replica, Map<ModelName, Model> models, Instant now) {
         Model model = models.get(replica.name);
-        return model == null ? 0 : costs.perByte(model, replica.bytes, now);
+        return model == null ? 0 : costs.coldStartSecondsPerByte(model, replica.bytes, now);
     }
 
     private static boolean isFree(Replica replica, Set<ModelName> needed) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/HeldRights.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/HeldGrants.java
@@ -10,29 +10,29 @@
  * Tracks the grants in force, and those that are no longer in force but not yet released: such a
  * grant is released once the engine holds nothing of its model.
  */
-final class HeldRights {
+final class HeldGrants {
     private final TreeMap<ModelName, Long> owed = new TreeMap<>();
-    private Rights inForce = Rights.of(Map.of());
+    private ModelGrants inForce = ModelGrants.of(Map.of());
     private long lastFencing;
 
     /**
      * Replaces the grants in force; a model that the table holds without a grant must be released
      * from now on.
      */
-    void change(Rights rights, ReplicaTable table) {
-        owed.putAll(inForce.granted());
+    void update(ModelGrants rights, ReplicaTable table) {
+        owed.putAll(inForce.fencingByModel());
         for (Replica replica : table.all()) {
             owed.putIfAbsent(replica.name, inForce.fencing(replica.name).orElse(lastFencing));
         }
         inForce = rights;
-        owed.keySet().removeIf(rights::hold);
-        rights.everything().ifPresent(this::noteFencing);
-        rights.granted().values().forEach(this::noteFencing);
+        owed.keySet().removeIf(rights::permits);
+        rights.defaultFencing().ifPresent(this::noteFencing);
+        rights.fencingByModel().values().forEach(this::noteFencing);
     }
 
     /** Returns true if the model may be held. */
-    boolean hold(ModelName model) {
-        return inForce.hold(model);
+    boolean permits(ModelName model) {
+        return inForce.permits(model);
     }
 
     /**
@@ -46,11 +46,11 @@
     /**
      * Releases the grants that are no longer in force and whose model the engine no longer holds.
      */
-    List<ReplicaAction> released(ReplicaTable table) {
+    List<ReplicaAction> releaseUnused(ReplicaTable table) {
         List<ReplicaAction> actions = new ArrayList<>();
         for (ModelName model : List.copyOf(owed.keySet())) {
-            if (table.complete() && table.get(model) == null) {
-                actions.add(new ReplicaAction.Release(model, owed.remove(model)));
+            if (table.isComplete() && table.get(model) == null) {
+                actions.add(new ReplicaAction.ReleaseGrant(model, owed.remove(model)));
             }
         }
         return actions;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Failures.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadBackoff.java
@@ -12,24 +12,24 @@
  * Computes the backoff after failed loads: each failure in a row doubles the next pause, up to 64
  * times the first.
  */
-final class Failures {
+final class LoadBackoff {
     private static final int MAX_DOUBLINGS = 6;
 
     private final Duration firstPause;
     private final Map<ModelName, Failure> failures = new HashMap<>();
 
-    Failures(Duration firstPause) {
+    LoadBackoff(Duration firstPause) {
         this.firstPause = firstPause;
     }
 
-    void failed(ModelName model, Instant now) {
+    void recordFailure(ModelName model, Instant now) {
         Failure last = failures.get(model);
         int doublings = last == null ? 0 : Math.min(last.doublings + 1, MAX_DOUBLINGS);
         Instant until = now.plus(firstPause.multipliedBy(1L << doublings));
         failures.put(model, new Failure(doublings, until));
     }
 
-    void over(ModelName model) {
+    void reset(ModelName model) {
         failures.remove(model);
     }
 
@@ -38,7 +38,7 @@
     }
 
     /** Returns the time left before the next attempt; empty if a load may be ordered now. */
-    Optional<Duration> pause(ModelName model, Instant now) {
+    Optional<Duration> remainingPause(ModelName model, Instant now) {
         Failure failure = failures.get(model);
         return failure == null || !now.isBefore(failure.until)
                 ? Optional.empty()
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadCosts.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadCosts.java
@@ -23,11 +23,11 @@
         this.settings = settings;
     }
 
-    void used(ModelName model, Instant now) {
-        rates.put(model, new Rate(rate(model, now) + 1, now));
+    void recordUse(ModelName model, Instant now) {
+        rates.put(model, new Rate(recentUses(model, now) + 1, now));
     }
 
-    void loaded(ModelName model, Duration took) {
+    void recordLoad(ModelName model, Duration took) {
         times.merge(
                 model, took, (old, newest) -> old.plus(scaled(newest.minus(old), NEWEST_WEIGHT)));
     }
@@ -36,7 +36,7 @@
      * Returns how long a load takes: an exponentially weighted mean, or the estimate of the
      * settings before the first load.
      */
-    Duration estimate(Model model) {
+    Duration loadEstimate(Model model) {
         Duration guess =
                 model.base().isPresent() ? settings.adapterEstimate() : settings.modelEstimate();
         return times.getOrDefault(model.name(), guess);
@@ -45,9 +45,9 @@
     /**
      * Returns the cold start time to be expected, in seconds, per byte that an unload would free.
      */
-    double perByte(Model model, long bytes, Instant now) {
-        double seconds = estimate(model).toNanos() / 1e9;
-        return seconds * rate(model.name(), now) / Math.max(1, bytes);
+    double coldStartSecondsPerByte(Model model, long bytes, Instant now) {
+        double seconds = loadEstimate(model).toNanos() / 1e9;
+        return seconds * recentUses(model.name(), now) / Math.max(1, bytes);
     }
 
     /** Forgets models that are no longer configured. */
@@ -57,7 +57,7 @@
     }
 
     /** Returns the number of uses, weighted by age: a use counts half after each half-life. */
-    double rate(ModelName model, Instant now) {
+    double recentUses(ModelName model, Instant now) {
         Rate rate = rates.get(model);
         if (rate == null) {
             return 0;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadSlots.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadSlots.java
@@ -17,7 +17,7 @@
     }
 
     /** Queues a load and returns the time until it ends. */
-    Duration add(Duration load) {
+    Duration schedule(Duration load) {
         Duration end = freeAfter.remove().plus(load);
         freeAfter.add(end);
         return end;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Want.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ModelQueue.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /** The requests queued for one model. */
-final class Want {
+final class ModelQueue {
     /** Orders by earliest deadline; a load that no request is queued for comes last. */
-    static final Comparator<Want> BY_DEADLINE =
-            Comparator.comparing(Want::deadline).thenComparing(want -> want.model);
+    static final Comparator<ModelQueue> BY_DEADLINE =
+            Comparator.comparing(ModelQueue::deadline).thenComparing(want -> want.model);
 
     final ModelName model;
-    final List<ReplicaInput.Wanted> waiters = new ArrayList<>();
+    final List<ReplicaInput.RequestQueued> waiters = new ArrayList<>();
 
     /**
      * The time until which to load the model even if no request is queued. Callers with short
@@ -22,18 +22,18 @@
      */
     Instant prefetchUntil = Instant.MIN;
 
-    Want(ModelName model) {
+    ModelQueue(ModelName model) {
         this.model = model;
     }
 
     Instant deadline() {
         return waiters.stream()
-                .map(ReplicaInput.Wanted::deadline)
+                .map(ReplicaInput.RequestQueued::deadline)
                 .min(Comparator.naturalOrder())
                 .orElse(Instant.MAX);
     }
 
-    boolean isOver(Instant now) {
+    boolean isExpired(Instant now) {
         return waiters.isEmpty() && !now.isBefore(prefetchUntil);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaInput.java
@@ -8,17 +8,20 @@
 import java.time.Instant;
 import java.util.Map;
 
-/** Events that a {@link ReplicaHolder} reacts to. */
+/** Events that a {@link ReplicaManager} reacts to. */
 public sealed interface ReplicaInput {
-    /** A request needs the model by its deadline; answered by one Ready or one Refuse. */
-    record Wanted(ExchangeId request, ModelName model, Instant deadline, WorkspaceId workspace)
+    /**
+     * A request needs the model by its deadline; answered by one SendRequest or one RefuseRequest.
+     */
+    record RequestQueued(
+            ExchangeId request, ModelName model, Instant deadline, WorkspaceId workspace)
             implements ReplicaInput {}
 
     /** A queued request was canceled; it gets no answer. */
-    record GivenUp(ExchangeId request, ModelName model) implements ReplicaInput {}
+    record RequestCanceled(ExchangeId request, ModelName model) implements ReplicaInput {}
 
-    /** A request that was Ready has ended, successfully or not. */
-    record Finished(ModelName model) implements ReplicaInput {}
+    /** A request that was sent to the engine has ended, successfully or not. */
+    record RequestFinished(ModelName model) implements ReplicaInput {}
 
     /** The engine confirmed a load. */
     record Loaded(ModelName model) implements ReplicaInput {}
@@ -37,13 +40,13 @@
     record UnloadFailed(ModelName model) implements ReplicaInput {}
 
     /** A report of the engine was received; it may be as old as the report lag of the settings. */
-    record Reported(Engine.Report report) implements ReplicaInput {}
+    record EngineReported(Engine.Report report) implements ReplicaInput {}
 
     /** These models and adapters are configured. */
-    record Configured(Map<ModelName, Model> models) implements ReplicaInput {}
+    record ModelsConfigured(Map<ModelName, Model> models) implements ReplicaInput {}
 
     /** These grants are in force. */
-    record RightsChanged(Rights rights) implements ReplicaInput {}
+    record GrantsChanged(ModelGrants grants) implements ReplicaInput {}
 
     /** Time has passed; to be sent several times a second. */
     record Tick() implements ReplicaInput {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaHolder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaManager.java
@@ -20,12 +20,12 @@
  * Manages the memory of one engine: loads the models that queued requests need, unloads those that
  * are cheapest to load again, and lets each request proceed or refuses it before its deadline.
  *
- * <p>{@code new ReplicaHolder(ReplicaSettings.defaults()).on(new ReplicaInput.Wanted(...), now)}.
- * It starts without grants, models and inventory, and orders nothing before it has all three. Each
- * Wanted is answered once: Ready counts as a use until Finished is received, so nothing can be
- * unloaded between the answer and the sending.
+ * <p>{@code new ReplicaManager(ReplicaSettings.defaults()).on(new ReplicaInput.RequestQueued(...),
+ * now)}. It starts without grants, models and inventory, and orders nothing before it has all
+ * three. Each RequestQueued is answered once: SendRequest counts as a use until RequestFinished is
+ * received, so nothing can be unloaded between the answer and the sending.
  */
-public final class ReplicaHolder implements Machine<ReplicaInput, ReplicaAction> {
+public final class ReplicaManager implements Machine<ReplicaInput, ReplicaAction> {
     private static final Duration PREFETCH = Duration.ofMinutes(1);
     private static final double IDLE_RATE = 0.5;
     private static final Duration SHORT_RETRY = Duration.ofSeconds(1);
@@ -33,40 +33,40 @@
     private final ReplicaSettings settings;
     private final ReplicaTable table;
     private final LoadCosts costs;
-    private final Victims victims;
-    private final TreeMap<ModelName, Want> wants = new TreeMap<>();
-    private final Failures failures;
-    private final HeldRights rights = new HeldRights();
+    private final EvictionPolicy victims;
+    private final TreeMap<ModelName, ModelQueue> wants = new TreeMap<>();
+    private final LoadBackoff failures;
+    private final HeldGrants rights = new HeldGrants();
     private Map<ModelName, Model> models = Map.of();
 
     /** Creates a state machine that has received no input yet. */
-    public ReplicaHolder(ReplicaSettings settings) {
+    public ReplicaManager(ReplicaSettings settings) {
         this.settings = settings;
         table = new ReplicaTable(settings);
         costs = new LoadCosts(settings);
-        victims = new Victims(table, costs);
-        failures = new Failures(settings.retryDelay());
+        victims = new EvictionPolicy(table, costs);
+        failures = new LoadBackoff(settings.retryDelay());
     }
 
     @Override
     public List<ReplicaAction> on(ReplicaInput input, Instant now) {
-        table.startedBy(now);
+        table.recordStart(now);
         take(input, now);
         List<ReplicaAction> actions = new ArrayList<>();
         unloadUnwanted(actions, now);
         unloadIdle(actions, now);
         serveWants(actions, now);
-        actions.addAll(rights.released(table));
+        actions.addAll(rights.releaseUnused(table));
         return actions;
     }
 
     /** Returns the models that the engine confirmed or reported as loaded. */
-    public Set<ModelName> loaded() {
+    public Set<ModelName> loadedModels() {
         return in(Phase.LOADED);
     }
 
     /** Returns the models that are being loaded. */
-    public Set<ModelName> loading() {
+    public Set<ModelName> loadingModels() {
         return in(Phase.LOADING);
     }
 
@@ -74,18 +74,18 @@
      * Returns true if the engine certainly holds nothing of the model and has no order about it, by
      * an inventory that is younger than this process. Only then may a grant for it be released.
      */
-    public boolean isClearOf(ModelName model) {
-        return table.complete() && table.get(model) == null;
+    public boolean holdsNothingOf(ModelName model) {
+        return table.isComplete() && table.get(model) == null;
     }
 
     /** Returns the engine's memory for models, in bytes; 0 before its first report. */
     public long memoryBytes() {
-        return table.capacity();
+        return table.capacityBytes();
     }
 
     /** Returns the memory that is used or reserved, in bytes. */
     public long memoryUsedBytes() {
-        return table.capacity() - table.free();
+        return table.capacityBytes() - table.freeBytes();
     }
 
     private Set<ModelName> in(Phase phase) {
@@ -96,12 +96,12 @@
     }
 
     private void take(ReplicaInput input, Instant now) {
-        if (input instanceof ReplicaInput.Wanted wanted) {
-            costs.used(wanted.model(), now);
-            wants.computeIfAbsent(wanted.model(), Want::new).waiters.add(wanted);
-        } else if (input instanceof ReplicaInput.GivenUp gone) {
+        if (input instanceof ReplicaInput.RequestQueued wanted) {
+            costs.recordUse(wanted.model(), now);
+            wants.computeIfAbsent(wanted.model(), ModelQueue::new).waiters.add(wanted);
+        } else if (input instanceof ReplicaInput.RequestCanceled gone) {
             giveUp(gone);
-        } else if (input instanceof ReplicaInput.Finished finished) {
+        } else if (input instanceof ReplicaInput.RequestFinished finished) {
             finish(finished.model());
         } else if (input instanceof ReplicaInput.Loaded loaded) {
             loaded(loaded.model(), now);
@@ -111,17 +111,17 @@
             unloaded(unloaded.model(), now);
         } else if (input instanceof ReplicaInput.UnloadFailed failed) {
             unloadFailed(failed.model(), now);
-        } else if (input instanceof ReplicaInput.Reported reported) {
-            table.report(reported.report(), models, now);
-        } else if (input instanceof ReplicaInput.Configured configured) {
+        } else if (input instanceof ReplicaInput.EngineReported reported) {
+            table.applyReport(reported.report(), models, now);
+        } else if (input instanceof ReplicaInput.ModelsConfigured configured) {
             configure(configured.models());
-        } else if (input instanceof ReplicaInput.RightsChanged changed) {
-            rights.change(changed.rights(), table);
+        } else if (input instanceof ReplicaInput.GrantsChanged changed) {
+            rights.update(changed.grants(), table);
         }
     }
 
-    private void giveUp(ReplicaInput.GivenUp gone) {
-        Want want = wants.get(gone.model());
+    private void giveUp(ReplicaInput.RequestCanceled gone) {
+        ModelQueue want = wants.get(gone.model());
         if (want != null) {
             want.waiters.removeIf(waiter -> waiter.request().equals(gone.request()));
         }
@@ -137,9 +137,9 @@
     private void loaded(ModelName model, Instant now) {
         Replica replica = table.get(model);
         if (replica != null && replica.phase == Phase.LOADING) {
-            costs.loaded(model, Duration.between(replica.since, now));
+            costs.recordLoad(model, Duration.between(replica.since, now));
             replica.enter(Phase.LOADED, now);
-            failures.over(model);
+            failures.reset(model);
         }
     }
 
@@ -148,9 +148,9 @@
         if (replica == null || replica.phase != Phase.LOADING) {
             return;
         }
-        failures.failed(failed.model(), now);
+        failures.recordFailure(failed.model(), now);
         if (failed.mayBeHeld()) {
-            table.doubt(replica, now);
+            table.markUnknown(replica, now);
         } else {
             table.free(failed.model(), now);
         }
@@ -166,7 +166,7 @@
     private void unloadFailed(ModelName model, Instant now) {
         Replica replica = table.get(model);
         if (replica != null && replica.phase == Phase.UNLOADING) {
-            table.doubt(replica, now);
+            table.markUnknown(replica, now);
         }
     }
 
@@ -174,7 +174,7 @@
         models = Map.copyOf(newModels);
         failures.retain(models.keySet());
         costs.retain(models.keySet());
-        table.configured(models);
+        table.setBases(models);
     }
 
     private void unloadUnwanted(List<ReplicaAction> actions, Instant now) {
@@ -193,18 +193,18 @@
             if (replica.phase == Phase.LOADED
                     && old
                     && !wants.containsKey(replica.name)
-                    && costs.rate(replica.name, now) < IDLE_RATE) {
+                    && costs.recentUses(replica.name, now) < IDLE_RATE) {
                 unload(replica, actions, now);
             }
         }
     }
 
     private void unload(Replica replica, List<ReplicaAction> actions, Instant now) {
-        if (replica.uses > 0 || table.carriesAdapters(replica.name) || !table.complete()) {
+        if (replica.uses > 0 || table.hasAdapters(replica.name) || !table.isComplete()) {
             return;
         }
         replica.enter(Phase.UNLOADING, now);
-        actions.add(new ReplicaAction.Unload(replica.name, rights.fencing(replica.name)));
+        actions.add(new ReplicaAction.UnloadModel(replica.name, rights.fencing(replica.name)));
     }
 
     /**
@@ -214,11 +214,11 @@
     private boolean isUsable(Replica replica) {
         Model model = models.get(replica.name);
         return replica.phase == Phase.LOADED
-                && !ReplicaTable.lost(replica)
+                && !ReplicaTable.isLost(replica)
                 && model != null
                 && replica.version.equals(Optional.of(model.version()))
                 && replica.base.equals(model.base())
-                && rights.hold(replica.name)
+                && rights.permits(replica.name)
                 && model.base().map(this::isUsable).orElse(true);
     }
 
@@ -229,29 +229,29 @@
 
     private void serveWants(List<ReplicaAction> actions, Instant now) {
         Pass pass = new Pass(actions, now, slots(now));
-        TreeSet<Want> ordered = new TreeSet<>(Want.BY_DEADLINE);
+        TreeSet<ModelQueue> ordered = new TreeSet<>(ModelQueue.BY_DEADLINE);
         ordered.addAll(wants.values());
-        for (Want want : ordered) {
+        for (ModelQueue want : ordered) {
             answerNow(want, pass);
             refuseLate(want, pass);
-            if (!want.isOver(now) && !isUsable(want.model)) {
+            if (!want.isExpired(now) && !isUsable(want.model)) {
                 load(want, pass);
             }
         }
-        wants.values().removeIf(want -> want.isOver(now) || isDone(want));
+        wants.values().removeIf(want -> want.isExpired(now) || isDone(want));
     }
 
-    private boolean isDone(Want want) {
+    private boolean isDone(ModelQueue want) {
         return want.waiters.isEmpty() && table.get(want.model) != null;
     }
 
-    private void answerNow(Want want, Pass pass) {
+    private void answerNow(ModelQueue want, Pass pass) {
         Optional<Refused> refused = refusal(want.model, pass.now);
         if (refused.isPresent()) {
             want.prefetchUntil = Instant.MIN;
         }
         Replica replica = table.get(want.model);
-        for (ReplicaInput.Wanted waiter : List.copyOf(want.waiters)) {
+        for (ReplicaInput.RequestQueued waiter : List.copyOf(want.waiters)) {
             if (!pass.now.isBefore(waiter.deadline())) {
                 refuse(want, waiter, RefusalCode.DEADLINE_UNREACHABLE, Optional.empty(), pass);
             } else if (refused.isPresent()) {
@@ -259,7 +259,7 @@
             } else if (replica != null && isUsable(replica)) {
                 replica.uses++;
                 want.waiters.remove(waiter);
-                pass.actions.add(new ReplicaAction.Ready(waiter.request(), want.model));
+                pass.actions.add(new ReplicaAction.SendRequest(waiter.request(), want.model));
             }
         }
     }
@@ -273,29 +273,29 @@
         if (isUsable(name)) {
             return Optional.empty();
         }
-        if (table.complete() && fullBytes(model) > table.capacity()) {
+        if (table.isComplete() && fullBytes(model) > table.capacityBytes()) {
             return Optional.of(new Refused(RefusalCode.NO_UPSTREAM, Optional.empty()));
         }
-        return failures.pause(name, now)
-                .or(() -> model.base().flatMap(base -> failures.pause(base, now)))
+        return failures.remainingPause(name, now)
+                .or(() -> model.base().flatMap(base -> failures.remainingPause(base, now)))
                 .map(pause -> new Refused(RefusalCode.LOAD_FAILED, Optional.of(pause)));
     }
 
     private boolean mayHold(Model model) {
-        return rights.hold(model.name())
-                && model.base().map(b -> models.containsKey(b) && rights.hold(b)).orElse(true);
+        return rights.permits(model.name())
+                && model.base().map(b -> models.containsKey(b) && rights.permits(b)).orElse(true);
     }
 
     private long fullBytes(Model model) {
         return model.memoryBytes() + model.base().map(b -> models.get(b).memoryBytes()).orElse(0L);
     }
 
-    private void refuseLate(Want want, Pass pass) {
+    private void refuseLate(ModelQueue want, Pass pass) {
         if (want.waiters.isEmpty()) {
             return;
         }
         Duration wait = waitFor(want.model, pass);
-        for (ReplicaInput.Wanted waiter : List.copyOf(want.waiters)) {
+        for (ReplicaInput.RequestQueued waiter : List.copyOf(want.waiters)) {
             if (pass.now.plus(wait).isAfter(waiter.deadline())) {
                 want.prefetchUntil = pass.now.plus(PREFETCH);
                 refuse(want, waiter, RefusalCode.DEADLINE_UNREACHABLE, Optional.of(wait), pass);
@@ -305,7 +305,7 @@
 
     private Duration waitFor(ModelName model, Pass pass) {
         Duration load = timeToLoad(model, pass.now);
-        return table.get(model) == null ? pass.slots.add(load) : load;
+        return table.get(model) == null ? pass.slots.schedule(load) : load;
     }
 
     /**
@@ -318,7 +318,7 @@
         if (replica != null && isUsable(replica)) {
             return Duration.ZERO;
         }
-        Duration own = costs.estimate(model);
+        Duration own = costs.loadEstimate(model);
         if (replica != null && replica.phase == Phase.LOADING) {
             Duration left = own.minus(Duration.between(replica.since, now));
             return left.isNegative() ? Duration.ZERO : left;
@@ -337,30 +337,31 @@
     }
 
     private static void refuse(
-            Want want,
-            ReplicaInput.Wanted waiter,
+            ModelQueue want,
+            ReplicaInput.RequestQueued waiter,
             RefusalCode code,
             Optional<Duration> retryAfter,
             Pass pass) {
         want.waiters.remove(waiter);
-        pass.actions.add(new ReplicaAction.Refuse(waiter.request(), want.model, code, retryAfter));
+        pass.actions.add(
+                new ReplicaAction.RefuseRequest(waiter.request(), want.model, code, retryAfter));
     }
 
     /**
      * Orders the load of the model, or first that of its base, or the unloads that free the memory
      * for it.
      */
-    private void load(Want want, Pass pass) {
+    private void load(ModelQueue want, Pass pass) {
         Model model = models.get(want.model);
-        if (!table.complete() || model == null || !mayHold(model)) {
+        if (!table.isComplete() || model == null || !mayHold(model)) {
             return;
         }
         Optional<Model> first = firstToLoad(model);
-        if (first.isEmpty() || failures.pause(first.get().name(), pass.now).isPresent()) {
+        if (first.isEmpty() || failures.remainingPause(first.get().name(), pass.now).isPresent()) {
             return;
         }
         long bytes = missingBytes(model);
-        long free = table.free() - pass.promised;
+        long free = table.freeBytes() - pass.promised;
         if (free >= bytes && table.count(Phase.LOADING) < settings.loadsAtOnce()) {
             order(first.get(), pass);
             pass.promised += bytes - first.get().memoryBytes();
@@ -385,16 +386,16 @@
 
     private void order(Model model, Pass pass) {
         table.reserve(model, pass.now);
-        pass.actions.add(new ReplicaAction.Load(model, rights.fencing(model.name())));
+        pass.actions.add(new ReplicaAction.LoadModel(model, rights.fencing(model.name())));
     }
 
-    private void makeRoom(Want want, Model model, long bytes, long shortfall, Pass pass) {
+    private void makeRoom(ModelQueue want, Model model, long bytes, long shortfall, Pass pass) {
         double below =
                 want.waiters.isEmpty()
-                        ? costs.perByte(model, model.memoryBytes(), pass.now)
+                        ? costs.coldStartSecondsPerByte(model, model.memoryBytes(), pass.now)
                         : Double.MAX_VALUE;
         Optional<List<Replica>> chosen =
-                victims.toFree(shortfall, neededNow(), models, below, pass.now);
+                victims.chooseToFree(shortfall, neededNow(), models, below, pass.now);
         if (chosen.isPresent()) {
             chosen.get().forEach(replica -> unload(replica, pass.actions, pass.now));
             pass.promised += bytes;
@@ -403,7 +404,7 @@
 
     private Set<ModelName> neededNow() {
         Set<ModelName> needed = new TreeSet<>();
-        for (Want want : wants.values()) {
+        for (ModelQueue want : wants.values()) {
             Model model = models.get(want.model);
             if (model != null) {
                 needed.add(want.model);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaSettings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaSettings.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * Limits and initial estimates of a {@link ReplicaHolder}.
+ * Limits and initial estimates of a {@link ReplicaManager}.
  *
  * @param loadsAtOnce how many loads may be in progress at the engine
  * @param reportLag how old a report can be when it is received
@@ -38,13 +38,13 @@
     }
 
     /** Returns a copy with another limit of concurrent loads. */
-    public ReplicaSettings loadsAtOnce(int limit) {
+    public ReplicaSettings withLoadsAtOnce(int limit) {
         return new ReplicaSettings(
                 limit, reportLag, modelEstimate, adapterEstimate, retryDelay, rateHalfLife);
     }
 
     /** Returns a copy with other estimates for loads that have not been measured yet. */
-    public ReplicaSettings firstEstimates(Duration model, Duration adapter) {
+    public ReplicaSettings withEstimates(Duration model, Duration adapter) {
         return new ReplicaSettings(
                 loadsAtOnce, reportLag, model, adapter, retryDelay, rateHalfLife);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaTable.java
@@ -42,11 +42,11 @@
      * longer there, and requests would be sent to it. Until then everything that is listed is
      * counted but not used.
      */
-    boolean complete() {
+    boolean isComplete() {
         return complete;
     }
 
-    void startedBy(Instant now) {
+    void recordStart(Instant now) {
         if (started == null) {
             started = now;
         }
@@ -60,12 +60,13 @@
         return replicas.values();
     }
 
-    long capacity() {
+    long capacityBytes() {
         return capacity - unlisted;
     }
 
-    long free() {
-        return capacity() - replicas.values().stream().mapToLong(replica -> replica.bytes).sum();
+    long freeBytes() {
+        return capacityBytes()
+                - replicas.values().stream().mapToLong(replica -> replica.bytes).sum();
     }
 
     long bytesIn(Phase phase) {
@@ -79,7 +80,7 @@
         return replicas.values().stream().filter(replica -> replica.phase == phase).count();
     }
 
-    boolean carriesAdapters(ModelName base) {
+    boolean hasAdapters(ModelName base) {
         return replicas.values().stream()
                 .anyMatch(replica -> replica.base.equals(Optional.of(base)));
     }
@@ -95,7 +96,7 @@
     }
 
     /** Sets the bases of adapters that were reported before the models were configured. */
-    void configured(Map<ModelName, Model> models) {
+    void setBases(Map<ModelName, Model> models) {
         replicas.values().forEach(replica -> learnBase(replica, models));
     }
 
@@ -118,12 +119,12 @@
      * settles it: a precautionary unload may overtake a load that is still running, and free memory
      * that is then used.
      */
-    void doubt(Replica replica, Instant now) {
+    void markUnknown(Replica replica, Instant now) {
         replica.enter(Phase.UNKNOWN, now);
     }
 
     /** Applies a report, given the configured models. */
-    void report(Engine.Report report, Map<ModelName, Model> models, Instant now) {
+    void applyReport(Engine.Report report, Map<ModelName, Model> models, Instant now) {
         capacity = report.memoryBytes();
         complete |= isAfterLag(started, now);
         freed.values().removeIf(at -> isAfterLag(at, now));
@@ -187,7 +188,7 @@
      * restarted, or the report is wrong. The replica serves no more requests, and only a confirmed
      * unload frees its memory.
      */
-    static boolean lost(Replica replica) {
+    static boolean isLost(Replica replica) {
         return replica.missing >= MISSING_LIMIT;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLease.java
@@ -79,7 +79,7 @@
 
     /** True if an order may be given at this moment. */
     boolean held() {
-        return !closed && machine.held(control.clock().instant());
+        return !closed && machine.isHeld(control.clock().instant());
     }
 
     /** Goes along with every order; only while {@link #held()}. */
@@ -92,7 +92,7 @@
         if (held()) {
             LOG.info("this router resigns: {}", why);
         }
-        feed(new LeaseInput.Resign());
+        feed(new LeaseInput.Resigned());
         notBefore = control.clock().instant().plus(PAUSE);
     }
 
@@ -101,7 +101,7 @@
      * #held()}.
      */
     long number() {
-        return machine.lease();
+        return machine.leaseId();
     }
 
     /** Gives it up for good. */
@@ -113,9 +113,9 @@
     private void tick() {
         Instant now = control.clock().instant();
         boolean mayStand = vacantForLong(now) && !now.isBefore(notBefore) && !givesWay(now);
-        if (!closed && (machine.held(now) || mayStand)) {
+        if (!closed && (machine.isHeld(now) || mayStand)) {
             feed(new LeaseInput.Tick());
-        } else if (!machine.held(now)) {
+        } else if (!machine.isHeld(now)) {
             // An end that nobody noticed is noticed here.
             machine.on(new LeaseInput.Failed(), now).forEach(this::carryOut);
         }
@@ -148,23 +148,23 @@
     }
 
     private void carryOut(LeaseAction action) {
-        if (action instanceof LeaseAction.Grant grant) {
+        if (action instanceof LeaseAction.GrantLease grant) {
             LOG.info(
                     "this router stands for the orders, own entry at {}",
                     members.ownLeaderRevision());
             answer(store.grantLease(grant.term()), LeaseInput.Granted::new);
-        } else if (action instanceof LeaseAction.Acquire acquire) {
+        } else if (action instanceof LeaseAction.AcquireKey acquire) {
             answer(acquire(acquire.lease()), this::acquired);
-        } else if (action instanceof LeaseAction.Keep keep) {
+        } else if (action instanceof LeaseAction.KeepAlive keep) {
             answer(
                     store.keepAlive(keep.lease()),
-                    alive -> new LeaseInput.Kept(alive, keep.askedAt()));
-        } else if (action instanceof LeaseAction.Revoke revoke) {
+                    alive -> new LeaseInput.KeepAliveAnswered(alive, keep.askedAt()));
+        } else if (action instanceof LeaseAction.RevokeLease revoke) {
             revoke(revoke.lease(), control.clock().instant().plus(REVOKING));
-        } else if (action instanceof LeaseAction.Won) {
+        } else if (action instanceof LeaseAction.StartLeading) {
             LOG.info("this router gives the orders, fencing token {}", fencing);
             listener.won();
-        } else if (action instanceof LeaseAction.Lost) {
+        } else if (action instanceof LeaseAction.StopLeading) {
             LOG.info("this router gives orders no longer");
             lapsedUntil = control.clock().instant().plus(PAUSE);
             listener.lost();
--- a/damaskyoke/src/main/java/io/damaskyoke/node/AgentRegistrations.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/AgentRegistrations.java
@@ -76,7 +76,7 @@
     /** Takes what a relay sent. */
     void take(Delta delta) {
         long before = table.revision();
-        table.take(delta);
+        table.apply(delta);
         if (!delta.rows().isEmpty() || before == 0 || delta.full()) {
             tell();
         }
@@ -147,7 +147,7 @@
     }
 
     private void tell() {
-        List<Row> all = table.all();
+        List<Row> all = table.registrations();
         listeners.forEach(listener -> listener.accept(all));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/node/Node.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/Node.java
@@ -5,7 +5,7 @@
 import io.damaskyoke.control.ControlLoop;
 import io.damaskyoke.control.MonotonicClock;
 import io.damaskyoke.control.configuration.ConfigurationService;
-import io.damaskyoke.control.placement.ReadPace;
+import io.damaskyoke.control.placement.PollingInterval;
 import io.damaskyoke.control.relay.OutageConfirmation;
 import io.damaskyoke.control.relay.RegistrationTable.Row;
 import io.damaskyoke.control.relay.RelayMachine;
@@ -101,7 +101,7 @@
                         .build();
         this.agents = new AgentRegistrations(control, store, storePrefix, metrics);
         this.relays =
-                RelayMachine.of(vm(), zone(), RelaySettings.standard(), new SplittableRandom());
+                RelayMachine.of(vm(), zone(), RelaySettings.defaults(), new SplittableRandom());
         this.outage = OutageConfirmation.of(vm());
         this.listPeriod = platform.vmListPeriod();
         this.listReader = new VmListReader(control, vmList, this::listPause, metrics);
@@ -124,7 +124,7 @@
 
     /** How long to wait between two looks at the placement table; control thread only. */
     public Supplier<Duration> placementPause() {
-        ReadPace pace = new ReadPace(new Random(incarnation.hashCode()));
+        PollingInterval pace = new PollingInterval(new Random(incarnation.hashCode()));
         return () -> pace.next(listed);
     }
 
@@ -261,11 +261,11 @@
      * Relays that confirm by the word of all routers need to know who these are, as of lately.
      */
     private Duration listPause() {
-        boolean pressing = role == Role.ROUTER && outage.needed(control.clock().instant());
-        if (pressing && relays.relay() && listPeriod.compareTo(OUTAGE_LIST_PERIOD) > 0) {
+        boolean pressing = role == Role.ROUTER && outage.isNeeded(control.clock().instant());
+        if (pressing && relays.isRelay() && listPeriod.compareTo(OUTAGE_LIST_PERIOD) > 0) {
             return OUTAGE_LIST_PERIOD;
         }
-        boolean seldom = role == Role.AGENT && !relays.relay() && relays.answered();
+        boolean seldom = role == Role.AGENT && !relays.isRelay() && relays.hasResponsiveRelay();
         return seldom ? listPeriod.multipliedBy(SELDOM) : listPeriod;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/node/RelayClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/RelayClient.java
@@ -124,8 +124,8 @@
                         .collect(Collectors.toMap(VmList.Vm::id, vm -> vm, (one, two) -> two));
         routers.putAll(all);
         configuration.takeTickets(all.isEmpty() || all.containsKey(self));
-        feedOutage(new OutageInput.Listed(all.keySet(), askedAt));
-        feed(new RelayInput.Listed(vms));
+        feedOutage(new OutageInput.RoutersListed(all.keySet(), askedAt));
+        feed(new RelayInput.VmsListed(vms));
     }
 
     @Override
@@ -151,7 +151,7 @@
     }
 
     private void tick() {
-        configuration.confirmedAt().ifPresent(at -> feed(new RelayInput.Confirmed(at)));
+        configuration.confirmedAt().ifPresent(at -> feed(new RelayInput.StoreConfirmed(at)));
         configuration.confirmedAt().ifPresent(at -> feedOutage(new OutageInput.Confirmed(at)));
         feed(new RelayInput.Tick());
         // Relays ask for all: their followers take the confirmation from them.
@@ -160,8 +160,8 @@
         }
     }
 
-    private OutageInput.Word ownWord() {
-        return new OutageInput.Word(
+    private OutageInput.RouterState ownWord() {
+        return new OutageInput.RouterState(
                 configuration.current().sequence(),
                 configuration.settled(),
                 configuration.confirmedInThisLife());
@@ -173,7 +173,7 @@
     }
 
     private void carryOut(OutageAction action) {
-        if (action instanceof OutageAction.Ask ask) {
+        if (action instanceof OutageAction.AskRouter ask) {
             metrics.count("outage_asks");
             fetch(routers.get(ask.router()), ask.number(), false);
         } else if (action instanceof OutageAction.Confirm confirm) {
@@ -191,16 +191,16 @@
     }
 
     private void carryOut(RelayAction action) {
-        if (action instanceof RelayAction.Watch watch) {
+        if (action instanceof RelayAction.WatchStore watch) {
             metrics.count("relay_turns");
             relay = watch.on();
             configuration.direct(watch.on());
             agents.watch(watch.on());
-        } else if (action instanceof RelayAction.Follow follow) {
+        } else if (action instanceof RelayAction.FollowRelays follow) {
             follow.relays().forEach(relay -> network.link(address(relay)));
-        } else if (action instanceof RelayAction.Probe probe) {
+        } else if (action instanceof RelayAction.ProbePeer probe) {
             probe(probe);
-        } else if (action instanceof RelayAction.AskStore) {
+        } else if (action instanceof RelayAction.ReadStore) {
             metrics.count("relay_store_asked");
             configuration.refresh();
             if (wantsAgents) {
@@ -211,7 +211,7 @@
         }
     }
 
-    private void probe(RelayAction.Probe probe) {
+    private void probe(RelayAction.ProbePeer probe) {
         metrics.count("relay_probes");
         fetch(probe.peer(), probe.number(), wantsAgents);
     }
@@ -245,7 +245,7 @@
     }
 
     private void behind(PeerLink link) {
-        vm(link).ifPresent(vm -> feed(new RelayInput.Behind(vm)));
+        vm(link).ifPresent(vm -> feed(new RelayInput.NewerEntryAnnounced(vm)));
     }
 
     private static Optional<VmId> vm(PeerLink link) {
@@ -264,7 +264,7 @@
     }
 
     private void confirmAndGoOn(PeerLink link, ConfigEntries frame, long before) {
-        if (OutageConfirmation.isAsk(frame.getProbe())) {
+        if (OutageConfirmation.isOutageQuestion(frame.getProbe())) {
             answeredAsk(link, frame);
         } else if (frame.getProbe() != 0) {
             Optional<Duration> age =
@@ -280,20 +280,23 @@
     }
 
     private void answeredAsk(PeerLink link, ConfigEntries frame) {
-        OutageInput.Word word =
-                new OutageInput.Word(
+        OutageInput.RouterState word =
+                new OutageInput.RouterState(
                         frame.getHeadSequence(),
                         frame.getSettled(),
                         frame.getConfirmedInThisLife());
         link.remote()
                 .map(Hello::getIncarnation)
                 .map(Incarnation::of)
-                .map(life -> new OutageInput.Answered(vm(link).get(), life, frame.getProbe(), word))
+                .map(
+                        life ->
+                                new OutageInput.RouterAnswered(
+                                        vm(link).get(), life, frame.getProbe(), word))
                 .ifPresent(this::feedOutage);
     }
 
     private static RelayInput answered(VmId vm, ConfigEntries frame, Optional<Duration> age) {
-        return new RelayInput.Answered(vm, frame.getProbe(), frame.getHeadSequence(), age);
+        return new RelayInput.ProbeAnswered(vm, frame.getProbe(), frame.getHeadSequence(), age);
     }
 
     private void take(PeerLink link, SnapshotChunk chunk) {
--- a/damaskyoke/src/main/java/io/damaskyoke/node/RelayServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/RelayServer.java
@@ -126,7 +126,7 @@
         if (!subscriber.wantsAgents || agents.revision() <= subscriber.agentsRevision) {
             return;
         }
-        Delta delta = agents.since(subscriber.agentsRevision);
+        Delta delta = agents.changesSince(subscriber.agentsRevision);
         RelayFrames.registrations(delta).forEach(link::send);
         subscriber.agentsRevision = delta.revision();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Placement.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Placement.java
@@ -4,11 +4,11 @@
 import io.damaskyoke.control.configuration.Configuration;
 import io.damaskyoke.control.placement.PlacementException;
 import io.damaskyoke.control.placement.PlacementFeed;
+import io.damaskyoke.control.placement.PlacementPlanner;
 import io.damaskyoke.control.placement.PlacementStore;
 import io.damaskyoke.control.placement.PlacementTable;
-import io.damaskyoke.control.placement.Planner;
-import io.damaskyoke.control.placement.PollingFeed;
-import io.damaskyoke.control.placement.Right;
+import io.damaskyoke.control.placement.PollingPlacementFeed;
+import io.damaskyoke.control.placement.ReplicaGrant;
 import io.damaskyoke.control.routing.Fleet;
 import io.damaskyoke.control.routing.Member;
 import io.damaskyoke.exchange.Request;
@@ -52,7 +52,7 @@
     private final PlacementStore store;
     private final PlacementFeed feed;
     private final PlacementLease lease;
-    private final Planner planner = new Planner(GONE_AFTER, SUSPECT_TIME);
+    private final PlacementPlanner planner = new PlacementPlanner(GONE_AFTER, SUSPECT_TIME);
     private final VmList vmList;
     private final LastHeard heard;
     private final BooleanSupplier confirmed;
@@ -77,7 +77,7 @@
         this.fleet = fleet;
         this.configuration = node.configuration()::current;
         this.store = new PlacementStore(node.store(), node.storePrefix());
-        this.feed = new PollingFeed(control, store, node.placementPause(), node.metrics());
+        this.feed = new PollingPlacementFeed(control, store, node.placementPause(), node.metrics());
         this.lease = new PlacementLease(node, store, leaseTerm);
         this.vmList = node.vmList();
         this.heard = heard;
@@ -156,20 +156,20 @@
             askGap = QUICK;
         }
         table = newer;
-        fleet.placed(newer.holders());
+        fleet.placed(newer.usableHolders());
         newer.shards().forEach(this::clearSuspicions);
         serve(control.clock().instant());
     }
 
     private void clearSuspicions(int number, PlacementTable.Stored stored) {
         Set<VmId> alive = heard.lately(control.clock().instant());
-        for (Right right : stored.shard().rights()) {
+        for (ReplicaGrant right : stored.shard().grants()) {
             if (right.suspected() && alive.contains(right.vm())) {
                 metrics.count("placement_suspicions_cleared");
                 swap(
                         number,
                         () ->
-                                store.change(
+                                store.changeGrants(
                                         number,
                                         stored,
                                         right.vm(),
@@ -177,7 +177,7 @@
                                                 read.map(
                                                         each ->
                                                                 alive.contains(each.vm())
-                                                                        ? each.cleared()
+                                                                        ? each.withoutSuspicion()
                                                                         : each)));
                 return;
             }
@@ -201,9 +201,12 @@
         Map<VmId, VmList.Vm> listed = new HashMap<>();
         vms.forEach(vm -> listed.put(vm.id(), vm));
         Configuration now = configuration.get();
-        table.all().map(Right::vm).filter(vm -> !listed.containsKey(vm)).forEach(this::tryToReach);
-        Planner.View view =
-                new Planner.View(
+        table.allGrants()
+                .map(ReplicaGrant::vm)
+                .filter(vm -> !listed.containsKey(vm))
+                .forEach(this::tryToReach);
+        PlacementPlanner.View view =
+                new PlacementPlanner.View(
                         table,
                         now.models(),
                         candidates(listed),
@@ -212,11 +215,11 @@
         planner.on(view, control.clock().instant()).forEach(proposal -> propose(proposal, now));
     }
 
-    private List<Planner.Candidate> candidates(Map<VmId, VmList.Vm> listed) {
+    private List<PlacementPlanner.Candidate> candidates(Map<VmId, VmList.Vm> listed) {
         return fleet.members().stream()
                 .map(
                         member ->
-                                new Planner.Candidate(
+                                new PlacementPlanner.Candidate(
                                         member.vm(),
                                         member.pool(),
                                         member.zone(),
@@ -248,9 +251,9 @@
         }
     }
 
-    private void propose(Planner.Proposal proposal, Configuration now) {
+    private void propose(PlacementPlanner.Proposal proposal, Configuration now) {
         try {
-            swap(proposal.shard(), () -> store.plan(proposal, now));
+            swap(proposal.shard(), () -> store.applyProposal(proposal, now));
         } catch (PlacementException e) {
             metrics.count("placement_proposals_refused");
             LOG.error("a proposal for shard {} is not legal", proposal.shard(), e);
--- a/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
@@ -44,7 +44,7 @@
     }
 
     boolean held() {
-        return machine.held(control.clock().instant());
+        return machine.isHeld(control.clock().instant());
     }
 
     private void feed(LeaseInput input) {
@@ -52,21 +52,21 @@
     }
 
     private void carryOut(LeaseAction action) {
-        if (action instanceof LeaseAction.Grant grant) {
+        if (action instanceof LeaseAction.GrantLease grant) {
             answer(store.grantLease(grant.term()), LeaseInput.Granted::new);
-        } else if (action instanceof LeaseAction.Acquire acquire) {
+        } else if (action instanceof LeaseAction.AcquireKey acquire) {
             byte[] value = self.value().getBytes(StandardCharsets.UTF_8);
             answer(table.acquireLease(acquire.lease(), value), LeaseInput.Acquired::new);
-        } else if (action instanceof LeaseAction.Keep keep) {
+        } else if (action instanceof LeaseAction.KeepAlive keep) {
             answer(
                     store.keepAlive(keep.lease()),
-                    alive -> new LeaseInput.Kept(alive, keep.askedAt()));
-        } else if (action instanceof LeaseAction.Revoke revoke) {
+                    alive -> new LeaseInput.KeepAliveAnswered(alive, keep.askedAt()));
+        } else if (action instanceof LeaseAction.RevokeLease revoke) {
             store.revokeLease(revoke.lease());
-        } else if (action instanceof LeaseAction.Won) {
+        } else if (action instanceof LeaseAction.StartLeading) {
             timeline.add(EventType.LEASE_WON, self.value());
             won.run();
-        } else if (action instanceof LeaseAction.Lost) {
+        } else if (action instanceof LeaseAction.StopLeading) {
             timeline.add(EventType.LEASE_LOST, self.value());
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
@@ -110,9 +110,9 @@
             vm = VmId.of("router-" + number);
         }
 
-        private OutageInput.Word word() {
+        private OutageInput.RouterState word() {
             boolean inThisLife = confirmed.filter(at -> !at.isBefore(started)).isPresent();
-            return new OutageInput.Word(head, pending.settled(head), inThisLife);
+            return new OutageInput.RouterState(head, pending.settled(head), inThisLife);
         }
     }
 
@@ -213,7 +213,7 @@
         }
 
         private OutageInput listing() {
-            return new OutageInput.Listed(
+            return new OutageInput.RoutersListed(
                     listed.stream().map(router -> router.vm).collect(Collectors.toSet()), now);
         }
 
@@ -244,14 +244,14 @@
 
         private void tick(Router router) {
             if (naive) {
-                if (!router.reachesStore && router.machine.needed(now)) {
+                if (!router.reachesStore && router.machine.isNeeded(now)) {
                     confirm(router, now);
                 }
                 return;
             }
             for (OutageAction action :
                     router.machine.on(new OutageInput.Tick(router.word()), now)) {
-                if (action instanceof OutageAction.Ask ask) {
+                if (action instanceof OutageAction.AskRouter ask) {
                     fly(() -> answer(router, ask));
                 } else if (action instanceof OutageAction.Confirm it && it.head() <= router.head) {
                     confirmed++;
@@ -260,14 +260,14 @@
             }
         }
 
-        private void answer(Router asker, OutageAction.Ask ask) {
+        private void answer(Router asker, OutageAction.AskRouter ask) {
             Incarnation askerLife = asker.life;
             all.stream()
                     .filter(router -> router.vm.equals(ask.router()))
                     .findFirst()
                     .ifPresent(
                             router -> {
-                                OutageInput.Word word = router.word();
+                                OutageInput.RouterState word = router.word();
                                 Incarnation life = router.life;
                                 fly(() -> take(asker, askerLife, router.vm, life, ask, word));
                             });
@@ -278,11 +278,12 @@
                 Incarnation askerLife,
                 VmId from,
                 Incarnation life,
-                OutageAction.Ask ask,
-                OutageInput.Word word) {
+                OutageAction.AskRouter ask,
+                OutageInput.RouterState word) {
             if (asker.life.equals(askerLife)) {
                 asker.head = Math.max(asker.head, word.head());
-                asker.machine.on(new OutageInput.Answered(from, life, ask.number(), word), now);
+                asker.machine.on(
+                        new OutageInput.RouterAnswered(from, life, ask.number(), word), now);
             }
         }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/LeaseMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/LeaseMachineTest.java
@@ -21,31 +21,31 @@
         // slow tick, and so removes the keys of its successors.
         hold(7);
         assertEquals(
-                List.of(new LeaseAction.Revoke(7), new LeaseAction.Lost()),
-                machine.on(new LeaseInput.Resign(), now));
-        assertFalse(machine.held(now));
-        assertEquals(List.of(), machine.on(new LeaseInput.Resign(), now));
+                List.of(new LeaseAction.RevokeLease(7), new LeaseAction.StopLeading()),
+                machine.on(new LeaseInput.Resigned(), now));
+        assertFalse(machine.isHeld(now));
+        assertEquals(List.of(), machine.on(new LeaseInput.Resigned(), now));
     }
 
     @Test
     void aLateRenewalAfterAResignationChangesNothing() {
         hold(7);
-        machine.on(new LeaseInput.Resign(), now);
-        machine.on(new LeaseInput.Kept(true, now), now);
-        assertFalse(machine.held(now));
+        machine.on(new LeaseInput.Resigned(), now);
+        machine.on(new LeaseInput.KeepAliveAnswered(true, now), now);
+        assertFalse(machine.isHeld(now));
     }
 
     @Test
     void aHolderStopsBeforeItsLeaseCanHaveEnded() {
         hold(7);
-        assertTrue(machine.held(now.plusMillis(1_700)));
-        assertFalse(machine.held(now.plusMillis(1_800)));
+        assertTrue(machine.isHeld(now.plusMillis(1_700)));
+        assertFalse(machine.isHeld(now.plusMillis(1_800)));
     }
 
     private void hold(long lease) {
         machine.on(new LeaseInput.Tick(), now);
         machine.on(new LeaseInput.Granted(lease), now);
         machine.on(new LeaseInput.Acquired(true), now);
-        assertTrue(machine.held(now));
+        assertTrue(machine.isHeld(now));
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/Policy.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementPolicy.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.control.placement;
 
 /** How a simulation decides which VM loads what; all but the first are naive. */
-public enum Policy {
+public enum PlacementPolicy {
     /** Grants changed by compare-and-swap, and moved only on evidence. */
     OURS,
     /**
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementPropertyTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementPropertyTest.java
@@ -21,7 +21,7 @@
         // list; the store goes down and loses answers; reports are old; engines obey any order.
         // After each step no model is held by more engines than configured, and no engine holds too
         // much.
-        PlacementWorld world = new PlacementWorld(seed, Policy.OURS);
+        PlacementSimulation world = new PlacementSimulation(seed, PlacementPolicy.OURS);
         world.run(STEPS);
         assertEquals(List.of(), world.broken);
         assertTrue(world.served > 0);
@@ -32,15 +32,15 @@
         // Guards against a planner that is safe only because it never moves a grant: a model whose
         // VM is gone would be refused forever. Once the faults end, all grants are on VMs that can
         // use them.
-        PlacementWorld world = new PlacementWorld(seed, Policy.OURS);
+        PlacementSimulation world = new PlacementSimulation(seed, PlacementPolicy.OURS);
         world.run(STEPS / 3);
-        world.calm(CALM);
+        world.runWithoutFaults(CALM);
         PlacementTable table = world.store.read().toCompletableFuture().join();
         for (Model model : world.models.values()) {
-            int holders = table.holders().get(model.name()).size();
+            int holders = table.usableHolders().get(model.name()).size();
             assertEquals(model.maxReplicas(), holders, model.name().value());
         }
-        assertTrue(table.all().noneMatch(right -> right.releasing() || right.suspected()));
+        assertTrue(table.allGrants().noneMatch(right -> right.releasing() || right.suspected()));
         assertEquals(List.of(), world.broken);
     }
 
@@ -48,27 +48,27 @@
     void routersThatChooseByTheirOwnViewLoadTooMany() {
         // Each router takes the first of the VMs that it sees, and agents load whatever they are
         // asked for. Two views of the list are enough for a second copy.
-        assertEquals(SEEDS, brokenWorlds(Policy.OWN_VIEW));
+        assertEquals(SEEDS, brokenWorlds(PlacementPolicy.OWN_VIEW));
     }
 
     @Test
     void aRightTakenOnATimeoutAloneIsUsedByTwo() {
         // The list omits a VM that is running but can't reach the store. Its grant is given to
         // another VM, which loads the model while the first one still holds it.
-        assertTrue(brokenWorlds(Policy.TIMEOUT_ONLY) > 0);
+        assertTrue(brokenWorlds(PlacementPolicy.TIMEOUT_ONLY) > 0);
     }
 
     @Test
     void aRightHandedBackBeforeTheEngineIsClearIsUsedByTwo() {
         // The VM is leaving. Its agent confirms the release at once, and the new holder loads the
         // model before the old engine unloads it, since an answer is still streaming there.
-        assertTrue(brokenWorlds(Policy.BLIND_RELEASE) > 0);
+        assertTrue(brokenWorlds(PlacementPolicy.BLIND_RELEASE) > 0);
     }
 
-    private static int brokenWorlds(Policy policy) {
+    private static int brokenWorlds(PlacementPolicy policy) {
         int broken = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            PlacementWorld world = new PlacementWorld(seed, policy);
+            PlacementSimulation world = new PlacementSimulation(seed, policy);
             world.run(STEPS);
             broken += world.broken.isEmpty() ? 0 : 1;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSessionTest.java
@@ -23,7 +23,8 @@
     private static final VmId TWO = VmId.of("two");
     private static final VmId THREE = VmId.of("three");
 
-    private final Planner planner = new Planner(Duration.ofSeconds(30), Duration.ofSeconds(15));
+    private final PlacementPlanner planner =
+            new PlacementPlanner(Duration.ofSeconds(30), Duration.ofSeconds(15));
     private final LeaseMachine lease = new LeaseMachine(Duration.ofSeconds(10));
     private final Map<ModelName, Model> models = new TreeMap<>();
     private final Map<Integer, PlacementTable.Stored> stored = new HashMap<>();
@@ -77,16 +78,16 @@
 
     private void plan(long seconds, Set<VmId> listed, Set<VmId> leaving, Set<VmId> heard) {
         now = now.plusSeconds(seconds);
-        List<Planner.Candidate> candidates =
+        List<PlacementPlanner.Candidate> candidates =
                 listed.stream()
                         .sorted(Comparator.comparing(VmId::value))
                         .map(vm -> candidate(vm, leaving.contains(vm)))
                         .toList();
-        Planner.View view =
-                new Planner.View(
+        PlacementPlanner.View view =
+                new PlacementPlanner.View(
                         new PlacementTable(revision, stored), models, candidates, listed, heard);
         lines.append(now.getEpochSecond()).append("s planned\n");
-        for (Planner.Proposal proposal : planner.on(view, now)) {
+        for (PlacementPlanner.Proposal proposal : planner.on(view, now)) {
             stored.put(proposal.shard(), new PlacementTable.Stored(proposal.value(), ++revision));
             lines.append("    ").append(proposal.value()).append('\n');
         }
@@ -104,9 +105,9 @@
         lines.append(now.getEpochSecond()).append("s ").append(vm).append(" releases its grants\n");
     }
 
-    private static Planner.Candidate candidate(VmId vm, boolean leaving) {
+    private static PlacementPlanner.Candidate candidate(VmId vm, boolean leaving) {
         String zone = vm.equals(TWO) ? "b" : "a";
-        return new Planner.Candidate(vm, POOL, AvailabilityZone.of(zone), leaving);
+        return new PlacementPlanner.Candidate(vm, POOL, AvailabilityZone.of(zone), leaving);
     }
 
     private void model(String name, int maxReplicas, String base) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSimulation.java
@@ -26,21 +26,21 @@
  * Simulates three routers that all plan, four VMs with real replica managers, and a store, with
  * seeded faults. It knows what every engine really holds and checks the rules after each step.
  */
-public final class PlacementWorld {
+public final class PlacementSimulation {
     static final Duration STEP = Duration.ofMillis(250);
     static final Duration GONE_AFTER = Duration.ofSeconds(30);
     static final Duration SUSPECT_TIME = Duration.ofSeconds(15);
     static final PoolName POOL = PoolName.of("p");
 
     final Random random;
-    final Policy policy;
+    final PlacementPolicy policy;
     final FakeStore fake = new FakeStore();
     final PlacementStore store;
     private final IntFunction<Configuration> configurations;
     private final IntPredicate leads;
     final Map<ModelName, Model> models = new TreeMap<>();
-    final List<PlannerRouter> routers = new ArrayList<>();
-    final Map<VmId, EngineVm> vms = new TreeMap<>();
+    final List<SimulatedRouter> routers = new ArrayList<>();
+    final Map<VmId, SimulatedVm> vms = new TreeMap<>();
     final List<String> broken = new ArrayList<>();
     private final List<Set<VmId>> lists = new ArrayList<>();
     private final Set<VmId> mislaid = new HashSet<>();
@@ -50,7 +50,7 @@
     long requests;
     int served;
 
-    PlacementWorld(long seed, Policy policy) {
+    PlacementSimulation(long seed, PlacementPolicy policy) {
         this.random = new Random(seed);
         this.policy = policy;
         this.store = new PlacementStore(fake, "t");
@@ -63,9 +63,9 @@
      * Creates a simulation over a given store, in which routers follow a log and plan under a
      * lease.
      */
-    public PlacementWorld(
+    public PlacementSimulation(
             long seed,
-            Policy policy,
+            PlacementPolicy policy,
             KeyValueStore shared,
             IntFunction<Configuration> configurations,
             IntPredicate leads) {
@@ -84,10 +84,10 @@
         add("a-1", 10, 1, "a");
         for (int i = 0; i < 4; i++) {
             VmId vm = VmId.of("vm-" + i);
-            vms.put(vm, new EngineVm(this, vm, AvailabilityZone.of("z" + i % 2)));
+            vms.put(vm, new SimulatedVm(this, vm, AvailabilityZone.of("z" + i % 2)));
         }
         for (int i = 0; i < 3; i++) {
-            routers.add(new PlannerRouter(this));
+            routers.add(new SimulatedRouter(this));
         }
     }
 
@@ -95,8 +95,8 @@
     public void stepAt(Instant time) {
         now = time;
         noteList();
-        routers.forEach(PlannerRouter::step);
-        vms.values().forEach(EngineVm::step);
+        routers.forEach(SimulatedRouter::step);
+        vms.values().forEach(SimulatedVm::step);
     }
 
     /**
@@ -106,8 +106,8 @@
     public void endFaults() {
         faults = false;
         mislaid.clear();
-        vms.values().forEach(EngineVm::recover);
-        routers.forEach(PlannerRouter::thaw);
+        vms.values().forEach(SimulatedVm::recover);
+        routers.forEach(SimulatedRouter::resume);
     }
 
     /** Freezes a router that may have pending proposals. */
@@ -116,22 +116,22 @@
     }
 
     /** Restarts a router without any state. */
-    public void replaceRouter(int router) {
-        routers.set(router, new PlannerRouter(this));
+    public void restartRouter(int router) {
+        routers.set(router, new SimulatedRouter(this));
     }
 
     /** Stops a VM, which comes back empty after some steps. */
-    public void loseVm(int vm, int steps) {
-        vm(vm).lose(steps);
+    public void stopVm(int vm, int steps) {
+        vm(vm).stop(steps);
     }
 
     /** Crashes an agent; its engine keeps running. */
-    public void killAgent(int vm) {
-        vm(vm).killAgent();
+    public void crashAgent(int vm) {
+        vm(vm).crashAgent();
     }
 
     /** Omits a running VM from the list, or puts it back. */
-    public void mislay(int vm, boolean away) {
+    public void omitFromList(int vm, boolean away) {
         if (away) {
             mislaid.add(vm(vm).id);
         } else {
@@ -140,7 +140,7 @@
     }
 
     /** Returns how many engines hold or load the model. */
-    public long holding(ModelName model) {
+    public long countHolders(ModelName model) {
         return vms.values().stream().filter(vm -> vm.holds(model)).count();
     }
 
@@ -158,21 +158,21 @@
      * Returns current violations: engines over their memory, and requests still waiting after their
      * deadline.
      */
-    public List<String> faultsNow() {
+    public List<String> currentViolations() {
         List<String> found = new ArrayList<>();
-        vms.values().forEach(vm -> vm.faultsNow(found));
+        vms.values().forEach(vm -> vm.addViolations(found));
         return found;
     }
 
-    Configuration configurationOf(PlannerRouter router) {
+    Configuration configurationOf(SimulatedRouter router) {
         return configurations.apply(routers.indexOf(router));
     }
 
-    boolean leads(PlannerRouter router) {
+    boolean leads(SimulatedRouter router) {
         return leads.test(routers.indexOf(router));
     }
 
-    private EngineVm vm(int number) {
+    private SimulatedVm vm(int number) {
         return List.copyOf(vms.values()).get(number);
     }
 
@@ -187,19 +187,19 @@
     }
 
     /** Ends every fault and lets the grants settle. */
-    void calm(int steps) {
+    void runWithoutFaults(int steps) {
         faults = false;
         fake.down(false);
         fake.loseAnswers(0);
         mislaid.clear();
         leaving.clear();
-        vms.values().forEach(EngineVm::recover);
-        routers.forEach(PlannerRouter::thaw);
+        vms.values().forEach(SimulatedVm::recover);
+        routers.forEach(SimulatedRouter::resume);
         run(steps);
     }
 
     boolean ownView() {
-        return policy == Policy.OWN_VIEW;
+        return policy == PlacementPolicy.OWN_VIEW;
     }
 
     /** Returns the VMs on the platform's list as it was some steps ago. */
@@ -213,28 +213,28 @@
         if (faults) {
             breakSomething();
         }
-        routers.forEach(PlannerRouter::step);
-        vms.values().forEach(EngineVm::step);
+        routers.forEach(SimulatedRouter::step);
+        vms.values().forEach(SimulatedVm::step);
         check();
     }
 
     private void noteList() {
         Set<VmId> alive = new TreeSet<>();
-        vms.values().stream().filter(EngineVm::isUp).forEach(vm -> alive.add(vm.id));
+        vms.values().stream().filter(SimulatedVm::isUp).forEach(vm -> alive.add(vm.id));
         alive.removeAll(mislaid);
         lists.add(alive);
     }
 
     private void breakSomething() {
         int what = random.nextInt(400);
-        EngineVm vm = List.copyOf(vms.values()).get(random.nextInt(vms.size()));
+        SimulatedVm vm = List.copyOf(vms.values()).get(random.nextInt(vms.size()));
         switch (what) {
             case 0 -> fake.down(true);
             case 1, 2, 3 -> fake.down(false);
             case 4 -> fake.loseAnswers(2);
             case 5 -> routers.get(random.nextInt(routers.size())).freeze(random.nextInt(400));
-            case 6, 7 -> vm.killAgent();
-            case 8 -> vm.lose(200 + random.nextInt(400));
+            case 6, 7 -> vm.crashAgent();
+            case 8 -> vm.stop(200 + random.nextInt(400));
             case 9 -> mislaid.add(vm.id);
             case 10, 11 -> mislaid.clear();
             case 12 -> leaving.add(vm.id);
@@ -251,8 +251,8 @@
                 broken.add(now + " too many replicas of " + model.name() + ": " + held);
             }
         }
-        for (EngineVm vm : vms.values()) {
-            if (vm.usedBytes() > EngineVm.MEMORY) {
+        for (SimulatedVm vm : vms.values()) {
+            if (vm.usedBytes() > SimulatedVm.MEMORY) {
                 broken.add(now + " engine over its memory: " + vm.id + " uses " + vm.usedBytes());
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingFeedTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingPlacementFeedTest.java
@@ -16,7 +16,7 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-class PollingFeedTest {
+class PollingPlacementFeedTest {
     private static final int SECONDS = 60;
 
     private final SameThreadControl control = new SameThreadControl();
@@ -32,7 +32,7 @@
 
     @Test
     void aFleetOfTheDesignSizeThatLooksEachSecondTakesMoreThanTheStoreGives() {
-        assertTrue(readsASecond(2_780, seed -> () -> ReadPace.SHORTEST) > 2_000);
+        assertTrue(readsASecond(2_780, seed -> () -> PollingInterval.SHORTEST) > 2_000);
     }
 
     @Test
@@ -41,14 +41,14 @@
         // that read each second read 2,780 times a second, and the store refuses the reads that
         // requests and configuration need.
         int reads = readsASecond(2_780);
-        assertTrue(reads > 0 && reads <= ReadPace.BUDGET, reads + " reads a second");
+        assertTrue(reads > 0 && reads <= PollingInterval.BUDGET, reads + " reads a second");
     }
 
     @Test
     void aMarkIsFoundThreeTimesBeforeTheRightMayBeTakenHoweverLargeTheFleet() {
         // Guards against an agent that reads too seldom to find that it is suspected: its grant is
         // revoked and the model is loaded elsewhere while it still holds it.
-        ReadPace pace = new ReadPace(new Random(1));
+        PollingInterval pace = new PollingInterval(new Random(1));
         for (int i = 0; i < 1_000; i++) {
             assertTrue(pace.next(1_000_000).multipliedBy(3).toMillis() < 15_000);
         }
@@ -59,7 +59,7 @@
         feed(pause(20, 1));
         grant();
         control.advance(Duration.ofSeconds(2));
-        assertEquals(1, last().all().count());
+        assertEquals(1, last().allGrants().count());
         int before = fake.calls();
         int looks = told.size();
         control.advance(Duration.ofSeconds(10));
@@ -74,7 +74,7 @@
         fake.down(false);
         grant();
         control.advance(Duration.ofSeconds(2));
-        assertEquals(1, last().all().count());
+        assertEquals(1, last().allGrants().count());
     }
 
     private int readsASecond(int processes) {
@@ -93,20 +93,20 @@
     }
 
     private static Supplier<Duration> pause(int processes, long seed) {
-        ReadPace pace = new ReadPace(new Random(seed));
+        PollingInterval pace = new PollingInterval(new Random(seed));
         return () -> pace.next(processes);
     }
 
     private void feed(Supplier<Duration> pause) {
-        new PollingFeed(control, store, pause, new Metrics()).start(told::add);
+        new PollingPlacementFeed(control, store, pause, new Metrics()).start(told::add);
     }
 
     private void grant() {
         PlacementTable.Stored read = new PlacementTable.Stored(Shard.EMPTY, 0);
-        Right right = Right.granted(ModelName.of("cut"), VmId.of("one"), 1);
-        Planner.Proposal proposal =
-                new Planner.Proposal(0, read.shard(), new Shard(1, List.of(right)), 0);
-        store.plan(proposal, TransitionTest.configuration(1));
+        ReplicaGrant right = ReplicaGrant.of(ModelName.of("cut"), VmId.of("one"), 1);
+        PlacementPlanner.Proposal proposal =
+                new PlacementPlanner.Proposal(0, read.shard(), new Shard(1, List.of(right)), 0);
+        store.applyProposal(proposal, ShardTransitionTest.configuration(1));
     }
 
     private PlacementTable last() {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/TransitionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/ShardTransitionTest.java
@@ -17,40 +17,40 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class TransitionTest {
+class ShardTransitionTest {
     private static final ModelName CUT = ModelName.of("cut");
     private static final VmId ONE = VmId.of("one");
     private static final VmId TWO = VmId.of("two");
-    private static final Right HELD = Right.granted(CUT, ONE, 5);
+    private static final ReplicaGrant HELD = ReplicaGrant.of(CUT, ONE, 5);
     private static final Shard READ = new Shard(5, List.of(HELD));
 
     @Test
     void aPlannerTakesOnlyWhatIsSuspected() {
         assertTrue(plan(READ, new Shard(5, List.of())).isPresent());
-        Shard suspected = new Shard(5, List.of(HELD.suspected(true)));
+        Shard suspected = new Shard(5, List.of(HELD.withSuspected(true)));
         assertEquals(Optional.empty(), plan(suspected, new Shard(5, List.of())));
     }
 
     @Test
     void aRightThatMovesIsNeverCountedTwice() {
-        Shard moved = new Shard(6, List.of(HELD.toRelease(), Right.granted(CUT, TWO, 6)));
+        Shard moved = new Shard(6, List.of(HELD.withReleasing(), ReplicaGrant.of(CUT, TWO, 6)));
         assertTrue(plan(READ, moved).isPresent());
     }
 
     @Test
     void anOldFencingNumberIsNotGivenAgain() {
         Shard empty = new Shard(5, List.of());
-        Shard again = new Shard(5, List.of(Right.granted(CUT, TWO, 5)));
+        Shard again = new Shard(5, List.of(ReplicaGrant.of(CUT, TWO, 5)));
         assertTrue(plan(empty, again).isPresent());
     }
 
     @Test
     void aHolderRemovesOnlyItsOwnRightAndOnlyWhenAsked() {
         Shard none = new Shard(5, List.of());
-        Shard asked = new Shard(5, List.of(HELD.toRelease()));
-        assertTrue(Transition.ofHolder(READ, none, ONE).isPresent());
-        assertTrue(Transition.ofHolder(asked, none, TWO).isPresent());
-        assertEquals(Optional.empty(), Transition.ofHolder(asked, none, ONE));
+        Shard asked = new Shard(5, List.of(HELD.withReleasing()));
+        assertTrue(ShardTransition.findHolderViolation(READ, none, ONE).isPresent());
+        assertTrue(ShardTransition.findHolderViolation(asked, none, TWO).isPresent());
+        assertEquals(Optional.empty(), ShardTransition.findHolderViolation(asked, none, ONE));
     }
 
     @Test
@@ -60,30 +60,32 @@
         // has gone on, so the swap fails.
         FakeStore fake = new FakeStore();
         PlacementStore store = new PlacementStore(fake, "t");
-        Planner.Proposal grant =
-                new Planner.Proposal(
-                        1, Shard.EMPTY, new Shard(1, List.of(Right.granted(CUT, ONE, 1))), 0);
+        PlacementPlanner.Proposal grant =
+                new PlacementPlanner.Proposal(
+                        1, Shard.EMPTY, new Shard(1, List.of(ReplicaGrant.of(CUT, ONE, 1))), 0);
         fake.commit(
                 List.of(), List.of(new Write.Put("t/config/log/0000000000000002", new byte[0], 0)));
-        assertEquals(false, store.plan(grant, configuration(1)).toCompletableFuture().join());
-        assertEquals(true, store.plan(grant, configuration(2)).toCompletableFuture().join());
+        assertEquals(
+                false, store.applyProposal(grant, configuration(1)).toCompletableFuture().join());
+        assertEquals(
+                true, store.applyProposal(grant, configuration(2)).toCompletableFuture().join());
     }
 
     @Test
     void anIllegalProposalNeverReachesTheStore() {
         PlacementStore store = new PlacementStore(new FakeStore(), "t");
-        Planner.Proposal taking = new Planner.Proposal(1, READ, Shard.EMPTY, 3);
-        assertThrows(PlacementException.class, () -> store.plan(taking, configuration(1)));
+        PlacementPlanner.Proposal taking = new PlacementPlanner.Proposal(1, READ, Shard.EMPTY, 3);
+        assertThrows(PlacementException.class, () -> store.applyProposal(taking, configuration(1)));
     }
 
     @Test
     void aShardReadsBackAsWritten() {
-        Shard shard = new Shard(9, List.of(HELD.toRelease(), Right.granted(CUT, TWO, 9)));
+        Shard shard = new Shard(9, List.of(HELD.withReleasing(), ReplicaGrant.of(CUT, TWO, 9)));
         assertEquals(shard, Shard.parse(shard.toJson()));
     }
 
     private static Optional<String> plan(Shard read, Shard proposed) {
-        return Transition.ofPlanner(read, proposed, model -> 1);
+        return ShardTransition.findPlannerViolation(read, proposed, model -> 1);
     }
 
     static Configuration configuration(long sequence) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlannerRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/SimulatedRouter.java
@@ -13,29 +13,30 @@
 import java.util.stream.Collectors;
 
 /** A simulated router, which always believes that it holds the lease and is frozen at times. */
-final class PlannerRouter {
-    private final PlacementWorld world;
-    private final Planner planner;
+final class SimulatedRouter {
+    private final PlacementSimulation world;
+    private final PlacementPlanner planner;
     private final List<Delayed> delayed = new ArrayList<>();
     private PlacementTable table = PlacementTable.UNREAD;
     private int frozenFor;
 
     /** A pending proposal, and the configuration that it was computed from. */
-    private record Delayed(Planner.Proposal proposal, Configuration configuration) {}
+    private record Delayed(PlacementPlanner.Proposal proposal, Configuration configuration) {}
 
-    PlannerRouter(PlacementWorld world) {
+    SimulatedRouter(PlacementSimulation world) {
         this.world = world;
         this.planner =
-                world.policy == Policy.TIMEOUT_ONLY
-                        ? new Planner(Duration.ofSeconds(5), Duration.ZERO)
-                        : new Planner(PlacementWorld.GONE_AFTER, PlacementWorld.SUSPECT_TIME);
+                world.policy == PlacementPolicy.TIMEOUT_ONLY
+                        ? new PlacementPlanner(Duration.ofSeconds(5), Duration.ZERO)
+                        : new PlacementPlanner(
+                                PlacementSimulation.GONE_AFTER, PlacementSimulation.SUSPECT_TIME);
     }
 
     void freeze(int steps) {
         frozenFor = Math.max(frozenFor, steps);
     }
 
-    void thaw() {
+    void resume() {
         frozenFor = 0;
     }
 
@@ -45,7 +46,7 @@
             return;
         }
         if (!world.ownView()) {
-            delayed.forEach(late -> world.store.plan(late.proposal, late.configuration));
+            delayed.forEach(late -> world.store.applyProposal(late.proposal, late.configuration));
             delayed.clear();
             if (world.leads(this)) {
                 plan();
@@ -67,12 +68,12 @@
 
     private void plan() {
         Set<VmId> listed = world.listed(8);
-        List<Planner.Candidate> candidates =
+        List<PlacementPlanner.Candidate> candidates =
                 listed.stream().map(vm -> world.vms.get(vm)).map(this::candidate).toList();
-        Planner.View view =
-                new Planner.View(
+        PlacementPlanner.View view =
+                new PlacementPlanner.View(
                         table, world.configurationOf(this).models(), candidates, listed, heard());
-        for (Planner.Proposal proposal : planner.on(view, world.now)) {
+        for (PlacementPlanner.Proposal proposal : planner.on(view, world.now)) {
             if (world.faults && world.random.nextInt(4) == 0) {
                 delayed.add(new Delayed(proposal, world.configurationOf(this)));
             } else {
@@ -81,22 +82,22 @@
         }
     }
 
-    private void propose(Planner.Proposal proposal) {
-        world.store.plan(proposal, world.configurationOf(this));
+    private void propose(PlacementPlanner.Proposal proposal) {
+        world.store.applyProposal(proposal, world.configurationOf(this));
     }
 
-    private Planner.Candidate candidate(EngineVm vm) {
-        return new Planner.Candidate(
-                vm.id, PlacementWorld.POOL, vm.zone, world.leaving.contains(vm.id));
+    private PlacementPlanner.Candidate candidate(SimulatedVm vm) {
+        return new PlacementPlanner.Candidate(
+                vm.id, PlacementSimulation.POOL, vm.zone, world.leaving.contains(vm.id));
     }
 
     private Set<VmId> heard() {
-        if (world.policy == Policy.TIMEOUT_ONLY) {
+        if (world.policy == PlacementPolicy.TIMEOUT_ONLY) {
             return Set.of();
         }
         Set<VmId> heard = new HashSet<>();
         world.vms.values().stream()
-                .filter(vm -> vm.agentLives() && world.random.nextInt(3) > 0)
+                .filter(vm -> vm.isAgentUp() && world.random.nextInt(3) > 0)
                 .forEach(vm -> heard.add(vm.id));
         return heard;
     }
@@ -106,14 +107,14 @@
         Model model = models.get(world.random.nextInt(models.size()));
         List<VmId> homes = homes(model);
         if (!homes.isEmpty()) {
-            world.vms.get(homes.get(world.random.nextInt(homes.size()))).want(model.name());
+            world.vms.get(homes.get(world.random.nextInt(homes.size()))).queueRequest(model.name());
         }
     }
 
     // The naive router chooses the first of the VMs that it believes to be running.
     private List<VmId> homes(Model model) {
         if (!world.ownView()) {
-            return List.copyOf(table.holders().getOrDefault(model.name(), Set.of()));
+            return List.copyOf(table.usableHolders().getOrDefault(model.name(), Set.of()));
         }
         return world.listed(world.routers.indexOf(this) * 8).stream()
                 .sorted(Comparator.comparing(vm -> rank(model.name(), vm)))
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/EngineVm.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/SimulatedVm.java
@@ -1,11 +1,11 @@
 package io.damaskyoke.control.placement;
 
 import io.damaskyoke.control.configuration.Model;
+import io.damaskyoke.control.replicas.ModelGrants;
 import io.damaskyoke.control.replicas.ReplicaAction;
-import io.damaskyoke.control.replicas.ReplicaHolder;
 import io.damaskyoke.control.replicas.ReplicaInput;
+import io.damaskyoke.control.replicas.ReplicaManager;
 import io.damaskyoke.control.replicas.ReplicaSettings;
-import io.damaskyoke.control.replicas.Rights;
 import io.damaskyoke.id.AvailabilityZone;
 import io.damaskyoke.id.ExchangeId;
 import io.damaskyoke.id.Incarnation;
@@ -22,18 +22,18 @@
 import java.util.TreeMap;
 
 /** A simulated VM: an engine that ignores fencing tokens, and an agent beside it that can crash. */
-final class EngineVm {
+final class SimulatedVm {
     static final long MEMORY = 100;
     private static final int LAG = 7;
 
     final VmId id;
     final AvailabilityZone zone;
-    private final PlacementWorld world;
+    private final PlacementSimulation world;
     private final Map<ModelName, Model> held = new TreeMap<>();
     private final Map<ModelName, Job> jobs = new TreeMap<>();
     private final List<Engine.Report> history = new ArrayList<>();
     private final List<Use> uses = new ArrayList<>();
-    private ReplicaHolder holder;
+    private ReplicaManager holder;
     private PlacementTable table;
     private int agentDownFor;
     private int vmDownFor;
@@ -44,7 +44,7 @@
 
     private record Job(Model model, boolean load, Instant end, int life) {}
 
-    EngineVm(PlacementWorld world, VmId id, AvailabilityZone zone) {
+    SimulatedVm(PlacementSimulation world, VmId id, AvailabilityZone zone) {
         this.world = world;
         this.id = id;
         this.zone = zone;
@@ -55,7 +55,7 @@
         return vmDownFor == 0;
     }
 
-    boolean agentLives() {
+    boolean isAgentUp() {
         return isUp() && agentDownFor == 0;
     }
 
@@ -73,14 +73,14 @@
     }
 
     /** Crashes the agent; its orders continue at the engine. */
-    void killAgent() {
+    void crashAgent() {
         agentDownFor = 1 + world.random.nextInt(40);
         life++;
         waiting.clear();
     }
 
     /** Stops the whole VM for some steps; it comes back empty under its old name. */
-    void lose(int steps) {
+    void stop(int steps) {
         vmDownFor = steps;
         life++;
         waiting.clear();
@@ -93,7 +93,7 @@
         agentDownFor = Math.min(agentDownFor, 1);
     }
 
-    void faultsNow(List<String> found) {
+    void addViolations(List<String> found) {
         if (usedBytes() > MEMORY) {
             found.add("engine over its memory: " + id + " uses " + usedBytes());
         }
@@ -111,12 +111,12 @@
                 });
     }
 
-    void want(ModelName model) {
-        if (agentLives()) {
+    void queueRequest(ModelName model) {
+        if (isAgentUp()) {
             ExchangeId request = new ExchangeId(Incarnation.of("r"), world.requests++);
             Instant deadline = world.now.plusSeconds(20);
             waiting.put(request, deadline);
-            feed(new ReplicaInput.Wanted(request, model, deadline, WorkspaceId.of("w")));
+            feed(new ReplicaInput.RequestQueued(request, model, deadline, WorkspaceId.of("w")));
         }
     }
 
@@ -141,7 +141,7 @@
         }
         if (table.isRead() && world.random.nextInt(4) == 0) {
             int age = world.random.nextInt(Math.min(LAG, history.size()));
-            feed(new ReplicaInput.Reported(history.get(history.size() - 1 - age)));
+            feed(new ReplicaInput.EngineReported(history.get(history.size() - 1 - age)));
         }
         endUses();
         feed(new ReplicaInput.Tick());
@@ -152,18 +152,18 @@
         for (Use use : List.copyOf(uses)) {
             if (!use.end.isAfter(world.now)) {
                 uses.remove(use);
-                feed(new ReplicaInput.Finished(use.model));
+                feed(new ReplicaInput.RequestFinished(use.model));
             }
         }
     }
 
     private void startAgent() {
         uses.clear();
-        holder = new ReplicaHolder(ReplicaSettings.defaults());
+        holder = new ReplicaManager(ReplicaSettings.defaults());
         table = PlacementTable.UNREAD;
-        feed(new ReplicaInput.Configured(world.models));
+        feed(new ReplicaInput.ModelsConfigured(world.models));
         if (world.ownView()) {
-            feed(new ReplicaInput.RightsChanged(Rights.all(life + 1)));
+            feed(new ReplicaInput.GrantsChanged(ModelGrants.all(life + 1)));
         }
     }
 
@@ -174,10 +174,10 @@
         table = newer;
         if (!world.ownView()) {
             Map<ModelName, Long> rights = new TreeMap<>();
-            newer.of(id).stream()
-                    .filter(Right::usable)
+            newer.grantsOf(id).stream()
+                    .filter(ReplicaGrant::usable)
                     .forEach(right -> rights.put(right.model(), right.fencing()));
-            feed(new ReplicaInput.RightsChanged(Rights.of(rights)));
+            feed(new ReplicaInput.GrantsChanged(ModelGrants.of(rights)));
         }
     }
 
@@ -187,24 +187,24 @@
                         (number, stored) -> {
                             Shard changed = handedBack(stored.shard());
                             if (!changed.equals(stored.shard())) {
-                                world.store.change(number, stored, id, read -> changed);
+                                world.store.changeGrants(number, stored, id, read -> changed);
                             }
                         });
     }
 
     private Shard handedBack(Shard shard) {
-        boolean clears = world.policy != Policy.TIMEOUT_ONLY;
+        boolean clears = world.policy != PlacementPolicy.TIMEOUT_ONLY;
         return shard.without(right -> mine(right) && isReleased(right))
-                .map(right -> mine(right) && clears ? right.cleared() : right);
+                .map(right -> mine(right) && clears ? right.withoutSuspicion() : right);
     }
 
-    private boolean mine(Right right) {
+    private boolean mine(ReplicaGrant right) {
         return right.vm().equals(id);
     }
 
-    private boolean isReleased(Right right) {
-        boolean blind = world.policy == Policy.BLIND_RELEASE;
-        return right.releasing() && (blind || holder.isClearOf(right.model()));
+    private boolean isReleased(ReplicaGrant right) {
+        boolean blind = world.policy == PlacementPolicy.BLIND_RELEASE;
+        return right.releasing() && (blind || holder.holdsNothingOf(right.model()));
     }
 
     private void feed(ReplicaInput input) {
@@ -212,16 +212,16 @@
     }
 
     private void carryOut(ReplicaAction action) {
-        if (action instanceof ReplicaAction.Load load) {
+        if (action instanceof ReplicaAction.LoadModel load) {
             Instant end = world.now.plusMillis(1_000 + world.random.nextInt(4_000));
             jobs.put(load.model().name(), new Job(load.model(), true, end, life));
-        } else if (action instanceof ReplicaAction.Unload unload) {
+        } else if (action instanceof ReplicaAction.UnloadModel unload) {
             Instant end = world.now.plusMillis(250);
             Model model = world.models.get(unload.model());
             jobs.put(unload.model(), new Job(model, false, end, life));
-        } else if (action instanceof ReplicaAction.Refuse refuse) {
+        } else if (action instanceof ReplicaAction.RefuseRequest refuse) {
             waiting.remove(refuse.request());
-        } else if (action instanceof ReplicaAction.Ready ready) {
+        } else if (action instanceof ReplicaAction.SendRequest ready) {
             waiting.remove(ready.request());
             world.served++;
             Instant end = world.now.plusMillis(world.random.nextInt(10_000));
@@ -241,7 +241,7 @@
             } else {
                 held.remove(name);
             }
-            if (job.life == life && agentLives()) {
+            if (job.life == life && isAgentUp()) {
                 feed(answer(job, name));
             }
         }
@@ -258,7 +258,7 @@
     private Engine.Report truth() {
         List<Engine.Held> loading =
                 jobs.values().stream().filter(Job::load).map(job -> heldAs(job.model)).toList();
-        List<Engine.Held> loaded = held.values().stream().map(EngineVm::heldAs).toList();
+        List<Engine.Held> loaded = held.values().stream().map(SimulatedVm::heldAs).toList();
         return new Engine.Report(MEMORY, usedBytes(), loaded, loading, List.of(), 0, 0);
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/relay/RegistrationTableTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/relay/RegistrationTableTest.java
@@ -18,11 +18,11 @@
 
     @Test
     void aFollowerGetsAllFirstAndThenOnlyWhatChanged() {
-        relay.take(new Delta(List.of(row("a", 3), row("b", 5)), 9, true));
-        assertTrue(relay.since(0).full());
+        relay.apply(new Delta(List.of(row("a", 3), row("b", 5)), 9, true));
+        assertTrue(relay.changesSince(0).full());
         relay.put(row("b", 10));
         relay.put(gone("a", 11));
-        Delta delta = relay.since(9);
+        Delta delta = relay.changesSince(9);
         assertFalse(delta.full());
         assertEquals(2, delta.rows().size());
         assertEquals(List.of("b"), names(relay));
@@ -30,10 +30,10 @@
 
     @Test
     void aListingThatLacksAnAgentTellsFollowersOfItsRemoval() {
-        relay.take(new Delta(List.of(row("a", 3), row("b", 5)), 9, true));
-        relay.take(new Delta(List.of(row("b", 5)), 20, true));
+        relay.apply(new Delta(List.of(row("a", 3), row("b", 5)), 9, true));
+        relay.apply(new Delta(List.of(row("b", 5)), 20, true));
         assertEquals(List.of("b"), names(relay));
-        Delta delta = relay.since(9);
+        Delta delta = relay.changesSince(9);
         assertFalse(delta.full());
         assertTrue(delta.rows().get(0).removed());
     }
@@ -48,25 +48,25 @@
         RegistrationTable[] relays = {new RegistrationTable(), new RegistrationTable()};
         RegistrationTable follower = new RegistrationTable();
         RegistrationTable store = new RegistrationTable();
-        store.take(new Delta(List.of(), 1, true));
+        store.apply(new Delta(List.of(), 1, true));
         for (int step = 0; step < 60; step++) {
             String vm = "vm-" + random.nextInt(5);
             long revision = store.revision() + 1;
             store.put(random.nextBoolean() ? row(vm, revision) : gone(vm, revision));
             RegistrationTable either = relays[random.nextInt(2)];
-            either.take(
+            either.apply(
                     random.nextInt(4) == 0
-                            ? new Delta(store.all(), store.revision(), true)
-                            : store.since(either.revision()));
-            follower.take(relays[random.nextInt(2)].since(follower.revision()));
+                            ? new Delta(store.registrations(), store.revision(), true)
+                            : store.changesSince(either.revision()));
+            follower.apply(relays[random.nextInt(2)].changesSince(follower.revision()));
         }
-        relays[0].take(new Delta(store.all(), store.revision(), true));
-        follower.take(relays[0].since(follower.revision()));
+        relays[0].apply(new Delta(store.registrations(), store.revision(), true));
+        follower.apply(relays[0].changesSince(follower.revision()));
         assertEquals(names(store), names(follower));
     }
 
     private static List<String> names(RegistrationTable table) {
-        return table.all().stream().map(row -> row.vm().value()).toList();
+        return table.registrations().stream().map(row -> row.vm().value()).toList();
     }
 
     private static Row row(String vm, long revision) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/relay/RelayMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/relay/RelayMachineTest.java
@@ -25,7 +25,7 @@
             RelayMachine.of(
                     SELF.id(),
                     AvailabilityZone.of("kochi-1"),
-                    RelaySettings.standard(),
+                    RelaySettings.defaults(),
                     new SplittableRandom(1));
     private final StringBuilder session = new StringBuilder();
     private Instant now = START;
@@ -38,14 +38,14 @@
      */
     @Test
     void anAnswerCountsFromTheMomentOfAsking() {
-        feed(new RelayInput.Listed(List.of(ONE, TWO, SELF)));
-        RelayAction.Probe probe = probes(feed(new RelayInput.Tick())).get(0);
+        feed(new RelayInput.VmsListed(List.of(ONE, TWO, SELF)));
+        RelayAction.ProbePeer probe = probes(feed(new RelayInput.Tick())).get(0);
         Instant asked = now;
         now = now.plusSeconds(60);
         Duration age = Duration.ofMillis(100);
         List<RelayAction> actions =
                 feed(
-                        new RelayInput.Answered(
+                        new RelayInput.ProbeAnswered(
                                 probe.peer().id(), probe.number(), 7, Optional.of(age)));
         assertEquals(List.of(new RelayAction.Confirm(7, asked.minus(age))), actions);
         assertEquals(now.minus(age), naiveConfirmation(now, age));
@@ -58,19 +58,19 @@
 
     @Test
     void anAnswerThatWasNotAskedForOrComesTwiceConfirmsNothing() {
-        feed(new RelayInput.Listed(List.of(ONE, TWO, SELF)));
-        RelayAction.Probe probe = probes(feed(new RelayInput.Tick())).get(0);
+        feed(new RelayInput.VmsListed(List.of(ONE, TWO, SELF)));
+        RelayAction.ProbePeer probe = probes(feed(new RelayInput.Tick())).get(0);
         RelayInput answer = answer(probe, 1);
         assertEquals(1, feed(answer).size());
         assertEquals(List.of(), feed(answer));
         assertEquals(
                 List.of(),
-                feed(new RelayInput.Answered(ONE.id(), 99, 1, Optional.of(Duration.ZERO))));
+                feed(new RelayInput.ProbeAnswered(ONE.id(), 99, 1, Optional.of(Duration.ZERO))));
     }
 
     @Test
     void aWholeSession() {
-        feed(new RelayInput.Listed(List.of(ONE, TWO, SELF)));
+        feed(new RelayInput.VmsListed(List.of(ONE, TWO, SELF)));
         note("both relays answer");
         run(4, ONE, TWO);
         note("router-1 is frozen");
@@ -80,7 +80,7 @@
         note("both relays answer again");
         run(4, ONE, TWO);
         note("router-2 is no longer listed: this process becomes a relay");
-        feed(new RelayInput.Listed(List.of(ONE, SELF)));
+        feed(new RelayInput.VmsListed(List.of(ONE, SELF)));
         run(3, ONE);
         Approvals.verify(session);
     }
@@ -88,7 +88,7 @@
     private void run(int seconds, Vm... answering) {
         for (int quarter = 0; quarter < 4 * seconds; quarter++) {
             now = now.plusMillis(250);
-            for (RelayAction.Probe probe : probes(feed(new RelayInput.Tick()))) {
+            for (RelayAction.ProbePeer probe : probes(feed(new RelayInput.Tick()))) {
                 if (List.of(answering).contains(probe.peer())) {
                     feed(answer(probe, 5));
                 }
@@ -110,7 +110,7 @@
     }
 
     private static String text(RelayAction action) {
-        if (action instanceof RelayAction.Probe probe) {
+        if (action instanceof RelayAction.ProbePeer probe) {
             return "probe " + probe.number() + " to " + probe.peer().id();
         }
         if (action instanceof RelayAction.Confirm confirm) {
@@ -120,24 +120,24 @@
                     + Duration.between(START, confirm.asOf()).toMillis()
                     + " ms";
         }
-        if (action instanceof RelayAction.Follow follow) {
+        if (action instanceof RelayAction.FollowRelays follow) {
             return "follow " + follow.relays().stream().map(Vm::id).toList();
         }
         return action.toString();
     }
 
-    private static List<RelayAction.Probe> probes(List<RelayAction> actions) {
-        List<RelayAction.Probe> probes = new ArrayList<>();
+    private static List<RelayAction.ProbePeer> probes(List<RelayAction> actions) {
+        List<RelayAction.ProbePeer> probes = new ArrayList<>();
         for (RelayAction action : actions) {
-            if (action instanceof RelayAction.Probe probe) {
+            if (action instanceof RelayAction.ProbePeer probe) {
                 probes.add(probe);
             }
         }
         return probes;
     }
 
-    private static RelayInput answer(RelayAction.Probe probe, long head) {
-        return new RelayInput.Answered(
+    private static RelayInput answer(RelayAction.ProbePeer probe, long head) {
+        return new RelayInput.ProbeAnswered(
                 probe.peer().id(), probe.number(), head, Optional.of(Duration.ofMillis(500)));
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineSimulation.java
@@ -22,7 +22,7 @@
  * Simulates an engine with seeded faults around a state machine; it knows the true state of the
  * engine and checks the rules.
  */
-final class EngineWorld {
+final class EngineSimulation {
     static final ReplicaSettings SETTINGS = ReplicaSettings.defaults();
     private static final long STEP_MILLIS = 250;
 
@@ -35,7 +35,7 @@
     final TreeMap<ModelName, Job> loads = new TreeMap<>();
     final TreeMap<ModelName, Job> unloads = new TreeMap<>();
     final TreeMap<ModelName, Integer> uses = new TreeMap<>();
-    final TreeMap<Long, ReplicaInput.Wanted> waiting = new TreeMap<>();
+    final TreeMap<Long, ReplicaInput.RequestQueued> waiting = new TreeMap<>();
     final Set<Long> served = new TreeSet<>();
     final List<String> broken = new ArrayList<>();
     private final List<Engine.Report> history = new ArrayList<>();
@@ -47,7 +47,7 @@
 
     record Job(Model model, Instant end, boolean ok, boolean answered, long epoch) {}
 
-    EngineWorld(
+    EngineSimulation(
             long seed,
             boolean faults,
             long memory,
@@ -86,7 +86,7 @@
         }
         endSomeUse();
         if (random.nextInt(4) == 0) {
-            feed(new ReplicaInput.Reported(laggingReport()));
+            feed(new ReplicaInput.EngineReported(laggingReport()));
         }
         if (faults && busy && random.nextInt(150) == 0) {
             restart();
@@ -95,7 +95,7 @@
             changeVersion();
         }
         feed(new ReplicaInput.Tick());
-        for (ReplicaInput.Wanted wanted : waiting.values()) {
+        for (ReplicaInput.RequestQueued wanted : waiting.values()) {
             if (wanted.deadline().isBefore(now)) {
                 broken.add("request not answered by its deadline: " + wanted);
             }
@@ -107,8 +107,8 @@
         waiting.clear();
         uses.clear();
         machine = maker.get();
-        feed(new ReplicaInput.RightsChanged(Rights.all(epoch)));
-        feed(new ReplicaInput.Configured(models));
+        feed(new ReplicaInput.GrantsChanged(ModelGrants.all(epoch)));
+        feed(new ReplicaInput.ModelsConfigured(models));
     }
 
     private void feed(ReplicaInput input) {
@@ -120,17 +120,17 @@
     }
 
     private void carryOut(ReplicaAction action) {
-        if (action instanceof ReplicaAction.Load load) {
+        if (action instanceof ReplicaAction.LoadModel load) {
             if (loads.containsKey(load.model().name()) || held.containsKey(load.model().name())) {
                 broken.add("load ordered for a model that is loading or loaded: " + load);
             }
             loads.put(load.model().name(), job(load.model(), 1_000 + random.nextInt(4_000)));
-        } else if (action instanceof ReplicaAction.Unload unload) {
+        } else if (action instanceof ReplicaAction.UnloadModel unload) {
             if (uses.getOrDefault(unload.model(), 0) > 0) {
                 broken.add("unload ordered for a model in use: " + unload);
             }
             unloads.put(unload.model(), job(models.get(unload.model()), 250));
-        } else if (action instanceof ReplicaAction.Ready ready) {
+        } else if (action instanceof ReplicaAction.SendRequest ready) {
             answered(ready.request());
             served.add(ready.request().counter());
             uses.merge(ready.model(), 1, Integer::sum);
@@ -139,7 +139,7 @@
                     || !is.version().equals(Optional.of(models.get(ready.model()).version()))) {
                 broken.add("the engine does not hold the configured version: " + ready);
             }
-        } else if (action instanceof ReplicaAction.Refuse refuse) {
+        } else if (action instanceof ReplicaAction.RefuseRequest refuse) {
             answered(refuse.request());
         }
     }
@@ -192,8 +192,8 @@
         ModelName name = names.get(traffic.nextInt(names.size()));
         Instant deadline = now.plusMillis(faults ? 500 + traffic.nextInt(60_000) : 600_000);
         ExchangeId id = new ExchangeId(Incarnation.of("r-1"), requests++);
-        ReplicaInput.Wanted wanted =
-                new ReplicaInput.Wanted(id, name, deadline, WorkspaceId.of("kitchens"));
+        ReplicaInput.RequestQueued wanted =
+                new ReplicaInput.RequestQueued(id, name, deadline, WorkspaceId.of("kitchens"));
         waiting.put(id.counter(), wanted);
         feed(wanted);
     }
@@ -202,7 +202,7 @@
         for (ModelName name : List.copyOf(uses.keySet())) {
             if (uses.get(name) > 0 && random.nextInt(3) == 0) {
                 uses.merge(name, -1, Integer::sum);
-                feed(new ReplicaInput.Finished(name));
+                feed(new ReplicaInput.RequestFinished(name));
             }
         }
     }
@@ -211,7 +211,7 @@
         List<ModelName> names = List.copyOf(models.keySet());
         Model old = models.get(names.get(random.nextInt(names.size())));
         add(old.name().value(), old.memoryBytes(), old.base().map(ModelName::value).orElse(null));
-        feed(new ReplicaInput.Configured(models));
+        feed(new ReplicaInput.ModelsConfigured(models));
     }
 
     private void add(String name, long bytes, String base) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/IdleUnloadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/IdleUnloadTest.java
@@ -22,15 +22,15 @@
     private static final Model MODEL =
             new Model(CUT, "v1", PoolName.of("p"), Optional.empty(), 10, 1, Set.of());
 
-    private final ReplicaHolder holder = new ReplicaHolder(ReplicaSettings.defaults());
+    private final ReplicaManager holder = new ReplicaManager(ReplicaSettings.defaults());
 
     @Test
     void whatNobodyUsedForAHalfLifeIsUnloaded() {
         loadAndUse();
-        feed(100, new ReplicaInput.Finished(CUT));
+        feed(100, new ReplicaInput.RequestFinished(CUT));
         assertTrue(feed(500, new ReplicaInput.Tick()).isEmpty());
         List<ReplicaAction> actions = feed(700, new ReplicaInput.Tick());
-        assertEquals(List.of(new ReplicaAction.Unload(CUT, 7)), actions);
+        assertEquals(List.of(new ReplicaAction.UnloadModel(CUT, 7)), actions);
     }
 
     @Test
@@ -40,13 +40,13 @@
     }
 
     private void loadAndUse() {
-        feed(0, new ReplicaInput.RightsChanged(Rights.all(7)));
-        feed(0, new ReplicaInput.Configured(Map.of(CUT, MODEL)));
+        feed(0, new ReplicaInput.GrantsChanged(ModelGrants.all(7)));
+        feed(0, new ReplicaInput.ModelsConfigured(Map.of(CUT, MODEL)));
         Engine.Report empty = new Engine.Report(100, 0, List.of(), List.of(), List.of(), 0, 0);
-        feed(3, new ReplicaInput.Reported(empty));
+        feed(3, new ReplicaInput.EngineReported(empty));
         ExchangeId request = new ExchangeId(Incarnation.of("r"), 1);
         Instant deadline = Instant.EPOCH.plusSeconds(60);
-        feed(3, new ReplicaInput.Wanted(request, CUT, deadline, WorkspaceId.of("w")));
+        feed(3, new ReplicaInput.RequestQueued(request, CUT, deadline, WorkspaceId.of("w")));
         feed(5, new ReplicaInput.Loaded(CUT));
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaHolderPropertyTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaManagerPropertyTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class ReplicaHolderPropertyTest {
+class ReplicaManagerPropertyTest {
     private static final int STEPS = 1_000;
     private static final long TIGHT = 100;
     private static final long AMPLE = 1_000;
@@ -19,8 +19,9 @@
         // use; the agent crashes at any moment, with loads in progress; versions change. Even so,
         // memory is never exceeded, no model is loaded twice, nothing in use is unloaded, requests
         // run on the configured version, and each request is answered once and in time.
-        EngineWorld world =
-                new EngineWorld(seed, true, TIGHT, () -> new ReplicaHolder(EngineWorld.SETTINGS));
+        EngineSimulation world =
+                new EngineSimulation(
+                        seed, true, TIGHT, () -> new ReplicaManager(EngineSimulation.SETTINGS));
         world.run(STEPS);
         assertEquals(List.of(), world.broken);
         assertFalse(world.served.isEmpty());
@@ -28,9 +29,10 @@
 
     @Property(seed = "12", tries = 50)
     void whereEverythingFitsItServesWhatTheNaiveOneServes(@ForAll long seed) {
-        EngineWorld careful =
-                new EngineWorld(seed, false, AMPLE, () -> new ReplicaHolder(EngineWorld.SETTINGS));
-        EngineWorld naive = new EngineWorld(seed, false, AMPLE, NaiveHolder::new);
+        EngineSimulation careful =
+                new EngineSimulation(
+                        seed, false, AMPLE, () -> new ReplicaManager(EngineSimulation.SETTINGS));
+        EngineSimulation naive = new EngineSimulation(seed, false, AMPLE, NaiveReplicaManager::new);
         careful.run(STEPS);
         naive.run(STEPS);
         assertEquals(List.of(), careful.broken);
@@ -41,9 +43,10 @@
 
     @Property(seed = "13", tries = 20)
     void withTightMemoryTheNaiveOneOvercommitsAndThisOneServesAll(@ForAll long seed) {
-        EngineWorld careful =
-                new EngineWorld(seed, false, TIGHT, () -> new ReplicaHolder(EngineWorld.SETTINGS));
-        EngineWorld naive = new EngineWorld(seed, false, TIGHT, NaiveHolder::new);
+        EngineSimulation careful =
+                new EngineSimulation(
+                        seed, false, TIGHT, () -> new ReplicaManager(EngineSimulation.SETTINGS));
+        EngineSimulation naive = new EngineSimulation(seed, false, TIGHT, NaiveReplicaManager::new);
         careful.run(STEPS);
         naive.run(STEPS);
         assertEquals(List.of(), careful.broken);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaHolderSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaManagerSessionTest.java
@@ -18,12 +18,12 @@
 import org.approvaltests.Approvals;
 import org.junit.jupiter.api.Test;
 
-class ReplicaHolderSessionTest {
+class ReplicaManagerSessionTest {
     private static final Model CUT = model("cut-sheet", "v1", null, 60);
     private static final Model EDGES = model("edges", "v1", "cut-sheet", 10);
     private static final Model TIDE = model("tide", "v1", null, 50);
 
-    private final ReplicaHolder holder = new ReplicaHolder(ReplicaSettings.defaults());
+    private final ReplicaManager holder = new ReplicaManager(ReplicaSettings.defaults());
     private final StringBuilder lines = new StringBuilder();
     private Instant now = Instant.EPOCH;
     private long requests;
@@ -31,7 +31,7 @@
     @Test
     void aWholeSession() {
         say("An agent starts: it waits, since an earlier process may have left orders behind");
-        feed(new ReplicaInput.RightsChanged(Rights.all(7)));
+        feed(new ReplicaInput.GrantsChanged(ModelGrants.all(7)));
         feed(configured(CUT, EDGES, TIDE));
         report(0);
         want("edges", 120);
@@ -43,8 +43,8 @@
         say("No memory for tide while edges is in use; too short a deadline is refused");
         want("tide", 5);
         want("tide", 90);
-        feed(new ReplicaInput.Finished(EDGES.name()));
-        feed(new ReplicaInput.Finished(EDGES.name()));
+        feed(new ReplicaInput.RequestFinished(EDGES.name()));
+        feed(new ReplicaInput.RequestFinished(EDGES.name()));
         after(1, new ReplicaInput.Unloaded(EDGES.name()));
         after(1, new ReplicaInput.Unloaded(CUT.name()));
         say("The engine has no memory after all: refused, and loaded again after a pause");
@@ -62,10 +62,10 @@
         say("A new version is loaded once the running request on the old one has ended");
         feed(configured(model("cut-sheet", "v2", null, 60), EDGES, TIDE));
         want("cut-sheet", 60);
-        feed(new ReplicaInput.Finished(CUT.name()));
+        feed(new ReplicaInput.RequestFinished(CUT.name()));
         after(1, new ReplicaInput.Unloaded(CUT.name()));
         after(12, new ReplicaInput.Loaded(CUT.name()));
-        feed(new ReplicaInput.Finished(CUT.name()));
+        feed(new ReplicaInput.RequestFinished(CUT.name()));
         say(
                 "The engine was restarted and holds nothing: a precautionary unload after three"
                         + " reports");
@@ -75,12 +75,14 @@
         after(1, new ReplicaInput.UnloadFailed(CUT.name()));
         report(3);
         say("Grants are received and withdrawn: models without a grant are unloaded and released");
-        feed(new ReplicaInput.RightsChanged(Rights.of(Map.of(TIDE.name(), 8L, CUT.name(), 9L))));
+        feed(
+                new ReplicaInput.GrantsChanged(
+                        ModelGrants.of(Map.of(TIDE.name(), 8L, CUT.name(), 9L))));
         want("tide", 60);
         want("edges", 60);
         after(9, new ReplicaInput.Loaded(TIDE.name()));
-        feed(new ReplicaInput.RightsChanged(Rights.of(Map.of(CUT.name(), 9L))));
-        feed(new ReplicaInput.Finished(TIDE.name()));
+        feed(new ReplicaInput.GrantsChanged(ModelGrants.of(Map.of(CUT.name(), 9L))));
+        feed(new ReplicaInput.RequestFinished(TIDE.name()));
         after(1, new ReplicaInput.Unloaded(TIDE.name()));
         Approvals.verify(lines);
     }
@@ -90,13 +92,13 @@
         // Guards against an agent that restarts and receives the engine's report before the
         // configuration: the adapter must not be taken for one of another base, unloaded and loaded
         // again.
-        feed(new ReplicaInput.RightsChanged(Rights.all(7)));
+        feed(new ReplicaInput.GrantsChanged(ModelGrants.all(7)));
         report(0, held(CUT), held(EDGES));
         feed(configured(CUT, EDGES));
         report(3, held(CUT), held(EDGES));
         lines.setLength(0);
         want("edges", 1);
-        assertTrue(lines.toString().contains("Ready["), lines.toString());
+        assertTrue(lines.toString().contains("SendRequest["), lines.toString());
     }
 
     private void say(String what) {
@@ -107,7 +109,7 @@
         ExchangeId id = new ExchangeId(Incarnation.of("r"), requests++);
         Instant deadline = now.plusSeconds(seconds);
         feed(
-                new ReplicaInput.Wanted(
+                new ReplicaInput.RequestQueued(
                         id, ModelName.of(model), deadline, WorkspaceId.of("kitchens")));
     }
 
@@ -118,7 +120,7 @@
         }
         after(
                 seconds,
-                new ReplicaInput.Reported(
+                new ReplicaInput.EngineReported(
                         new Engine.Report(100, used, List.of(held), List.of(), List.of(), 0, 0)));
     }
 
@@ -139,7 +141,7 @@
         for (Model model : models) {
             named.put(model.name(), model);
         }
-        return new ReplicaInput.Configured(named);
+        return new ReplicaInput.ModelsConfigured(named);
     }
 
     private static Engine.Held held(Model model) {
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/Checks.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/Checks.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.mixed;
 
 import io.damaskyoke.control.configuration.Model;
-import io.damaskyoke.control.placement.Right;
+import io.damaskyoke.control.placement.ReplicaGrant;
 import io.damaskyoke.control.placement.Shard;
 import io.damaskyoke.control.rates.ShareTable;
 import io.damaskyoke.id.ModelName;
@@ -36,7 +36,7 @@
         configuration(now);
         replicas(now);
         shares(now);
-        now.addAll(world.placement().faultsNow());
+        now.addAll(world.placement().currentViolations());
         now.addAll(world.claims().faultsNow());
         rateAnswers(now);
         now.forEach(fault -> found.add(world.at() + ": " + fault));
@@ -78,7 +78,7 @@
         Map<ModelName, Integer> rights = rights();
         for (Model model : world.placement().models().values()) {
             int has = rights.getOrDefault(model.name(), 0);
-            long holding = world.placement().holding(model.name());
+            long holding = world.placement().countHolders(model.name());
             if (holding > has) {
                 now.add(holding + " engines hold " + model.name() + " under " + has + " rights");
             }
@@ -100,7 +100,7 @@
     private Map<ModelName, Integer> rights() {
         Map<ModelName, Integer> rights = new HashMap<>();
         for (KeyValueStore.Entry entry : world.store().contents("t/placement/")) {
-            for (Right right : Shard.parse(entry.value()).rights()) {
+            for (ReplicaGrant right : Shard.parse(entry.value()).grants()) {
                 rights.merge(right.model(), 1, Integer::sum);
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/LeaderLease.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/LeaderLease.java
@@ -34,7 +34,7 @@
     }
 
     boolean held() {
-        return machine.held(control.clock().instant());
+        return machine.isHeld(control.clock().instant());
     }
 
     private void feed(LeaseInput input) {
@@ -42,13 +42,13 @@
     }
 
     private void carryOut(LeaseAction action) {
-        if (action instanceof LeaseAction.Grant grant) {
+        if (action instanceof LeaseAction.GrantLease grant) {
             CompletionStage<Long> granted = store.grantLease(grant.term());
             granted.thenAccept(leases::keptAlive);
             answer(granted, LeaseInput.Granted::new);
-        } else if (action instanceof LeaseAction.Acquire acquire) {
+        } else if (action instanceof LeaseAction.AcquireKey acquire) {
             answer(table.acquireLease(acquire.lease(), new byte[0]), LeaseInput.Acquired::new);
-        } else if (action instanceof LeaseAction.Keep keep) {
+        } else if (action instanceof LeaseAction.KeepAlive keep) {
             CompletionStage<Boolean> kept = store.keepAlive(keep.lease());
             kept.thenAccept(
                     alive -> {
@@ -56,8 +56,8 @@
                             leases.keptAlive(keep.lease());
                         }
                     });
-            answer(kept, alive -> new LeaseInput.Kept(alive, keep.askedAt()));
-        } else if (action instanceof LeaseAction.Revoke revoke) {
+            answer(kept, alive -> new LeaseInput.KeepAliveAnswered(alive, keep.askedAt()));
+        } else if (action instanceof LeaseAction.RevokeLease revoke) {
             store.revokeLease(revoke.lease());
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
@@ -3,8 +3,8 @@
 import io.damaskyoke.control.SameThreadControl;
 import io.damaskyoke.control.configuration.Model;
 import io.damaskyoke.control.configuration.Workspace;
-import io.damaskyoke.control.placement.PlacementWorld;
-import io.damaskyoke.control.placement.Policy;
+import io.damaskyoke.control.placement.PlacementPolicy;
+import io.damaskyoke.control.placement.PlacementSimulation;
 import io.damaskyoke.control.rates.RateInput;
 import io.damaskyoke.id.ModelName;
 import io.damaskyoke.id.VmId;
@@ -45,7 +45,7 @@
     private final FakeStore store = new FakeStore();
     private final KeyValueStore client;
     private final Messages messages;
-    private final PlacementWorld placement;
+    private final PlacementSimulation placement;
     private final ClaimWorld claims;
     private final Operators operators;
     private final Checks checks;
@@ -61,22 +61,22 @@
 
     /** How the world decides; all but the first are naive. */
     enum Variant {
-        OURS(Policy.OURS, null),
+        OURS(PlacementPolicy.OURS, null),
         /** The log's next entry is put, whatever stands there. */
-        LOG_PUT(Policy.OURS, "t/config/log/"),
+        LOG_PUT(PlacementPolicy.OURS, "t/config/log/"),
         /** A table of shares is put over whatever stands there. */
-        SHARES_PUT(Policy.OURS, "t/rates/"),
+        SHARES_PUT(PlacementPolicy.OURS, "t/rates/"),
         /** A shard of rights is put over whatever stands there. */
-        RIGHTS_PUT(Policy.OURS, "t/placement/"),
+        RIGHTS_PUT(PlacementPolicy.OURS, "t/placement/"),
         /** A claim is put over whatever stands there. */
-        CLAIMS_PUT(Policy.OURS, "/test"),
+        CLAIMS_PUT(PlacementPolicy.OURS, "/test"),
         /** Rights are taken on a timeout alone. */
-        TIMEOUTS(Policy.TIMEOUT_ONLY, null);
+        TIMEOUTS(PlacementPolicy.TIMEOUT_ONLY, null);
 
-        private final Policy policy;
+        private final PlacementPolicy policy;
         private final Optional<String> unconditional;
 
-        Variant(Policy policy, String unconditional) {
+        Variant(PlacementPolicy policy, String unconditional) {
             this.policy = policy;
             this.unconditional = Optional.ofNullable(unconditional);
         }
@@ -93,7 +93,7 @@
             routers.add(new MixedRouter(this, client, i, ++lives, claims.life(i)));
         }
         this.placement =
-                new PlacementWorld(
+                new PlacementSimulation(
                         seed + 3,
                         variant.policy,
                         client,
@@ -241,17 +241,17 @@
     }
 
     void loseVm(int vm, int steps) {
-        placement.loseVm(vm, steps);
+        placement.stopVm(vm, steps);
         claims.killAgent(vm % 2);
     }
 
     void killAgent(int vm) {
-        placement.killAgent(vm);
+        placement.crashAgent(vm);
         claims.killAgent(vm % 2);
     }
 
     void mislay(int vm, boolean away) {
-        placement.mislay(vm, away);
+        placement.omitFromList(vm, away);
         VmId router = routers.get(vm % ROUTERS).vm;
         if (away) {
             mislaid.add(router);
@@ -272,7 +272,7 @@
         passTokens();
         claims.replaceRouter(number);
         routers.set(number, new MixedRouter(this, client, number, ++lives, claims.life(number)));
-        placement.replaceRouter(number);
+        placement.restartRouter(number);
         freezeRouter(number, steps);
     }
 
@@ -307,7 +307,7 @@
         return messages;
     }
 
-    PlacementWorld placement() {
+    PlacementSimulation placement() {
         return placement;
     }
 
