--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
@@ -16,9 +16,9 @@
 public final class LeaseMachine implements Machine<LeaseInput, LeaseAction> {
     private final Duration term;
     private State state = State.FREE;
-    private long lease;
-    private Instant asked = Instant.MIN;
-    private Instant until = Instant.MIN;
+    private long leaseId;
+    private Instant lastRequestAt = Instant.MIN;
+    private Instant expiresAt = Instant.MIN;
 
     /**
      * Creates a machine that does not hold the lease.
@@ -45,18 +45,18 @@
      * store.
      */
     public boolean isHeld(Instant now) {
-        return state == State.HELD && now.isBefore(until);
+        return state == State.HELD && now.isBefore(expiresAt);
     }
 
     /** Returns the store's id of the lease that was granted last. */
     public long leaseId() {
-        return lease;
+        return leaseId;
     }
 
     @Override
     public List<LeaseAction> on(LeaseInput input, Instant now) {
-        if (state == State.HELD && !now.isBefore(until)) {
-            return lose();
+        if (state == State.HELD && !now.isBefore(expiresAt)) {
+            return stopLeading();
         }
         if (input instanceof LeaseInput.Tick) {
             return tick(now);
@@ -66,14 +66,14 @@
         }
         if (input instanceof LeaseInput.Granted granted && state == State.GRANTING) {
             state = State.ACQUIRING;
-            lease = granted.lease();
-            return List.of(new LeaseAction.AcquireKey(lease));
+            leaseId = granted.lease();
+            return List.of(new LeaseAction.AcquireKey(leaseId));
         }
         if (input instanceof LeaseInput.Acquired acquired && state == State.ACQUIRING) {
-            return acquired(acquired.won());
+            return onAcquired(acquired.won());
         }
-        if (input instanceof LeaseInput.KeepAliveAnswered kept && state == State.HELD) {
-            return kept(kept);
+        if (input instanceof LeaseInput.KeepAliveAnswered answer && state == State.HELD) {
+            return onKeepAliveAnswered(answer);
         }
         if (input instanceof LeaseInput.Failed && state != State.HELD) {
             state = State.FREE;
@@ -82,34 +82,34 @@
     }
 
     private List<LeaseAction> tick(Instant now) {
-        if (state == State.FREE && !now.isBefore(after(asked, term.dividedBy(2)))) {
+        if (state == State.FREE && !now.isBefore(dueAfter(lastRequestAt, term.dividedBy(2)))) {
             state = State.GRANTING;
-            asked = now;
+            lastRequestAt = now;
             return List.of(new LeaseAction.GrantLease(term));
         }
-        if (state == State.HELD && !now.isBefore(after(asked, term.dividedBy(4)))) {
-            asked = now;
-            return List.of(new LeaseAction.KeepAlive(lease, now));
+        if (state == State.HELD && !now.isBefore(dueAfter(lastRequestAt, term.dividedBy(4)))) {
+            lastRequestAt = now;
+            return List.of(new LeaseAction.KeepAlive(leaseId, now));
         }
         return List.of();
     }
 
-    private List<LeaseAction> acquired(boolean won) {
+    private List<LeaseAction> onAcquired(boolean won) {
         if (!won) {
             state = State.FREE;
-            return List.of(new LeaseAction.RevokeLease(lease));
+            return List.of(new LeaseAction.RevokeLease(leaseId));
         }
         state = State.HELD;
-        until = endOf(asked);
+        expiresAt = expiryFrom(lastRequestAt);
         return List.of(new LeaseAction.StartLeading());
     }
 
-    private List<LeaseAction> kept(LeaseInput.KeepAliveAnswered kept) {
-        if (!kept.alive()) {
-            return lose();
+    private List<LeaseAction> onKeepAliveAnswered(LeaseInput.KeepAliveAnswered answer) {
+        if (!answer.alive()) {
+            return stopLeading();
         }
-        Instant end = endOf(kept.askedAt());
-        until = end.isAfter(until) ? end : until;
+        Instant end = expiryFrom(answer.askedAt());
+        expiresAt = end.isAfter(expiresAt) ? end : expiresAt;
         return List.of();
     }
 
@@ -118,11 +118,11 @@
         boolean held = state == State.HELD;
         state = State.FREE;
         return held
-                ? List.of(new LeaseAction.RevokeLease(lease), new LeaseAction.StopLeading())
+                ? List.of(new LeaseAction.RevokeLease(leaseId), new LeaseAction.StopLeading())
                 : List.of();
     }
 
-    private List<LeaseAction> lose() {
+    private List<LeaseAction> stopLeading() {
         state = State.FREE;
         return List.of(new LeaseAction.StopLeading());
     }
@@ -130,11 +130,11 @@
     // The term counts from the moment at which the request was sent, since the store may have
     // started it then. A tenth of the term is kept as a margin for clocks that run at different
     // speeds.
-    private Instant endOf(Instant from) {
+    private Instant expiryFrom(Instant from) {
         return from.plus(term.multipliedBy(9).dividedBy(10));
     }
 
-    private static Instant after(Instant from, Duration time) {
+    private static Instant dueAfter(Instant from, Duration time) {
         return from.equals(Instant.MIN) ? from : from.plus(time);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementPlanner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementPlanner.java
@@ -34,7 +34,7 @@
     private final Duration goneAfter;
     private final Duration suspectTime;
     private final Map<VmId, Instant> absentSince = new HashMap<>();
-    private final Map<Mark, Instant> suspectedSince = new HashMap<>();
+    private final Map<Suspicion, Instant> suspectedSince = new HashMap<>();
 
     /**
      * Creates a planner.
@@ -62,14 +62,14 @@
      * @param models the models of the configuration in force
      * @param candidates the VMs that are listed and registered
      * @param listed every VM on the platform's list, including those that are leaving
-     * @param heard the VMs that this router has received messages from recently
+     * @param recentlyHeard the VMs that this router has received messages from recently
      */
     public record View(
             PlacementTable table,
             Map<ModelName, Model> models,
             List<Candidate> candidates,
             Set<VmId> listed,
-            Set<VmId> heard) {}
+            Set<VmId> recentlyHeard) {}
 
     /**
      * A replacement of one shard.
@@ -87,19 +87,19 @@
         if (!view.table().isRead()) {
             return List.of();
         }
-        noteAbsent(view, now);
-        noteSuspected(view, now);
-        Loads loads = new Loads(view);
-        Map<Integer, List<Model>> families = families(view.models());
-        Set<Integer> numbers = new HashSet<>(families.keySet());
+        recordAbsences(view, now);
+        recordSuspicions(view, now);
+        GrantedBytes grantedBytes = new GrantedBytes(view);
+        Map<Integer, List<Model>> modelsByShard = modelsByShard(view.models());
+        Set<Integer> numbers = new HashSet<>(modelsByShard.keySet());
         numbers.addAll(view.table().shards().keySet());
         List<Proposal> proposals = new ArrayList<>();
         for (int number : numbers.stream().sorted().toList()) {
             PlacementTable.Stored stored = view.table().shard(number);
-            Shard cleared = clear(stored, view, now);
+            Shard marked = withCurrentMarks(stored, view, now);
             Shard planned =
-                    new Grants(cleared, view, loads, now)
-                            .with(families.getOrDefault(number, List.of()));
+                    new ShardPlanner(marked, view, grantedBytes, now)
+                            .planFor(modelsByShard.getOrDefault(number, List.of()));
             if (!planned.equals(stored.shard())) {
                 proposals.add(new Proposal(number, stored.shard(), planned, stored.modRevision()));
             }
@@ -107,24 +107,25 @@
         return proposals;
     }
 
-    private static Map<Integer, List<Model>> families(Map<ModelName, Model> models) {
-        Map<Integer, List<Model>> families = new TreeMap<>();
+    private static Map<Integer, List<Model>> modelsByShard(Map<ModelName, Model> models) {
+        Map<Integer, List<Model>> modelsByShard = new TreeMap<>();
         models.values().stream()
                 .sorted(
                         Comparator.comparing((Model model) -> model.base().isPresent())
                                 .thenComparing(model -> model.name().value()))
                 .forEach(
                         model ->
-                                families.computeIfAbsent(
+                                modelsByShard
+                                        .computeIfAbsent(
                                                 Shard.numberOf(model.base().orElse(model.name())),
                                                 number -> new ArrayList<>())
                                         .add(model));
-        return families;
+        return modelsByShard;
     }
 
-    private void noteAbsent(View view, Instant now) {
+    private void recordAbsences(View view, Instant now) {
         Set<VmId> holders = new HashSet<>();
-        view.table().allGrants().forEach(right -> holders.add(right.vm()));
+        view.table().allGrants().forEach(grant -> holders.add(grant.vm()));
         Set<VmId> absent = new HashSet<>(holders);
         absent.removeAll(view.listed());
         // A truncated platform list makes most of the fleet look gone. All grants would move at
@@ -134,50 +135,50 @@
         if (absent.size() > 1 && absent.size() * 2 > holders.size()) {
             absent.clear();
         }
-        absent.removeAll(view.heard());
+        absent.removeAll(view.recentlyHeard());
         absent.removeAll(clearedByOthers(view));
         absentSince.keySet().retainAll(absent);
         absent.forEach(vm -> absentSince.putIfAbsent(vm, now));
     }
 
     private Set<VmId> clearedByOthers(View view) {
-        Set<Long> mine = new HashSet<>();
-        suspectedSince.keySet().forEach(mark -> mine.add(mark.fencing()));
+        Set<Long> ownSuspicions = new HashSet<>();
+        suspectedSince.keySet().forEach(suspicion -> ownSuspicions.add(suspicion.fencing()));
         Set<VmId> cleared = new HashSet<>();
         view.table()
                 .allGrants()
-                .filter(right -> !right.suspected() && mine.contains(right.fencing()))
-                .forEach(right -> cleared.add(right.vm()));
+                .filter(grant -> !grant.suspected() && ownSuspicions.contains(grant.fencing()))
+                .forEach(grant -> cleared.add(grant.vm()));
         return cleared;
     }
 
     // The period starts again whenever the shard was written. Otherwise a suspicion that was
     // cleared and raised again between two reads would seem to have been visible all the time.
-    private void noteSuspected(View view, Instant now) {
-        Set<Mark> suspected = new HashSet<>();
+    private void recordSuspicions(View view, Instant now) {
+        Set<Suspicion> suspected = new HashSet<>();
         for (PlacementTable.Stored stored : view.table().shards().values()) {
             stored.shard().grants().stream()
                     .filter(ReplicaGrant::suspected)
-                    .forEach(right -> suspected.add(new Mark(right.fencing(), stored)));
+                    .forEach(grant -> suspected.add(new Suspicion(grant.fencing(), stored)));
         }
         suspectedSince.keySet().retainAll(suspected);
-        suspected.forEach(mark -> suspectedSince.putIfAbsent(mark, now));
+        suspected.forEach(suspicion -> suspectedSince.putIfAbsent(suspicion, now));
     }
 
-    private Shard clear(PlacementTable.Stored stored, View view, Instant now) {
+    private Shard withCurrentMarks(PlacementTable.Stored stored, View view, Instant now) {
         return stored.shard()
-                .without(right -> isTaken(right, stored, now))
-                .map(right -> right.withSuspected(isGone(right.vm(), now)))
-                .map(right -> mustGo(right, view) ? right.withReleasing() : right);
+                .without(grant -> isRevocable(grant, stored, now))
+                .map(grant -> grant.withSuspected(isGone(grant.vm(), now)))
+                .map(grant -> mustRelease(grant, view) ? grant.withReleasing() : grant);
     }
 
     // A grant is revoked only after every process has had time to see the suspicion and to clear
     // it. A timeout alone would revoke the grant of a VM that is merely slow, and two VMs would
     // hold the model.
-    private boolean isTaken(ReplicaGrant right, PlacementTable.Stored stored, Instant now) {
-        Instant since = suspectedSince.get(new Mark(right.fencing(), stored));
-        return right.suspected()
-                && isGone(right.vm(), now)
+    private boolean isRevocable(ReplicaGrant grant, PlacementTable.Stored stored, Instant now) {
+        Instant since = suspectedSince.get(new Suspicion(grant.fencing(), stored));
+        return grant.suspected()
+                && isGone(grant.vm(), now)
                 && since != null
                 && !now.isBefore(since.plus(suspectTime));
     }
@@ -188,11 +189,11 @@
     }
 
     // A VM without a visible registration keeps its grants: a missing registration proves nothing.
-    private static boolean mustGo(ReplicaGrant right, View view) {
-        Model model = view.models().get(right.model());
+    private static boolean mustRelease(ReplicaGrant grant, View view) {
+        Model model = view.models().get(grant.model());
         return model == null
                 || view.candidates().stream()
-                        .filter(candidate -> candidate.vm().equals(right.vm()))
+                        .filter(candidate -> candidate.vm().equals(grant.vm()))
                         .anyMatch(
                                 candidate ->
                                         candidate.leaving()
@@ -200,20 +201,20 @@
     }
 
     /** A suspicion of one grant, as it stood at one revision of its shard. */
-    private record Mark(long fencing, long modRevision) {
-        Mark(long fencing, PlacementTable.Stored stored) {
+    private record Suspicion(long fencing, long modRevision) {
+        Suspicion(long fencing, PlacementTable.Stored stored) {
             this(fencing, stored.modRevision());
         }
     }
 
     /** Counts how many bytes each VM may have to hold for its grants. */
-    private static final class Loads {
+    private static final class GrantedBytes {
         private final Map<VmId, Long> bytes = new HashMap<>();
 
-        Loads(View view) {
+        GrantedBytes(View view) {
             view.table()
                     .allGrants()
-                    .forEach(right -> add(right.vm(), view.models().get(right.model())));
+                    .forEach(grant -> add(grant.vm(), view.models().get(grant.model())));
         }
 
         void add(VmId vm, Model model) {
@@ -226,93 +227,96 @@
     }
 
     /** Adapts the grants of one shard to the configuration. */
-    private static final class Grants {
+    private static final class ShardPlanner {
         private final View view;
-        private final Loads loads;
+        private final GrantedBytes grantedBytes;
         private final Instant now;
-        private final List<ReplicaGrant> rights;
+        private final List<ReplicaGrant> grants;
         private long lastFencing;
 
-        Grants(Shard shard, View view, Loads loads, Instant now) {
+        ShardPlanner(Shard shard, View view, GrantedBytes grantedBytes, Instant now) {
             this.view = view;
-            this.loads = loads;
+            this.grantedBytes = grantedBytes;
             this.now = now;
-            this.rights = new ArrayList<>(shard.grants());
+            this.grants = new ArrayList<>(shard.grants());
             this.lastFencing = shard.lastFencing();
         }
 
-        Shard with(List<Model> models) {
+        Shard planFor(List<Model> models) {
             for (Model model : models) {
                 releaseSurplus(model);
                 grant(model);
             }
-            return new Shard(lastFencing, rights);
+            return new Shard(lastFencing, grants);
         }
 
         private void releaseSurplus(Model model) {
             List<ReplicaGrant> usable = usable(model.name());
             for (int i = 0; i < usable.size(); i++) {
-                ReplicaGrant right = usable.get(i);
-                boolean baseGone =
+                ReplicaGrant grant = usable.get(i);
+                boolean baseMissing =
                         model.base().isPresent()
                                 && usable(model.base().get()).stream()
-                                        .noneMatch(base -> base.vm().equals(right.vm()));
-                if (i >= model.maxReplicas() || baseGone) {
-                    rights.set(rights.indexOf(right), right.withReleasing());
+                                        .noneMatch(base -> base.vm().equals(grant.vm()));
+                if (i >= model.maxReplicas() || baseMissing) {
+                    grants.set(grants.indexOf(grant), grant.withReleasing());
                 }
             }
         }
 
         private void grant(Model model) {
-            long held = of(model.name()).size();
-            while (held < model.maxReplicas()) {
-                List<Candidate> choice = choice(model);
-                if (choice.isEmpty()) {
+            long count = grantsOf(model.name()).size();
+            while (count < model.maxReplicas()) {
+                List<Candidate> eligible = eligible(model);
+                if (eligible.isEmpty()) {
                     return;
                 }
-                VmId vm = choice.get(0).vm();
+                VmId vm = eligible.get(0).vm();
                 lastFencing = Math.max(lastFencing + 1, now.toEpochMilli());
-                rights.add(ReplicaGrant.of(model.name(), vm, lastFencing));
-                loads.add(vm, model);
-                held++;
+                grants.add(ReplicaGrant.of(model.name(), vm, lastFencing));
+                grantedBytes.add(vm, model);
+                count++;
             }
         }
 
-        private List<Candidate> choice(Model model) {
+        private List<Candidate> eligible(Model model) {
             return view.candidates().stream()
                     .filter(candidate -> !candidate.leaving())
                     .filter(candidate -> candidate.pool().equals(model.pool()))
-                    .filter(candidate -> of(model.name()).stream().noneMatch(at(candidate.vm())))
+                    .filter(
+                            candidate ->
+                                    grantsOf(model.name()).stream().noneMatch(onVm(candidate.vm())))
                     .filter(candidate -> hasBase(model, candidate.vm()))
                     .sorted(
                             Comparator.comparingLong(
-                                            (Candidate candidate) -> inZone(model, candidate))
-                                    .thenComparingLong(candidate -> loads.of(candidate.vm()))
+                                            (Candidate candidate) ->
+                                                    replicasInZone(model, candidate))
+                                    .thenComparingLong(candidate -> grantedBytes.of(candidate.vm()))
                                     .thenComparing(candidate -> candidate.vm().value()))
                     .toList();
         }
 
         private boolean hasBase(Model model, VmId vm) {
-            return model.base().map(base -> usable(base).stream().anyMatch(at(vm))).orElse(true);
+            return model.base().map(base -> usable(base).stream().anyMatch(onVm(vm))).orElse(true);
         }
 
-        private long inZone(Model model, Candidate candidate) {
+        private long replicasInZone(Model model, Candidate candidate) {
             return view.candidates().stream()
                     .filter(other -> other.zone().equals(candidate.zone()))
-                    .filter(other -> of(model.name()).stream().anyMatch(at(other.vm())))
+                    .filter(other -> grantsOf(model.name()).stream().anyMatch(onVm(other.vm())))
                     .count();
         }
 
-        private static Predicate<ReplicaGrant> at(VmId vm) {
-            return right -> right.vm().equals(vm);
+        private static Predicate<ReplicaGrant> onVm(VmId vm) {
+            return grant -> grant.vm().equals(vm);
         }
 
-        private List<ReplicaGrant> of(ModelName model) {
-            return rights.stream().filter(right -> right.model().equals(model)).toList();
+        private List<ReplicaGrant> grantsOf(ModelName model) {
+            return grants.stream().filter(grant -> grant.model().equals(model)).toList();
         }
 
         private List<ReplicaGrant> usable(ModelName model) {
-            return of(model).stream().filter(ReplicaGrant::usable).toList();
+            return grantsOf(model).stream().filter(ReplicaGrant::usable).toList();
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementStore.java
@@ -24,11 +24,11 @@
  * if that value is still stored. A caller that gets no clear answer reads the table again.
  */
 public final class PlacementStore {
-    private static final String FOLDER = "/placement/";
-    private static final String VERSION = "/placement-version";
-    private static final String LEASE = "/placement-lease";
+    private static final String SHARD_PREFIX = "/placement/";
+    private static final String VERSION_KEY = "/placement-version";
+    private static final String LEASE_KEY = "/placement-lease";
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_VALUE = {};
 
     private final KeyValueStore store;
     private final String prefix;
@@ -41,13 +41,13 @@
 
     /** Returns a number that changes with every write of a shard; 0 before the first write. */
     public CompletionStage<Long> version() {
-        return store.read(prefix + VERSION)
+        return store.read(prefix + VERSION_KEY)
                 .thenApply(entry -> entry.map(KeyValueStore.Entry::modRevision).orElse(0L));
     }
 
     /** Reads the whole table in one call. */
     public CompletionStage<PlacementTable> read() {
-        return store.list(prefix + FOLDER).thenApply(this::table);
+        return store.list(prefix + SHARD_PREFIX).thenApply(this::table);
     }
 
     /**
@@ -57,7 +57,7 @@
      */
     public CompletionStage<Boolean> applyProposal(
             PlacementPlanner.Proposal proposal, Configuration configuration) {
-        check(
+        requireLegal(
                 ShardTransition.findPlannerViolation(
                         proposal.read(),
                         proposal.value(),
@@ -65,9 +65,13 @@
         // A planner with an old configuration would grant more than the newest one allows. The log
         // has one key per sequence number, so if the next one is absent, there is no newer
         // configuration.
-        Condition newest =
+        Condition noNewerConfiguration =
                 new Condition.Absent(LogKeys.entry(prefix, configuration.sequence() + 1));
-        return swap(proposal.shard(), proposal.value(), proposal.modRevision(), List.of(newest));
+        return swap(
+                proposal.shard(),
+                proposal.value(),
+                proposal.modRevision(),
+                List.of(noNewerConfiguration));
     }
 
     /**
@@ -82,28 +86,28 @@
     public CompletionStage<Boolean> changeGrants(
             int number, PlacementTable.Stored read, VmId holder, UnaryOperator<Shard> change) {
         Shard value = change.apply(read.shard());
-        check(ShardTransition.findHolderViolation(read.shard(), value, holder));
+        requireLegal(ShardTransition.findHolderViolation(read.shard(), value, holder));
         return swap(number, value, read.modRevision(), List.of());
     }
 
     /** Writes the planner's key under the lease; returns false if another process holds it. */
     public CompletionStage<Boolean> acquireLease(long lease, byte[] holder) {
         return store.commit(
-                        List.of(new Condition.Absent(prefix + LEASE)),
-                        List.of(new Write.Put(prefix + LEASE, holder, lease)))
+                        List.of(new Condition.Absent(prefix + LEASE_KEY)),
+                        List.of(new Write.Put(prefix + LEASE_KEY, holder, lease)))
                 .thenApply(KeyValueStore.TxnResult::committed);
     }
 
     private CompletionStage<Boolean> swap(
-            int number, Shard value, long modRevision, List<Condition> more) {
+            int number, Shard value, long modRevision, List<Condition> extraConditions) {
         String key = key(number);
-        List<Condition> conditions = new ArrayList<>(more);
+        List<Condition> conditions = new ArrayList<>(extraConditions);
         conditions.add(
                 modRevision == 0
                         ? new Condition.Absent(key)
                         : new Condition.Unchanged(key, modRevision));
         Write shard = new Write.Put(key, value.toJson(), 0);
-        Write version = new Write.Put(prefix + VERSION, NOTHING, 0);
+        Write version = new Write.Put(prefix + VERSION_KEY, EMPTY_VALUE, 0);
         return store.commit(conditions, List.of(shard, version))
                 .thenApply(KeyValueStore.TxnResult::committed);
     }
@@ -112,19 +116,19 @@
         Map<Integer, PlacementTable.Stored> shards = new HashMap<>();
         for (KeyValueStore.Entry entry : listing.entries()) {
             shards.put(
-                    number(entry.key()),
+                    shardNumber(entry.key()),
                     new PlacementTable.Stored(Shard.parse(entry.value()), entry.modRevision()));
         }
         return new PlacementTable(listing.revision(), shards);
     }
 
     private String key(int number) {
-        return prefix + FOLDER + String.format(Locale.ROOT, "%03d", number);
+        return prefix + SHARD_PREFIX + String.format(Locale.ROOT, "%03d", number);
     }
 
-    private int number(String key) {
+    private int shardNumber(String key) {
         try {
-            return Integer.parseInt(key.substring((prefix + FOLDER).length()));
+            return Integer.parseInt(key.substring((prefix + SHARD_PREFIX).length()));
         } catch (NumberFormatException e) {
             throw new PlacementException(
                     PlacementException.Code.UNREADABLE,
@@ -138,9 +142,9 @@
         return model == null ? 0 : model.maxReplicas();
     }
 
-    private static void check(Optional<String> wrong) {
-        if (wrong.isPresent()) {
-            throw new PlacementException(PlacementException.Code.ILLEGAL_CHANGE, wrong.get());
+    private static void requireLegal(Optional<String> violation) {
+        if (violation.isPresent()) {
+            throw new PlacementException(PlacementException.Code.ILLEGAL_CHANGE, violation.get());
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PlacementTable.java
@@ -45,7 +45,7 @@
 
     /** Returns all grants of a VM. */
     public List<ReplicaGrant> grantsOf(VmId vm) {
-        return allGrants().filter(right -> right.vm().equals(vm)).toList();
+        return allGrants().filter(grant -> grant.vm().equals(vm)).toList();
     }
 
     /** Returns, for each model, the VMs that hold a usable grant for it. */
@@ -54,9 +54,9 @@
         allGrants()
                 .filter(ReplicaGrant::usable)
                 .forEach(
-                        right ->
-                                holders.computeIfAbsent(right.model(), name -> new TreeSet<>())
-                                        .add(right.vm()));
+                        grant ->
+                                holders.computeIfAbsent(grant.model(), name -> new TreeSet<>())
+                                        .add(grant.vm()));
         return holders;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingInterval.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingInterval.java
@@ -9,7 +9,7 @@
  */
 public final class PollingInterval {
     /** Reads per second of all processes together; the store serves 2,000. */
-    public static final int BUDGET = 700;
+    public static final int MAX_READS_PER_SECOND = 700;
 
     /** The interval between reads in a small fleet. */
     public static final Duration SHORTEST = Duration.ofSeconds(1);
@@ -21,7 +21,7 @@
      */
     public static final Duration LONGEST = Duration.ofSeconds(4);
 
-    private static final double JITTER = 0.1;
+    private static final double JITTER_FRACTION = 0.1;
 
     private final Random random;
 
@@ -36,8 +36,9 @@
      * @param processes the number of routers and agents in the deployment
      */
     public Duration next(int processes) {
-        long share = 1_000L * processes / BUDGET;
-        long millis = Math.min(LONGEST.toMillis(), Math.max(SHORTEST.toMillis(), share));
-        return Duration.ofMillis((long) (millis * (1 + JITTER * (2 * random.nextDouble() - 1))));
+        long fairMillis = 1_000L * processes / MAX_READS_PER_SECOND;
+        long millis = Math.min(LONGEST.toMillis(), Math.max(SHORTEST.toMillis(), fairMillis));
+        return Duration.ofMillis(
+                (long) (millis * (1 + JITTER_FRACTION * (2 * random.nextDouble() - 1))));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingPlacementFeed.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingPlacementFeed.java
@@ -25,25 +25,25 @@
 
     private final Control control;
     private final PlacementStore store;
-    private final Supplier<Duration> pause;
+    private final Supplier<Duration> interval;
     private final Metrics metrics;
     private Consumer<PlacementTable> listener = table -> {};
     private PlacementTable table = PlacementTable.UNREAD;
     private long version = -1;
-    private Instant due = Instant.MIN;
+    private Instant nextReadAt = Instant.MIN;
     private boolean reading;
-    private final List<Runnable> next = new ArrayList<>();
+    private final List<Runnable> waitingSteps = new ArrayList<>();
 
     /**
      * Creates a feed.
      *
-     * @param pause returns the wait until the next read; called before each read
+     * @param interval returns the wait until the next read; called before each read
      */
     public PollingPlacementFeed(
-            Control control, PlacementStore store, Supplier<Duration> pause, Metrics metrics) {
+            Control control, PlacementStore store, Supplier<Duration> interval, Metrics metrics) {
         this.control = control;
         this.store = store;
-        this.pause = pause;
+        this.interval = interval;
         this.metrics = metrics;
     }
 
@@ -55,7 +55,7 @@
     }
 
     private void tick() {
-        if (!control.clock().instant().isBefore(due)) {
+        if (!control.clock().instant().isBefore(nextReadAt)) {
             refresh();
         }
     }
@@ -64,7 +64,7 @@
     // have seen the store as it was before the step's reason arose.
     @Override
     public void refresh(Runnable afterwards) {
-        next.add(afterwards);
+        waitingSteps.add(afterwards);
         if (!reading) {
             read();
         }
@@ -72,32 +72,36 @@
 
     private void read() {
         reading = true;
-        due = control.clock().instant().plus(pause.get());
-        List<Runnable> steps = List.copyOf(next);
-        next.clear();
-        look().whenComplete((found, failure) -> control.run(() -> ended(found, failure, steps)));
+        nextReadAt = control.clock().instant().plus(interval.get());
+        List<Runnable> steps = List.copyOf(waitingSteps);
+        waitingSteps.clear();
+        readIfChanged()
+                .whenComplete(
+                        (result, failure) -> control.run(() -> finishRead(result, failure, steps)));
     }
 
     // Every write of a shard sets the version in the same transaction. The version is read before
     // the table, so a write in between shows as a new version at the next read, and none is missed.
-    private CompletionStage<Look> look() {
+    private CompletionStage<VersionedTable> readIfChanged() {
         PlacementTable known = table;
         long before = version;
         return store.version()
                 .thenCompose(
                         now ->
                                 now == before
-                                        ? CompletableFuture.completedFuture(new Look(now, known))
-                                        : store.read().thenApply(read -> new Look(now, read)));
+                                        ? CompletableFuture.completedFuture(
+                                                new VersionedTable(now, known))
+                                        : store.read()
+                                                .thenApply(read -> new VersionedTable(now, read)));
     }
 
-    private record Look(long version, PlacementTable table) {}
+    private record VersionedTable(long version, PlacementTable table) {}
 
-    private void ended(Look found, Throwable failure, List<Runnable> steps) {
+    private void finishRead(VersionedTable result, Throwable failure, List<Runnable> steps) {
         reading = false;
-        take(found, failure);
+        update(result, failure);
         steps.forEach(Runnable::run);
-        if (!reading && !next.isEmpty()) {
+        if (!reading && !waitingSteps.isEmpty()) {
             read();
         }
     }
@@ -105,12 +109,12 @@
     // An older table would bring back a grant that its holder has released, and two VMs would load
     // the model, so the revision only grows. A known table is passed to the listener again at each
     // read, since the listener may by now receive messages from a VM that it did not reach before.
-    private void take(Look found, Throwable failure) {
+    private void update(VersionedTable result, Throwable failure) {
         if (failure != null) {
             metrics.count("placement_read_failures");
-        } else if (found.table().revision() >= table.revision()) {
-            table = found.table();
-            version = found.version();
+        } else if (result.table().revision() >= table.revision()) {
+            table = result.table();
+            version = result.version();
             listener.accept(table);
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/ReplicaGrant.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/ReplicaGrant.java
@@ -36,8 +36,8 @@
         return new ReplicaGrant(model, vm, fencing, true, suspected);
     }
 
-    ReplicaGrant withSuspected(boolean mark) {
-        return new ReplicaGrant(model, vm, fencing, releasing, mark);
+    ReplicaGrant withSuspected(boolean value) {
+        return new ReplicaGrant(model, vm, fencing, releasing, value);
     }
 
     boolean isSameGrant(ReplicaGrant other) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Shard.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/Shard.java
@@ -25,8 +25,8 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Comparator<ReplicaGrant> ORDER =
-            Comparator.comparing((ReplicaGrant right) -> right.model().value())
-                    .thenComparing(right -> right.vm().value());
+            Comparator.comparing((ReplicaGrant grant) -> grant.model().value())
+                    .thenComparing(grant -> grant.vm().value());
 
     /** The value of a shard that was never written. */
     public static final Shard EMPTY = new Shard(0, List.of());
@@ -54,7 +54,7 @@
     /** Returns the stored JSON form. */
     public byte[] toJson() {
         try {
-            List<StoredRight> stored = grants.stream().map(StoredRight::of).toList();
+            List<StoredGrant> stored = grants.stream().map(StoredGrant::of).toList();
             return JSON.writeValueAsBytes(new Stored(lastFencing, stored));
         } catch (JsonProcessingException e) {
             throw new PlacementException(
@@ -67,7 +67,7 @@
         try {
             Stored stored = JSON.readValue(json, Stored.class);
             return new Shard(
-                    stored.fencing(), stored.grants().stream().map(StoredRight::right).toList());
+                    stored.fencing(), stored.grants().stream().map(StoredGrant::grant).toList());
         } catch (IOException | IllegalArgumentException e) {
             throw new PlacementException(
                     PlacementException.Code.UNREADABLE,
@@ -78,25 +78,25 @@
 
     private record Stored(
             @JsonProperty("fencing") long fencing,
-            @JsonProperty("rights") List<StoredRight> grants) {}
+            @JsonProperty("rights") List<StoredGrant> grants) {}
 
     @JsonInclude(JsonInclude.Include.NON_DEFAULT)
-    private record StoredRight(
+    private record StoredGrant(
             @JsonProperty("model") String model,
             @JsonProperty("vm") String vm,
             @JsonProperty("fencing") long fencing,
             @JsonProperty("releasing") boolean releasing,
             @JsonProperty("suspected") boolean suspected) {
-        static StoredRight of(ReplicaGrant right) {
-            return new StoredRight(
-                    right.model().value(),
-                    right.vm().value(),
-                    right.fencing(),
-                    right.releasing(),
-                    right.suspected());
+        static StoredGrant of(ReplicaGrant grant) {
+            return new StoredGrant(
+                    grant.model().value(),
+                    grant.vm().value(),
+                    grant.fencing(),
+                    grant.releasing(),
+                    grant.suspected());
         }
 
-        ReplicaGrant right() {
+        ReplicaGrant grant() {
             return new ReplicaGrant(
                     ModelName.of(model), VmId.of(vm), fencing, releasing, suspected);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/ShardTransition.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/ShardTransition.java
@@ -37,7 +37,7 @@
                 return Optional.of("a grant marked releasing must keep the mark: " + before);
             }
         }
-        return grants(read, proposed, maxReplicas);
+        return findGrantViolation(read, proposed, maxReplicas);
     }
 
     /**
@@ -57,54 +57,54 @@
                 return Optional.of("only a planner may mark a grant as releasing: " + before);
             }
         }
-        return grants(read, proposed, model -> 0);
+        return findGrantViolation(read, proposed, model -> 0);
     }
 
-    private static Optional<String> grants(
+    private static Optional<String> findGrantViolation(
             Shard read, Shard proposed, ToIntFunction<ModelName> maxReplicas) {
         if (proposed.lastFencing() < read.lastFencing()) {
             return Optional.of("the highest fencing token must not decrease");
         }
         Set<Long> numbers = new HashSet<>();
-        for (ReplicaGrant right : proposed.grants()) {
-            boolean isNew = find(read, right).isEmpty();
-            if (isNew && !isFresh(right, read, proposed, numbers)) {
-                return Optional.of("a new grant needs a new fencing token: " + right);
+        for (ReplicaGrant grant : proposed.grants()) {
+            boolean isNew = find(read, grant).isEmpty();
+            if (isNew && !hasNewFencing(grant, read, proposed, numbers)) {
+                return Optional.of("a new grant needs a new fencing token: " + grant);
             }
-            if (isNew && count(proposed, right.model()) > maxReplicas.applyAsInt(right.model())) {
+            if (isNew && count(proposed, grant.model()) > maxReplicas.applyAsInt(grant.model())) {
                 return Optional.of(
-                        "more grants than maxReplicas allows for model " + right.model());
+                        "more grants than maxReplicas allows for model " + grant.model());
             }
-            if (isNew && isTwice(proposed, right)) {
-                return Optional.of("two grants for one model on one VM: " + right);
+            if (isNew && isDuplicate(proposed, grant)) {
+                return Optional.of("two grants for one model on one VM: " + grant);
             }
         }
         return Optional.empty();
     }
 
-    private static boolean isFresh(
-            ReplicaGrant right, Shard read, Shard proposed, Set<Long> numbers) {
-        return right.fencing() > read.lastFencing()
-                && right.fencing() <= proposed.lastFencing()
-                && numbers.add(right.fencing());
+    private static boolean hasNewFencing(
+            ReplicaGrant grant, Shard read, Shard proposed, Set<Long> numbers) {
+        return grant.fencing() > read.lastFencing()
+                && grant.fencing() <= proposed.lastFencing()
+                && numbers.add(grant.fencing());
     }
 
-    private static boolean isTwice(Shard shard, ReplicaGrant right) {
-        return rights(shard, right.model()).stream()
-                        .filter(other -> other.vm().equals(right.vm()))
+    private static boolean isDuplicate(Shard shard, ReplicaGrant grant) {
+        return grantsOf(shard, grant.model()).stream()
+                        .filter(other -> other.vm().equals(grant.vm()))
                         .count()
                 > 1;
     }
 
     private static int count(Shard shard, ModelName model) {
-        return rights(shard, model).size();
+        return grantsOf(shard, model).size();
     }
 
-    private static List<ReplicaGrant> rights(Shard shard, ModelName model) {
-        return shard.grants().stream().filter(right -> right.model().equals(model)).toList();
+    private static List<ReplicaGrant> grantsOf(Shard shard, ModelName model) {
+        return shard.grants().stream().filter(grant -> grant.model().equals(model)).toList();
     }
 
-    private static Optional<ReplicaGrant> find(Shard shard, ReplicaGrant right) {
-        return shard.grants().stream().filter(right::isSameGrant).findFirst();
+    private static Optional<ReplicaGrant> find(Shard shard, ReplicaGrant grant) {
+        return shard.grants().stream().filter(grant::isSameGrant).findFirst();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
@@ -23,24 +23,24 @@
  */
 public final class OutageConfirmation implements Machine<OutageInput, OutageAction> {
     /** The number of routers up to which each relay asks all; see docs/design/configuration.md. */
-    public static final int MOST_ROUTERS = 64;
+    public static final int MAX_ROUTERS = 64;
 
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
-    private static final Duration PERIOD = Duration.ofSeconds(1);
-    private static final long FIRST_NUMBER = 1L << 62;
+    private static final Duration MAX_UNCONFIRMED = Duration.ofSeconds(3);
+    private static final Duration QUESTION_INTERVAL = Duration.ofSeconds(1);
+    private static final long FIRST_QUESTION_NUMBER = 1L << 62;
 
     private final VmId self;
-    private final Map<Long, Asked> asked = new HashMap<>();
-    private final Map<VmId, Heard> heard = new HashMap<>();
+    private final Map<Long, Question> questions = new HashMap<>();
+    private final Map<VmId, Answer> answers = new HashMap<>();
     private final RouterRoster roster = new RouterRoster();
     private Set<VmId> listed = Set.of();
     private Optional<Instant> confirmed = Optional.empty();
-    private Instant due = Instant.MIN;
-    private long lastNumber = FIRST_NUMBER;
+    private Instant nextQuestionsAt = Instant.MIN;
+    private long lastQuestion = FIRST_QUESTION_NUMBER;
 
-    private record Asked(VmId router, Instant at) {}
+    private record Question(VmId router, Instant at) {}
 
-    private record Heard(Instant askedAt, long head) {}
+    private record Answer(Instant askedAt, long head) {}
 
     private OutageConfirmation(VmId self) {
         this.self = self;
@@ -55,7 +55,7 @@
      * Returns true if this number belongs to a question of such a machine, not to a relay's probe.
      */
     public static boolean isOutageQuestion(long number) {
-        return number > FIRST_NUMBER;
+        return number > FIRST_QUESTION_NUMBER;
     }
 
     @Override
@@ -66,9 +66,9 @@
         } else if (input instanceof OutageInput.Confirmed other) {
             confirmedElsewhere(other.asOf());
         } else if (input instanceof OutageInput.RouterAnswered answer) {
-            take(answer, now);
+            acceptAnswer(answer, now);
         } else if (input instanceof OutageInput.Tick tick) {
-            return tick(tick.self(), now);
+            return tick(tick.ownState(), now);
         }
         return List.of();
     }
@@ -80,32 +80,33 @@
         }
     }
 
-    private void take(OutageInput.RouterAnswered answer, Instant now) {
-        Asked ask = asked.remove(answer.number());
-        if (ask == null || !ask.router().equals(answer.from())) {
+    private void acceptAnswer(OutageInput.RouterAnswered answer, Instant now) {
+        Question question = questions.remove(answer.number());
+        if (question == null || !question.router().equals(answer.from())) {
             return;
         }
-        OutageInput.RouterState word = answer.state();
-        boolean firstLife = roster.isFirstIncarnation(answer.from(), answer.incarnation(), now);
-        if (word.settled() && (word.confirmedInThisIncarnation() || firstLife)) {
-            heard.merge(
+        OutageInput.RouterState state = answer.state();
+        boolean firstIncarnation =
+                roster.isFirstIncarnation(answer.from(), answer.incarnation(), now);
+        if (state.settled() && (state.confirmedInThisIncarnation() || firstIncarnation)) {
+            answers.merge(
                     answer.from(),
-                    new Heard(ask.at(), word.head()),
+                    new Answer(question.at(), state.head()),
                     (old, fresh) -> old.askedAt().isAfter(fresh.askedAt()) ? old : fresh);
         }
     }
 
     private List<OutageAction> tick(OutageInput.RouterState own, Instant now) {
-        boolean sighted = confirmed.filter(roster::isGaplessSince).isPresent();
+        boolean gapless = confirmed.filter(roster::isGaplessSince).isPresent();
         boolean possible =
-                sighted && listed.contains(self) && roster.routers().size() <= MOST_ROUTERS;
+                gapless && listed.contains(self) && roster.routers().size() <= MAX_ROUTERS;
         if (!isNeeded(now) || !possible) {
             return List.of();
         }
         List<OutageAction> actions = new ArrayList<>();
         confirm(own, actions);
-        if (!now.isBefore(due)) {
-            due = now.plus(PERIOD);
+        if (!now.isBefore(nextQuestionsAt)) {
+            nextQuestionsAt = now.plus(QUESTION_INTERVAL);
             askAll(now, actions);
         }
         return actions;
@@ -116,7 +117,7 @@
      * routers asked.
      */
     public boolean isNeeded(Instant now) {
-        return confirmed.filter(at -> now.isAfter(at.plus(PATIENCE))).isPresent();
+        return confirmed.filter(at -> now.isAfter(at.plus(MAX_UNCONFIRMED))).isPresent();
     }
 
     private void confirm(OutageInput.RouterState own, List<OutageAction> actions) {
@@ -126,12 +127,12 @@
         Instant asOf = roster.lastRead().orElse(Instant.MIN);
         long head = own.head();
         for (VmId router : others()) {
-            Heard word = heard.get(router);
-            if (word == null) {
+            Answer known = answers.get(router);
+            if (known == null) {
                 return;
             }
-            asOf = asOf.isBefore(word.askedAt()) ? asOf : word.askedAt();
-            head = Math.max(head, word.head());
+            asOf = asOf.isBefore(known.askedAt()) ? asOf : known.askedAt();
+            head = Math.max(head, known.head());
         }
         // If this router is behind another one, the missing entries are being delivered, and a
         // later tick confirms.
@@ -142,10 +143,10 @@
     }
 
     private void askAll(Instant now, List<OutageAction> actions) {
-        asked.values().removeIf(ask -> ask.at().plus(PATIENCE).isBefore(now));
+        questions.values().removeIf(question -> question.at().plus(MAX_UNCONFIRMED).isBefore(now));
         for (VmId router : others()) {
-            asked.put(++lastNumber, new Asked(router, now));
-            actions.add(new OutageAction.AskRouter(router, lastNumber));
+            questions.put(++lastQuestion, new Question(router, now));
+            actions.add(new OutageAction.AskRouter(router, lastQuestion));
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageInput.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageInput.java
@@ -19,9 +19,9 @@
     /**
      * Time has passed.
      *
-     * @param self the state that this router would answer now
+     * @param ownState the state that this router would answer now
      */
-    record Tick(RouterState self) implements OutageInput {}
+    record Tick(RouterState ownState) implements OutageInput {}
 
     /**
      * A router answered a question.
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RegistrationTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RegistrationTable.java
@@ -15,17 +15,17 @@
  * earlier revisions.
  *
  * <p>Revisions are those of the store, so a process may take its next changes from another relay.
- * The last {@value #MOST_REMOVALS} removals are remembered; a follower whose revision is older than
+ * The last {@value #MAX_REMOVALS} removals are remembered; a follower whose revision is older than
  * these gets the whole table.
  */
 public final class RegistrationTable {
-    static final int MOST_REMOVALS = 4_096;
+    static final int MAX_REMOVALS = 4_096;
 
-    private static final int MOST_GAPS = 16;
+    private static final int MAX_MISSED_RANGES = 16;
 
     private final Map<VmId, Row> rows = new TreeMap<>();
-    private final ArrayDeque<Gap> gaps = new ArrayDeque<>();
-    private long since;
+    private final ArrayDeque<MissedRange> missedRanges = new ArrayDeque<>();
+    private long completeSince;
     private long revision;
 
     /**
@@ -52,8 +52,8 @@
     public record Delta(List<Row> rows, long revision, boolean full) {}
 
     /** A range of revisions in which the table may have missed an agent that came and went. */
-    private record Gap(long after, long before) {
-        boolean holds(long known) {
+    private record MissedRange(long after, long before) {
+        boolean contains(long known) {
             return after < known && known < before;
         }
     }
@@ -86,8 +86,8 @@
             return;
         }
         if (delta.full()) {
-            jump(delta.revision());
-            removeAllBut(delta);
+            recordJump(delta.revision());
+            removeAllExcept(delta);
         }
         delta.rows().forEach(this::put);
         revision = delta.revision();
@@ -101,7 +101,9 @@
         if (known > revision) {
             return new Delta(List.of(), known, false);
         }
-        if (known < since || known == 0 || gaps.stream().anyMatch(gap -> gap.holds(known))) {
+        if (known < completeSince
+                || known == 0
+                || missedRanges.stream().anyMatch(range -> range.contains(known))) {
             return new Delta(registrations(), revision, true);
         }
         List<Row> changed = new ArrayList<>();
@@ -109,18 +111,18 @@
         return new Delta(changed, revision, false);
     }
 
-    private void jump(long to) {
+    private void recordJump(long to) {
         if (revision == 0) {
-            since = to;
+            completeSince = to;
             return;
         }
-        gaps.add(new Gap(revision, to));
-        if (gaps.size() > MOST_GAPS) {
-            since = Math.max(since, gaps.remove().before());
+        missedRanges.add(new MissedRange(revision, to));
+        if (missedRanges.size() > MAX_MISSED_RANGES) {
+            completeSince = Math.max(completeSince, missedRanges.remove().before());
         }
     }
 
-    private void removeAllBut(Delta delta) {
+    private void removeAllExcept(Delta delta) {
         Set<VmId> kept = delta.rows().stream().map(Row::vm).collect(Collectors.toSet());
         for (Row row : registrations()) {
             if (!kept.contains(row.vm())) {
@@ -135,10 +137,9 @@
                         .filter(Row::removed)
                         .sorted(Comparator.comparingLong(Row::revision).reversed())
                         .toList();
-        for (Row old :
-                removals.subList(Math.min(MOST_REMOVALS, removals.size()), removals.size())) {
+        for (Row old : removals.subList(Math.min(MAX_REMOVALS, removals.size()), removals.size())) {
             rows.remove(old.vm());
-            since = Math.max(since, old.revision());
+            completeSince = Math.max(completeSince, old.revision());
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayMachine.java
@@ -28,28 +28,28 @@
  * would go on working.
  */
 public final class RelayMachine implements Machine<RelayInput, RelayAction> {
-    private static final int MOST_PROBES = 64;
-    private static final int MOST_DOUBLINGS = 4;
+    private static final int MAX_PENDING_PROBES = 64;
+    private static final int MAX_DOUBLINGS = 4;
 
     private final VmId self;
     private final AvailabilityZone zone;
     private final RelaySettings settings;
     private final RandomGenerator random;
-    private final Map<Long, Sent> probes = new LinkedHashMap<>();
-    private final Map<VmId, Instant> answered = new HashMap<>();
-    private final Set<VmId> waitedFor = new HashSet<>();
+    private final Map<Long, SentProbe> probes = new LinkedHashMap<>();
+    private final Map<VmId, Instant> lastAnswers = new HashMap<>();
+    private final Set<VmId> unresponsive = new HashSet<>();
     private List<Vm> relays = List.of();
     private List<Vm> routers = List.of();
-    private boolean relay;
+    private boolean actingAsRelay;
     private long lastProbe;
-    private int turn;
-    private int storeTries;
-    private Optional<Instant> begun = Optional.empty();
+    private int nextRelayIndex;
+    private int storeAttempts;
+    private Optional<Instant> startedAt = Optional.empty();
     private Optional<Instant> confirmed = Optional.empty();
-    private Instant probeDue = Instant.MIN;
-    private Instant storeDue = Instant.MAX;
+    private Instant nextProbeAt = Instant.MIN;
+    private Instant nextStoreReadAt = Instant.MAX;
 
-    private record Sent(Vm peer, Instant at) {}
+    private record SentProbe(Vm peer, Instant at) {}
 
     private RelayMachine(
             VmId self, AvailabilityZone zone, RelaySettings settings, RandomGenerator random) {
@@ -67,14 +67,14 @@
 
     @Override
     public List<RelayAction> on(RelayInput input, Instant now) {
-        begun = begun.or(() -> Optional.of(now));
+        startedAt = startedAt.or(() -> Optional.of(now));
         List<RelayAction> actions = new ArrayList<>();
         if (input instanceof RelayInput.VmsListed listed) {
-            take(listed.vms(), actions);
+            update(listed.vms(), actions);
         } else if (input instanceof RelayInput.ProbeAnswered answer) {
-            take(answer, now, actions);
-        } else if (input instanceof RelayInput.NewerEntryAnnounced behind) {
-            catchUp(behind.peer(), now, actions);
+            acceptAnswer(answer, now, actions);
+        } else if (input instanceof RelayInput.NewerEntryAnnounced announced) {
+            catchUp(announced.peer(), now, actions);
         } else if (input instanceof RelayInput.StoreConfirmed store) {
             confirm(store.asOf());
         } else {
@@ -85,7 +85,7 @@
 
     /** Returns true while this process is a relay of its zone. */
     public boolean isRelay() {
-        return relay;
+        return actingAsRelay;
     }
 
     /**
@@ -94,12 +94,12 @@
     public boolean hasResponsiveRelay() {
         return relays.stream()
                 .map(Vm::id)
-                .anyMatch(vm -> answered.containsKey(vm) && !waitedFor.contains(vm));
+                .anyMatch(vm -> lastAnswers.containsKey(vm) && !unresponsive.contains(vm));
     }
 
-    private void take(List<Vm> listed, List<RelayAction> actions) {
+    private void update(List<Vm> listed, List<RelayAction> actions) {
         RelayPlan plan = RelayPlan.of(listed, zone);
-        boolean chosenHere = plan.relays().stream().anyMatch(vm -> vm.id().equals(self));
+        boolean selfChosen = plan.relays().stream().anyMatch(vm -> vm.id().equals(self));
         List<Vm> others = plan.parents(self);
         routers =
                 listed.stream()
@@ -109,19 +109,20 @@
             relays = others;
             actions.add(new RelayAction.FollowRelays(others));
         }
-        if (chosenHere != relay) {
-            relay = chosenHere;
-            actions.add(new RelayAction.WatchStore(relay));
+        if (selfChosen != actingAsRelay) {
+            actingAsRelay = selfChosen;
+            actions.add(new RelayAction.WatchStore(actingAsRelay));
         }
     }
 
-    private void take(RelayInput.ProbeAnswered answer, Instant now, List<RelayAction> actions) {
-        Sent sent = probes.remove(answer.probe());
+    private void acceptAnswer(
+            RelayInput.ProbeAnswered answer, Instant now, List<RelayAction> actions) {
+        SentProbe sent = probes.remove(answer.probe());
         if (sent == null || !sent.peer().id().equals(answer.from())) {
             return;
         }
-        answered.put(answer.from(), now);
-        waitedFor.remove(answer.from());
+        lastAnswers.put(answer.from(), now);
+        unresponsive.remove(answer.from());
         answer.confirmedAge()
                 .map(sent.at()::minus)
                 .ifPresent(
@@ -139,19 +140,19 @@
     }
 
     private void tick(Instant now, List<RelayAction> actions) {
-        askAnother(now, actions);
-        if (!now.isBefore(probeDue)) {
-            probeDue = now.plus(jittered(settings.probeInterval()));
+        probeAnotherRelay(now, actions);
+        if (!now.isBefore(nextProbeAt)) {
+            nextProbeAt = now.plus(jittered(settings.probeInterval()));
             nextRelay().ifPresent(vm -> probe(vm, now, actions));
-            if (unconfirmed(now)) {
-                anyRouter().ifPresent(vm -> probe(vm, now, actions));
+            if (isUnconfirmed(now)) {
+                randomRouter().ifPresent(vm -> probe(vm, now, actions));
             }
         }
-        if (!relay && (silent(now) || unconfirmed(now))) {
-            askStore(now, actions);
+        if (!actingAsRelay && (areRelaysSilent(now) || isUnconfirmed(now))) {
+            readStoreIfDue(now, actions);
         } else {
-            storeDue = Instant.MAX;
-            storeTries = 0;
+            nextStoreReadAt = Instant.MAX;
+            storeAttempts = 0;
         }
     }
 
@@ -159,57 +160,57 @@
      * Probes another relay when one is late, so that a frozen relay costs its followers one answer
      * timeout, not a whole probe interval.
      */
-    private void askAnother(Instant now, List<RelayAction> actions) {
+    private void probeAnotherRelay(Instant now, List<RelayAction> actions) {
         Instant limit = now.minus(settings.answerTimeout());
         List<Vm> late =
                 probes.values().stream()
                         .filter(sent -> sent.at().isBefore(limit))
-                        .map(Sent::peer)
-                        .filter(vm -> waitedFor.add(vm.id()))
+                        .map(SentProbe::peer)
+                        .filter(vm -> unresponsive.add(vm.id()))
                         .toList();
         if (!late.isEmpty()) {
             relays.stream()
-                    .filter(vm -> !waitedFor.contains(vm.id()))
+                    .filter(vm -> !unresponsive.contains(vm.id()))
                     .findFirst()
                     .ifPresent(vm -> probe(vm, now, actions));
         }
     }
 
     private void probe(Vm peer, Instant now, List<RelayAction> actions) {
-        probes.put(++lastProbe, new Sent(peer, now));
-        if (probes.size() > MOST_PROBES) {
+        probes.put(++lastProbe, new SentProbe(peer, now));
+        if (probes.size() > MAX_PENDING_PROBES) {
             probes.remove(probes.keySet().iterator().next());
         }
         actions.add(new RelayAction.ProbePeer(peer, lastProbe));
     }
 
-    private void askStore(Instant now, List<RelayAction> actions) {
-        boolean silent = silent(now);
-        if (storeDue.equals(Instant.MAX)) {
-            storeDue = now.plus(firstPause(silent));
+    private void readStoreIfDue(Instant now, List<RelayAction> actions) {
+        boolean silent = areRelaysSilent(now);
+        if (nextStoreReadAt.equals(Instant.MAX)) {
+            nextStoreReadAt = now.plus(firstStoreDelay(silent));
         }
-        if (now.isBefore(storeDue)) {
+        if (now.isBefore(nextStoreReadAt)) {
             return;
         }
         actions.add(new RelayAction.ReadStore());
-        storeDue = now.plus(jittered(storePause(silent)));
-        storeTries++;
+        nextStoreReadAt = now.plus(jittered(storeInterval(silent)));
+        storeAttempts++;
     }
 
-    private Duration firstPause(boolean silent) {
+    private Duration firstStoreDelay(boolean silent) {
         if (relays.isEmpty()) {
             return Duration.ZERO;
         }
-        Duration most = silent ? settings.answerTimeout() : settings.unconfirmedStoreInterval();
-        return Duration.ofMillis(random.nextLong(most.toMillis()));
+        Duration max = silent ? settings.answerTimeout() : settings.unconfirmedStoreInterval();
+        return Duration.ofMillis(random.nextLong(max.toMillis()));
     }
 
     // Relays that answer but are unconfirmed usually can't reach the store either. In an outage
     // this holds for the whole fleet, which must not spend the store's capacity on asking.
-    private Duration storePause(boolean silent) {
+    private Duration storeInterval(boolean silent) {
         Duration first =
                 silent ? settings.silentStoreInterval() : settings.unconfirmedStoreInterval();
-        Duration pause = first.multipliedBy(1L << Math.min(storeTries, MOST_DOUBLINGS));
+        Duration pause = first.multipliedBy(1L << Math.min(storeAttempts, MAX_DOUBLINGS));
         Duration longest = settings.maxStoreInterval();
         return pause.compareTo(longest) < 0 ? pause : longest;
     }
@@ -217,12 +218,12 @@
     private void confirm(Instant asOf) {
         if (confirmed.isEmpty() || confirmed.get().isBefore(asOf)) {
             confirmed = Optional.of(asOf);
-            storeTries = 0;
+            storeAttempts = 0;
         }
     }
 
-    private boolean unconfirmed(Instant now) {
-        Instant since = confirmed.orElse(begun.orElse(now));
+    private boolean isUnconfirmed(Instant now) {
+        Instant since = confirmed.orElse(startedAt.orElse(now));
         return now.isAfter(since.plus(settings.maxUnconfirmed()));
     }
 
@@ -230,22 +231,22 @@
      * Returns true if no relay has answered within the silence limit. A relay that was never asked
      * counts as silent.
      */
-    private boolean silent(Instant now) {
+    private boolean areRelaysSilent(Instant now) {
         Instant limit = now.minus(settings.silenceTimeout());
         return relays.stream()
-                .map(vm -> answered.getOrDefault(vm.id(), begun.orElse(now)))
+                .map(vm -> lastAnswers.getOrDefault(vm.id(), startedAt.orElse(now)))
                 .noneMatch(at -> at.isAfter(limit));
     }
 
     private Optional<Vm> nextRelay() {
-        List<Vm> ready = relays.stream().filter(vm -> !waitedFor.contains(vm.id())).toList();
-        List<Vm> choice = ready.isEmpty() || turn % MOST_DOUBLINGS == 0 ? relays : ready;
+        List<Vm> ready = relays.stream().filter(vm -> !unresponsive.contains(vm.id())).toList();
+        List<Vm> choice = ready.isEmpty() || nextRelayIndex % MAX_DOUBLINGS == 0 ? relays : ready;
         return choice.isEmpty()
                 ? Optional.empty()
-                : Optional.of(choice.get(Math.floorMod(turn++, choice.size())));
+                : Optional.of(choice.get(Math.floorMod(nextRelayIndex++, choice.size())));
     }
 
-    private Optional<Vm> anyRouter() {
+    private Optional<Vm> randomRouter() {
         return routers.isEmpty()
                 ? Optional.empty()
                 : Optional.of(routers.get(random.nextInt(routers.size())));
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayPlan.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RelayPlan.java
@@ -23,10 +23,10 @@
  */
 public final class RelayPlan {
     /** Relays per zone: with a second one, the first may be frozen without any effect. */
-    public static final int RELAYS = 2;
+    public static final int RELAYS_PER_ZONE = 2;
 
     /** The largest number of processes in a zone that the relays serve themselves. */
-    public static final int SERVED_DIRECTLY = 24;
+    public static final int MAX_SERVED_DIRECTLY = 24;
 
     private final List<Vm> relays;
     private final List<Vm> branches;
@@ -50,8 +50,8 @@
                                         .thenComparing(vm -> weight(vm.id(), zone.value()))
                                         .thenComparing(vm -> vm.id().value()))
                         .toList();
-        int relays = Math.min(RELAYS, ranked.size());
-        int branches = ranked.size() <= SERVED_DIRECTLY ? 0 : branches(ranked.size());
+        int relays = Math.min(RELAYS_PER_ZONE, ranked.size());
+        int branches = ranked.size() <= MAX_SERVED_DIRECTLY ? 0 : branches(ranked.size());
         return new RelayPlan(ranked.subList(0, relays), ranked.subList(relays, relays + branches));
     }
 
@@ -70,13 +70,14 @@
 
     /** Returns the processes that this process asks, in order of preference; never itself. */
     public List<Vm> parents(VmId process) {
-        boolean top = branches.isEmpty() || in(relays, process) || in(branches, process);
-        if (top) {
+        boolean followsRelays =
+                branches.isEmpty() || contains(relays, process) || contains(branches, process);
+        if (followsRelays) {
             return relays.stream().filter(vm -> !vm.id().equals(process)).toList();
         }
         return branches.stream()
                 .sorted(Comparator.comparing((Vm vm) -> weight(vm.id(), process.value())))
-                .limit(RELAYS)
+                .limit(RELAYS_PER_ZONE)
                 .toList();
     }
 
@@ -87,7 +88,7 @@
         return (int) Math.ceil(1.5 * Math.sqrt(size));
     }
 
-    private static boolean in(List<Vm> vms, VmId id) {
+    private static boolean contains(List<Vm> vms, VmId id) {
         return vms.stream().anyMatch(vm -> vm.id().equals(id));
     }
 
@@ -95,9 +96,9 @@
      * Computes FNV-1a with a finalizer, so that each bit of the names affects each bit of the
      * weight.
      */
-    private static long weight(VmId vm, String among) {
+    private static long weight(VmId vm, String key) {
         long hash = 0xcbf29ce484222325L;
-        for (char c : (among + "/" + vm.value()).toCharArray()) {
+        for (char c : (key + "/" + vm.value()).toCharArray()) {
             hash = (hash ^ c) * 0x100000001b3L;
         }
         hash = (hash ^ (hash >>> 30)) * 0xbf58476d1ce4e5b9L;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RouterRoster.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RouterRoster.java
@@ -16,21 +16,21 @@
  *
  * <p>A VM that is no longer listed may still run, so it counts until a confirmation that is newer
  * than its removal from the list. This assumes that no router is listed, accepts a ticket and is
- * gone or restarted again within {@link #GAP}. If two reads are further apart, a router could have
- * come, withdrawn a key and gone unnoticed.
+ * gone or restarted again within {@link #MAX_READ_GAP}. If two reads are further apart, a router
+ * could have come, withdrawn a key and gone unnoticed.
  */
 final class RouterRoster {
     /** The longest interval between two reads in which no router can come and go unnoticed. */
-    static final Duration GAP = Duration.ofSeconds(10);
+    static final Duration MAX_READ_GAP = Duration.ofSeconds(10);
 
-    private final Map<VmId, Line> lines = new HashMap<>();
+    private final Map<VmId, Entry> entries = new HashMap<>();
     private Optional<Instant> lastRead = Optional.empty();
-    private Instant unbrokenSince = Instant.MAX;
+    private Instant gaplessSince = Instant.MAX;
 
-    private static final class Line {
-        private Optional<Instant> absentAt = Optional.empty();
+    private static final class Entry {
+        private Optional<Instant> lastAbsentAt = Optional.empty();
         private Optional<Instant> goneAt = Optional.empty();
-        private Optional<Incarnation> firstLife = Optional.empty();
+        private Optional<Incarnation> firstIncarnation = Optional.empty();
     }
 
     /**
@@ -40,13 +40,13 @@
      * @param askedAt when the list was requested
      */
     void recordListing(Set<VmId> listed, Instant askedAt) {
-        if (lastRead.isEmpty() || askedAt.isAfter(lastRead.get().plus(GAP))) {
-            unbrokenSince = askedAt;
+        if (lastRead.isEmpty() || askedAt.isAfter(lastRead.get().plus(MAX_READ_GAP))) {
+            gaplessSince = askedAt;
         }
         for (VmId vm : listed) {
-            lines.computeIfAbsent(vm, any -> newLine()).goneAt = Optional.empty();
+            entries.computeIfAbsent(vm, any -> newEntry()).goneAt = Optional.empty();
         }
-        lines.forEach((vm, line) -> markGone(line, listed.contains(vm), askedAt));
+        entries.forEach((vm, entry) -> markGone(entry, listed.contains(vm), askedAt));
         lastRead = Optional.of(askedAt);
     }
 
@@ -55,12 +55,13 @@
      * that left the list before then are forgotten.
      */
     void forgetGoneBefore(Instant asOf) {
-        lines.values().removeIf(line -> line.goneAt.filter(at -> !at.isAfter(asOf)).isPresent());
+        entries.values()
+                .removeIf(entry -> entry.goneAt.filter(at -> !at.isAfter(asOf)).isPresent());
     }
 
     /** Returns all routers that may have accepted a ticket, in order. */
     List<VmId> routers() {
-        return lines.keySet().stream().sorted().toList();
+        return entries.keySet().stream().sorted().toList();
     }
 
     /** Returns when the newest list was requested; nothing is known about later times. */
@@ -70,31 +71,32 @@
 
     /** Returns true if no router can have come and gone unnoticed since then. */
     boolean isGaplessSince(Instant since) {
-        return !unbrokenSince.isAfter(since);
+        return !gaplessSince.isAfter(since);
     }
 
     /** Returns true if no earlier incarnation of the router can have accepted tickets. */
-    boolean isFirstIncarnation(VmId vm, Incarnation life, Instant now) {
-        Line line = lines.get(vm);
-        if (line == null) {
+    boolean isFirstIncarnation(VmId vm, Incarnation incarnation, Instant now) {
+        Entry entry = entries.get(vm);
+        if (entry == null) {
             return false;
         }
-        boolean justCome = line.absentAt.filter(at -> !now.isAfter(at.plus(GAP))).isPresent();
-        if (line.firstLife.isEmpty() && justCome) {
-            line.firstLife = Optional.of(life);
+        boolean newlyListed =
+                entry.lastAbsentAt.filter(at -> !now.isAfter(at.plus(MAX_READ_GAP))).isPresent();
+        if (entry.firstIncarnation.isEmpty() && newlyListed) {
+            entry.firstIncarnation = Optional.of(incarnation);
         }
-        return line.firstLife.filter(life::equals).isPresent();
+        return entry.firstIncarnation.filter(incarnation::equals).isPresent();
     }
 
-    private Line newLine() {
-        Line line = new Line();
-        line.absentAt = lastRead;
-        return line;
+    private Entry newEntry() {
+        Entry entry = new Entry();
+        entry.lastAbsentAt = lastRead;
+        return entry;
     }
 
-    private static void markGone(Line line, boolean listed, Instant askedAt) {
-        if (!listed && line.goneAt.isEmpty()) {
-            line.goneAt = Optional.of(askedAt);
+    private static void markGone(Entry entry, boolean listed, Instant askedAt) {
+        if (!listed && entry.goneAt.isEmpty()) {
+            entry.goneAt = Optional.of(askedAt);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/EvictionPolicy.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/EvictionPolicy.java
@@ -28,15 +28,15 @@
      * Returns the cheapest replicas that together free this much memory; empty if all together do
      * not. A base comes after its adapters, since the engine can't keep an adapter without it.
      *
-     * @param bytes the memory to free
+     * @param bytes the memory to free, in bytes
      * @param needed the models that requests are queued for, and their bases
-     * @param below only replicas whose cost per byte is lower than this are chosen
+     * @param maxCost only replicas whose cost per byte is lower than this are chosen
      */
     Optional<List<Replica>> chooseToFree(
             long bytes,
             Set<ModelName> needed,
             Map<ModelName, Model> models,
-            double below,
+            double maxCost,
             Instant now) {
         List<Replica> chosen = new ArrayList<>();
         long freed = 0;
@@ -44,9 +44,9 @@
             Optional<Replica> next =
                     table.all().stream()
                             .filter(replica -> !chosen.contains(replica))
-                            .filter(replica -> isFree(replica, needed))
-                            .filter(replica -> adaptersOf(replica, chosen))
-                            .filter(replica -> cost(replica, models, now) < below)
+                            .filter(replica -> isEvictable(replica, needed))
+                            .filter(replica -> areAdaptersChosen(replica, chosen))
+                            .filter(replica -> cost(replica, models, now) < maxCost)
                             .min(Comparator.comparingDouble(r -> cost(r, models, now)));
             if (next.isEmpty()) {
                 return Optional.empty();
@@ -66,8 +66,8 @@
         long left = excess;
         for (int i = chosen.size() - 1; i >= 0; i--) {
             Replica replica = chosen.get(i);
-            boolean carried = replica.base.isPresent() && contains(chosen, replica.base.get());
-            if (replica.bytes <= left && !carried) {
+            boolean baseChosen = replica.base.isPresent() && contains(chosen, replica.base.get());
+            if (replica.bytes <= left && !baseChosen) {
                 kept.remove(replica);
                 left -= replica.bytes;
             }
@@ -75,7 +75,7 @@
         return kept;
     }
 
-    private boolean adaptersOf(Replica base, List<Replica> chosen) {
+    private boolean areAdaptersChosen(Replica base, List<Replica> chosen) {
         return table.all().stream()
                 .filter(replica -> replica.base.equals(Optional.of(base.name)))
                 .allMatch(chosen::contains);
@@ -86,7 +86,7 @@
         return model == null ? 0 : costs.coldStartSecondsPerByte(model, replica.bytes, now);
     }
 
-    private static boolean isFree(Replica replica, Set<ModelName> needed) {
+    private static boolean isEvictable(Replica replica, Set<ModelName> needed) {
         return replica.phase == Phase.LOADED && replica.uses == 0 && !needed.contains(replica.name);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/HeldGrants.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/HeldGrants.java
@@ -11,7 +11,7 @@
  * grant is released once the engine holds nothing of its model.
  */
 final class HeldGrants {
-    private final TreeMap<ModelName, Long> owed = new TreeMap<>();
+    private final TreeMap<ModelName, Long> unreleased = new TreeMap<>();
     private ModelGrants inForce = ModelGrants.of(Map.of());
     private long lastFencing;
 
@@ -19,15 +19,15 @@
      * Replaces the grants in force; a model that the table holds without a grant must be released
      * from now on.
      */
-    void update(ModelGrants rights, ReplicaTable table) {
-        owed.putAll(inForce.fencingByModel());
+    void update(ModelGrants grants, ReplicaTable table) {
+        unreleased.putAll(inForce.fencingByModel());
         for (Replica replica : table.all()) {
-            owed.putIfAbsent(replica.name, inForce.fencing(replica.name).orElse(lastFencing));
+            unreleased.putIfAbsent(replica.name, inForce.fencing(replica.name).orElse(lastFencing));
         }
-        inForce = rights;
-        owed.keySet().removeIf(rights::permits);
-        rights.defaultFencing().ifPresent(this::noteFencing);
-        rights.fencingByModel().values().forEach(this::noteFencing);
+        inForce = grants;
+        unreleased.keySet().removeIf(grants::permits);
+        grants.defaultFencing().ifPresent(this::recordFencing);
+        grants.fencingByModel().values().forEach(this::recordFencing);
     }
 
     /** Returns true if the model may be held. */
@@ -40,7 +40,7 @@
      * may no longer be held.
      */
     long fencing(ModelName model) {
-        return inForce.fencing(model).orElse(owed.getOrDefault(model, lastFencing));
+        return inForce.fencing(model).orElse(unreleased.getOrDefault(model, lastFencing));
     }
 
     /**
@@ -48,15 +48,15 @@
      */
     List<ReplicaAction> releaseUnused(ReplicaTable table) {
         List<ReplicaAction> actions = new ArrayList<>();
-        for (ModelName model : List.copyOf(owed.keySet())) {
+        for (ModelName model : List.copyOf(unreleased.keySet())) {
             if (table.isComplete() && table.get(model) == null) {
-                actions.add(new ReplicaAction.ReleaseGrant(model, owed.remove(model)));
+                actions.add(new ReplicaAction.ReleaseGrant(model, unreleased.remove(model)));
             }
         }
         return actions;
     }
 
-    private void noteFencing(long fencing) {
+    private void recordFencing(long fencing) {
         lastFencing = Math.max(lastFencing, fencing);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadCosts.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadCosts.java
@@ -16,19 +16,19 @@
     private static final double NEWEST_WEIGHT = 0.3;
 
     private final ReplicaSettings settings;
-    private final Map<ModelName, Duration> times = new HashMap<>();
-    private final Map<ModelName, Rate> rates = new HashMap<>();
+    private final Map<ModelName, Duration> loadTimes = new HashMap<>();
+    private final Map<ModelName, Rate> uses = new HashMap<>();
 
     LoadCosts(ReplicaSettings settings) {
         this.settings = settings;
     }
 
     void recordUse(ModelName model, Instant now) {
-        rates.put(model, new Rate(recentUses(model, now) + 1, now));
+        uses.put(model, new Rate(recentUses(model, now) + 1, now));
     }
 
     void recordLoad(ModelName model, Duration took) {
-        times.merge(
+        loadTimes.merge(
                 model, took, (old, newest) -> old.plus(scaled(newest.minus(old), NEWEST_WEIGHT)));
     }
 
@@ -39,7 +39,7 @@
     Duration loadEstimate(Model model) {
         Duration guess =
                 model.base().isPresent() ? settings.adapterEstimate() : settings.modelEstimate();
-        return times.getOrDefault(model.name(), guess);
+        return loadTimes.getOrDefault(model.name(), guess);
     }
 
     /**
@@ -52,13 +52,13 @@
 
     /** Forgets models that are no longer configured. */
     void retain(Set<ModelName> models) {
-        times.keySet().retainAll(models);
-        rates.keySet().retainAll(models);
+        loadTimes.keySet().retainAll(models);
+        uses.keySet().retainAll(models);
     }
 
     /** Returns the number of uses, weighted by age: a use counts half after each half-life. */
     double recentUses(ModelName model, Instant now) {
-        Rate rate = rates.get(model);
+        Rate rate = uses.get(model);
         if (rate == null) {
             return 0;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ModelQueue.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ModelQueue.java
@@ -10,10 +10,10 @@
 final class ModelQueue {
     /** Orders by earliest deadline; a load that no request is queued for comes last. */
     static final Comparator<ModelQueue> BY_DEADLINE =
-            Comparator.comparing(ModelQueue::deadline).thenComparing(want -> want.model);
+            Comparator.comparing(ModelQueue::deadline).thenComparing(queue -> queue.model);
 
     final ModelName model;
-    final List<ReplicaInput.RequestQueued> waiters = new ArrayList<>();
+    final List<ReplicaInput.RequestQueued> requests = new ArrayList<>();
 
     /**
      * The time until which to load the model even if no request is queued. Callers with short
@@ -27,13 +27,13 @@
     }
 
     Instant deadline() {
-        return waiters.stream()
+        return requests.stream()
                 .map(ReplicaInput.RequestQueued::deadline)
                 .min(Comparator.naturalOrder())
                 .orElse(Instant.MAX);
     }
 
     boolean isExpired(Instant now) {
-        return waiters.isEmpty() && !now.isBefore(prefetchUntil);
+        return requests.isEmpty() && !now.isBefore(prefetchUntil);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Replica.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Replica.java
@@ -22,7 +22,7 @@
     Phase phase;
 
     /** When the phase began; a report made before then says nothing about it. */
-    Instant since;
+    Instant phaseSince;
 
     /**
      * The version of the weights; empty if the engine did not report it and the load was not
@@ -39,18 +39,18 @@
     int uses;
 
     /** Number of consecutive reports that did not list the replica although it is loaded. */
-    int missing;
+    int missingReports;
 
-    Replica(ModelName name, Phase phase, Instant since, long bytes) {
+    Replica(ModelName name, Phase phase, Instant phaseSince, long bytes) {
         this.name = name;
         this.phase = phase;
-        this.since = since;
+        this.phaseSince = phaseSince;
         this.bytes = bytes;
     }
 
     void enter(Phase next, Instant now) {
         phase = next;
-        since = now;
-        missing = 0;
+        phaseSince = now;
+        missingReports = 0;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaManager.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaManager.java
@@ -26,17 +26,17 @@
  * received, so nothing can be unloaded between the answer and the sending.
  */
 public final class ReplicaManager implements Machine<ReplicaInput, ReplicaAction> {
-    private static final Duration PREFETCH = Duration.ofMinutes(1);
-    private static final double IDLE_RATE = 0.5;
-    private static final Duration SHORT_RETRY = Duration.ofSeconds(1);
+    private static final Duration PREFETCH_TIME = Duration.ofMinutes(1);
+    private static final double IDLE_USES = 0.5;
+    private static final Duration SHORT_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final ReplicaSettings settings;
     private final ReplicaTable table;
     private final LoadCosts costs;
-    private final EvictionPolicy victims;
-    private final TreeMap<ModelName, ModelQueue> wants = new TreeMap<>();
-    private final LoadBackoff failures;
-    private final HeldGrants rights = new HeldGrants();
+    private final EvictionPolicy evictionPolicy;
+    private final TreeMap<ModelName, ModelQueue> queues = new TreeMap<>();
+    private final LoadBackoff backoff;
+    private final HeldGrants grants = new HeldGrants();
     private Map<ModelName, Model> models = Map.of();
 
     /** Creates a state machine that has received no input yet. */
@@ -44,30 +44,30 @@
         this.settings = settings;
         table = new ReplicaTable(settings);
         costs = new LoadCosts(settings);
-        victims = new EvictionPolicy(table, costs);
-        failures = new LoadBackoff(settings.retryDelay());
+        evictionPolicy = new EvictionPolicy(table, costs);
+        backoff = new LoadBackoff(settings.retryDelay());
     }
 
     @Override
     public List<ReplicaAction> on(ReplicaInput input, Instant now) {
         table.recordStart(now);
-        take(input, now);
+        apply(input, now);
         List<ReplicaAction> actions = new ArrayList<>();
-        unloadUnwanted(actions, now);
+        unloadUnusable(actions, now);
         unloadIdle(actions, now);
-        serveWants(actions, now);
-        actions.addAll(rights.releaseUnused(table));
+        serveQueues(actions, now);
+        actions.addAll(grants.releaseUnused(table));
         return actions;
     }
 
     /** Returns the models that the engine confirmed or reported as loaded. */
     public Set<ModelName> loadedModels() {
-        return in(Phase.LOADED);
+        return modelsIn(Phase.LOADED);
     }
 
     /** Returns the models that are being loaded. */
     public Set<ModelName> loadingModels() {
-        return in(Phase.LOADING);
+        return modelsIn(Phase.LOADING);
     }
 
     /**
@@ -88,21 +88,21 @@
         return table.capacityBytes() - table.freeBytes();
     }
 
-    private Set<ModelName> in(Phase phase) {
+    private Set<ModelName> modelsIn(Phase phase) {
         return table.all().stream()
                 .filter(replica -> replica.phase == phase)
                 .map(replica -> replica.name)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private void take(ReplicaInput input, Instant now) {
-        if (input instanceof ReplicaInput.RequestQueued wanted) {
-            costs.recordUse(wanted.model(), now);
-            wants.computeIfAbsent(wanted.model(), ModelQueue::new).waiters.add(wanted);
-        } else if (input instanceof ReplicaInput.RequestCanceled gone) {
-            giveUp(gone);
+    private void apply(ReplicaInput input, Instant now) {
+        if (input instanceof ReplicaInput.RequestQueued queued) {
+            costs.recordUse(queued.model(), now);
+            queues.computeIfAbsent(queued.model(), ModelQueue::new).requests.add(queued);
+        } else if (input instanceof ReplicaInput.RequestCanceled canceled) {
+            cancel(canceled);
         } else if (input instanceof ReplicaInput.RequestFinished finished) {
-            finish(finished.model());
+            finishRequest(finished.model());
         } else if (input instanceof ReplicaInput.Loaded loaded) {
             loaded(loaded.model(), now);
         } else if (input instanceof ReplicaInput.LoadFailed failed) {
@@ -116,18 +116,18 @@
         } else if (input instanceof ReplicaInput.ModelsConfigured configured) {
             configure(configured.models());
         } else if (input instanceof ReplicaInput.GrantsChanged changed) {
-            rights.update(changed.grants(), table);
+            grants.update(changed.grants(), table);
         }
     }
 
-    private void giveUp(ReplicaInput.RequestCanceled gone) {
-        ModelQueue want = wants.get(gone.model());
-        if (want != null) {
-            want.waiters.removeIf(waiter -> waiter.request().equals(gone.request()));
+    private void cancel(ReplicaInput.RequestCanceled canceled) {
+        ModelQueue queue = queues.get(canceled.model());
+        if (queue != null) {
+            queue.requests.removeIf(queued -> queued.request().equals(canceled.request()));
         }
     }
 
-    private void finish(ModelName model) {
+    private void finishRequest(ModelName model) {
         Replica replica = table.get(model);
         if (replica != null && replica.uses > 0) {
             replica.uses--;
@@ -137,9 +137,9 @@
     private void loaded(ModelName model, Instant now) {
         Replica replica = table.get(model);
         if (replica != null && replica.phase == Phase.LOADING) {
-            costs.recordLoad(model, Duration.between(replica.since, now));
+            costs.recordLoad(model, Duration.between(replica.phaseSince, now));
             replica.enter(Phase.LOADED, now);
-            failures.reset(model);
+            backoff.reset(model);
         }
     }
 
@@ -148,7 +148,7 @@
         if (replica == null || replica.phase != Phase.LOADING) {
             return;
         }
-        failures.recordFailure(failed.model(), now);
+        backoff.recordFailure(failed.model(), now);
         if (failed.mayBeHeld()) {
             table.markUnknown(replica, now);
         } else {
@@ -172,12 +172,12 @@
 
     private void configure(Map<ModelName, Model> newModels) {
         models = Map.copyOf(newModels);
-        failures.retain(models.keySet());
+        backoff.retain(models.keySet());
         costs.retain(models.keySet());
         table.setBases(models);
     }
 
-    private void unloadUnwanted(List<ReplicaAction> actions, Instant now) {
+    private void unloadUnusable(List<ReplicaAction> actions, Instant now) {
         for (Replica replica : List.copyOf(table.all())) {
             if (replica.phase == Phase.LOADED && !isUsable(replica)) {
                 unload(replica, actions, now);
@@ -189,11 +189,12 @@
     private void unloadIdle(List<ReplicaAction> actions, Instant now) {
         for (Replica replica : List.copyOf(table.all())) {
             boolean old =
-                    Duration.between(replica.since, now).compareTo(settings.rateHalfLife()) > 0;
+                    Duration.between(replica.phaseSince, now).compareTo(settings.rateHalfLife())
+                            > 0;
             if (replica.phase == Phase.LOADED
                     && old
-                    && !wants.containsKey(replica.name)
-                    && costs.recentUses(replica.name, now) < IDLE_RATE) {
+                    && !queues.containsKey(replica.name)
+                    && costs.recentUses(replica.name, now) < IDLE_USES) {
                 unload(replica, actions, now);
             }
         }
@@ -204,7 +205,7 @@
             return;
         }
         replica.enter(Phase.UNLOADING, now);
-        actions.add(new ReplicaAction.UnloadModel(replica.name, rights.fencing(replica.name)));
+        actions.add(new ReplicaAction.UnloadModel(replica.name, grants.fencing(replica.name)));
     }
 
     /**
@@ -218,7 +219,7 @@
                 && model != null
                 && replica.version.equals(Optional.of(model.version()))
                 && replica.base.equals(model.base())
-                && rights.permits(replica.name)
+                && grants.permits(replica.name)
                 && model.base().map(this::isUsable).orElse(true);
     }
 
@@ -227,39 +228,39 @@
         return replica != null && isUsable(replica);
     }
 
-    private void serveWants(List<ReplicaAction> actions, Instant now) {
+    private void serveQueues(List<ReplicaAction> actions, Instant now) {
         Pass pass = new Pass(actions, now, slots(now));
         TreeSet<ModelQueue> ordered = new TreeSet<>(ModelQueue.BY_DEADLINE);
-        ordered.addAll(wants.values());
-        for (ModelQueue want : ordered) {
-            answerNow(want, pass);
-            refuseLate(want, pass);
-            if (!want.isExpired(now) && !isUsable(want.model)) {
-                load(want, pass);
+        ordered.addAll(queues.values());
+        for (ModelQueue queue : ordered) {
+            answerReady(queue, pass);
+            refuseUnreachable(queue, pass);
+            if (!queue.isExpired(now) && !isUsable(queue.model)) {
+                load(queue, pass);
             }
         }
-        wants.values().removeIf(want -> want.isExpired(now) || isDone(want));
+        queues.values().removeIf(queue -> queue.isExpired(now) || isServed(queue));
     }
 
-    private boolean isDone(ModelQueue want) {
-        return want.waiters.isEmpty() && table.get(want.model) != null;
+    private boolean isServed(ModelQueue queue) {
+        return queue.requests.isEmpty() && table.get(queue.model) != null;
     }
 
-    private void answerNow(ModelQueue want, Pass pass) {
-        Optional<Refused> refused = refusal(want.model, pass.now);
+    private void answerReady(ModelQueue queue, Pass pass) {
+        Optional<Refused> refused = refusal(queue.model, pass.now);
         if (refused.isPresent()) {
-            want.prefetchUntil = Instant.MIN;
+            queue.prefetchUntil = Instant.MIN;
         }
-        Replica replica = table.get(want.model);
-        for (ReplicaInput.RequestQueued waiter : List.copyOf(want.waiters)) {
-            if (!pass.now.isBefore(waiter.deadline())) {
-                refuse(want, waiter, RefusalCode.DEADLINE_UNREACHABLE, Optional.empty(), pass);
+        Replica replica = table.get(queue.model);
+        for (ReplicaInput.RequestQueued queued : List.copyOf(queue.requests)) {
+            if (!pass.now.isBefore(queued.deadline())) {
+                refuse(queue, queued, RefusalCode.DEADLINE_UNREACHABLE, Optional.empty(), pass);
             } else if (refused.isPresent()) {
-                refuse(want, waiter, refused.get().code, refused.get().retryAfter, pass);
+                refuse(queue, queued, refused.get().code, refused.get().retryAfter, pass);
             } else if (replica != null && isUsable(replica)) {
                 replica.uses++;
-                want.waiters.remove(waiter);
-                pass.actions.add(new ReplicaAction.SendRequest(waiter.request(), want.model));
+                queue.requests.remove(queued);
+                pass.actions.add(new ReplicaAction.SendRequest(queued.request(), queue.model));
             }
         }
     }
@@ -268,7 +269,8 @@
     private Optional<Refused> refusal(ModelName name, Instant now) {
         Model model = models.get(name);
         if (model == null || !mayHold(model)) {
-            return Optional.of(new Refused(RefusalCode.NO_UPSTREAM, Optional.of(SHORT_RETRY)));
+            return Optional.of(
+                    new Refused(RefusalCode.NO_UPSTREAM, Optional.of(SHORT_RETRY_AFTER)));
         }
         if (isUsable(name)) {
             return Optional.empty();
@@ -276,34 +278,34 @@
         if (table.isComplete() && fullBytes(model) > table.capacityBytes()) {
             return Optional.of(new Refused(RefusalCode.NO_UPSTREAM, Optional.empty()));
         }
-        return failures.remainingPause(name, now)
-                .or(() -> model.base().flatMap(base -> failures.remainingPause(base, now)))
+        return backoff.remainingPause(name, now)
+                .or(() -> model.base().flatMap(base -> backoff.remainingPause(base, now)))
                 .map(pause -> new Refused(RefusalCode.LOAD_FAILED, Optional.of(pause)));
     }
 
     private boolean mayHold(Model model) {
-        return rights.permits(model.name())
-                && model.base().map(b -> models.containsKey(b) && rights.permits(b)).orElse(true);
+        return grants.permits(model.name())
+                && model.base().map(b -> models.containsKey(b) && grants.permits(b)).orElse(true);
     }
 
     private long fullBytes(Model model) {
         return model.memoryBytes() + model.base().map(b -> models.get(b).memoryBytes()).orElse(0L);
     }
 
-    private void refuseLate(ModelQueue want, Pass pass) {
-        if (want.waiters.isEmpty()) {
+    private void refuseUnreachable(ModelQueue queue, Pass pass) {
+        if (queue.requests.isEmpty()) {
             return;
         }
-        Duration wait = waitFor(want.model, pass);
-        for (ReplicaInput.RequestQueued waiter : List.copyOf(want.waiters)) {
-            if (pass.now.plus(wait).isAfter(waiter.deadline())) {
-                want.prefetchUntil = pass.now.plus(PREFETCH);
-                refuse(want, waiter, RefusalCode.DEADLINE_UNREACHABLE, Optional.of(wait), pass);
+        Duration wait = expectedWait(queue.model, pass);
+        for (ReplicaInput.RequestQueued queued : List.copyOf(queue.requests)) {
+            if (pass.now.plus(wait).isAfter(queued.deadline())) {
+                queue.prefetchUntil = pass.now.plus(PREFETCH_TIME);
+                refuse(queue, queued, RefusalCode.DEADLINE_UNREACHABLE, Optional.of(wait), pass);
             }
         }
     }
 
-    private Duration waitFor(ModelName model, Pass pass) {
+    private Duration expectedWait(ModelName model, Pass pass) {
         Duration load = timeToLoad(model, pass.now);
         return table.get(model) == null ? pass.slots.schedule(load) : load;
     }
@@ -320,7 +322,7 @@
         }
         Duration own = costs.loadEstimate(model);
         if (replica != null && replica.phase == Phase.LOADING) {
-            Duration left = own.minus(Duration.between(replica.since, now));
+            Duration left = own.minus(Duration.between(replica.phaseSince, now));
             return left.isNegative() ? Duration.ZERO : left;
         }
         return own.plus(model.base().map(b -> timeToLoad(b, now)).orElse(Duration.ZERO));
@@ -337,38 +339,38 @@
     }
 
     private static void refuse(
-            ModelQueue want,
-            ReplicaInput.RequestQueued waiter,
+            ModelQueue queue,
+            ReplicaInput.RequestQueued queued,
             RefusalCode code,
             Optional<Duration> retryAfter,
             Pass pass) {
-        want.waiters.remove(waiter);
+        queue.requests.remove(queued);
         pass.actions.add(
-                new ReplicaAction.RefuseRequest(waiter.request(), want.model, code, retryAfter));
+                new ReplicaAction.RefuseRequest(queued.request(), queue.model, code, retryAfter));
     }
 
     /**
      * Orders the load of the model, or first that of its base, or the unloads that free the memory
      * for it.
      */
-    private void load(ModelQueue want, Pass pass) {
-        Model model = models.get(want.model);
+    private void load(ModelQueue queue, Pass pass) {
+        Model model = models.get(queue.model);
         if (!table.isComplete() || model == null || !mayHold(model)) {
             return;
         }
         Optional<Model> first = firstToLoad(model);
-        if (first.isEmpty() || failures.remainingPause(first.get().name(), pass.now).isPresent()) {
+        if (first.isEmpty() || backoff.remainingPause(first.get().name(), pass.now).isPresent()) {
             return;
         }
         long bytes = missingBytes(model);
-        long free = table.freeBytes() - pass.promised;
+        long free = table.freeBytes() - pass.reservedBytes;
         if (free >= bytes && table.count(Phase.LOADING) < settings.loadsAtOnce()) {
-            order(first.get(), pass);
-            pass.promised += bytes - first.get().memoryBytes();
+            orderLoad(first.get(), pass);
+            pass.reservedBytes += bytes - first.get().memoryBytes();
         } else if (free >= bytes) {
-            pass.promised += bytes;
+            pass.reservedBytes += bytes;
         } else {
-            makeRoom(want, model, bytes, bytes - free - table.bytesIn(Phase.UNLOADING), pass);
+            freeMemoryFor(queue, model, bytes, bytes - free - table.bytesIn(Phase.UNLOADING), pass);
         }
     }
 
@@ -384,30 +386,31 @@
         return own + model.base().map(b -> missingBytes(models.get(b))).orElse(0L);
     }
 
-    private void order(Model model, Pass pass) {
+    private void orderLoad(Model model, Pass pass) {
         table.reserve(model, pass.now);
-        pass.actions.add(new ReplicaAction.LoadModel(model, rights.fencing(model.name())));
+        pass.actions.add(new ReplicaAction.LoadModel(model, grants.fencing(model.name())));
     }
 
-    private void makeRoom(ModelQueue want, Model model, long bytes, long shortfall, Pass pass) {
-        double below =
-                want.waiters.isEmpty()
+    private void freeMemoryFor(
+            ModelQueue queue, Model model, long bytes, long shortfall, Pass pass) {
+        double maxCost =
+                queue.requests.isEmpty()
                         ? costs.coldStartSecondsPerByte(model, model.memoryBytes(), pass.now)
                         : Double.MAX_VALUE;
         Optional<List<Replica>> chosen =
-                victims.chooseToFree(shortfall, neededNow(), models, below, pass.now);
+                evictionPolicy.chooseToFree(shortfall, neededModels(), models, maxCost, pass.now);
         if (chosen.isPresent()) {
             chosen.get().forEach(replica -> unload(replica, pass.actions, pass.now));
-            pass.promised += bytes;
+            pass.reservedBytes += bytes;
         }
     }
 
-    private Set<ModelName> neededNow() {
+    private Set<ModelName> neededModels() {
         Set<ModelName> needed = new TreeSet<>();
-        for (ModelQueue want : wants.values()) {
-            Model model = models.get(want.model);
+        for (ModelQueue queue : queues.values()) {
+            Model model = models.get(queue.model);
             if (model != null) {
-                needed.add(want.model);
+                needed.add(queue.model);
                 model.base().ifPresent(needed::add);
             }
         }
@@ -424,7 +427,7 @@
         private final List<ReplicaAction> actions;
         private final Instant now;
         private final LoadSlots slots;
-        private long promised;
+        private long reservedBytes;
 
         private Pass(List<ReplicaAction> actions, Instant now, LoadSlots slots) {
             this.actions = actions;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaTable.java
@@ -21,14 +21,14 @@
  * request on the VM.
  */
 final class ReplicaTable {
-    private static final int MISSING_LIMIT = 3;
+    private static final int MAX_MISSING_REPORTS = 3;
 
     private final ReplicaSettings settings;
     private final TreeMap<ModelName, Replica> replicas = new TreeMap<>();
-    private final TreeMap<ModelName, Instant> freed = new TreeMap<>();
-    private long capacity;
-    private long unlisted;
-    private Instant started;
+    private final TreeMap<ModelName, Instant> freedAt = new TreeMap<>();
+    private long totalBytes;
+    private long unlistedBytes;
+    private Instant startedAt;
     private boolean complete;
 
     ReplicaTable(ReplicaSettings settings) {
@@ -47,8 +47,8 @@
     }
 
     void recordStart(Instant now) {
-        if (started == null) {
-            started = now;
+        if (startedAt == null) {
+            startedAt = now;
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     long capacityBytes() {
-        return capacity - unlisted;
+        return totalBytes - unlistedBytes;
     }
 
     long freeBytes() {
@@ -92,7 +92,7 @@
         replica.base = model.base();
         replica.baseKnown = true;
         replicas.put(model.name(), replica);
-        freed.remove(model.name());
+        freedAt.remove(model.name());
     }
 
     /** Sets the bases of adapters that were reported before the models were configured. */
@@ -111,7 +111,7 @@
     /** Frees the memory: the engine confirmed that it is free. */
     void free(ModelName name, Instant now) {
         replicas.remove(name);
-        freed.put(name, now);
+        freedAt.put(name, now);
     }
 
     /**
@@ -125,16 +125,16 @@
 
     /** Applies a report, given the configured models. */
     void applyReport(Engine.Report report, Map<ModelName, Model> models, Instant now) {
-        capacity = report.memoryBytes();
-        complete |= isAfterLag(started, now);
-        freed.values().removeIf(at -> isAfterLag(at, now));
+        totalBytes = report.memoryBytes();
+        complete |= isAfterLag(startedAt, now);
+        freedAt.values().removeIf(at -> isAfterLag(at, now));
         Map<ModelName, Engine.Held> loaded = byName(report.loaded());
         Map<ModelName, Engine.Held> loading = byName(report.loading());
-        unlisted = Math.max(0, report.memoryUsedBytes() - sum(loaded) - sum(loading));
+        unlistedBytes = Math.max(0, report.memoryUsedBytes() - sum(loaded) - sum(loading));
         adopt(loaded, complete ? Phase.LOADED : Phase.UNKNOWN, models, now);
         adopt(loading, Phase.UNKNOWN, models, now);
         for (Replica replica : replicas.values().toArray(new Replica[0])) {
-            compare(replica, loaded.get(replica.name), loading.get(replica.name), now);
+            reconcile(replica, loaded.get(replica.name), loading.get(replica.name), now);
         }
     }
 
@@ -149,7 +149,7 @@
             Instant now) {
         for (Engine.Held each : held.values()) {
             Replica replica = replicas.get(each.model());
-            if (replica == null && !freed.containsKey(each.model())) {
+            if (replica == null && !freedAt.containsKey(each.model())) {
                 replica = new Replica(each.model(), phase, adoptedAt(now), each.memoryBytes());
                 replica.version = each.version();
                 learnBase(replica, models);
@@ -166,15 +166,15 @@
      * younger than this process settles them.
      */
     private Instant adoptedAt(Instant now) {
-        return complete ? now : started;
+        return complete ? now : startedAt;
     }
 
-    private void compare(Replica replica, Engine.Held loaded, Engine.Held loading, Instant now) {
-        if (!isAfterLag(replica.since, now)) {
+    private void reconcile(Replica replica, Engine.Held loaded, Engine.Held loading, Instant now) {
+        if (!isAfterLag(replica.phaseSince, now)) {
             return;
         }
         if (replica.phase == Phase.LOADED) {
-            replica.missing = loaded == null ? replica.missing + 1 : 0;
+            replica.missingReports = loaded == null ? replica.missingReports + 1 : 0;
         } else if (replica.phase == Phase.UNKNOWN && loaded != null) {
             replica.enter(Phase.LOADED, now);
             replica.version = loaded.version();
@@ -189,7 +189,7 @@
      * unload frees its memory.
      */
     static boolean isLost(Replica replica) {
-        return replica.missing >= MISSING_LIMIT;
+        return replica.missingReports >= MAX_MISSING_REPORTS;
     }
 
     private boolean isAfterLag(Instant event, Instant now) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/WatchPlan.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/WatchPlan.java
@@ -59,7 +59,7 @@
             byZone.computeIfAbsent(router.zone(), zone -> RelayPlan.of(routers, zone).relays());
         }
         Set<Vm> ranked = new LinkedHashSet<>();
-        for (int rank = 0; rank < RelayPlan.RELAYS; rank++) {
+        for (int rank = 0; rank < RelayPlan.RELAYS_PER_ZONE; rank++) {
             for (List<Vm> relays : byZone.values()) {
                 if (rank < relays.size()) {
                     ranked.add(relays.get(rank));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/LeaseMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/LeaseMachineTest.java
@@ -16,7 +16,7 @@
     private Instant now = Instant.ofEpochSecond(100);
 
     @Test
-    void aHolderThatResignsEndsItsOwnLeaseAndHoldsNothing() {
+    void aLeaderThatResignsRevokesItsOwnLeaseAndHoldsNothing() {
         // Guards against a slow leader that removes the key by name when it resigns, again at each
         // slow tick, and so removes the keys of its successors.
         hold(7);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aHolderStopsBeforeItsLeaseCanHaveEnded() {
+    void aLeaderStopsBeforeItsLeaseCanHaveExpired() {
         hold(7);
         assertTrue(machine.isHeld(now.plusMillis(1_700)));
         assertFalse(machine.isHeld(now.plusMillis(1_800)));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSessionTest.java
@@ -46,8 +46,8 @@
         plan(5, Set.of(ONE, TWO, THREE), Set.of(), Set.of());
         say("One VM is leaving: nothing is granted again before its holder has released it");
         plan(5, Set.of(ONE, TWO, THREE), Set.of(ONE), Set.of());
-        handBack(ONE);
-        handBack(TWO);
+        release(ONE);
+        release(TWO);
         plan(1, Set.of(ONE, TWO, THREE), Set.of(ONE), Set.of());
         say("The new holder is missing from the list but still sends messages: nothing changes");
         plan(1, Set.of(ONE, TWO), Set.of(), Set.of(TWO, THREE));
@@ -76,7 +76,7 @@
         lease.on(input, now).forEach(action -> lines.append("    ").append(action).append('\n'));
     }
 
-    private void plan(long seconds, Set<VmId> listed, Set<VmId> leaving, Set<VmId> heard) {
+    private void plan(long seconds, Set<VmId> listed, Set<VmId> leaving, Set<VmId> recentlyHeard) {
         now = now.plusSeconds(seconds);
         List<PlacementPlanner.Candidate> candidates =
                 listed.stream()
@@ -85,7 +85,11 @@
                         .toList();
         PlacementPlanner.View view =
                 new PlacementPlanner.View(
-                        new PlacementTable(revision, stored), models, candidates, listed, heard);
+                        new PlacementTable(revision, stored),
+                        models,
+                        candidates,
+                        listed,
+                        recentlyHeard);
         lines.append(now.getEpochSecond()).append("s planned\n");
         for (PlacementPlanner.Proposal proposal : planner.on(view, now)) {
             stored.put(proposal.shard(), new PlacementTable.Stored(proposal.value(), ++revision));
@@ -93,14 +97,14 @@
         }
     }
 
-    private void handBack(VmId vm) {
+    private void release(VmId vm) {
         stored.replaceAll(
                 (number, before) ->
                         new PlacementTable.Stored(
                                 before.shard()
                                         .without(
-                                                right ->
-                                                        right.vm().equals(vm) && right.releasing()),
+                                                grant ->
+                                                        grant.vm().equals(vm) && grant.releasing()),
                                 ++revision));
         lines.append(now.getEpochSecond()).append("s ").append(vm).append(" releases its grants\n");
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSimulation.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSimulation.java
@@ -41,9 +41,9 @@
     final Map<ModelName, Model> models = new TreeMap<>();
     final List<SimulatedRouter> routers = new ArrayList<>();
     final Map<VmId, SimulatedVm> vms = new TreeMap<>();
-    final List<String> broken = new ArrayList<>();
-    private final List<Set<VmId>> lists = new ArrayList<>();
-    private final Set<VmId> mislaid = new HashSet<>();
+    final List<String> violations = new ArrayList<>();
+    private final List<Set<VmId>> listHistory = new ArrayList<>();
+    private final Set<VmId> omitted = new HashSet<>();
     final Set<VmId> leaving = new HashSet<>();
     Instant now = Instant.EPOCH.plusSeconds(1);
     boolean faults = true;
@@ -94,7 +94,7 @@
     /** Runs one step of the routers and VMs, without faults or checks of this simulation's own. */
     public void stepAt(Instant time) {
         now = time;
-        noteList();
+        recordList();
         routers.forEach(SimulatedRouter::step);
         vms.values().forEach(SimulatedVm::step);
     }
@@ -105,7 +105,7 @@
      */
     public void endFaults() {
         faults = false;
-        mislaid.clear();
+        omitted.clear();
         vms.values().forEach(SimulatedVm::recover);
         routers.forEach(SimulatedRouter::resume);
     }
@@ -133,9 +133,9 @@
     /** Omits a running VM from the list, or puts it back. */
     public void omitFromList(int vm, boolean away) {
         if (away) {
-            mislaid.add(vm(vm).id);
+            omitted.add(vm(vm).id);
         } else {
-            mislaid.remove(vm(vm).id);
+            omitted.remove(vm(vm).id);
         }
     }
 
@@ -191,7 +191,7 @@
         faults = false;
         fake.down(false);
         fake.loseAnswers(0);
-        mislaid.clear();
+        omitted.clear();
         leaving.clear();
         vms.values().forEach(SimulatedVm::recover);
         routers.forEach(SimulatedRouter::resume);
@@ -204,28 +204,28 @@
 
     /** Returns the VMs on the platform's list as it was some steps ago. */
     Set<VmId> listed(int age) {
-        return lists.get(Math.max(0, lists.size() - 1 - age));
+        return listHistory.get(Math.max(0, listHistory.size() - 1 - age));
     }
 
     private void step() {
         now = now.plus(STEP);
-        noteList();
+        recordList();
         if (faults) {
-            breakSomething();
+            injectFault();
         }
         routers.forEach(SimulatedRouter::step);
         vms.values().forEach(SimulatedVm::step);
         check();
     }
 
-    private void noteList() {
+    private void recordList() {
         Set<VmId> alive = new TreeSet<>();
         vms.values().stream().filter(SimulatedVm::isUp).forEach(vm -> alive.add(vm.id));
-        alive.removeAll(mislaid);
-        lists.add(alive);
+        alive.removeAll(omitted);
+        listHistory.add(alive);
     }
 
-    private void breakSomething() {
+    private void injectFault() {
         int what = random.nextInt(400);
         SimulatedVm vm = List.copyOf(vms.values()).get(random.nextInt(vms.size()));
         switch (what) {
@@ -235,8 +235,8 @@
             case 5 -> routers.get(random.nextInt(routers.size())).freeze(random.nextInt(400));
             case 6, 7 -> vm.crashAgent();
             case 8 -> vm.stop(200 + random.nextInt(400));
-            case 9 -> mislaid.add(vm.id);
-            case 10, 11 -> mislaid.clear();
+            case 9 -> omitted.add(vm.id);
+            case 10, 11 -> omitted.clear();
             case 12 -> leaving.add(vm.id);
             case 13, 14 -> leaving.clear();
             default -> {}
@@ -248,12 +248,13 @@
         for (Model model : models.values()) {
             long held = vms.values().stream().filter(vm -> vm.holds(model.name())).count();
             if (held > model.maxReplicas()) {
-                broken.add(now + " too many replicas of " + model.name() + ": " + held);
+                violations.add(now + " too many replicas of " + model.name() + ": " + held);
             }
         }
         for (SimulatedVm vm : vms.values()) {
             if (vm.usedBytes() > SimulatedVm.MEMORY) {
-                broken.add(now + " engine over its memory: " + vm.id + " uses " + vm.usedBytes());
+                violations.add(
+                        now + " engine over its memory: " + vm.id + " uses " + vm.usedBytes());
             }
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingPlacementFeedTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingPlacementFeedTest.java
@@ -22,30 +22,32 @@
     private final SameThreadControl control = new SameThreadControl();
     private final FakeStore fake = new FakeStore();
     private final PlacementStore store = new PlacementStore(fake, "t");
-    private final List<PlacementTable> told = new ArrayList<>();
+    private final List<PlacementTable> received = new ArrayList<>();
 
     @Test
-    void aSmallFleetLooksOnceASecond() {
-        int reads = readsASecond(20);
+    void aSmallFleetReadsOncePerSecond() {
+        int reads = readsPerSecond(20);
         assertTrue(reads >= 15 && reads <= 22, reads + " reads a second");
     }
 
     @Test
-    void aFleetOfTheDesignSizeThatLooksEachSecondTakesMoreThanTheStoreGives() {
-        assertTrue(readsASecond(2_780, seed -> () -> PollingInterval.SHORTEST) > 2_000);
+    void aFleetOfTheDesignSizeThatReadsEachSecondExceedsTheStoreLimit() {
+        assertTrue(readsPerSecond(2_780, seed -> () -> PollingInterval.SHORTEST) > 2_000);
     }
 
     @Test
-    void aFleetOfTheDesignSizeStaysWithinTheBudget() {
+    void aFleetOfTheDesignSizeStaysWithinTheReadLimit() {
         // Guards against an interval that ignores the fleet's size: 380 routers and 2,400 agents
         // that read each second read 2,780 times a second, and the store refuses the reads that
         // requests and configuration need.
-        int reads = readsASecond(2_780);
-        assertTrue(reads > 0 && reads <= PollingInterval.BUDGET, reads + " reads a second");
+        int reads = readsPerSecond(2_780);
+        assertTrue(
+                reads > 0 && reads <= PollingInterval.MAX_READS_PER_SECOND,
+                reads + " reads a second");
     }
 
     @Test
-    void aMarkIsFoundThreeTimesBeforeTheRightMayBeTakenHoweverLargeTheFleet() {
+    void aSuspicionIsReadThreeTimesBeforeTheGrantMayBeRevokedInAFleetOfAnySize() {
         // Guards against an agent that reads too seldom to find that it is suspected: its grant is
         // revoked and the model is loaded elsewhere while it still holds it.
         PollingInterval pace = new PollingInterval(new Random(1));
@@ -55,19 +57,19 @@
     }
 
     @Test
-    void aWrittenShardIsSeenAndAnUnchangedTableIsNotReadAgain() {
+    void aWrittenShardIsReceivedAndAnUnchangedTableIsNotReadAgain() {
         feed(pause(20, 1));
         grant();
         control.advance(Duration.ofSeconds(2));
         assertEquals(1, last().allGrants().count());
         int before = fake.calls();
-        int looks = told.size();
+        int previousReads = received.size();
         control.advance(Duration.ofSeconds(10));
-        assertEquals(told.size() - looks, fake.calls() - before);
+        assertEquals(received.size() - previousReads, fake.calls() - before);
     }
 
     @Test
-    void aFailedLookKeepsTheTableAndTheNextOneReadsIt() {
+    void aFailedReadKeepsTheTableAndTheNextReadUpdatesIt() {
         feed(pause(20, 1));
         fake.down(true);
         control.advance(Duration.ofSeconds(3));
@@ -77,11 +79,11 @@
         assertEquals(1, last().allGrants().count());
     }
 
-    private int readsASecond(int processes) {
-        return readsASecond(processes, seed -> pause(processes, seed));
+    private int readsPerSecond(int processes) {
+        return readsPerSecond(processes, seed -> pause(processes, seed));
     }
 
-    private int readsASecond(int processes, LongFunction<Supplier<Duration>> pause) {
+    private int readsPerSecond(int processes, LongFunction<Supplier<Duration>> pause) {
         for (int i = 0; i < processes; i++) {
             feed(pause.apply(i));
         }
@@ -98,18 +100,18 @@
     }
 
     private void feed(Supplier<Duration> pause) {
-        new PollingPlacementFeed(control, store, pause, new Metrics()).start(told::add);
+        new PollingPlacementFeed(control, store, pause, new Metrics()).start(received::add);
     }
 
     private void grant() {
         PlacementTable.Stored read = new PlacementTable.Stored(Shard.EMPTY, 0);
-        ReplicaGrant right = ReplicaGrant.of(ModelName.of("cut"), VmId.of("one"), 1);
+        ReplicaGrant grant = ReplicaGrant.of(ModelName.of("cut"), VmId.of("one"), 1);
         PlacementPlanner.Proposal proposal =
-                new PlacementPlanner.Proposal(0, read.shard(), new Shard(1, List.of(right)), 0);
+                new PlacementPlanner.Proposal(0, read.shard(), new Shard(1, List.of(grant)), 0);
         store.applyProposal(proposal, ShardTransitionTest.configuration(1));
     }
 
     private PlacementTable last() {
-        return told.get(told.size() - 1);
+        return received.get(received.size() - 1);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/ShardTransitionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/ShardTransitionTest.java
@@ -25,32 +25,32 @@
     private static final Shard READ = new Shard(5, List.of(HELD));
 
     @Test
-    void aPlannerTakesOnlyWhatIsSuspected() {
+    void aPlannerRevokesOnlySuspectedGrants() {
         assertTrue(plan(READ, new Shard(5, List.of())).isPresent());
         Shard suspected = new Shard(5, List.of(HELD.withSuspected(true)));
         assertEquals(Optional.empty(), plan(suspected, new Shard(5, List.of())));
     }
 
     @Test
-    void aRightThatMovesIsNeverCountedTwice() {
+    void aMovedGrantMustNotExceedTheReplicaLimit() {
         Shard moved = new Shard(6, List.of(HELD.withReleasing(), ReplicaGrant.of(CUT, TWO, 6)));
         assertTrue(plan(READ, moved).isPresent());
     }
 
     @Test
-    void anOldFencingNumberIsNotGivenAgain() {
+    void aFencingTokenIsNeverReused() {
         Shard empty = new Shard(5, List.of());
         Shard again = new Shard(5, List.of(ReplicaGrant.of(CUT, TWO, 5)));
         assertTrue(plan(empty, again).isPresent());
     }
 
     @Test
-    void aHolderRemovesOnlyItsOwnRightAndOnlyWhenAsked() {
+    void aHolderRemovesOnlyItsOwnGrantAndOnlyWhenReleasing() {
         Shard none = new Shard(5, List.of());
-        Shard asked = new Shard(5, List.of(HELD.withReleasing()));
+        Shard releasing = new Shard(5, List.of(HELD.withReleasing()));
         assertTrue(ShardTransition.findHolderViolation(READ, none, ONE).isPresent());
-        assertTrue(ShardTransition.findHolderViolation(asked, none, TWO).isPresent());
-        assertEquals(Optional.empty(), ShardTransition.findHolderViolation(asked, none, ONE));
+        assertTrue(ShardTransition.findHolderViolation(releasing, none, TWO).isPresent());
+        assertEquals(Optional.empty(), ShardTransition.findHolderViolation(releasing, none, ONE));
     }
 
     @Test
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/SimulatedRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/SimulatedRouter.java
@@ -14,68 +14,77 @@
 
 /** A simulated router, which always believes that it holds the lease and is frozen at times. */
 final class SimulatedRouter {
-    private final PlacementSimulation world;
+    private final PlacementSimulation simulation;
     private final PlacementPlanner planner;
-    private final List<Delayed> delayed = new ArrayList<>();
+    private final List<PendingProposal> pendingProposals = new ArrayList<>();
     private PlacementTable table = PlacementTable.UNREAD;
-    private int frozenFor;
+    private int frozenSteps;
 
     /** A pending proposal, and the configuration that it was computed from. */
-    private record Delayed(PlacementPlanner.Proposal proposal, Configuration configuration) {}
+    private record PendingProposal(
+            PlacementPlanner.Proposal proposal, Configuration configuration) {}
 
-    SimulatedRouter(PlacementSimulation world) {
-        this.world = world;
+    SimulatedRouter(PlacementSimulation simulation) {
+        this.simulation = simulation;
         this.planner =
-                world.policy == PlacementPolicy.TIMEOUT_ONLY
+                simulation.policy == PlacementPolicy.TIMEOUT_ONLY
                         ? new PlacementPlanner(Duration.ofSeconds(5), Duration.ZERO)
                         : new PlacementPlanner(
                                 PlacementSimulation.GONE_AFTER, PlacementSimulation.SUSPECT_TIME);
     }
 
     void freeze(int steps) {
-        frozenFor = Math.max(frozenFor, steps);
+        frozenSteps = Math.max(frozenSteps, steps);
     }
 
     void resume() {
-        frozenFor = 0;
+        frozenSteps = 0;
     }
 
     void step() {
-        if (frozenFor > 0) {
-            frozenFor--;
+        if (frozenSteps > 0) {
+            frozenSteps--;
             return;
         }
-        if (!world.ownView()) {
-            delayed.forEach(late -> world.store.applyProposal(late.proposal, late.configuration));
-            delayed.clear();
-            if (world.leads(this)) {
+        if (!simulation.ownView()) {
+            pendingProposals.forEach(
+                    pending ->
+                            simulation.store.applyProposal(
+                                    pending.proposal, pending.configuration));
+            pendingProposals.clear();
+            if (simulation.leads(this)) {
                 plan();
             }
         }
-        if (world.random.nextInt(2) == 0) {
-            world.store.read().thenAccept(this::take);
+        if (simulation.random.nextInt(2) == 0) {
+            simulation.store.read().thenAccept(this::update);
         }
-        if (world.random.nextInt(3) == 0) {
+        if (simulation.random.nextInt(3) == 0) {
             send();
         }
     }
 
-    private void take(PlacementTable newer) {
+    private void update(PlacementTable newer) {
         if (newer.revision() >= table.revision()) {
             table = newer;
         }
     }
 
     private void plan() {
-        Set<VmId> listed = world.listed(8);
+        Set<VmId> listed = simulation.listed(8);
         List<PlacementPlanner.Candidate> candidates =
-                listed.stream().map(vm -> world.vms.get(vm)).map(this::candidate).toList();
+                listed.stream().map(vm -> simulation.vms.get(vm)).map(this::candidate).toList();
         PlacementPlanner.View view =
                 new PlacementPlanner.View(
-                        table, world.configurationOf(this).models(), candidates, listed, heard());
-        for (PlacementPlanner.Proposal proposal : planner.on(view, world.now)) {
-            if (world.faults && world.random.nextInt(4) == 0) {
-                delayed.add(new Delayed(proposal, world.configurationOf(this)));
+                        table,
+                        simulation.configurationOf(this).models(),
+                        candidates,
+                        listed,
+                        recentlyHeard());
+        for (PlacementPlanner.Proposal proposal : planner.on(view, simulation.now)) {
+            if (simulation.faults && simulation.random.nextInt(4) == 0) {
+                pendingProposals.add(
+                        new PendingProposal(proposal, simulation.configurationOf(this)));
             } else {
                 propose(proposal);
             }
@@ -83,40 +92,43 @@
     }
 
     private void propose(PlacementPlanner.Proposal proposal) {
-        world.store.applyProposal(proposal, world.configurationOf(this));
+        simulation.store.applyProposal(proposal, simulation.configurationOf(this));
     }
 
     private PlacementPlanner.Candidate candidate(SimulatedVm vm) {
         return new PlacementPlanner.Candidate(
-                vm.id, PlacementSimulation.POOL, vm.zone, world.leaving.contains(vm.id));
+                vm.id, PlacementSimulation.POOL, vm.zone, simulation.leaving.contains(vm.id));
     }
 
-    private Set<VmId> heard() {
-        if (world.policy == PlacementPolicy.TIMEOUT_ONLY) {
+    private Set<VmId> recentlyHeard() {
+        if (simulation.policy == PlacementPolicy.TIMEOUT_ONLY) {
             return Set.of();
         }
-        Set<VmId> heard = new HashSet<>();
-        world.vms.values().stream()
-                .filter(vm -> vm.isAgentUp() && world.random.nextInt(3) > 0)
-                .forEach(vm -> heard.add(vm.id));
-        return heard;
+        Set<VmId> recentlyHeard = new HashSet<>();
+        simulation.vms.values().stream()
+                .filter(vm -> vm.isAgentUp() && simulation.random.nextInt(3) > 0)
+                .forEach(vm -> recentlyHeard.add(vm.id));
+        return recentlyHeard;
     }
 
     private void send() {
-        List<Model> models = List.copyOf(world.models.values());
-        Model model = models.get(world.random.nextInt(models.size()));
-        List<VmId> homes = homes(model);
-        if (!homes.isEmpty()) {
-            world.vms.get(homes.get(world.random.nextInt(homes.size()))).queueRequest(model.name());
+        List<Model> models = List.copyOf(simulation.models.values());
+        Model model = models.get(simulation.random.nextInt(models.size()));
+        List<VmId> chosenVms = chosenVms(model);
+        if (!chosenVms.isEmpty()) {
+            simulation
+                    .vms
+                    .get(chosenVms.get(simulation.random.nextInt(chosenVms.size())))
+                    .queueRequest(model.name());
         }
     }
 
     // The naive router chooses the first of the VMs that it believes to be running.
-    private List<VmId> homes(Model model) {
-        if (!world.ownView()) {
+    private List<VmId> chosenVms(Model model) {
+        if (!simulation.ownView()) {
             return List.copyOf(table.usableHolders().getOrDefault(model.name(), Set.of()));
         }
-        return world.listed(world.routers.indexOf(this) * 8).stream()
+        return simulation.listed(simulation.routers.indexOf(this) * 8).stream()
                 .sorted(Comparator.comparing(vm -> rank(model.name(), vm)))
                 .limit(model.maxReplicas())
                 .collect(Collectors.toList());
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/SimulatedVm.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/SimulatedVm.java
@@ -24,39 +24,39 @@
 /** A simulated VM: an engine that ignores fencing tokens, and an agent beside it that can crash. */
 final class SimulatedVm {
     static final long MEMORY = 100;
-    private static final int LAG = 7;
+    private static final int MAX_REPORT_AGE_STEPS = 7;
 
     final VmId id;
     final AvailabilityZone zone;
-    private final PlacementSimulation world;
+    private final PlacementSimulation simulation;
     private final Map<ModelName, Model> held = new TreeMap<>();
     private final Map<ModelName, Job> jobs = new TreeMap<>();
     private final List<Engine.Report> history = new ArrayList<>();
     private final List<Use> uses = new ArrayList<>();
-    private ReplicaManager holder;
+    private ReplicaManager manager;
     private PlacementTable table;
-    private int agentDownFor;
-    private int vmDownFor;
-    private int life;
+    private int agentDownSteps;
+    private int vmDownSteps;
+    private int incarnation;
     private final Map<ExchangeId, Instant> waiting = new HashMap<>();
 
     private record Use(ModelName model, Instant end) {}
 
-    private record Job(Model model, boolean load, Instant end, int life) {}
+    private record Job(Model model, boolean load, Instant end, int incarnation) {}
 
-    SimulatedVm(PlacementSimulation world, VmId id, AvailabilityZone zone) {
-        this.world = world;
+    SimulatedVm(PlacementSimulation simulation, VmId id, AvailabilityZone zone) {
+        this.simulation = simulation;
         this.id = id;
         this.zone = zone;
         startAgent();
     }
 
     boolean isUp() {
-        return vmDownFor == 0;
+        return vmDownSteps == 0;
     }
 
     boolean isAgentUp() {
-        return isUp() && agentDownFor == 0;
+        return isUp() && agentDownSteps == 0;
     }
 
     boolean holds(ModelName model) {
@@ -74,23 +74,23 @@
 
     /** Crashes the agent; its orders continue at the engine. */
     void crashAgent() {
-        agentDownFor = 1 + world.random.nextInt(40);
-        life++;
+        agentDownSteps = 1 + simulation.random.nextInt(40);
+        incarnation++;
         waiting.clear();
     }
 
     /** Stops the whole VM for some steps; it comes back empty under its old name. */
     void stop(int steps) {
-        vmDownFor = steps;
-        life++;
+        vmDownSteps = steps;
+        incarnation++;
         waiting.clear();
         held.clear();
         jobs.clear();
     }
 
     void recover() {
-        vmDownFor = Math.min(vmDownFor, 1);
-        agentDownFor = Math.min(agentDownFor, 1);
+        vmDownSteps = Math.min(vmDownSteps, 1);
+        agentDownSteps = Math.min(agentDownSteps, 1);
     }
 
     void addViolations(List<String> found) {
@@ -99,7 +99,7 @@
         }
         waiting.forEach(
                 (request, deadline) -> {
-                    if (deadline.isBefore(world.now)) {
+                    if (deadline.isBefore(simulation.now)) {
                         found.add(
                                 "request "
                                         + request
@@ -113,44 +113,44 @@
 
     void queueRequest(ModelName model) {
         if (isAgentUp()) {
-            ExchangeId request = new ExchangeId(Incarnation.of("r"), world.requests++);
-            Instant deadline = world.now.plusSeconds(20);
+            ExchangeId request = new ExchangeId(Incarnation.of("r"), simulation.requests++);
+            Instant deadline = simulation.now.plusSeconds(20);
             waiting.put(request, deadline);
             feed(new ReplicaInput.RequestQueued(request, model, deadline, WorkspaceId.of("w")));
         }
     }
 
     void step() {
-        if (vmDownFor > 0) {
-            vmDownFor--;
-            agentDownFor = 1;
+        if (vmDownSteps > 0) {
+            vmDownSteps--;
+            agentDownSteps = 1;
             history.clear();
             return;
         }
         endJobs();
-        history.add(truth());
-        if (agentDownFor > 0) {
-            agentDownFor--;
-            if (agentDownFor == 0) {
+        history.add(trueReport());
+        if (agentDownSteps > 0) {
+            agentDownSteps--;
+            if (agentDownSteps == 0) {
                 startAgent();
             }
             return;
         }
-        if (world.random.nextInt(4) == 0) {
-            world.store.read().thenAccept(this::take);
+        if (simulation.random.nextInt(4) == 0) {
+            simulation.store.read().thenAccept(this::update);
         }
-        if (table.isRead() && world.random.nextInt(4) == 0) {
-            int age = world.random.nextInt(Math.min(LAG, history.size()));
+        if (table.isRead() && simulation.random.nextInt(4) == 0) {
+            int age = simulation.random.nextInt(Math.min(MAX_REPORT_AGE_STEPS, history.size()));
             feed(new ReplicaInput.EngineReported(history.get(history.size() - 1 - age)));
         }
         endUses();
         feed(new ReplicaInput.Tick());
-        handBack();
+        releaseGrants();
     }
 
     private void endUses() {
         for (Use use : List.copyOf(uses)) {
-            if (!use.end.isAfter(world.now)) {
+            if (!use.end.isAfter(simulation.now)) {
                 uses.remove(use);
                 feed(new ReplicaInput.RequestFinished(use.model));
             }
@@ -159,72 +159,72 @@
 
     private void startAgent() {
         uses.clear();
-        holder = new ReplicaManager(ReplicaSettings.defaults());
+        manager = new ReplicaManager(ReplicaSettings.defaults());
         table = PlacementTable.UNREAD;
-        feed(new ReplicaInput.ModelsConfigured(world.models));
-        if (world.ownView()) {
-            feed(new ReplicaInput.GrantsChanged(ModelGrants.all(life + 1)));
+        feed(new ReplicaInput.ModelsConfigured(simulation.models));
+        if (simulation.ownView()) {
+            feed(new ReplicaInput.GrantsChanged(ModelGrants.all(incarnation + 1)));
         }
     }
 
-    private void take(PlacementTable newer) {
+    private void update(PlacementTable newer) {
         if (newer.revision() < table.revision()) {
             return;
         }
         table = newer;
-        if (!world.ownView()) {
-            Map<ModelName, Long> rights = new TreeMap<>();
+        if (!simulation.ownView()) {
+            Map<ModelName, Long> grants = new TreeMap<>();
             newer.grantsOf(id).stream()
                     .filter(ReplicaGrant::usable)
-                    .forEach(right -> rights.put(right.model(), right.fencing()));
-            feed(new ReplicaInput.GrantsChanged(ModelGrants.of(rights)));
+                    .forEach(grant -> grants.put(grant.model(), grant.fencing()));
+            feed(new ReplicaInput.GrantsChanged(ModelGrants.of(grants)));
         }
     }
 
-    private void handBack() {
+    private void releaseGrants() {
         table.shards()
                 .forEach(
                         (number, stored) -> {
-                            Shard changed = handedBack(stored.shard());
+                            Shard changed = withoutReleased(stored.shard());
                             if (!changed.equals(stored.shard())) {
-                                world.store.changeGrants(number, stored, id, read -> changed);
+                                simulation.store.changeGrants(number, stored, id, read -> changed);
                             }
                         });
     }
 
-    private Shard handedBack(Shard shard) {
-        boolean clears = world.policy != PlacementPolicy.TIMEOUT_ONLY;
-        return shard.without(right -> mine(right) && isReleased(right))
-                .map(right -> mine(right) && clears ? right.withoutSuspicion() : right);
+    private Shard withoutReleased(Shard shard) {
+        boolean clears = simulation.policy != PlacementPolicy.TIMEOUT_ONLY;
+        return shard.without(grant -> isOwn(grant) && isReleased(grant))
+                .map(grant -> isOwn(grant) && clears ? grant.withoutSuspicion() : grant);
     }
 
-    private boolean mine(ReplicaGrant right) {
-        return right.vm().equals(id);
+    private boolean isOwn(ReplicaGrant grant) {
+        return grant.vm().equals(id);
     }
 
-    private boolean isReleased(ReplicaGrant right) {
-        boolean blind = world.policy == PlacementPolicy.BLIND_RELEASE;
-        return right.releasing() && (blind || holder.holdsNothingOf(right.model()));
+    private boolean isReleased(ReplicaGrant grant) {
+        boolean unchecked = simulation.policy == PlacementPolicy.UNCHECKED_RELEASE;
+        return grant.releasing() && (unchecked || manager.holdsNothingOf(grant.model()));
     }
 
     private void feed(ReplicaInput input) {
-        holder.on(input, world.now).forEach(this::carryOut);
+        manager.on(input, simulation.now).forEach(this::carryOut);
     }
 
     private void carryOut(ReplicaAction action) {
         if (action instanceof ReplicaAction.LoadModel load) {
-            Instant end = world.now.plusMillis(1_000 + world.random.nextInt(4_000));
-            jobs.put(load.model().name(), new Job(load.model(), true, end, life));
+            Instant end = simulation.now.plusMillis(1_000 + simulation.random.nextInt(4_000));
+            jobs.put(load.model().name(), new Job(load.model(), true, end, incarnation));
         } else if (action instanceof ReplicaAction.UnloadModel unload) {
-            Instant end = world.now.plusMillis(250);
-            Model model = world.models.get(unload.model());
-            jobs.put(unload.model(), new Job(model, false, end, life));
+            Instant end = simulation.now.plusMillis(250);
+            Model model = simulation.models.get(unload.model());
+            jobs.put(unload.model(), new Job(model, false, end, incarnation));
         } else if (action instanceof ReplicaAction.RefuseRequest refuse) {
             waiting.remove(refuse.request());
         } else if (action instanceof ReplicaAction.SendRequest ready) {
             waiting.remove(ready.request());
-            world.served++;
-            Instant end = world.now.plusMillis(world.random.nextInt(10_000));
+            simulation.served++;
+            Instant end = simulation.now.plusMillis(simulation.random.nextInt(10_000));
             uses.add(new Use(ready.model(), end));
         }
     }
@@ -232,7 +232,7 @@
     private void endJobs() {
         for (Job job : List.copyOf(jobs.values())) {
             ModelName name = job.model.name();
-            if (job.end.isAfter(world.now)) {
+            if (job.end.isAfter(simulation.now)) {
                 continue;
             }
             jobs.remove(name);
@@ -241,21 +241,21 @@
             } else {
                 held.remove(name);
             }
-            if (job.life == life && isAgentUp()) {
+            if (job.incarnation == incarnation && isAgentUp()) {
                 feed(answer(job, name));
             }
         }
     }
 
     private ReplicaInput answer(Job job, ModelName name) {
-        boolean lost = world.faults && world.random.nextInt(6) == 0;
+        boolean lost = simulation.faults && simulation.random.nextInt(6) == 0;
         if (job.load) {
             return lost ? new ReplicaInput.LoadFailed(name, true) : new ReplicaInput.Loaded(name);
         }
         return lost ? new ReplicaInput.UnloadFailed(name) : new ReplicaInput.Unloaded(name);
     }
 
-    private Engine.Report truth() {
+    private Engine.Report trueReport() {
         List<Engine.Held> loading =
                 jobs.values().stream().filter(Job::load).map(job -> heldAs(job.model)).toList();
         List<Engine.Held> loaded = held.values().stream().map(SimulatedVm::heldAs).toList();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/relay/RegistrationTableTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/relay/RegistrationTableTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aListingThatLacksAnAgentTellsFollowersOfItsRemoval() {
+    void aListingWithoutAnAgentReachesFollowersAsARemoval() {
         relay.apply(new Delta(List.of(row("a", 3), row("b", 5)), 9, true));
         relay.apply(new Delta(List.of(row("b", 5)), 20, true));
         assertEquals(List.of("b"), names(relay));
@@ -43,7 +43,7 @@
      * relays.
      */
     @Property(seed = "20261204", tries = 200)
-    void aFollowerOfTwoRelaysEndsWhereTheyAre(@ForAll long seed) {
+    void aFollowerOfTwoRelaysEndsInTheirState(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         RegistrationTable[] relays = {new RegistrationTable(), new RegistrationTable()};
         RegistrationTable follower = new RegistrationTable();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/relay/RelayMachineTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/relay/RelayMachineTest.java
@@ -37,7 +37,7 @@
      * must be refused as not executed instead.
      */
     @Test
-    void anAnswerCountsFromTheMomentOfAsking() {
+    void aConfirmationCountsFromWhenThePeerWasAsked() {
         feed(new RelayInput.VmsListed(List.of(ONE, TWO, SELF)));
         RelayAction.ProbePeer probe = probes(feed(new RelayInput.Tick())).get(0);
         Instant asked = now;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void anAnswerThatWasNotAskedForOrComesTwiceConfirmsNothing() {
+    void anUnsolicitedOrRepeatedAnswerConfirmsNothing() {
         feed(new RelayInput.VmsListed(List.of(ONE, TWO, SELF)));
         RelayAction.ProbePeer probe = probes(feed(new RelayInput.Tick())).get(0);
         RelayInput answer = answer(probe, 1);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/relay/RelayPlanTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/relay/RelayPlanTest.java
@@ -34,13 +34,13 @@
     }
 
     @Test
-    void aProcessThatTheListDoesNotShowYetHasParentsToo() {
+    void anUnlistedProcessHasParentsToo() {
         List<Vm> list = List.of(vm("router-1", Role.ROUTER, "kochi-1", State.LIVE));
         assertEquals(List.of("router-1"), ids(RelayPlan.of(list, KOCHI).parents(VmId.of("new"))));
     }
 
     @Test
-    void inALargeZoneNobodyServesManyAndWhoIsLostChangesLittle() {
+    void inALargeZoneNoProcessServesManyAndALossMovesFewProcesses() {
         List<Vm> list = zone(185);
         RelayPlan plan = RelayPlan.of(list, KOCHI);
         Map<VmId, Integer> children = new HashMap<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineSimulation.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineSimulation.java
@@ -37,9 +37,9 @@
     final TreeMap<ModelName, Integer> uses = new TreeMap<>();
     final TreeMap<Long, ReplicaInput.RequestQueued> waiting = new TreeMap<>();
     final Set<Long> served = new TreeSet<>();
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     private final List<Engine.Report> history = new ArrayList<>();
-    private final Supplier<Machine<ReplicaInput, ReplicaAction>> maker;
+    private final Supplier<Machine<ReplicaInput, ReplicaAction>> machineFactory;
     private Machine<ReplicaInput, ReplicaAction> machine;
     private Instant now = Instant.EPOCH;
     long requests;
@@ -51,19 +51,19 @@
             long seed,
             boolean faults,
             long memory,
-            Supplier<Machine<ReplicaInput, ReplicaAction>> maker) {
+            Supplier<Machine<ReplicaInput, ReplicaAction>> machineFactory) {
         this.random = new Random(seed);
         this.traffic = new Random(~seed);
         this.faults = faults;
         this.memory = memory;
-        this.maker = maker;
+        this.machineFactory = machineFactory;
         add("a", 40, null);
         add("b", 30, null);
         add("c", 50, null);
         add("a-1", 10, "a");
         add("a-2", 10, "a");
         add("b-1", 10, "b");
-        history.add(truth());
+        history.add(trueReport());
         restart();
     }
 
@@ -72,7 +72,7 @@
             step(i < steps - 200);
         }
         if (!waiting.isEmpty()) {
-            broken.add("requests never answered: " + waiting);
+            violations.add("requests never answered: " + waiting);
         }
     }
 
@@ -80,11 +80,11 @@
         now = now.plusMillis(STEP_MILLIS);
         finish(loads);
         finish(unloads);
-        history.add(truth());
+        history.add(trueReport());
         if (busy && traffic.nextInt(3) == 0) {
-            want();
+            queueRequest();
         }
-        endSomeUse();
+        finishSomeRequests();
         if (random.nextInt(4) == 0) {
             feed(new ReplicaInput.EngineReported(laggingReport()));
         }
@@ -95,9 +95,9 @@
             changeVersion();
         }
         feed(new ReplicaInput.Tick());
-        for (ReplicaInput.RequestQueued wanted : waiting.values()) {
-            if (wanted.deadline().isBefore(now)) {
-                broken.add("request not answered by its deadline: " + wanted);
+        for (ReplicaInput.RequestQueued queued : waiting.values()) {
+            if (queued.deadline().isBefore(now)) {
+                violations.add("request not answered by its deadline: " + queued);
             }
         }
     }
@@ -106,7 +106,7 @@
         epoch++;
         waiting.clear();
         uses.clear();
-        machine = maker.get();
+        machine = machineFactory.get();
         feed(new ReplicaInput.GrantsChanged(ModelGrants.all(epoch)));
         feed(new ReplicaInput.ModelsConfigured(models));
     }
@@ -115,29 +115,29 @@
         machine.on(input, now).forEach(this::carryOut);
         long used = memoryUsed();
         if (used > memory) {
-            broken.add(now + " engine over its memory: uses " + used);
+            violations.add(now + " engine over its memory: uses " + used);
         }
     }
 
     private void carryOut(ReplicaAction action) {
         if (action instanceof ReplicaAction.LoadModel load) {
             if (loads.containsKey(load.model().name()) || held.containsKey(load.model().name())) {
-                broken.add("load ordered for a model that is loading or loaded: " + load);
+                violations.add("load ordered for a model that is loading or loaded: " + load);
             }
             loads.put(load.model().name(), job(load.model(), 1_000 + random.nextInt(4_000)));
         } else if (action instanceof ReplicaAction.UnloadModel unload) {
             if (uses.getOrDefault(unload.model(), 0) > 0) {
-                broken.add("unload ordered for a model in use: " + unload);
+                violations.add("unload ordered for a model in use: " + unload);
             }
             unloads.put(unload.model(), job(models.get(unload.model()), 250));
         } else if (action instanceof ReplicaAction.SendRequest ready) {
             answered(ready.request());
             served.add(ready.request().counter());
             uses.merge(ready.model(), 1, Integer::sum);
-            Engine.Held is = held.get(ready.model());
-            if (is == null
-                    || !is.version().equals(Optional.of(models.get(ready.model()).version()))) {
-                broken.add("the engine does not hold the configured version: " + ready);
+            Engine.Held actual = held.get(ready.model());
+            if (actual == null
+                    || !actual.version().equals(Optional.of(models.get(ready.model()).version()))) {
+                violations.add("the engine does not hold the configured version: " + ready);
             }
         } else if (action instanceof ReplicaAction.RefuseRequest refuse) {
             answered(refuse.request());
@@ -146,7 +146,7 @@
 
     private void answered(ExchangeId request) {
         if (waiting.remove(request.counter()) == null) {
-            broken.add("request answered twice: " + request);
+            violations.add("request answered twice: " + request);
         }
     }
 
@@ -187,18 +187,18 @@
                 : new ReplicaInput.UnloadFailed(name);
     }
 
-    private void want() {
+    private void queueRequest() {
         List<ModelName> names = List.copyOf(models.keySet());
         ModelName name = names.get(traffic.nextInt(names.size()));
         Instant deadline = now.plusMillis(faults ? 500 + traffic.nextInt(60_000) : 600_000);
         ExchangeId id = new ExchangeId(Incarnation.of("r-1"), requests++);
-        ReplicaInput.RequestQueued wanted =
+        ReplicaInput.RequestQueued queued =
                 new ReplicaInput.RequestQueued(id, name, deadline, WorkspaceId.of("kitchens"));
-        waiting.put(id.counter(), wanted);
-        feed(wanted);
+        waiting.put(id.counter(), queued);
+        feed(queued);
     }
 
-    private void endSomeUse() {
+    private void finishSomeRequests() {
         for (ModelName name : List.copyOf(uses.keySet())) {
             if (uses.get(name) > 0 && random.nextInt(3) == 0) {
                 uses.merge(name, -1, Integer::sum);
@@ -234,7 +234,7 @@
         return new Engine.Report(memory, used, report.loaded(), report.loading(), List.of(), 0, 0);
     }
 
-    private Engine.Report truth() {
+    private Engine.Report trueReport() {
         List<Engine.Held> loading = loads.values().stream().map(job -> held(job.model)).toList();
         return new Engine.Report(
                 memory, memoryUsed(), List.copyOf(held.values()), loading, List.of(), 0, 0);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/IdleUnloadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/IdleUnloadTest.java
@@ -22,10 +22,10 @@
     private static final Model MODEL =
             new Model(CUT, "v1", PoolName.of("p"), Optional.empty(), 10, 1, Set.of());
 
-    private final ReplicaManager holder = new ReplicaManager(ReplicaSettings.defaults());
+    private final ReplicaManager manager = new ReplicaManager(ReplicaSettings.defaults());
 
     @Test
-    void whatNobodyUsedForAHalfLifeIsUnloaded() {
+    void aModelUnusedForAHalfLifeIsUnloaded() {
         loadAndUse();
         feed(100, new ReplicaInput.RequestFinished(CUT));
         assertTrue(feed(500, new ReplicaInput.Tick()).isEmpty());
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void whatIsInUseStaysHoweverLongTheAnswerTakes() {
+    void aModelInUseStaysLoadedHoweverLongTheAnswerTakes() {
         loadAndUse();
         assertTrue(feed(5_000, new ReplicaInput.Tick()).isEmpty());
     }
@@ -51,6 +51,6 @@
     }
 
     private List<ReplicaAction> feed(long second, ReplicaInput input) {
-        return holder.on(input, Instant.EPOCH.plusSeconds(second));
+        return manager.on(input, Instant.EPOCH.plusSeconds(second));
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/NaiveReplicaManager.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/NaiveReplicaManager.java
@@ -23,16 +23,16 @@
             models = configured.models();
         } else if (input instanceof ReplicaInput.Loaded done) {
             loaded.add(done.model());
-        } else if (input instanceof ReplicaInput.RequestQueued wanted) {
-            waiting.add(wanted);
+        } else if (input instanceof ReplicaInput.RequestQueued queued) {
+            waiting.add(queued);
         }
         List<ReplicaAction> actions = new ArrayList<>();
-        for (ReplicaInput.RequestQueued wanted : List.copyOf(waiting)) {
-            if (loaded.contains(wanted.model())) {
-                waiting.remove(wanted);
-                actions.add(new ReplicaAction.SendRequest(wanted.request(), wanted.model()));
-            } else if (ordered.add(wanted.model())) {
-                actions.add(new ReplicaAction.LoadModel(models.get(wanted.model()), 1));
+        for (ReplicaInput.RequestQueued queued : List.copyOf(waiting)) {
+            if (loaded.contains(queued.model())) {
+                waiting.remove(queued);
+                actions.add(new ReplicaAction.SendRequest(queued.request(), queued.model()));
+            } else if (ordered.add(queued.model())) {
+                actions.add(new ReplicaAction.LoadModel(models.get(queued.model()), 1));
             }
         }
         return actions;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaManagerSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/ReplicaManagerSessionTest.java
@@ -23,7 +23,7 @@
     private static final Model EDGES = model("edges", "v1", "cut-sheet", 10);
     private static final Model TIDE = model("tide", "v1", null, 50);
 
-    private final ReplicaManager holder = new ReplicaManager(ReplicaSettings.defaults());
+    private final ReplicaManager manager = new ReplicaManager(ReplicaSettings.defaults());
     private final StringBuilder lines = new StringBuilder();
     private Instant now = Instant.EPOCH;
     private long requests;
@@ -34,34 +34,34 @@
         feed(new ReplicaInput.GrantsChanged(ModelGrants.all(7)));
         feed(configured(CUT, EDGES, TIDE));
         report(0);
-        want("edges", 120);
+        queueRequest("edges", 120);
         report(3);
         say("The adapter's base is loaded first, then the adapter; a second request joins");
-        want("edges", 120);
+        queueRequest("edges", 120);
         after(12, new ReplicaInput.Loaded(CUT.name()));
         after(1, new ReplicaInput.Loaded(EDGES.name()));
         say("No memory for tide while edges is in use; too short a deadline is refused");
-        want("tide", 5);
-        want("tide", 90);
+        queueRequest("tide", 5);
+        queueRequest("tide", 90);
         feed(new ReplicaInput.RequestFinished(EDGES.name()));
         feed(new ReplicaInput.RequestFinished(EDGES.name()));
         after(1, new ReplicaInput.Unloaded(EDGES.name()));
         after(1, new ReplicaInput.Unloaded(CUT.name()));
         say("The engine has no memory after all: refused, and loaded again after a pause");
         after(1, new ReplicaInput.LoadFailed(TIDE.name(), false));
-        want("tide", 90);
+        queueRequest("tide", 90);
         after(1, new ReplicaInput.Tick());
-        want("tide", 90);
+        queueRequest("tide", 90);
         say("The answer to a load is lost: its memory is counted until a report settles it");
         after(9, new ReplicaInput.LoadFailed(TIDE.name(), true));
-        want("cut-sheet", 60);
+        queueRequest("cut-sheet", 60);
         report(1, held(TIDE));
         report(3, held(TIDE));
         after(1, new ReplicaInput.Unloaded(TIDE.name()));
         after(12, new ReplicaInput.Loaded(CUT.name()));
         say("A new version is loaded once the running request on the old one has ended");
         feed(configured(model("cut-sheet", "v2", null, 60), EDGES, TIDE));
-        want("cut-sheet", 60);
+        queueRequest("cut-sheet", 60);
         feed(new ReplicaInput.RequestFinished(CUT.name()));
         after(1, new ReplicaInput.Unloaded(CUT.name()));
         after(12, new ReplicaInput.Loaded(CUT.name()));
@@ -78,8 +78,8 @@
         feed(
                 new ReplicaInput.GrantsChanged(
                         ModelGrants.of(Map.of(TIDE.name(), 8L, CUT.name(), 9L))));
-        want("tide", 60);
-        want("edges", 60);
+        queueRequest("tide", 60);
+        queueRequest("edges", 60);
         after(9, new ReplicaInput.Loaded(TIDE.name()));
         feed(new ReplicaInput.GrantsChanged(ModelGrants.of(Map.of(CUT.name(), 9L))));
         feed(new ReplicaInput.RequestFinished(TIDE.name()));
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void anAdapterReportedBeforeTheModelsAreKnownIsServedWithoutALoad() {
+    void anAdapterReportedBeforeTheModelsAreConfiguredIsServedWithoutALoad() {
         // Guards against an agent that restarts and receives the engine's report before the
         // configuration: the adapter must not be taken for one of another base, unloaded and loaded
         // again.
@@ -97,7 +97,7 @@
         feed(configured(CUT, EDGES));
         report(3, held(CUT), held(EDGES));
         lines.setLength(0);
-        want("edges", 1);
+        queueRequest("edges", 1);
         assertTrue(lines.toString().contains("SendRequest["), lines.toString());
     }
 
@@ -105,7 +105,7 @@
         lines.append("\n# ").append(what).append('\n');
     }
 
-    private void want(String model, long seconds) {
+    private void queueRequest(String model, long seconds) {
         ExchangeId id = new ExchangeId(Incarnation.of("r"), requests++);
         Instant deadline = now.plusSeconds(seconds);
         feed(
@@ -131,7 +131,7 @@
 
     private void feed(ReplicaInput input) {
         lines.append(now.getEpochSecond()).append("s ").append(input).append('\n');
-        for (ReplicaAction action : holder.on(input, now)) {
+        for (ReplicaAction action : manager.on(input, now)) {
             lines.append("    ").append(action).append('\n');
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
@@ -61,15 +61,15 @@
 
     /** How the world decides; all but the first are naive. */
     enum Variant {
-        OURS(PlacementPolicy.OURS, null),
+        OURS(PlacementPolicy.CONFIRMED_GRANTS, null),
         /** The log's next entry is put, whatever stands there. */
-        LOG_PUT(PlacementPolicy.OURS, "t/config/log/"),
+        LOG_PUT(PlacementPolicy.CONFIRMED_GRANTS, "t/config/log/"),
         /** A table of shares is put over whatever stands there. */
-        SHARES_PUT(PlacementPolicy.OURS, "t/rates/"),
+        SHARES_PUT(PlacementPolicy.CONFIRMED_GRANTS, "t/rates/"),
         /** A shard of rights is put over whatever stands there. */
-        RIGHTS_PUT(PlacementPolicy.OURS, "t/placement/"),
+        RIGHTS_PUT(PlacementPolicy.CONFIRMED_GRANTS, "t/placement/"),
         /** A claim is put over whatever stands there. */
-        CLAIMS_PUT(PlacementPolicy.OURS, "/test"),
+        CLAIMS_PUT(PlacementPolicy.CONFIRMED_GRANTS, "/test"),
         /** Rights are taken on a timeout alone. */
         TIMEOUTS(PlacementPolicy.TIMEOUT_ONLY, null);
 
