--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/LeaseMachine.java
@@ -6,67 +6,74 @@
 import java.util.List;
 
 /**
- * Keeps one lease among all routers, so that one of them at a time plans the placement: {@code
- * lease.on(new LeaseInput.Tick(), now)}.
+ * Acquires and renews a lease that one process at a time holds, such as the lease of the router
+ * that plans the placement: {@code lease.on(new LeaseInput.Tick(), now)}.
  *
- * <p>The lease saves work and keeps planners from undoing each other's plans. It guards nothing: a
- * holder that was paused past its end still believes in it until its next step, and its proposals
- * then fail in the compare and swap.
+ * <p>The lease saves work and keeps leaders from undoing each other's plans; correctness does not
+ * depend on it. A leader that was paused beyond the expiry still considers itself the leader until
+ * its next step, and its proposals then fail in the compare-and-swap.
  */
 public final class LeaseMachine implements StateMachine<LeaseInput, LeaseAction> {
     private final Duration term;
     private State state = State.FREE;
-    private long lease;
-    private Instant asked = Instant.MIN;
-    private Instant until = Instant.MIN;
+    private long leaseId;
+    private Instant lastRequestAt = Instant.MIN;
+    private Instant expiresAt = Instant.MIN;
 
-    /** A machine without the lease; it ends by itself {@code term} after it was last kept. */
+    /**
+     * Creates a machine that does not hold the lease.
+     *
+     * @param term how long after its last renewal the lease expires
+     */
     public LeaseMachine(Duration term) {
         this.term = term;
     }
 
     private enum State {
-        /** Another process has it, or nobody. */
+        /** Another process holds the lease, or none does. */
         FREE,
         /** The store was asked for a lease. */
         GRANTING,
-        /** The store was asked to write the key under it. */
+        /** The store was asked to write the leader's key under the lease. */
         ACQUIRING,
-        /** This process has it until the time runs out. */
+        /** This process holds the lease until it expires. */
         HELD
     }
 
-    /** True if this process holds the lease, as far as can be told without asking. */
-    public boolean held(Instant now) {
-        return state == State.HELD && now.isBefore(until);
+    /**
+     * Returns true if this process holds the lease, judged by its own clock and without asking the
+     * store.
+     */
+    public boolean isHeld(Instant now) {
+        return state == State.HELD && now.isBefore(expiresAt);
     }
 
-    /** The store's number of the lease that was last granted. */
-    public long lease() {
-        return lease;
+    /** Returns the store's id of the lease that was granted last. */
+    public long leaseId() {
+        return leaseId;
     }
 
     @Override
     public List<LeaseAction> on(LeaseInput input, Instant now) {
-        if (state == State.HELD && !now.isBefore(until)) {
-            return lose();
+        if (state == State.HELD && !now.isBefore(expiresAt)) {
+            return stopLeading();
         }
         if (input instanceof LeaseInput.Tick) {
             return tick(now);
         }
-        if (input instanceof LeaseInput.Resign) {
+        if (input instanceof LeaseInput.Resigned) {
             return resign();
         }
         if (input instanceof LeaseInput.Granted granted && state == State.GRANTING) {
             state = State.ACQUIRING;
-            lease = granted.lease();
-            return List.of(new LeaseAction.Acquire(lease));
+            leaseId = granted.lease();
+            return List.of(new LeaseAction.AcquireKey(leaseId));
         }
         if (input instanceof LeaseInput.Acquired acquired && state == State.ACQUIRING) {
-            return acquired(acquired.won());
+            return onAcquired(acquired.won());
         }
-        if (input instanceof LeaseInput.Kept kept && state == State.HELD) {
-            return kept(kept);
+        if (input instanceof LeaseInput.KeepAliveAnswered answer && state == State.HELD) {
+            return onKeepAliveAnswered(answer);
         }
         if (input instanceof LeaseInput.Failed && state != State.HELD) {
             state = State.FREE;
@@ -75,56 +82,59 @@
     }
 
     private List<LeaseAction> tick(Instant now) {
-        if (state == State.FREE && !now.isBefore(after(asked, term.dividedBy(2)))) {
+        if (state == State.FREE && !now.isBefore(dueAfter(lastRequestAt, term.dividedBy(2)))) {
             state = State.GRANTING;
-            asked = now;
-            return List.of(new LeaseAction.Grant(term));
+            lastRequestAt = now;
+            return List.of(new LeaseAction.GrantLease(term));
         }
-        if (state == State.HELD && !now.isBefore(after(asked, term.dividedBy(4)))) {
-            asked = now;
-            return List.of(new LeaseAction.Keep(lease, now));
+        if (state == State.HELD && !now.isBefore(dueAfter(lastRequestAt, term.dividedBy(4)))) {
+            lastRequestAt = now;
+            return List.of(new LeaseAction.KeepAlive(leaseId, now));
         }
         return List.of();
     }
 
-    private List<LeaseAction> acquired(boolean won) {
+    private List<LeaseAction> onAcquired(boolean won) {
         if (!won) {
             state = State.FREE;
-            return List.of(new LeaseAction.Revoke(lease));
+            return List.of(new LeaseAction.RevokeLease(leaseId));
         }
         state = State.HELD;
-        until = endOf(asked);
-        return List.of(new LeaseAction.Won());
+        expiresAt = expiryFrom(lastRequestAt);
+        return List.of(new LeaseAction.StartLeading());
     }
 
-    private List<LeaseAction> kept(LeaseInput.Kept kept) {
-        if (!kept.alive()) {
-            return lose();
+    private List<LeaseAction> onKeepAliveAnswered(LeaseInput.KeepAliveAnswered answer) {
+        if (!answer.alive()) {
+            return stopLeading();
         }
-        Instant end = endOf(kept.askedAt());
-        until = end.isAfter(until) ? end : until;
+        Instant end = expiryFrom(answer.askedAt());
+        expiresAt = end.isAfter(expiresAt) ? end : expiresAt;
         return List.of();
     }
 
-    // Ending the lease takes away just the key under it, and never that of the next holder.
+    // Revoking the lease deletes only the key stored under it, never the key of the next leader.
     private List<LeaseAction> resign() {
         boolean held = state == State.HELD;
         state = State.FREE;
-        return held ? List.of(new LeaseAction.Revoke(lease), new LeaseAction.Lost()) : List.of();
+        return held
+                ? List.of(new LeaseAction.RevokeLease(leaseId), new LeaseAction.StopLeading())
+                : List.of();
     }
 
-    private List<LeaseAction> lose() {
+    private List<LeaseAction> stopLeading() {
         state = State.FREE;
-        return List.of(new LeaseAction.Lost());
+        return List.of(new LeaseAction.StopLeading());
     }
 
-    // Counted from before the question: the store may have begun the term then. The margin is for
-    // clocks that run at different speeds.
-    private Instant endOf(Instant from) {
+    // The term counts from the moment at which the request was sent, since the store may have
+    // started it then. A tenth of the term is kept as a margin for clocks that run at different
+    // speeds.
+    private Instant expiryFrom(Instant from) {
         return from.plus(term.multipliedBy(9).dividedBy(10));
     }
 
-    private static Instant after(Instant from, Duration time) {
+    private static Instant dueAfter(Instant from, Duration time) {
         return from.equals(Instant.MIN) ? from : from.plus(time);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/Shard.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/Shard.java
@@ -13,89 +13,92 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The rights of some models, as one value in the store. An adapter's rights are in the shard of its
- * base, so that both can change at once.
+ * The grants of some models, stored as one value. An adapter's grants are in the shard of its base
+ * model, so that both can change at once.
  *
- * @param lastFencing the highest fencing number ever given here
- * @param rights by model, then VM
+ * @param lastFencing the highest fencing token ever used in this shard
+ * @param grants the grants, ordered by model, then VM
  */
-public record Shard(long lastFencing, List<Right> rights) {
-    /** How many shards there are; a deployment must never change it. */
+public record Shard(long lastFencing, List<ReplicaGrant> grants) {
+    /** The number of shards; a deployment must never change it. */
     public static final int COUNT = 64;
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Comparator<Right> ORDER =
-            Comparator.comparing((Right right) -> right.model().value())
-                    .thenComparing(right -> right.vm().value());
+    private static final Comparator<ReplicaGrant> ORDER =
+            Comparator.comparing((ReplicaGrant grant) -> grant.model().value())
+                    .thenComparing(grant -> grant.vm().value());
 
-    /** What stands where nothing was written yet. */
+    /** The value of a shard that was never written. */
     public static final Shard EMPTY = new Shard(0, List.of());
 
-    /** Sorts the rights, so that equal tables have equal bytes. */
+    /** Sorts the grants, so that equal shards have equal bytes. */
     public Shard {
-        rights = rights.stream().sorted(ORDER).toList();
+        grants = grants.stream().sorted(ORDER).toList();
     }
 
-    /** The shard of a model; for an adapter pass its base. */
-    public static int number(ModelName model) {
+    /** Returns the number of a model's shard; for an adapter pass its base model. */
+    public static int numberOf(ModelName model) {
         return Math.floorMod(model.value().hashCode(), COUNT);
     }
 
-    /** The same without these rights. */
-    public Shard without(Predicate<Right> which) {
-        return new Shard(lastFencing, rights.stream().filter(which.negate()).toList());
+    /** Returns a copy without the grants that match. */
+    public Shard without(Predicate<ReplicaGrant> which) {
+        return new Shard(lastFencing, grants.stream().filter(which.negate()).toList());
     }
 
-    /** The same with each right passed through the change. */
-    public Shard map(UnaryOperator<Right> change) {
-        return new Shard(lastFencing, rights.stream().map(change).toList());
+    /** Returns a copy with the change applied to each grant. */
+    public Shard map(UnaryOperator<ReplicaGrant> change) {
+        return new Shard(lastFencing, grants.stream().map(change).toList());
     }
 
-    /** The stored form. */
+    /** Returns the stored JSON form. */
     public byte[] toJson() {
         try {
-            List<StoredRight> stored = rights.stream().map(StoredRight::of).toList();
+            List<StoredGrant> stored = grants.stream().map(StoredGrant::of).toList();
             return JSON.writeValueAsBytes(new Stored(lastFencing, stored));
         } catch (JsonProcessingException e) {
             throw new PlacementException(
-                    PlacementException.Code.UNREADABLE, "can't write a shard", e);
+                    PlacementException.Code.UNREADABLE, "can't write a shard as JSON", e);
         }
     }
 
-    /** Reads the stored form, or throws a {@link PlacementException}. */
+    /** Parses the stored JSON form; throws a {@link PlacementException} if it can't be read. */
     public static Shard parse(byte[] json) {
         try {
             Stored stored = JSON.readValue(json, Stored.class);
             return new Shard(
-                    stored.fencing(), stored.rights().stream().map(StoredRight::right).toList());
+                    stored.fencing(), stored.grants().stream().map(StoredGrant::grant).toList());
         } catch (IOException | IllegalArgumentException e) {
             throw new PlacementException(
-                    PlacementException.Code.UNREADABLE, "can't read a shard", e);
+                    PlacementException.Code.UNREADABLE,
+                    "can't read a shard from its stored JSON",
+                    e);
         }
     }
 
     private record Stored(
             @JsonProperty("fencing") long fencing,
-            @JsonProperty("rights") List<StoredRight> rights) {}
+            @JsonProperty("rights") List<StoredGrant> grants) {}
 
     @JsonInclude(JsonInclude.Include.NON_DEFAULT)
-    private record StoredRight(
+    private record StoredGrant(
             @JsonProperty("model") String model,
             @JsonProperty("vm") String vm,
             @JsonProperty("fencing") long fencing,
             @JsonProperty("releasing") boolean releasing,
             @JsonProperty("suspected") boolean suspected) {
-        static StoredRight of(Right right) {
-            return new StoredRight(
-                    right.model().value(),
-                    right.vm().value(),
-                    right.fencing(),
-                    right.releasing(),
-                    right.suspected());
+        static StoredGrant of(ReplicaGrant grant) {
+            return new StoredGrant(
+                    grant.model().value(),
+                    grant.vm().value(),
+                    grant.fencing(),
+                    grant.releasing(),
+                    grant.suspected());
         }
 
-        Right right() {
-            return new Right(ModelName.of(model), VmId.of(vm), fencing, releasing, suspected);
+        ReplicaGrant grant() {
+            return new ReplicaGrant(
+                    ModelName.of(model), VmId.of(vm), fencing, releasing, suspected);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/OutageConfirmation.java
@@ -12,60 +12,63 @@
 import java.util.Set;
 
 /**
- * Confirms the configuration while nobody reaches the store, by the word of every router.
+ * Confirms the configuration while no process can reach the store, from the answers of every
+ * router.
  *
- * <p>Only routers write tickets. If every router says "this is my last entry and no write of mine
- * is open", then whatever was accepted before the first of them was <em>asked</em> is known. So
- * that is the moment confirmed; what one accepts after its answer is newer and needs no promise.
- * One router that is silent, has an open write, or restarted and can't speak for its former life,
- * is enough for no confirmation: it may have withdrawn a key.
+ * <p>Only routers write tickets. If every router answers "this is my last entry and I have no
+ * pending write", then whatever was accepted before the first of them was <em>asked</em> is known.
+ * So that is the time of the confirmation; what a router accepts after its answer is newer and is
+ * not covered. One router that does not answer, has a pending write, or was restarted and can't
+ * answer for its former incarnation prevents the confirmation: it may have withdrawn a key.
  */
 public final class OutageConfirmation implements StateMachine<OutageInput, OutageAction> {
-    /** Routers up to which each relay asks all; see docs/design/configuration.md. */
-    public static final int MOST_ROUTERS = 64;
+    /** The number of routers up to which each relay asks all; see docs/design/configuration.md. */
+    public static final int MAX_ROUTERS = 64;
 
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
-    private static final Duration PERIOD = Duration.ofSeconds(1);
-    private static final long FIRST_NUMBER = 1L << 62;
+    private static final Duration MAX_UNCONFIRMED = Duration.ofSeconds(3);
+    private static final Duration QUESTION_INTERVAL = Duration.ofSeconds(1);
+    private static final long FIRST_QUESTION_NUMBER = 1L << 62;
 
     private final VmId self;
-    private final Map<Long, Asked> asked = new HashMap<>();
-    private final Map<VmId, Heard> heard = new HashMap<>();
+    private final Map<Long, Question> questions = new HashMap<>();
+    private final Map<VmId, Answer> answers = new HashMap<>();
     private final RouterRoster roster = new RouterRoster();
     private Set<VmId> listed = Set.of();
     private Optional<Instant> confirmed = Optional.empty();
-    private Instant due = Instant.MIN;
-    private long lastNumber = FIRST_NUMBER;
+    private Instant nextQuestionsAt = Instant.MIN;
+    private long lastQuestion = FIRST_QUESTION_NUMBER;
 
-    private record Asked(VmId router, Instant at) {}
+    private record Question(VmId router, Instant at) {}
 
-    private record Heard(Instant askedAt, long head) {}
+    private record Answer(Instant askedAt, long head) {}
 
     private OutageConfirmation(VmId self) {
         this.self = self;
     }
 
-    /** A machine for the router on this VM. */
+    /** Creates a state machine for the router on this VM. */
     public static OutageConfirmation of(VmId self) {
         return new OutageConfirmation(self);
     }
 
-    /** True if this number is of an ask of such a machine, not of a relay's probe. */
-    public static boolean isAsk(long number) {
-        return number > FIRST_NUMBER;
+    /**
+     * Returns true if this number belongs to a question of such a machine, not to a relay's probe.
+     */
+    public static boolean isOutageQuestion(long number) {
+        return number > FIRST_QUESTION_NUMBER;
     }
 
     @Override
     public List<OutageAction> on(OutageInput input, Instant now) {
-        if (input instanceof OutageInput.Listed list) {
+        if (input instanceof OutageInput.RoutersListed list) {
             listed = Set.copyOf(list.routers());
-            roster.read(listed, list.askedAt());
+            roster.recordListing(listed, list.askedAt());
         } else if (input instanceof OutageInput.Confirmed other) {
             confirmedElsewhere(other.asOf());
-        } else if (input instanceof OutageInput.Answered answer) {
-            take(answer, now);
+        } else if (input instanceof OutageInput.RouterAnswered answer) {
+            acceptAnswer(answer, now);
         } else if (input instanceof OutageInput.Tick tick) {
-            return tick(tick.self(), now);
+            return tick(tick.ownState(), now);
         }
         return List.of();
     }
@@ -73,60 +76,66 @@
     private void confirmedElsewhere(Instant asOf) {
         if (confirmed.isEmpty() || asOf.isAfter(confirmed.get())) {
             confirmed = Optional.of(asOf);
-            roster.confirmed(asOf);
+            roster.forgetGoneBefore(asOf);
         }
     }
 
-    private void take(OutageInput.Answered answer, Instant now) {
-        Asked ask = asked.remove(answer.ask());
-        if (ask == null || !ask.router().equals(answer.from())) {
+    private void acceptAnswer(OutageInput.RouterAnswered answer, Instant now) {
+        Question question = questions.remove(answer.number());
+        if (question == null || !question.router().equals(answer.from())) {
             return;
         }
-        OutageInput.Word word = answer.word();
-        boolean firstLife = roster.firstLife(answer.from(), answer.life(), now);
-        if (word.settled() && (word.confirmedInThisLife() || firstLife)) {
-            heard.merge(
+        OutageInput.RouterState state = answer.state();
+        boolean firstIncarnation =
+                roster.isFirstIncarnation(answer.from(), answer.incarnation(), now);
+        if (state.settled() && (state.confirmedInThisIncarnation() || firstIncarnation)) {
+            answers.merge(
                     answer.from(),
-                    new Heard(ask.at(), word.head()),
+                    new Answer(question.at(), state.head()),
                     (old, fresh) -> old.askedAt().isAfter(fresh.askedAt()) ? old : fresh);
         }
     }
 
-    private List<OutageAction> tick(OutageInput.Word own, Instant now) {
-        boolean sighted = confirmed.filter(roster::covers).isPresent();
-        boolean possible = sighted && listed.contains(self) && roster.all().size() <= MOST_ROUTERS;
-        if (!needed(now) || !possible) {
+    private List<OutageAction> tick(OutageInput.RouterState own, Instant now) {
+        boolean gapless = confirmed.filter(roster::isGaplessSince).isPresent();
+        boolean possible =
+                gapless && listed.contains(self) && roster.routers().size() <= MAX_ROUTERS;
+        if (!isNeeded(now) || !possible) {
             return List.of();
         }
         List<OutageAction> actions = new ArrayList<>();
         confirm(own, actions);
-        if (!now.isBefore(due)) {
-            due = now.plus(PERIOD);
+        if (!now.isBefore(nextQuestionsAt)) {
+            nextQuestionsAt = now.plus(QUESTION_INTERVAL);
             askAll(now, actions);
         }
         return actions;
     }
 
-    /** True while nothing has confirmed the configuration for seconds; asks go out then. */
-    public boolean needed(Instant now) {
-        return confirmed.filter(at -> now.isAfter(at.plus(PATIENCE))).isPresent();
+    /**
+     * Returns true while nothing has confirmed the configuration for several seconds; only then are
+     * routers asked.
+     */
+    public boolean isNeeded(Instant now) {
+        return confirmed.filter(at -> now.isAfter(at.plus(MAX_UNCONFIRMED))).isPresent();
     }
 
-    private void confirm(OutageInput.Word own, List<OutageAction> actions) {
-        if (!own.settled() || !own.confirmedInThisLife()) {
+    private void confirm(OutageInput.RouterState own, List<OutageAction> actions) {
+        if (!own.settled() || !own.confirmedInThisIncarnation()) {
             return;
         }
         Instant asOf = roster.lastRead().orElse(Instant.MIN);
         long head = own.head();
         for (VmId router : others()) {
-            Heard word = heard.get(router);
-            if (word == null) {
+            Answer known = answers.get(router);
+            if (known == null) {
                 return;
             }
-            asOf = asOf.isBefore(word.askedAt()) ? asOf : word.askedAt();
-            head = Math.max(head, word.head());
+            asOf = asOf.isBefore(known.askedAt()) ? asOf : known.askedAt();
+            head = Math.max(head, known.head());
         }
-        // Behind one of them: its entries are on their way, a later tick confirms.
+        // If this router is behind another one, the missing entries are being delivered, and a
+        // later tick confirms.
         if (head == own.head() && asOf.isAfter(confirmed.orElse(Instant.MIN))) {
             confirmed = Optional.of(asOf);
             actions.add(new OutageAction.Confirm(head, asOf));
@@ -134,14 +143,14 @@
     }
 
     private void askAll(Instant now, List<OutageAction> actions) {
-        asked.values().removeIf(ask -> ask.at().plus(PATIENCE).isBefore(now));
+        questions.values().removeIf(question -> question.at().plus(MAX_UNCONFIRMED).isBefore(now));
         for (VmId router : others()) {
-            asked.put(++lastNumber, new Asked(router, now));
-            actions.add(new OutageAction.Ask(router, lastNumber));
+            questions.put(++lastQuestion, new Question(router, now));
+            actions.add(new OutageAction.AskRouter(router, lastQuestion));
         }
     }
 
     private List<VmId> others() {
-        return roster.all().stream().filter(vm -> !vm.equals(self)).toList();
+        return roster.routers().stream().filter(vm -> !vm.equals(self)).toList();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/relay/RegistrationTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/relay/RegistrationTable.java
@@ -11,58 +11,64 @@
 import java.util.stream.Collectors;
 
 /**
- * The agents' registrations as of one revision of the store, and what has changed since others.
+ * Holds the agents' registrations as of one revision of the store, and which of them changed since
+ * earlier revisions.
  *
- * <p>Revisions are the store's own, so a process may take its next changes from another relay. The
- * last {@value #MOST_REMOVALS} removals are remembered; an asker who knows less than they cover
- * gets all there is.
+ * <p>Revisions are those of the store, so a process may take its next changes from another relay.
+ * The last {@value #MAX_REMOVALS} removals are remembered; a follower whose revision is older than
+ * these gets the whole table.
  */
 public final class RegistrationTable {
-    static final int MOST_REMOVALS = 4_096;
+    static final int MAX_REMOVALS = 4_096;
 
-    private static final int MOST_GAPS = 16;
+    private static final int MAX_MISSED_RANGES = 16;
 
     private final Map<VmId, Row> rows = new TreeMap<>();
-    private final ArrayDeque<Gap> gaps = new ArrayDeque<>();
-    private long since;
+    private final ArrayDeque<MissedRange> missedRanges = new ArrayDeque<>();
+    private long completeSince;
     private long revision;
 
     /**
-     * A registration, or the end of one.
+     * A registration, or the removal of one.
      *
+     * @param vm the agent's VM
      * @param value the stored JSON; empty if it was removed
-     * @param revision of the store when it was set or removed
+     * @param revision the store's revision at which it was set or removed
      */
     public record Row(VmId vm, byte[] value, long revision) {
-        /** True if there is no registration any more. */
+        /** Returns true if the registration was removed. */
         public boolean removed() {
             return value.length == 0;
         }
     }
 
     /**
-     * What a process needs to come to {@code revision}; {@code full}: what is not in it is gone.
+     * The changes that bring a process to a revision.
+     *
+     * @param rows the changed registrations
+     * @param revision the store's revision after the changes
+     * @param full true if a registration that is not in {@code rows} does not exist
      */
     public record Delta(List<Row> rows, long revision, boolean full) {}
 
-    /** Revisions between which the table may have missed an agent that came and went. */
-    private record Gap(long after, long before) {
-        boolean holds(long known) {
+    /** A range of revisions in which the table may have missed an agent that came and went. */
+    private record MissedRange(long after, long before) {
+        boolean contains(long known) {
             return after < known && known < before;
         }
     }
 
-    /** The store's revision that the table stands for; 0 before the first reading. */
+    /** Returns the store's revision that the table represents; 0 before the first read. */
     public long revision() {
         return revision;
     }
 
-    /** All registrations there are. */
-    public List<Row> all() {
+    /** Returns all current registrations. */
+    public List<Row> registrations() {
         return rows.values().stream().filter(row -> !row.removed()).toList();
     }
 
-    /** Takes a change; one that is older than what is known changes nothing. */
+    /** Applies a change; one that is older than the known state changes nothing. */
     public void put(Row row) {
         Row before = rows.get(row.vm());
         if (before == null || before.revision() < row.revision()) {
@@ -74,46 +80,51 @@
         revision = Math.max(revision, row.revision());
     }
 
-    /** Takes a delta, unless the table is newer. */
-    public void take(Delta delta) {
+    /** Applies a delta, unless the table is newer. */
+    public void apply(Delta delta) {
         if (delta.revision() < revision) {
             return;
         }
         if (delta.full()) {
-            jump(delta.revision());
-            removeAllBut(delta);
+            recordJump(delta.revision());
+            removeAllExcept(delta);
         }
         delta.rows().forEach(this::put);
         revision = delta.revision();
     }
 
-    /** What has changed since that revision; all if the table doesn't know that. */
-    public Delta since(long known) {
+    /**
+     * Returns what has changed since that revision; the whole table if the changes since then are
+     * not all known.
+     */
+    public Delta changesSince(long known) {
         if (known > revision) {
             return new Delta(List.of(), known, false);
         }
-        if (known < since || known == 0 || gaps.stream().anyMatch(gap -> gap.holds(known))) {
-            return new Delta(all(), revision, true);
+        if (known < completeSince
+                || known == 0
+                || missedRanges.stream().anyMatch(range -> range.contains(known))) {
+            return new Delta(registrations(), revision, true);
         }
         List<Row> changed = new ArrayList<>();
         rows.values().stream().filter(row -> row.revision() > known).forEach(changed::add);
         return new Delta(changed, revision, false);
     }
 
-    private void jump(long to) {
+    private void recordJump(long to) {
         if (revision == 0) {
-            since = to;
+            completeSince = to;
             return;
         }
-        gaps.add(new Gap(revision, to));
-        if (gaps.size() > MOST_GAPS) {
-            since = Math.max(since, gaps.remove().before());
+        missedRanges.add(new MissedRange(revision, to));
+        if (missedRanges.size() > MAX_MISSED_RANGES) {
+            completeSince = Math.max(completeSince, missedRanges.remove().before());
         }
     }
 
-    private void removeAllBut(Delta delta) {
+    private void removeAllExcept(Delta delta) {
         Set<VmId> kept = delta.rows().stream().map(Row::vm).collect(Collectors.toSet());
-        for (Row row : all()) {
+        for (Row row : registrations()) {
             if (!kept.contains(row.vm())) {
                 put(new Row(row.vm(), new byte[0], delta.revision()));
             }
@@ -126,10 +137,9 @@
                         .filter(Row::removed)
                         .sorted(Comparator.comparingLong(Row::revision).reversed())
                         .toList();
-        for (Row old :
-                removals.subList(Math.min(MOST_REMOVALS, removals.size()), removals.size())) {
+        for (Row old : removals.subList(Math.min(MAX_REMOVALS, removals.size()), removals.size())) {
             rows.remove(old.vm());
-            since = Math.max(since, old.revision());
+            completeSince = Math.max(completeSince, old.revision());
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/Victims.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/EvictionPolicy.java
@@ -11,28 +11,32 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Chooses what to unload: where the next cold start costs least for the memory it frees. */
-final class Victims {
+/**
+ * Chooses the replicas to evict: those whose next cold start costs least for the memory that they
+ * free.
+ */
+final class EvictionPolicy {
     private final ReplicaTable table;
     private final LoadCosts costs;
 
-    Victims(ReplicaTable table, LoadCosts costs) {
+    EvictionPolicy(ReplicaTable table, LoadCosts costs) {
         this.table = table;
         this.costs = costs;
     }
 
     /**
-     * The cheapest that free so much memory; empty if all together don't. A base comes after its
-     * adapters, since the engine can't keep an adapter without it.
+     * Returns the cheapest replicas that together free this much memory; empty if all together do
+     * not. A base comes after its adapters, since the engine can't keep an adapter without it.
      *
-     * @param needed models that are waited for, and their bases
-     * @param below only replicas whose cost per byte is lower than this
+     * @param bytes the memory to free, in bytes
+     * @param needed the models that requests are queued for, and their bases
+     * @param maxCost only replicas whose cost per byte is lower than this are chosen
      */
-    Optional<List<Replica>> toFree(
+    Optional<List<Replica>> chooseToFree(
             long bytes,
             Set<ModelName> needed,
             Map<ModelName, Model> models,
-            double below,
+            double maxCost,
             Instant now) {
         List<Replica> chosen = new ArrayList<>();
         long freed = 0;
@@ -40,9 +44,9 @@
             Optional<Replica> next =
                     table.all().stream()
                             .filter(replica -> !chosen.contains(replica))
-                            .filter(replica -> isFree(replica, needed))
-                            .filter(replica -> adaptersOf(replica, chosen))
-                            .filter(replica -> cost(replica, models, now) < below)
+                            .filter(replica -> isEvictable(replica, needed))
+                            .filter(replica -> areAdaptersChosen(replica, chosen))
+                            .filter(replica -> cost(replica, models, now) < maxCost)
                             .min(Comparator.comparingDouble(r -> cost(r, models, now)));
             if (next.isEmpty()) {
                 return Optional.empty();
@@ -53,14 +57,17 @@
         return Optional.of(withoutSuperfluous(chosen, freed - bytes));
     }
 
-    /** Spares the dearest of those that the last, large one has made superfluous. */
+    /**
+     * Removes the most expensive replicas that became unnecessary when the last, large one was
+     * chosen.
+     */
     private List<Replica> withoutSuperfluous(List<Replica> chosen, long excess) {
         List<Replica> kept = new ArrayList<>(chosen);
         long left = excess;
         for (int i = chosen.size() - 1; i >= 0; i--) {
             Replica replica = chosen.get(i);
-            boolean carried = replica.base.isPresent() && contains(chosen, replica.base.get());
-            if (replica.bytes <= left && !carried) {
+            boolean baseChosen = replica.base.isPresent() && contains(chosen, replica.base.get());
+            if (replica.bytes <= left && !baseChosen) {
                 kept.remove(replica);
                 left -= replica.bytes;
             }
@@ -68,7 +75,7 @@
         return kept;
     }
 
-    private boolean adaptersOf(Replica base, List<Replica> chosen) {
+    private boolean areAdaptersChosen(Replica base, List<Replica> chosen) {
         return table.all().stream()
                 .filter(replica -> replica.base.equals(Optional.of(base.name)))
                 .allMatch(chosen::contains);
@@ -76,10 +83,10 @@
 
     private double cost(Replica replica, Map<ModelName, Model> models, Instant now) {
         Model model = models.get(replica.name);
-        return model == null ? 0 : costs.perByte(model, replica.bytes, now);
+        return model == null ? 0 : costs.coldStartSecondsPerByte(model, replica.bytes, now);
     }
 
-    private static boolean isFree(Replica replica, Set<ModelName> needed) {
+    private static boolean isEvictable(Replica replica, Set<ModelName> needed) {
         return replica.phase == Phase.LOADED && replica.uses == 0 && !needed.contains(replica.name);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadCosts.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/LoadCosts.java
@@ -8,49 +8,57 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What a cold start of each model would cost: how long a load takes, and how soon it is needed. */
+/**
+ * Estimates what a cold start of each model would cost, from how long a load takes and how often
+ * the model is used.
+ */
 final class LoadCosts {
     private static final double NEWEST_WEIGHT = 0.3;
 
     private final ReplicaSettings settings;
-    private final Map<ModelName, Duration> times = new HashMap<>();
-    private final Map<ModelName, Rate> rates = new HashMap<>();
+    private final Map<ModelName, Duration> loadTimes = new HashMap<>();
+    private final Map<ModelName, Rate> uses = new HashMap<>();
 
     LoadCosts(ReplicaSettings settings) {
         this.settings = settings;
     }
 
-    void used(ModelName model, Instant now) {
-        rates.put(model, new Rate(rate(model, now) + 1, now));
+    void recordUse(ModelName model, Instant now) {
+        uses.put(model, new Rate(recentUses(model, now) + 1, now));
     }
 
-    void loaded(ModelName model, Duration took) {
-        times.merge(
+    void recordLoad(ModelName model, Duration took) {
+        loadTimes.merge(
                 model, took, (old, newest) -> old.plus(scaled(newest.minus(old), NEWEST_WEIGHT)));
     }
 
-    /** How long a load takes: an exponentially weighted mean, or the settings' guess. */
-    Duration estimate(Model model) {
+    /**
+     * Returns how long a load takes: an exponentially weighted mean, or the estimate of the
+     * settings before the first load.
+     */
+    Duration loadEstimate(Model model) {
         Duration guess =
                 model.base().isPresent() ? settings.adapterEstimate() : settings.modelEstimate();
-        return times.getOrDefault(model.name(), guess);
+        return loadTimes.getOrDefault(model.name(), guess);
     }
 
-    /** Seconds of cold start to be expected per byte that an unload would free. */
-    double perByte(Model model, long bytes, Instant now) {
-        double seconds = estimate(model).toNanos() / 1e9;
-        return seconds * rate(model.name(), now) / Math.max(1, bytes);
+    /**
+     * Returns the cold start time to be expected, in seconds, per byte that an unload would free.
+     */
+    double coldStartSecondsPerByte(Model model, long bytes, Instant now) {
+        double seconds = loadEstimate(model).toNanos() / 1e9;
+        return seconds * recentUses(model.name(), now) / Math.max(1, bytes);
     }
 
     /** Forgets models that are no longer configured. */
     void retain(Set<ModelName> models) {
-        times.keySet().retainAll(models);
-        rates.keySet().retainAll(models);
+        loadTimes.keySet().retainAll(models);
+        uses.keySet().retainAll(models);
     }
 
-    /** Uses in the last half-life or so. */
-    double rate(ModelName model, Instant now) {
-        Rate rate = rates.get(model);
+    /** Returns the number of uses, weighted by age: a use counts half after each half-life. */
+    double recentUses(ModelName model, Instant now) {
+        Rate rate = uses.get(model);
         if (rate == null) {
             return 0;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaTable.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/replicas/ReplicaTable.java
@@ -12,22 +12,23 @@
 import java.util.TreeMap;
 
 /**
- * The account of an engine's memory.
+ * Accounts for an engine's memory.
  *
- * <p>Memory counts from before the order until the engine confirms that it is free. A report can
- * add to the account at any time. It takes away only what is in doubt, and only once it is younger
- * than the doubt: an old report, or one that lies low, would otherwise let a load in where the
- * engine has no room, and it would fail for everybody on the VM.
+ * <p>Memory is counted from before a load is ordered until the engine confirms that it is free. A
+ * report can add to the account at any time. It removes only replicas in the UNKNOWN phase, and
+ * only if it is younger than that phase: an old report, or one that understates the use, would
+ * otherwise let a load start for which the engine has no memory, and it would fail for every
+ * request on the VM.
  */
 final class ReplicaTable {
-    private static final int MISSING_LIMIT = 3;
+    private static final int MAX_MISSING_REPORTS = 3;
 
     private final ReplicaSettings settings;
     private final TreeMap<ModelName, Replica> replicas = new TreeMap<>();
-    private final TreeMap<ModelName, Instant> freed = new TreeMap<>();
-    private long capacity;
-    private long unlisted;
-    private Instant started;
+    private final TreeMap<ModelName, Instant> freedAt = new TreeMap<>();
+    private long totalBytes;
+    private long unlistedBytes;
+    private Instant startedAt;
     private boolean complete;
 
     ReplicaTable(ReplicaSettings settings) {
@@ -35,18 +36,19 @@
     }
 
     /**
-     * True once a report has come that is younger than this process. The one before us may have
-     * ordered a load just before it died; an older report doesn't show it, and the memory would
-     * seem free. After an unload it would show a model that is no longer there, and requests would
-     * be sent to it. Until then all that is listed counts, and serves nobody.
+     * Returns true once a report has been received that is younger than this process. The previous
+     * process may have ordered a load just before it crashed; an older report does not show it, and
+     * the memory would seem free. After an unload, an older report would show a model that is no
+     * longer there, and requests would be sent to it. Until then everything that is listed is
+     * counted but not used.
      */
-    boolean complete() {
+    boolean isComplete() {
         return complete;
     }
 
-    void startedBy(Instant now) {
-        if (started == null) {
-            started = now;
+    void recordStart(Instant now) {
+        if (startedAt == null) {
+            startedAt = now;
         }
     }
 
@@ -58,12 +60,13 @@
         return replicas.values();
     }
 
-    long capacity() {
-        return capacity - unlisted;
+    long capacityBytes() {
+        return totalBytes - unlistedBytes;
     }
 
-    long free() {
-        return capacity() - replicas.values().stream().mapToLong(replica -> replica.bytes).sum();
+    long freeBytes() {
+        return capacityBytes()
+                - replicas.values().stream().mapToLong(replica -> replica.bytes).sum();
     }
 
     long bytesIn(Phase phase) {
@@ -77,23 +80,23 @@
         return replicas.values().stream().filter(replica -> replica.phase == phase).count();
     }
 
-    boolean carriesAdapters(ModelName base) {
+    boolean hasAdapters(ModelName base) {
         return replicas.values().stream()
                 .anyMatch(replica -> replica.base.equals(Optional.of(base)));
     }
 
-    /** Takes the memory for a load that is about to be ordered. */
+    /** Reserves the memory for a load that is about to be ordered. */
     void reserve(Model model, Instant now) {
         Replica replica = new Replica(model.name(), Phase.LOADING, now, model.memoryBytes());
         replica.version = Optional.of(model.version());
         replica.base = model.base();
         replica.baseKnown = true;
         replicas.put(model.name(), replica);
-        freed.remove(model.name());
+        freedAt.remove(model.name());
     }
 
-    /** Learns the bases of adapters that were reported before the models were known. */
-    void configured(Map<ModelName, Model> models) {
+    /** Sets the bases of adapters that were reported before the models were configured. */
+    void setBases(Map<ModelName, Model> models) {
         replicas.values().forEach(replica -> learnBase(replica, models));
     }
 
@@ -105,37 +108,40 @@
         }
     }
 
-    /** Gives the memory back: the engine said that it is free. */
+    /** Frees the memory: the engine confirmed that it is free. */
     void free(ModelName name, Instant now) {
         replicas.remove(name);
-        freed.put(name, now);
+        freedAt.put(name, now);
     }
 
     /**
-     * Keeps counting a replica of which nobody knows whether the engine holds it. Only a report
-     * settles it: an unload to make sure may overtake a load that still runs, and free what then
-     * comes to be held.
+     * Keeps counting a replica of which it is unknown whether the engine holds it. Only a report
+     * settles it: a precautionary unload may overtake a load that is still running, and free memory
+     * that is then used.
      */
-    void doubt(Replica replica, Instant now) {
+    void markUnknown(Replica replica, Instant now) {
         replica.enter(Phase.UNKNOWN, now);
     }
 
-    /** Takes in a report, given the models in force. */
-    void report(Engine.Report report, Map<ModelName, Model> models, Instant now) {
-        capacity = report.memoryBytes();
-        complete |= isAfterLag(started, now);
-        freed.values().removeIf(at -> isAfterLag(at, now));
+    /** Applies a report, given the configured models. */
+    void applyReport(Engine.Report report, Map<ModelName, Model> models, Instant now) {
+        totalBytes = report.memoryBytes();
+        complete |= isAfterLag(startedAt, now);
+        freedAt.values().removeIf(at -> isAfterLag(at, now));
         Map<ModelName, Engine.Held> loaded = byName(report.loaded());
         Map<ModelName, Engine.Held> loading = byName(report.loading());
-        unlisted = Math.max(0, report.memoryUsedBytes() - sum(loaded) - sum(loading));
+        unlistedBytes = Math.max(0, report.memoryUsedBytes() - sum(loaded) - sum(loading));
         adopt(loaded, complete ? Phase.LOADED : Phase.UNKNOWN, models, now);
         adopt(loading, Phase.UNKNOWN, models, now);
         for (Replica replica : replicas.values().toArray(new Replica[0])) {
-            compare(replica, loaded.get(replica.name), loading.get(replica.name), now);
+            reconcile(replica, loaded.get(replica.name), loading.get(replica.name), now);
         }
     }
 
-    /** Counts what the engine holds and we didn't know of, but for what it has just let go. */
+    /**
+     * Counts models that the engine holds and that were unknown here, except those that were just
+     * unloaded.
+     */
     private void adopt(
             Map<ModelName, Engine.Held> held,
             Phase phase,
@@ -143,7 +149,7 @@
             Instant now) {
         for (Engine.Held each : held.values()) {
             Replica replica = replicas.get(each.model());
-            if (replica == null && !freed.containsKey(each.model())) {
+            if (replica == null && !freedAt.containsKey(each.model())) {
                 replica = new Replica(each.model(), phase, adoptedAt(now), each.memoryBytes());
                 replica.version = each.version();
                 learnBase(replica, models);
@@ -155,17 +161,20 @@
         }
     }
 
-    /** What the first reports list stands as long as this process, so a young one settles it. */
+    /**
+     * Models in the first reports count as held since this process started, so that a report
+     * younger than this process settles them.
+     */
     private Instant adoptedAt(Instant now) {
-        return complete ? now : started;
+        return complete ? now : startedAt;
     }
 
-    private void compare(Replica replica, Engine.Held loaded, Engine.Held loading, Instant now) {
-        if (!isAfterLag(replica.since, now)) {
+    private void reconcile(Replica replica, Engine.Held loaded, Engine.Held loading, Instant now) {
+        if (!isAfterLag(replica.phaseSince, now)) {
             return;
         }
         if (replica.phase == Phase.LOADED) {
-            replica.missing = loaded == null ? replica.missing + 1 : 0;
+            replica.missingReports = loaded == null ? replica.missingReports + 1 : 0;
         } else if (replica.phase == Phase.UNKNOWN && loaded != null) {
             replica.enter(Phase.LOADED, now);
             replica.version = loaded.version();
@@ -175,11 +184,12 @@
     }
 
     /**
-     * True if the engine no longer lists what it confirmed. It may have been restarted, or the
-     * report is wrong. The replica serves no more, and only a confirmed unload frees its memory.
+     * Returns true if the engine no longer lists a replica that it confirmed. It may have been
+     * restarted, or the report is wrong. The replica serves no more requests, and only a confirmed
+     * unload frees its memory.
      */
-    static boolean lost(Replica replica) {
-        return replica.missing >= MISSING_LIMIT;
+    static boolean isLost(Replica replica) {
+        return replica.missingReports >= MAX_MISSING_REPORTS;
     }
 
     private boolean isAfterLag(Instant event, Instant now) {
--- a/damaskyoke/src/main/java/io/damaskyoke/node/AgentRegistrations.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/AgentRegistrations.java
@@ -77,7 +77,7 @@
     /** Takes what a relay sent. */
     void take(Delta delta) {
         long before = table.revision();
-        table.take(delta);
+        table.apply(delta);
         if (!delta.rows().isEmpty() || before == 0 || delta.full()) {
             tell();
         }
@@ -148,7 +148,7 @@
     }
 
     private void tell() {
-        List<Row> all = table.all();
+        List<Row> all = table.registrations();
         listeners.forEach(listener -> listener.accept(all));
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSessionTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSessionTest.java
@@ -23,7 +23,8 @@
     private static final VmId TWO = VmId.of("two");
     private static final VmId THREE = VmId.of("three");
 
-    private final Planner planner = new Planner(Duration.ofSeconds(30), Duration.ofSeconds(15));
+    private final PlacementPlanner planner =
+            new PlacementPlanner(Duration.ofSeconds(30), Duration.ofSeconds(15));
     private final LeaseMachine lease = new LeaseMachine(Duration.ofSeconds(10));
     private final Map<ModelName, Model> models = new TreeMap<>();
     private final Map<Integer, PlacementTable.Stored> stored = new HashMap<>();
@@ -33,30 +34,34 @@
 
     @Test
     void aWholeSession() {
-        say("A router wins the lease and gives the first rights, over both zones");
+        say("A router acquires the lease and creates the first grants, in both zones");
         lease(0, new LeaseInput.Tick());
         lease(0, new LeaseInput.Granted(7));
         lease(0, new LeaseInput.Acquired(true));
         model("edges", 2, null);
         model("edges-oak", 1, "edges");
         plan(0, Set.of(ONE, TWO, THREE), Set.of(), Set.of());
-        say("An operator lowers the limit: the surplus is asked back, not taken");
+        say("An operator lowers the limit: surplus grants are marked releasing, not removed");
         model("edges", 1, null);
         plan(5, Set.of(ONE, TWO, THREE), Set.of(), Set.of());
-        say("One VM is to leave: nothing is given anew before its holder has handed back");
+        say("One VM is leaving: nothing is granted again before its holder has released it");
         plan(5, Set.of(ONE, TWO, THREE), Set.of(ONE), Set.of());
-        handBack(ONE);
-        handBack(TWO);
+        release(ONE);
+        release(TWO);
         plan(1, Set.of(ONE, TWO, THREE), Set.of(ONE), Set.of());
-        say("The new holder vanishes from the list but is heard: nothing happens");
+        say("The new holder is missing from the list but still sends messages: nothing changes");
         plan(1, Set.of(ONE, TWO), Set.of(), Set.of(TWO, THREE));
         plan(60, Set.of(ONE, TWO), Set.of(), Set.of(TWO, THREE));
-        say("It falls silent: suspected after 30 s, taken 15 s after that, given to another");
+        say(
+                "It is silent: suspected after 30 s, revoked after another 15 s, granted to another"
+                        + " VM");
         plan(1, Set.of(ONE, TWO), Set.of(), Set.of());
         plan(30, Set.of(ONE, TWO), Set.of(), Set.of());
         plan(1, Set.of(ONE, TWO), Set.of(), Set.of());
         plan(15, Set.of(ONE, TWO), Set.of(), Set.of());
-        say("The store falls silent, and the router knows by its own clock that it leads no more");
+        say(
+                "The store does not answer, and the router sees by its own clock that its lease"
+                        + " expired");
         lease(0, new LeaseInput.Tick());
         Approvals.verify(lines);
     }
@@ -71,38 +76,42 @@
         lease.on(input, now).forEach(action -> lines.append("    ").append(action).append('\n'));
     }
 
-    private void plan(long seconds, Set<VmId> listed, Set<VmId> leaving, Set<VmId> heard) {
+    private void plan(long seconds, Set<VmId> listed, Set<VmId> leaving, Set<VmId> recentlyHeard) {
         now = now.plusSeconds(seconds);
-        List<Planner.Candidate> candidates =
+        List<PlacementPlanner.Candidate> candidates =
                 listed.stream()
                         .sorted(Comparator.comparing(VmId::value))
                         .map(vm -> candidate(vm, leaving.contains(vm)))
                         .toList();
-        Planner.View view =
-                new Planner.View(
-                        new PlacementTable(revision, stored), models, candidates, listed, heard);
+        PlacementPlanner.View view =
+                new PlacementPlanner.View(
+                        new PlacementTable(revision, stored),
+                        models,
+                        candidates,
+                        listed,
+                        recentlyHeard);
         lines.append(now.getEpochSecond()).append("s planned\n");
-        for (Planner.Proposal proposal : planner.on(view, now)) {
+        for (PlacementPlanner.Proposal proposal : planner.on(view, now)) {
             stored.put(proposal.shard(), new PlacementTable.Stored(proposal.value(), ++revision));
             lines.append("    ").append(proposal.value()).append('\n');
         }
     }
 
-    private void handBack(VmId vm) {
+    private void release(VmId vm) {
         stored.replaceAll(
                 (number, before) ->
                         new PlacementTable.Stored(
                                 before.shard()
                                         .without(
-                                                right ->
-                                                        right.vm().equals(vm) && right.releasing()),
+                                                grant ->
+                                                        grant.vm().equals(vm) && grant.releasing()),
                                 ++revision));
-        lines.append(now.getEpochSecond()).append("s ").append(vm).append(" hands back\n");
+        lines.append(now.getEpochSecond()).append("s ").append(vm).append(" releases its grants\n");
     }
 
-    private static Planner.Candidate candidate(VmId vm, boolean leaving) {
+    private static PlacementPlanner.Candidate candidate(VmId vm, boolean leaving) {
         String zone = vm.equals(TWO) ? "b" : "a";
-        return new Planner.Candidate(vm, POOL, AvailabilityZone.of(zone), leaving);
+        return new PlacementPlanner.Candidate(vm, POOL, AvailabilityZone.of(zone), leaving);
     }
 
     private void model(String name, int maxReplicas, String base) {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PlacementSimulation.java
@@ -23,34 +23,34 @@
 import java.util.function.IntPredicate;
 
 /**
- * Three routers that all plan, four VMs with real holders, and a store, with seeded faults. It
- * knows what every engine really holds and checks the rules after each step.
+ * Simulates three routers that all plan, four VMs with real replica managers, and a store, with
+ * seeded faults. It knows what every engine really holds and checks the rules after each step.
  */
-public final class PlacementWorld {
+public final class PlacementSimulation {
     static final Duration STEP = Duration.ofMillis(250);
     static final Duration GONE_AFTER = Duration.ofSeconds(30);
     static final Duration SUSPECT_TIME = Duration.ofSeconds(15);
     static final PoolName POOL = PoolName.of("p");
 
     final Random random;
-    final Policy policy;
+    final PlacementPolicy policy;
     final FakeStore fake = new FakeStore();
     final PlacementStore store;
     private final IntFunction<Configuration> configurations;
     private final IntPredicate leads;
     final Map<ModelName, Model> models = new TreeMap<>();
-    final List<PlannerRouter> routers = new ArrayList<>();
-    final Map<VmId, EngineVm> vms = new TreeMap<>();
-    final List<String> broken = new ArrayList<>();
-    private final List<Set<VmId>> lists = new ArrayList<>();
-    private final Set<VmId> mislaid = new HashSet<>();
+    final List<SimulatedRouter> routers = new ArrayList<>();
+    final Map<VmId, SimulatedVm> vms = new TreeMap<>();
+    final List<String> violations = new ArrayList<>();
+    private final List<Set<VmId>> listHistory = new ArrayList<>();
+    private final Set<VmId> omitted = new HashSet<>();
     final Set<VmId> leaving = new HashSet<>();
     Instant now = Instant.EPOCH.plusSeconds(1);
     boolean faults = true;
     long requests;
     int served;
 
-    PlacementWorld(long seed, Policy policy) {
+    PlacementSimulation(long seed, PlacementPolicy policy) {
         this.random = new Random(seed);
         this.policy = policy;
         this.store = new PlacementStore(fake, "t");
@@ -59,10 +59,13 @@
         populate();
     }
 
-    /** A world over somebody else's store, where routers follow a log and plan under a lease. */
-    public PlacementWorld(
+    /**
+     * Creates a simulation over a given store, in which routers follow a log and plan under a
+     * lease.
+     */
+    public PlacementSimulation(
             long seed,
-            Policy policy,
+            PlacementPolicy policy,
             KeyValueStore shared,
             IntFunction<Configuration> configurations,
             IntPredicate leads) {
@@ -81,89 +84,95 @@
         add("a-1", 10, 1, "a");
         for (int i = 0; i < 4; i++) {
             VmId vm = VmId.of("vm-" + i);
-            vms.put(vm, new EngineVm(this, vm, AvailabilityZone.of("z" + i % 2)));
+            vms.put(vm, new SimulatedVm(this, vm, AvailabilityZone.of("z" + i % 2)));
         }
         for (int i = 0; i < 3; i++) {
-            routers.add(new PlannerRouter(this));
+            routers.add(new SimulatedRouter(this));
         }
     }
 
-    /** Lets routers and VMs go on, without faults or checks of this world's own. */
+    /** Runs one step of the routers and VMs, without faults or checks of this simulation's own. */
     public void stepAt(Instant time) {
         now = time;
-        noteList();
-        routers.forEach(PlannerRouter::step);
-        vms.values().forEach(EngineVm::step);
+        recordList();
+        routers.forEach(SimulatedRouter::step);
+        vms.values().forEach(SimulatedVm::step);
     }
 
-    /** Has messages and answers arrive from now on, and everybody come back. */
+    /**
+     * Ends all faults: messages and answers arrive from now on, and every VM, agent and router
+     * comes back.
+     */
     public void endFaults() {
         faults = false;
-        mislaid.clear();
-        vms.values().forEach(EngineVm::recover);
-        routers.forEach(PlannerRouter::thaw);
+        omitted.clear();
+        vms.values().forEach(SimulatedVm::recover);
+        routers.forEach(SimulatedRouter::resume);
     }
 
-    /** Freezes a router, with proposals in its hands. */
+    /** Freezes a router that may have pending proposals. */
     public void freezeRouter(int router, int steps) {
         routers.get(router).freeze(steps);
     }
 
-    /** Has a router start anew, knowing nothing. */
-    public void replaceRouter(int router) {
-        routers.set(router, new PlannerRouter(this));
+    /** Restarts a router without any state. */
+    public void restartRouter(int router) {
+        routers.set(router, new SimulatedRouter(this));
     }
 
-    /** Has a VM go and come back empty after some steps. */
-    public void loseVm(int vm, int steps) {
-        vm(vm).lose(steps);
+    /** Stops a VM, which comes back empty after some steps. */
+    public void stopVm(int vm, int steps) {
+        vm(vm).stop(steps);
     }
 
-    /** Kills an agent beside its engine. */
-    public void killAgent(int vm) {
-        vm(vm).killAgent();
+    /** Crashes an agent; its engine keeps running. */
+    public void crashAgent(int vm) {
+        vm(vm).crashAgent();
     }
 
-    /** Leaves a living VM out of the list, or puts it back. */
-    public void mislay(int vm, boolean away) {
+    /** Omits a running VM from the list, or puts it back. */
+    public void omitFromList(int vm, boolean away) {
         if (away) {
-            mislaid.add(vm(vm).id);
+            omitted.add(vm(vm).id);
         } else {
-            mislaid.remove(vm(vm).id);
+            omitted.remove(vm(vm).id);
         }
     }
 
-    /** How many engines hold or load the model. */
-    public long holding(ModelName model) {
+    /** Returns how many engines hold or load the model. */
+    public long countHolders(ModelName model) {
         return vms.values().stream().filter(vm -> vm.holds(model)).count();
     }
 
-    /** How many requests an engine was ready for. */
+    /** Returns how many requests were sent on to an engine. */
     public int served() {
         return served;
     }
 
-    /** The models of the world, as they are before any ticket. */
+    /** Returns the models that are configured before any ticket. */
     public Map<ModelName, Model> models() {
         return models;
     }
 
-    /** What is wrong right now with engines' memory and with requests that wait. */
-    public List<String> faultsNow() {
+    /**
+     * Returns current violations: engines over their memory, and requests still waiting after their
+     * deadline.
+     */
+    public List<String> currentViolations() {
         List<String> found = new ArrayList<>();
-        vms.values().forEach(vm -> vm.faultsNow(found));
+        vms.values().forEach(vm -> vm.addViolations(found));
         return found;
     }
 
-    Configuration configurationOf(PlannerRouter router) {
+    Configuration configurationOf(SimulatedRouter router) {
         return configurations.apply(routers.indexOf(router));
     }
 
-    boolean leads(PlannerRouter router) {
+    boolean leads(SimulatedRouter router) {
         return leads.test(routers.indexOf(router));
     }
 
-    private EngineVm vm(int number) {
+    private SimulatedVm vm(int number) {
         return List.copyOf(vms.values()).get(number);
     }
 
@@ -177,74 +186,75 @@
         }
     }
 
-    /** Ends every fault and lets the rights settle. */
-    void calm(int steps) {
+    /** Ends every fault and lets the grants settle. */
+    void runWithoutFaults(int steps) {
         faults = false;
         fake.down(false);
         fake.loseAnswers(0);
-        mislaid.clear();
+        omitted.clear();
         leaving.clear();
-        vms.values().forEach(EngineVm::recover);
-        routers.forEach(PlannerRouter::thaw);
+        vms.values().forEach(SimulatedVm::recover);
+        routers.forEach(SimulatedRouter::resume);
         run(steps);
     }
 
     boolean ownView() {
-        return policy == Policy.OWN_VIEW;
+        return policy == PlacementPolicy.OWN_VIEW;
     }
 
-    /** The VMs on the platform's list as it stood some steps ago. */
+    /** Returns the VMs on the platform's list as it was some steps ago. */
     Set<VmId> listed(int age) {
-        return lists.get(Math.max(0, lists.size() - 1 - age));
+        return listHistory.get(Math.max(0, listHistory.size() - 1 - age));
     }
 
     private void step() {
         now = now.plus(STEP);
-        noteList();
+        recordList();
         if (faults) {
-            breakSomething();
+            injectFault();
         }
-        routers.forEach(PlannerRouter::step);
-        vms.values().forEach(EngineVm::step);
+        routers.forEach(SimulatedRouter::step);
+        vms.values().forEach(SimulatedVm::step);
         check();
     }
 
-    private void noteList() {
+    private void recordList() {
         Set<VmId> alive = new TreeSet<>();
-        vms.values().stream().filter(EngineVm::isUp).forEach(vm -> alive.add(vm.id));
-        alive.removeAll(mislaid);
-        lists.add(alive);
+        vms.values().stream().filter(SimulatedVm::isUp).forEach(vm -> alive.add(vm.id));
+        alive.removeAll(omitted);
+        listHistory.add(alive);
     }
 
-    private void breakSomething() {
+    private void injectFault() {
         int what = random.nextInt(400);
-        EngineVm vm = List.copyOf(vms.values()).get(random.nextInt(vms.size()));
+        SimulatedVm vm = List.copyOf(vms.values()).get(random.nextInt(vms.size()));
         switch (what) {
             case 0 -> fake.down(true);
             case 1, 2, 3 -> fake.down(false);
             case 4 -> fake.loseAnswers(2);
             case 5 -> routers.get(random.nextInt(routers.size())).freeze(random.nextInt(400));
-            case 6, 7 -> vm.killAgent();
-            case 8 -> vm.lose(200 + random.nextInt(400));
-            case 9 -> mislaid.add(vm.id);
-            case 10, 11 -> mislaid.clear();
+            case 6, 7 -> vm.crashAgent();
+            case 8 -> vm.stop(200 + random.nextInt(400));
+            case 9 -> omitted.add(vm.id);
+            case 10, 11 -> omitted.clear();
             case 12 -> leaving.add(vm.id);
             case 13, 14 -> leaving.clear();
             default -> {}
         }
     }
 
-    // Every replica counts that an engine really holds or is loading, whoever ordered it.
+    // Counts every replica that an engine really holds or is loading, whoever ordered it.
     private void check() {
         for (Model model : models.values()) {
             long held = vms.values().stream().filter(vm -> vm.holds(model.name())).count();
             if (held > model.maxReplicas()) {
-                broken.add(now + " replicas of " + model.name() + ": " + held);
+                violations.add(now + " too many replicas of " + model.name() + ": " + held);
             }
         }
-        for (EngineVm vm : vms.values()) {
-            if (vm.usedBytes() > EngineVm.MEMORY) {
-                broken.add(now + " memory of " + vm.id + ": " + vm.usedBytes());
+        for (SimulatedVm vm : vms.values()) {
+            if (vm.usedBytes() > SimulatedVm.MEMORY) {
+                violations.add(
+                        now + " engine over its memory: " + vm.id + " uses " + vm.usedBytes());
             }
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/EngineSimulation.java
@@ -18,8 +18,11 @@
 import java.util.TreeSet;
 import java.util.function.Supplier;
 
-/** An engine with seeded faults around a machine; it knows the truth and checks the rules. */
-final class EngineWorld {
+/**
+ * Simulates an engine with seeded faults around a state machine; it knows the true state of the
+ * engine and checks the rules.
+ */
+final class EngineSimulation {
     static final ReplicaSettings SETTINGS = ReplicaSettings.defaults();
     private static final long STEP_MILLIS = 250;
 
@@ -32,11 +35,11 @@
     final TreeMap<ModelName, Job> loads = new TreeMap<>();
     final TreeMap<ModelName, Job> unloads = new TreeMap<>();
     final TreeMap<ModelName, Integer> uses = new TreeMap<>();
-    final TreeMap<Long, ReplicaInput.Wanted> waiting = new TreeMap<>();
+    final TreeMap<Long, ReplicaInput.RequestQueued> waiting = new TreeMap<>();
     final Set<Long> served = new TreeSet<>();
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     private final List<Engine.Report> history = new ArrayList<>();
-    private final Supplier<StateMachine<ReplicaInput, ReplicaAction>> maker;
+    private final Supplier<StateMachine<ReplicaInput, ReplicaAction>> machineFactory;
     private StateMachine<ReplicaInput, ReplicaAction> machine;
     private Instant now = Instant.EPOCH;
     long requests;
@@ -44,23 +47,23 @@
 
     record Job(Model model, Instant end, boolean ok, boolean answered, long epoch) {}
 
-    EngineWorld(
+    EngineSimulation(
             long seed,
             boolean faults,
             long memory,
-            Supplier<StateMachine<ReplicaInput, ReplicaAction>> maker) {
+            Supplier<StateMachine<ReplicaInput, ReplicaAction>> machineFactory) {
         this.random = new Random(seed);
         this.traffic = new Random(~seed);
         this.faults = faults;
         this.memory = memory;
-        this.maker = maker;
+        this.machineFactory = machineFactory;
         add("a", 40, null);
         add("b", 30, null);
         add("c", 50, null);
         add("a-1", 10, "a");
         add("a-2", 10, "a");
         add("b-1", 10, "b");
-        history.add(truth());
+        history.add(trueReport());
         restart();
     }
 
@@ -69,7 +72,7 @@
             step(i < steps - 200);
         }
         if (!waiting.isEmpty()) {
-            broken.add("never answered: " + waiting);
+            violations.add("requests never answered: " + waiting);
         }
     }
 
@@ -77,13 +80,13 @@
         now = now.plusMillis(STEP_MILLIS);
         finish(loads);
         finish(unloads);
-        history.add(truth());
+        history.add(trueReport());
         if (busy && traffic.nextInt(3) == 0) {
-            want();
+            queueRequest();
         }
-        endSomeUse();
+        finishSomeRequests();
         if (random.nextInt(4) == 0) {
-            feed(new ReplicaInput.Reported(laggingReport()));
+            feed(new ReplicaInput.EngineReported(laggingReport()));
         }
         if (faults && busy && random.nextInt(150) == 0) {
             restart();
@@ -92,9 +95,9 @@
             changeVersion();
         }
         feed(new ReplicaInput.Tick());
-        for (ReplicaInput.Wanted wanted : waiting.values()) {
-            if (wanted.deadline().isBefore(now)) {
-                broken.add("answered late: " + wanted);
+        for (ReplicaInput.RequestQueued queued : waiting.values()) {
+            if (queued.deadline().isBefore(now)) {
+                violations.add("request not answered by its deadline: " + queued);
             }
         }
     }
@@ -103,47 +106,47 @@
         epoch++;
         waiting.clear();
         uses.clear();
-        machine = maker.get();
-        feed(new ReplicaInput.RightsChanged(Rights.all(epoch)));
-        feed(new ReplicaInput.Configured(models));
+        machine = machineFactory.get();
+        feed(new ReplicaInput.GrantsChanged(ModelGrants.all(epoch)));
+        feed(new ReplicaInput.ModelsConfigured(models));
     }
 
     private void feed(ReplicaInput input) {
         machine.on(input, now).forEach(this::carryOut);
         long used = memoryUsed();
         if (used > memory) {
-            broken.add(now + " overcommitted: " + used);
+            violations.add(now + " engine over its memory: uses " + used);
         }
     }
 
     private void carryOut(ReplicaAction action) {
-        if (action instanceof ReplicaAction.Load load) {
+        if (action instanceof ReplicaAction.LoadModel load) {
             if (loads.containsKey(load.model().name()) || held.containsKey(load.model().name())) {
-                broken.add("second load: " + load);
+                violations.add("load ordered for a model that is loading or loaded: " + load);
             }
             loads.put(load.model().name(), job(load.model(), 1_000 + random.nextInt(4_000)));
-        } else if (action instanceof ReplicaAction.Unload unload) {
+        } else if (action instanceof ReplicaAction.UnloadModel unload) {
             if (uses.getOrDefault(unload.model(), 0) > 0) {
-                broken.add("unloaded in use: " + unload);
+                violations.add("unload ordered for a model in use: " + unload);
             }
             unloads.put(unload.model(), job(models.get(unload.model()), 250));
-        } else if (action instanceof ReplicaAction.Ready ready) {
+        } else if (action instanceof ReplicaAction.SendRequest ready) {
             answered(ready.request());
             served.add(ready.request().counter());
             uses.merge(ready.model(), 1, Integer::sum);
-            Engine.Held is = held.get(ready.model());
-            if (is == null
-                    || !is.version().equals(Optional.of(models.get(ready.model()).version()))) {
-                broken.add("not held in the version in force: " + ready);
+            Engine.Held actual = held.get(ready.model());
+            if (actual == null
+                    || !actual.version().equals(Optional.of(models.get(ready.model()).version()))) {
+                violations.add("the engine does not hold the configured version: " + ready);
             }
-        } else if (action instanceof ReplicaAction.Refuse refuse) {
+        } else if (action instanceof ReplicaAction.RefuseRequest refuse) {
             answered(refuse.request());
         }
     }
 
     private void answered(ExchangeId request) {
         if (waiting.remove(request.counter()) == null) {
-            broken.add("answered twice: " + request);
+            violations.add("request answered twice: " + request);
         }
     }
 
@@ -184,22 +187,22 @@
                 : new ReplicaInput.UnloadFailed(name);
     }
 
-    private void want() {
+    private void queueRequest() {
         List<ModelName> names = List.copyOf(models.keySet());
         ModelName name = names.get(traffic.nextInt(names.size()));
         Instant deadline = now.plusMillis(faults ? 500 + traffic.nextInt(60_000) : 600_000);
         ExchangeId id = new ExchangeId(Incarnation.of("r-1"), requests++);
-        ReplicaInput.Wanted wanted =
-                new ReplicaInput.Wanted(id, name, deadline, WorkspaceId.of("kitchens"));
-        waiting.put(id.counter(), wanted);
-        feed(wanted);
+        ReplicaInput.RequestQueued queued =
+                new ReplicaInput.RequestQueued(id, name, deadline, WorkspaceId.of("kitchens"));
+        waiting.put(id.counter(), queued);
+        feed(queued);
     }
 
-    private void endSomeUse() {
+    private void finishSomeRequests() {
         for (ModelName name : List.copyOf(uses.keySet())) {
             if (uses.get(name) > 0 && random.nextInt(3) == 0) {
                 uses.merge(name, -1, Integer::sum);
-                feed(new ReplicaInput.Finished(name));
+                feed(new ReplicaInput.RequestFinished(name));
             }
         }
     }
@@ -208,7 +211,7 @@
         List<ModelName> names = List.copyOf(models.keySet());
         Model old = models.get(names.get(random.nextInt(names.size())));
         add(old.name().value(), old.memoryBytes(), old.base().map(ModelName::value).orElse(null));
-        feed(new ReplicaInput.Configured(models));
+        feed(new ReplicaInput.ModelsConfigured(models));
     }
 
     private void add(String name, long bytes, String base) {
@@ -219,7 +222,10 @@
         models.put(id, new Model(id, version, PoolName.of("p"), on, bytes, 1, Set.of()));
     }
 
-    /** Up to the settings' lag old, and at times with less memory in use than there is. */
+    /**
+     * Returns a report that is up to the settings' lag old, and at times understates the memory in
+     * use.
+     */
     private Engine.Report laggingReport() {
         int lag = (int) (SETTINGS.reportLag().toMillis() / STEP_MILLIS);
         int age = random.nextInt(Math.min(lag, history.size()));
@@ -228,7 +234,7 @@
         return new Engine.Report(memory, used, report.loaded(), report.loading(), List.of(), 0, 0);
     }
 
-    private Engine.Report truth() {
+    private Engine.Report trueReport() {
         List<Engine.Held> loading = loads.values().stream().map(job -> held(job.model)).toList();
         return new Engine.Report(
                 memory, memoryUsed(), List.copyOf(held.values()), loading, List.of(), 0, 0);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/replicas/NaiveHolder.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/replicas/NaiveReplicaManager.java
@@ -10,29 +10,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Loads at once whatever a request needs, and believes what it is told. */
-final class NaiveHolder implements StateMachine<ReplicaInput, ReplicaAction> {
+/** Loads whatever a request needs at once, and trusts every input. */
+final class NaiveReplicaManager implements StateMachine<ReplicaInput, ReplicaAction> {
     private final Set<ModelName> loaded = new HashSet<>();
     private final Set<ModelName> ordered = new HashSet<>();
-    private final List<ReplicaInput.Wanted> waiting = new ArrayList<>();
+    private final List<ReplicaInput.RequestQueued> waiting = new ArrayList<>();
     private Map<ModelName, Model> models = Map.of();
 
     @Override
     public List<ReplicaAction> on(ReplicaInput input, Instant now) {
-        if (input instanceof ReplicaInput.Configured configured) {
+        if (input instanceof ReplicaInput.ModelsConfigured configured) {
             models = configured.models();
         } else if (input instanceof ReplicaInput.Loaded done) {
             loaded.add(done.model());
-        } else if (input instanceof ReplicaInput.Wanted wanted) {
-            waiting.add(wanted);
+        } else if (input instanceof ReplicaInput.RequestQueued queued) {
+            waiting.add(queued);
         }
         List<ReplicaAction> actions = new ArrayList<>();
-        for (ReplicaInput.Wanted wanted : List.copyOf(waiting)) {
-            if (loaded.contains(wanted.model())) {
-                waiting.remove(wanted);
-                actions.add(new ReplicaAction.Ready(wanted.request(), wanted.model()));
-            } else if (ordered.add(wanted.model())) {
-                actions.add(new ReplicaAction.Load(models.get(wanted.model()), 1));
+        for (ReplicaInput.RequestQueued queued : List.copyOf(waiting)) {
+            if (loaded.contains(queued.model())) {
+                waiting.remove(queued);
+                actions.add(new ReplicaAction.SendRequest(queued.request(), queued.model()));
+            } else if (ordered.add(queued.model())) {
+                actions.add(new ReplicaAction.LoadModel(models.get(queued.model()), 1));
             }
         }
         return actions;
