--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Change.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Change.java
@@ -4,12 +4,15 @@
 import io.damaskyoke.id.ServiceName;
 import io.damaskyoke.id.WorkspaceId;
 
-/** One object of a ticket with its whole new state, or its removal. */
+/** A change to one object of the configuration: its complete new state, or its removal. */
 public sealed interface Change {
-    /** What is changed, as {@code kind/name}: {@code workspace/kitchens}. */
+    /**
+     * Returns the identifier of the changed object as {@code kind/name}, for example {@code
+     * workspace/kitchens}.
+     */
     String object();
 
-    /** Sets a workspace. */
+    /** Creates or replaces a workspace. */
     record SetWorkspace(Workspace workspace) implements Change {
         @Override
         public String object() {
@@ -33,7 +36,7 @@
         }
     }
 
-    /** Sets a model or an adapter. */
+    /** Creates or replaces a model or an adapter. */
     record SetModel(Model model) implements Change {
         @Override
         public String object() {
@@ -49,7 +52,7 @@
         }
     }
 
-    /** Sets a plain service. */
+    /** Creates or replaces a plain service. */
     record SetService(Service service) implements Change {
         @Override
         public String object() {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Configuration.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Configuration.java
@@ -11,11 +11,11 @@
 import java.util.stream.Collectors;
 
 /**
- * Everything operators have set, as of one sequence number of the log. Immutable; a process holds
- * the newest it knows and swaps it for a newer one, never for an older one.
+ * The complete configuration set by operators as of one sequence number of the log. Immutable; a
+ * process holds the newest configuration it knows and replaces it only by a newer one.
  */
 public final class Configuration {
-    /** The configuration before the first ticket. */
+    /** The empty configuration, before the first ticket. */
     public static final Configuration EMPTY =
             new Configuration(0, Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
 
@@ -28,15 +28,17 @@
     private final Set<KeyId> granted;
 
     /**
-     * Copies the maps, so that nobody can change what is in force.
+     * Creates a configuration with copies of the maps, so that later changes to them have no effect
+     * on it.
      *
-     * @param sequence the last log entry taken in; 0 for the empty configuration
-     * @param workspaces by id
-     * @param keys by the hash of the caller key, see {@link KeyHasher}
-     * @param models models and adapters by name
-     * @param services plain services by name
+     * @param sequence the sequence number of the last applied log entry; 0 for the empty
+     *     configuration
+     * @param workspaces the workspaces by id
+     * @param keys the caller keys by hash, withdrawn ones included, see {@link KeyHasher}
+     * @param models the models and adapters by name
+     * @param services the plain services by name
      * @param lastTicket for each object, as {@code kind/name}, the highest ticket number that set
-     *     it
+     *     or removed it
      */
     public Configuration(
             long sequence,
@@ -58,42 +60,48 @@
                         .collect(Collectors.toUnmodifiableSet());
     }
 
-    /** The last log entry taken in; 0 for the empty configuration. */
+    /** Returns the sequence number of the last applied log entry; 0 for the empty configuration. */
     public long sequence() {
         return sequence;
     }
 
-    /** Workspaces by id. */
+    /** Returns the workspaces by id. */
     public Map<WorkspaceId, Workspace> workspaces() {
         return workspaces;
     }
 
-    /** Caller keys by their hash, also those withdrawn. */
+    /** Returns the caller keys by hash, withdrawn ones included. */
     public Map<String, CallerKey> keys() {
         return keys;
     }
 
-    /** Models and adapters by name. */
+    /** Returns the models and adapters by name. */
     public Map<ModelName, Model> models() {
         return models;
     }
 
-    /** Plain services by name. */
+    /** Returns the plain services by name. */
     public Map<ServiceName, Service> services() {
         return services;
     }
 
-    /** For each object, as {@code kind/name}, the highest ticket number that set it. */
+    /**
+     * Returns for each object, as {@code kind/name}, the highest ticket number that set or removed
+     * it.
+     */
     public Map<String, Long> lastTicket() {
         return lastTicket;
     }
 
-    /** The key with this hash, also when it was withdrawn. */
+    /** Returns the caller key with this hash, even if it is withdrawn. */
     public Optional<CallerKey> key(String hash) {
         return Optional.ofNullable(keys.get(hash));
     }
 
-    /** True if the key with this id is granted now; false once it is withdrawn or removed. */
+    /**
+     * Returns true if the caller key with this id is granted; false once it is withdrawn or
+     * removed.
+     */
     public boolean granted(KeyId id) {
         return granted.contains(id);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationDraft.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationDraft.java
@@ -9,10 +9,10 @@
 import java.util.function.Consumer;
 
 /**
- * A configuration while tickets are put into it.
+ * A mutable copy of a configuration to which tickets are applied.
  *
- * <p>Opening and closing a draft copies every entry, so the cost of a batch is one copy of the
- * whole plus one step for each change, however many tickets it has.
+ * <p>Creating a draft and building the result each copy every entry, so the cost of a batch is two
+ * copies of the configuration plus one step for each change, however many tickets the batch has.
  */
 final class ConfigurationDraft {
     final Map<WorkspaceId, Workspace> workspaces;
@@ -45,12 +45,12 @@
         sequence = atSequence;
     }
 
-    /** Lets a snapshot say which ticket last set each object. */
+    /** Lets the decoder of a snapshot replace the map of each object to its last ticket. */
     void lastTickets(Consumer<Map<String, Long>> change) {
         change.accept(lastTicket);
     }
 
-    /** Closes it as of this entry, also if nothing was put into it. */
+    /** Returns the configuration as of this sequence number, even if no ticket was applied. */
     Configuration close(long atSequence) {
         sequence = atSequence;
         return close();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
@@ -9,8 +9,9 @@
 import java.util.Optional;
 
 /**
- * Follows the log: takes entries in whatever order and from whomever they come, and applies them in
- * order, without gaps, never back.
+ * A state machine that follows the configuration log: it accepts entries in any order and from any
+ * source, and applies them in sequence order without gaps. It never returns to an older
+ * configuration.
  */
 public final class ConfigurationFollower
         implements StateMachine<ConfigurationFollower.Offer, ConfigurationFollower.Action> {
@@ -22,24 +23,25 @@
     private Optional<Instant> confirmedAt = Optional.empty();
 
     /**
-     * Entries that came from a watch, a listing or a peer.
+     * Entries received from a watch, a listing or a peer.
      *
-     * @param entries in any order, perhaps known already
+     * @param entries the entries in any order; entries that are already applied are ignored
      * @param head the highest sequence number that the sender knows of
-     * @param confirmedAsOf when it was known for sure that the log ends at {@code head}: the start
-     *     of a linearizable read of the store, or what a confirmed peer said; empty if it was not
+     * @param confirmedAsOf the last time at which the log is proved to end at {@code head}: the
+     *     start of a linearizable read of the store, or the time reported by a confirmed peer;
+     *     empty if it is not proved
      */
     public record Offer(List<LogEntry> entries, long head, Optional<Instant> confirmedAsOf) {}
 
-    /** What to do after an offer. */
+    /** What is to be done after entries were received. */
     public sealed interface Action {
-        /** Puts a newer configuration in force. */
+        /** Makes a newer configuration the current one. */
         record Apply(Configuration configuration) implements Action {}
 
-        /** Asks for the entries from this number on: there is a gap before those offered. */
+        /** Fetches the entries from this sequence number on, because some are missing. */
         record Fetch(long from) implements Action {}
 
-        /** Reports an entry that can't be read; nothing after it is applied. */
+        /** Reports an entry that cannot be parsed; no entry after it is applied. */
         record Unreadable(long sequence, String reason) implements Action {}
     }
 
@@ -61,7 +63,10 @@
         return actions;
     }
 
-    /** Jumps to a snapshot, unless what is applied is as new. */
+    /**
+     * Replaces the configuration by that of the snapshot, unless the current one is at least as
+     * new.
+     */
     public List<Action> restore(Snapshot snapshot) {
         if (snapshot.sequence() <= current.sequence()) {
             return List.of();
@@ -72,27 +77,29 @@
         return List.of(new Action.Apply(current));
     }
 
-    /** What has been applied, for others to start from. */
+    /** Returns a snapshot of all applied entries, from which another process can start. */
     public Snapshot snapshot() {
         return new Snapshot(current, history.copy());
     }
 
-    /** The newest entries applied, as many as are kept. */
+    /** Returns the most recently applied entries. */
     LogTail tail() {
         return tail;
     }
 
-    /** The newest configuration applied. */
+    /** Returns the current configuration. */
     public Configuration current() {
         return current;
     }
 
-    /** When it was last known for sure that nothing newer existed. */
+    /** Returns the last time at which the current configuration was proved to be the newest. */
     public Optional<Instant> confirmedAt() {
         return confirmedAt;
     }
 
-    /** True if that was known within the limit. */
+    /**
+     * Returns true if the configuration was proved to be the newest within this limit before now.
+     */
     public boolean confirmed(Instant now, Duration limit) {
         return confirmedAt.filter(at -> !now.isAfter(at.plus(limit))).isPresent();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationLog.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationLog.java
@@ -7,9 +7,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** The log of tickets in the platform's store: one key for each sequence number. */
+/**
+ * Reads and appends the log of tickets in the platform's store, which has one key for each sequence
+ * number.
+ */
 final class ConfigurationLog {
-    /** Entries asked for at once; small ones in practice, half a megabyte each at worst. */
+    /** Entries read at once. They are small in practice, and half a megabyte each at worst. */
     static final int PAGE = 64;
 
     private final WatchedStore store;
@@ -25,8 +28,9 @@
     }
 
     /**
-     * Some entries in order, where the store stood then, and whether more may follow; and the
-     * newest snapshot, if the log no longer reaches back to the entry asked for.
+     * One page of the log: some entries in order, the revision of the store at the time of the
+     * read, and whether this is the last page. It has the newest snapshot if the log no longer
+     * reaches back to the requested entry.
      */
     record Page(Optional<Snapshot> snapshot, List<LogEntry> entries, long revision, boolean last) {}
 
@@ -39,7 +43,10 @@
         return snapshots;
     }
 
-    /** Removes the entries up to this one, a page at a time; the newest must be above it. */
+    /**
+     * Removes the entries up to this sequence number, a page at a time. The newest entry must be
+     * above it.
+     */
     CompletionStage<Void> shorten(long upTo) {
         return store.range(folder, key(Math.max(0, upTo) + 1), PAGE)
                 .thenCompose(
@@ -53,10 +60,11 @@
     }
 
     /**
-     * Creates an entry if it is absent and the one before it is there.
+     * Creates an entry if it is absent and its predecessor is present.
      *
-     * <p>Without the second condition a process that was paused while the log was shortened could
-     * create a place anew that was given out and removed: a ticket accepted and never in force.
+     * <p>Without the second condition, a process that was paused while the log was truncated could
+     * reuse a sequence number whose entry was removed: the ticket would be accepted and never
+     * applied.
      */
     CompletionStage<Boolean> create(long sequence, byte[] value) {
         String key = key(sequence);
@@ -74,7 +82,10 @@
         return store.watch(folder, fromRevision, listener);
     }
 
-    /** The entries among these changes; a removal is none, since the log only grows. */
+    /**
+     * Returns the log entries among these changes. Removals are ignored, since they only truncate
+     * old entries.
+     */
     List<LogEntry> entries(List<WatchedStore.Change> changes) {
         return entriesOf(changes.stream().flatMap(change -> change.entry().stream()).toList());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationRules.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationRules.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a ticket must keep to against the configuration that it changes. */
+/** Validates a ticket against the configuration it is to change. */
 final class ConfigurationRules {
     private final Configuration before;
     private final Ticket ticket;
@@ -20,7 +20,7 @@
         this.after = ConfigurationDraft.of(before);
     }
 
-    /** Throws a {@link TicketException} if the ticket can't follow this configuration. */
+    /** Throws a {@link TicketException} if the ticket is not valid on top of this configuration. */
     static void check(Configuration before, Ticket ticket) {
         new ConfigurationRules(before, ticket).check();
     }
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Two ids with the same caller key would overwrite each other: withdrawing one would leave the
-     * caller in through the other.
+     * Checks that no two ids have the same caller key. They would overwrite each other, and after
+     * one was withdrawn the caller would still have access through the other.
      */
     private void checkKeysDiffer() {
         Set<String> seen = new HashSet<>();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
@@ -22,7 +22,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the configuration in force in this process, and takes tickets.
+ * Holds the current configuration of this process, keeps it up to date with the log, and appends
+ * tickets that operators submit.
  *
  * <pre>{@code
  * ConfigurationService configuration =
@@ -32,10 +33,10 @@
  * }</pre>
  */
 public final class ConfigurationService {
-    /** How long a ticket waits for this process to be on the list of VMs. */
+    /** How long a ticket waits until this process is on the list of VMs. */
     static final Duration LISTING = Duration.ofSeconds(10);
 
-    /** Tickets that may wait here; one at a time is brought into the log. */
+    /** The most tickets that may be queued; they are submitted to the log one at a time. */
     static final int MAX_WAITING = 64;
 
     private static final Logger LOG = LogManager.getLogger(ConfigurationService.class);
@@ -85,51 +86,58 @@
                         random);
     }
 
-    /** Begins a service on this control thread and store. */
+    /** Returns a builder for a service that runs on this control thread and uses this store. */
     public static Builder builder(ControlThread control, WatchedStore store, Timeline timeline) {
         return new Builder(control, store, timeline);
     }
 
-    /** Hears of every newer configuration, on the control thread, soon after it came into force. */
+    /**
+     * Adds a listener that is called on the control thread with every newer configuration after it
+     * became the current one.
+     */
     public ConfigurationService onChange(Consumer<Configuration> listener) {
         listeners.add(Objects.requireNonNull(listener, "listener"));
         return this;
     }
 
-    /** Begins to follow the log; safe from any thread. */
+    /** Starts following the log. Safe to call from any thread. */
     public ConfigurationService start() {
         control.run(reader::read);
         return this;
     }
 
-    /** Stops following the log; what is in force stays. */
+    /** Stops following the log; the current configuration stays. Safe to call from any thread. */
     public void stop() {
         control.run(reader::stop);
     }
 
     /**
-     * Whether to keep a watch on the store and read it once a period, as relays do, or to read it
-     * only on {@link #refresh()}. For the control thread.
+     * Sets whether to watch the store and to read it once a period, as relays do, or to read it
+     * only on {@link #refresh()}. Must be called on the control thread.
      */
     public void direct(boolean value) {
         reader.follow(value);
     }
 
-    /** Reads the store once, from the next entry on. For the control thread. */
+    /** Reads the store once, from the next entry on. Must be called on the control thread. */
     public void refresh() {
         reader.read();
     }
 
     /**
-     * Whether to bring tickets into the log; else they wait for a while. A router that the list of
-     * VMs doesn't name must not: in an outage the others couldn't ask it. For the control thread.
+     * Sets whether tickets are written to the log; if not, they are queued for a limited time. A
+     * router that is not on the list of VMs must not write: in an outage the other routers could
+     * not ask it for unconfirmed writes. Must be called on the control thread.
      */
     public void takeTickets(boolean value) {
         takesTickets = value;
         submitNext();
     }
 
-    /** The entries from this number on, if all are still held. For the control thread. */
+    /**
+     * Returns the entries from this sequence number on, or empty if some of them are no longer
+     * held. Must be called on the control thread.
+     */
     public Optional<List<LogEntry>> entries(long from) {
         if (from > current.sequence()) {
             return Optional.of(List.of());
@@ -139,51 +147,63 @@
                 : Optional.empty();
     }
 
-    /** All that is in force, for a process that starts. For the control thread. */
+    /**
+     * Returns a snapshot of the current configuration, for a process that starts. Must be called on
+     * the control thread.
+     */
     public Snapshot snapshot() {
         return follower.snapshot();
     }
 
-    /** Takes a snapshot from a peer, unless what is in force is as new. */
+    /**
+     * Applies a snapshot from a peer, unless the current configuration is at least as new. Safe to
+     * call from any thread.
+     */
     public void offer(Snapshot snapshot) {
         control.run(() -> restore(snapshot));
     }
 
-    /** What is in force here; safe from any thread. */
+    /** Returns the current configuration. Safe to call from any thread. */
     public Configuration current() {
         return current;
     }
 
-    /** When it was last known for sure that nothing newer existed. */
+    /** Returns the last time at which the current configuration was proved to be the newest. */
     public Optional<Instant> confirmedAt() {
         return confirmedAt;
     }
 
-    /** True if that was since this process started; before, a former life may have known more. */
+    /**
+     * Returns true if the configuration was confirmed since this process started. A confirmation
+     * from before may come from an earlier incarnation that knew more entries.
+     */
     public boolean confirmedInThisLife() {
         return confirmedAt.filter(at -> !at.isBefore(startedAt)).isPresent();
     }
 
     /**
-     * True if no ticket taken here can stand in the log beyond what is in force here: none is being
-     * written, and none has an unknown outcome. For the control thread.
+     * Returns true if no ticket submitted here can be in the log beyond the current configuration:
+     * none is being written, and none has an unknown outcome. Must be called on the control thread.
      */
     public boolean settled() {
         return pending.settled(current.sequence());
     }
 
-    /** True if that was known within the limit; safe from any thread. */
+    /**
+     * Returns true if the configuration was proved to be the newest within this limit before now.
+     * Safe to call from any thread.
+     */
     public boolean confirmed(Duration limit) {
         Instant now = control.clock().instant();
         return confirmedAt.filter(at -> !now.isAfter(at.plus(limit))).isPresent();
     }
 
     /**
-     * Takes entries from anywhere: a relay, a peer, a snapshot.
+     * Accepts entries from any source, such as a relay or a peer. Safe to call from any thread.
      *
-     * @param entries in any order, perhaps known already
+     * @param entries the entries in any order; entries that are already applied are ignored
      * @param head the highest sequence number that the sender knows of
-     * @param confirmed whether the sender knows, as of now, that the log ends there
+     * @param confirmed whether the sender knows that, as of now, the log ends at {@code head}
      */
     public void offer(List<LogEntry> entries, long head, boolean confirmed) {
         Optional<Instant> asOf =
@@ -191,14 +211,14 @@
         offer(new ConfigurationFollower.Offer(entries, head, asOf));
     }
 
-    /** The same, from a sender whose confirmation has an age. */
+    /** Accepts entries whose confirmation carries its own time. Safe to call from any thread. */
     public void offer(ConfigurationFollower.Offer offer) {
         control.run(() -> take(offer));
     }
 
     /**
-     * Brings a ticket into the log. The stage always ends with a result, accepted or refused; in
-     * what time depends on the store's time limit.
+     * Submits a ticket to the log. The stage always completes with a result, accepted or refused;
+     * how soon depends on the timeout of the store's client. Safe to call from any thread.
      */
     public CompletionStage<TicketResult> submit(Ticket ticket) {
         Objects.requireNonNull(ticket, "ticket");
@@ -207,7 +227,10 @@
         return result;
     }
 
-    /** The accepted ticket with this number, among the last sixteen thousand numbers. */
+    /**
+     * Returns the accepted ticket with this number, if it is among the highest 16,384 accepted
+     * numbers. Safe to call from any thread.
+     */
     public CompletionStage<Optional<TicketResult.Accepted>> ticket(long number) {
         return control.call(
                 () ->
@@ -228,7 +251,9 @@
                     new TicketResult.Refused(
                             next.ticket().number(),
                             Code.BUSY,
-                            "too many tickets are waiting at this process",
+                            "too many tickets are queued at this process, at most "
+                                    + MAX_WAITING
+                                    + " may be; send it again later",
                             true));
             return;
         }
@@ -246,7 +271,8 @@
                     new TicketResult.Refused(
                             unlisted.ticket().number(),
                             Code.BUSY,
-                            "this router isn't on the platform's list of VMs; ask another",
+                            "this router is not on the platform's list of VMs; send the ticket to"
+                                    + " another router",
                             true));
         }
     }
@@ -310,7 +336,10 @@
         publish();
     }
 
-    /** Whatever moved the follower, a submission's reading included, comes into force here. */
+    /**
+     * Publishes the follower's newest configuration, whether a read, a peer or a submission
+     * advanced it.
+     */
     private void publish() {
         confirmedAt = follower.confirmedAt();
         Configuration newest = follower.current();
@@ -322,12 +351,18 @@
         }
     }
 
-    /** A listener that throws must not keep the others, or waiting tickets, from going on. */
+    /**
+     * Calls one listener. If it throws, the other listeners and the queued tickets must still be
+     * served.
+     */
     private static void tell(Consumer<Configuration> listener, Configuration newest) {
         try {
             listener.accept(newest);
         } catch (RuntimeException e) {
-            LOG.error("configuration {} was not taken in by a part", newest.sequence(), e);
+            LOG.error(
+                    "a listener failed on configuration {}; the other listeners are still called",
+                    newest.sequence(),
+                    e);
         }
     }
 
@@ -335,14 +370,14 @@
         if (!broken) {
             broken = true;
             LOG.error(
-                    "entry {} of the configuration log can't be read, the configuration stays"
-                            + " where it is: {}",
+                    "entry {} of the configuration log can't be parsed, no entry from it on is"
+                            + " applied: {}",
                     unreadable.sequence(),
                     unreadable.reason());
         }
     }
 
-    /** Puts a {@link ConfigurationService} together. */
+    /** Builds a {@link ConfigurationService}. */
     public static final class Builder {
         private final ControlThread control;
         private final WatchedStore store;
@@ -358,13 +393,13 @@
             this.timeline = Objects.requireNonNull(timeline, "timeline");
         }
 
-        /** What all keys of the deployment begin with; {@code /damaskyoke} if not set. */
+        /** Sets the prefix of all store keys of the deployment; {@code /damaskyoke} by default. */
         public Builder prefix(String value) {
             prefix = Objects.requireNonNull(value, "prefix");
             return this;
         }
 
-        /** How often the configuration is confirmed with the store; 5 s if not set. */
+        /** Sets how often the configuration is confirmed with the store; 5 s by default. */
         public Builder pollPeriod(Duration value) {
             if (value.isNegative() || value.isZero()) {
                 throw new IllegalArgumentException("pollPeriod must be positive: " + value);
@@ -373,19 +408,22 @@
             return this;
         }
 
-        /** Whether to follow the store from the start; see {@link #direct}. True if not set. */
+        /**
+         * Sets whether to follow the store from the start, see {@link ConfigurationService#direct};
+         * true by default.
+         */
         public Builder direct(boolean value) {
             direct = value;
             return this;
         }
 
-        /** Where jitter comes from; seeded in tests. */
+        /** Sets the source of jitter; tests pass a seeded one. */
         public Builder random(RandomGenerator value) {
             random = Objects.requireNonNull(value, "random");
             return this;
         }
 
-        /** The service, not yet started. */
+        /** Returns the service, not yet started. */
         public ConfigurationService build() {
             return new ConfigurationService(this);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/KeyHasher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/KeyHasher.java
@@ -7,10 +7,10 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Turns a caller key into what is kept of it: {@code hasher.hash("sk-...")}.
+ * Computes the keyed hash under which a caller key is stored: {@code hasher.hash("sk-...")}.
  *
- * <p>The hash is keyed with a secret from the settings, so that whoever reads the platform's store
- * can neither use the keys nor try guesses against them.
+ * <p>The hash is keyed with a secret from the settings, so that a reader of the platform's store
+ * can neither use the caller keys nor test guesses against the hashes.
  */
 public final class KeyHasher {
     private static final String ALGORITHM = "HmacSHA256";
@@ -22,7 +22,10 @@
         this.secret = secret;
     }
 
-    /** A hasher with this secret; all processes of a deployment need the same one. */
+    /**
+     * Returns a hasher with this secret, of at least 16 bytes in UTF-8. All processes of a
+     * deployment need the same one.
+     */
     public static KeyHasher of(String secret) {
         byte[] bytes = secret.getBytes(StandardCharsets.UTF_8);
         if (bytes.length < MIN_SECRET_BYTES) {
@@ -32,7 +35,7 @@
         return new KeyHasher(new SecretKeySpec(bytes, ALGORITHM));
     }
 
-    /** The keyed hash of a caller key, as 64 hexadecimal digits. */
+    /** Returns the keyed hash of a caller key, as 64 lower case hexadecimal digits. */
     public String hash(String callerKey) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
@@ -40,7 +43,8 @@
             return HexFormat.of()
                     .formatHex(mac.doFinal(callerKey.getBytes(StandardCharsets.UTF_8)));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(ALGORITHM + " belongs to every Java platform", e);
+            throw new IllegalStateException(
+                    ALGORITHM + " is missing, though every Java platform must have it", e);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogKeys.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogKeys.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Where the entries of the configuration log stand in the store. */
+/** Builds the store keys of the entries of the configuration log. */
 public final class LogKeys {
     static final String FOLDER = "/config/log/";
 
@@ -11,8 +11,8 @@
     private LogKeys() {}
 
     /**
-     * The key of one entry. A write that must not be based on an old configuration has the store
-     * check that the entry after its own is absent.
+     * Returns the store key of one entry. A write that must not be based on an outdated
+     * configuration has the store check that the entry after the last applied one is absent.
      */
     public static String entry(String storePrefix, long sequence) {
         long shown = Math.min(sequence, HIGHEST);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
@@ -15,13 +15,13 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Reads the log from the store: lists it, watches it, and lists again after the watch has ended and
- * once a period. Lives on the control thread.
+ * Reads the log from the store: lists it, watches it, and lists it again once a period and after
+ * the watch has ended. Runs on the control thread.
  *
- * <p>The periodic listing confirms the configuration and makes up for a watch that is silent
- * without having ended, as behind a switch that drops packets: its symptom would be a configuration
- * that stands still while the store goes on. What such a watch can hide is bounded by the period,
- * and a listing that finds what the watch missed has the watch opened anew.
+ * <p>The periodic listing confirms the configuration and makes up for a watch that stays open but
+ * delivers nothing, for example behind a switch that drops packets. Without it the configuration
+ * would become stale unnoticed; with it the staleness is bounded by the period. A listing that
+ * finds entries the watch missed reopens the watch.
  */
 final class LogReader {
     private static final Logger LOG = LogManager.getLogger(LogReader.class);
@@ -61,7 +61,7 @@
         this.random = random;
     }
 
-    /** Lists from the next entry on, unless a listing is under way. */
+    /** Lists the log from the next entry on, unless a listing is in progress. */
     void read() {
         if (stopped || reading) {
             return;
@@ -85,10 +85,11 @@
     }
 
     /**
-     * Whether to keep a watch and read once a period, or only when asked to.
+     * Sets whether to keep a watch and read once a period, or to read only when {@link #read} is
+     * called.
      *
-     * <p>Thirty processes of a fleet follow by themselves; if all did, each entry would come out of
-     * the store as many times as there are processes, and each waiting watch counts as a call.
+     * <p>Only thirty processes of a fleet follow the store themselves. If all did, the store would
+     * deliver each entry once for each process, and each open watch counts as a call.
      */
     void follow(boolean value) {
         if (following == value) {
@@ -169,7 +170,10 @@
 
     private void ended(long number, PlatformException cause) {
         if (number == watchNumber && !stopped) {
-            LOG.info("watch of the configuration log ended, listing again: {}", cause.getMessage());
+            LOG.info(
+                    "the watch of the configuration log ended, listing the log again after a"
+                            + " backoff: {}",
+                    cause.getMessage());
             closeWatch();
             failed();
         }
@@ -180,7 +184,10 @@
         return Duration.ofMillis(half + random.nextLong(half + 1));
     }
 
-    /** True if entries are missing before those read: the snapshot that has them comes later. */
+    /**
+     * Returns true if entries are missing before those read; a later read finds the snapshot that
+     * holds them.
+     */
     private boolean gap(ConfigurationLog.Page page) {
         return !page.entries().isEmpty()
                 && page.entries().get(0).sequence() > sequence.getAsLong() + 1;
@@ -190,7 +197,7 @@
         return entries.isEmpty() ? otherwise : entries.get(entries.size() - 1).sequence();
     }
 
-    /** Hands what a watch says to the control thread. */
+    /** Passes the events of one watch to the control thread. */
     private final class Listener implements WatchedStore.WatchListener {
         private final long number;
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogTail.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogTail.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The newest entries of the log, for peers that lack a few. Bounded by bytes; who lacks more takes
- * a {@link Snapshot}.
+ * The most recent entries of the log, for peers that are a few entries behind. Its size is bounded
+ * in bytes; a peer that is further behind takes a {@link Snapshot}.
  */
 final class LogTail {
     static final int MAX_BYTES = 1 << 20;
@@ -13,7 +13,10 @@
     private final ArrayDeque<LogEntry> entries = new ArrayDeque<>();
     private int bytes;
 
-    /** Adds the entry after the newest one held. */
+    /**
+     * Adds the entry that follows the newest one, and drops the oldest ones above {@value
+     * #MAX_BYTES} bytes.
+     */
     void add(LogEntry entry) {
         entries.add(entry);
         bytes += entry.value().length;
@@ -22,18 +25,18 @@
         }
     }
 
-    /** Forgets all, after a jump over entries that were never seen. */
+    /** Removes all entries, after a snapshot has skipped entries that were never received. */
     void clear() {
         entries.clear();
         bytes = 0;
     }
 
-    /** True if all entries from this number on are held. */
+    /** Returns true if all entries from this sequence number on are held. */
     boolean reaches(long from) {
         return !entries.isEmpty() && entries.peek().sequence() <= from;
     }
 
-    /** Those held from this number on. */
+    /** Returns the held entries from this sequence number on. */
     List<LogEntry> from(long from) {
         return entries.stream().filter(entry -> entry.sequence() >= from).toList();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Model.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Model.java
@@ -7,15 +7,15 @@
 import java.util.Set;
 
 /**
- * A model or an adapter.
+ * A model or an adapter that engines can load.
  *
- * @param name what callers call it
- * @param version which weights; a change of version is a new load
- * @param pool the engines that may hold it
- * @param base for an adapter the model it is put on
- * @param memoryBytes what a replica takes in the engine's memory
- * @param maxReplicas how many VMs may hold it at once, at most
- * @param workspaces who may use it; empty means every workspace
+ * @param name the name callers use in requests
+ * @param version the version of the weights; a changed version is loaded anew
+ * @param pool the pool of engines that may hold it
+ * @param base for an adapter, the model it extends; empty for a model
+ * @param memoryBytes the bytes that a replica takes in the engine's memory
+ * @param maxReplicas the most VMs that may hold it at once
+ * @param workspaces the workspaces that may use it; empty means every workspace
  */
 public record Model(
         ModelName name,
@@ -25,12 +25,12 @@
         long memoryBytes,
         int maxReplicas,
         Set<WorkspaceId> workspaces) {
-    /** Copies the set. */
+    /** Creates a model with an immutable copy of the set. */
     public Model {
         workspaces = Set.copyOf(workspaces);
     }
 
-    /** True if requests of this workspace may use the model. */
+    /** Returns true if requests of this workspace may use the model. */
     public boolean open(WorkspaceId workspace) {
         return workspaces.isEmpty() || workspaces.contains(workspace);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/PendingWrites.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/PendingWrites.java
@@ -3,28 +3,31 @@
 import io.damaskyoke.platform.PlatformException;
 
 /**
- * Whether a ticket of this process may stand in the log without this process knowing it.
+ * Tracks whether the log may hold a ticket of this process that this process has not read back.
  *
- * <p>While it may, peers must not count on this process's word that the log ends where it says: the
- * ticket could have withdrawn a key. A write of unknown outcome is settled once its place in the
- * log is known to be taken, by whomever.
+ * <p>While it may, peers must not rely on where this process says the log ends: the ticket could
+ * have withdrawn a key. A write of unknown outcome is settled once its sequence number is known to
+ * be taken, by any process.
  */
 final class PendingWrites {
     private long underWay;
     private long unknown;
 
-    /** An entry is being created at this place. */
+    /** Records that the creation of the entry with this sequence number has started. */
     void begun(long place) {
         underWay = place;
     }
 
-    /** The store answered; who stands at the place is known once the log is followed that far. */
+    /**
+     * Records that the store answered. Whose entry has the sequence number is known once the log is
+     * applied that far.
+     */
     void answered() {
         unknown = Math.max(unknown, underWay);
         underWay = 0;
     }
 
-    /** The store did not answer. */
+    /** Records that the write failed. It may still take effect unless the store was unavailable. */
     void failed(PlatformException.Code code) {
         if (code != PlatformException.Code.UNAVAILABLE) {
             unknown = Math.max(unknown, underWay);
@@ -32,7 +35,7 @@
         underWay = 0;
     }
 
-    /** True if nothing of this process can stand beyond this entry. */
+    /** Returns true if no ticket of this process can be in the log beyond this sequence number. */
     boolean settled(long head) {
         return underWay == 0 && unknown <= head;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Service.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Service.java
@@ -7,38 +7,41 @@
 import java.util.Set;
 
 /**
- * A plain service that requests are passed through to.
+ * A plain service, whose requests are passed through to its upstreams.
  *
- * @param name as in {@code /v1/services/NAME/...}
- * @param pool the upstreams that serve it
- * @param idempotent calls that may be repeated although their method is unsafe, each as {@code
+ * @param name the name, as in {@code /v1/services/NAME/...}
+ * @param pool the pool of upstreams that serve it
+ * @param idempotent the calls that may be repeated although their method is unsafe, each as {@code
  *     "POST /lookup"}: method and leading path segments
- * @param workspaces who may use it; empty means every workspace
+ * @param workspaces the workspaces that may use it; empty means every workspace
  */
 public record Service(
         ServiceName name, PoolName pool, List<String> idempotent, Set<WorkspaceId> workspaces) {
     private static final Set<String> SAFE_METHODS = Set.of("GET", "HEAD", "OPTIONS");
 
-    /** Copies the collections. */
+    /** Creates a service with immutable copies of the collections. */
     public Service {
         idempotent = List.copyOf(idempotent);
         workspaces = Set.copyOf(workspaces);
     }
 
-    /** True if requests of this workspace may use the service. */
+    /** Returns true if requests of this workspace may use the service. */
     public boolean open(WorkspaceId workspace) {
         return workspaces.isEmpty() || workspaces.contains(workspace);
     }
 
-    /** True if a call may be repeated: a safe method, or one that operators marked. */
+    /**
+     * Returns true if a call may be repeated: its method is safe, or operators marked it as
+     * idempotent.
+     */
     public boolean idempotent(String method, String path) {
         return SAFE_METHODS.contains(method)
                 || idempotent.stream()
                         .anyMatch(call -> covers(call, method + " " + pathOnly(path)));
     }
 
-    // Matched as plain text, "POST /lookup" would cover POST /lookupandpay as well, and a payment
-    // whose agent died would be sent again; so a call covers whole path segments only.
+    // A call matches whole path segments only. As a text prefix, "POST /lookup" would also match
+    // POST /lookupandpay, and a payment whose agent crashed would be sent again.
     private static boolean covers(String call, String asked) {
         return asked.startsWith(call)
                 && (asked.length() == call.length()
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Snapshot.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Snapshot.java
@@ -16,18 +16,21 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * All that following the log up to one entry leaves behind: the configuration, and which ticket
- * numbers were accepted. Who has it needs no entry up to {@link #sequence()}.
+ * The state that results from applying the log up to one entry: the configuration and the accepted
+ * ticket numbers. It replaces all entries up to {@link #sequence()}.
+ *
+ * @param configuration the configuration as of the last entry
+ * @param history the accepted ticket numbers
  */
 public record Snapshot(Configuration configuration, TicketHistory history) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** The number of the last entry that is in it. */
+    /** Returns the sequence number of the last applied entry. */
     public long sequence() {
         return configuration.sequence();
     }
 
-    /** The stored form: compressed JSON, the same for the same snapshot. */
+    /** Returns the stored form: compressed JSON, with the same bytes for equal snapshots. */
     public byte[] encode() {
         ObjectNode root = JsonNodeFactory.instance.objectNode().put("sequence", sequence());
         ObjectNode last = root.putObject("last_ticket");
@@ -44,24 +47,25 @@
             }
             return zipped(JSON.writeValueAsBytes(root));
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory can't fail", e);
+            throw new IllegalStateException("writing a snapshot to memory failed", e);
         }
     }
 
-    /** Reads the stored form, or throws a {@link TicketException} with {@code BAD_VALUE}. */
+    /** Decodes the stored form, or throws a {@link TicketException} with {@code BAD_VALUE}. */
     public static Snapshot decode(byte[] bytes) {
         try (GZIPInputStream unzipped = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
             return read(JSON.readTree(unzipped));
         } catch (IOException | RuntimeException e) {
             throw new TicketException(
-                    TicketException.Code.BAD_VALUE, "can't read a snapshot: " + e.getMessage());
+                    TicketException.Code.BAD_VALUE,
+                    "can't decode a snapshot of the configuration: " + e.getMessage());
         }
     }
 
     private static Snapshot read(JsonNode root) throws JsonProcessingException {
         ConfigurationDraft draft = ConfigurationDraft.of(Configuration.EMPTY);
         long sequence = root.get("sequence").longValue();
-        // One object at a time, since all together may be larger than a ticket can be.
+        // Parses one object at a time, since all together may exceed the size limit of a ticket.
         for (JsonNode object : root.get("objects")) {
             draft.put(TicketParser.stored().parse(JSON.writeValueAsBytes(object)), sequence);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotStore.java
@@ -17,15 +17,15 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * Snapshots in the platform's store, in parts below its greatest value, and one key that names the
- * newest whole one.
+ * Reads and writes snapshots in the platform's store, in parts below its limit for a value, with
+ * one key that names the newest complete snapshot.
  *
- * <p>Parts are written before they are named and created only if absent, so that a writer that dies
- * half-way, or two at once, can't leave a snapshot that reads as whole and isn't. The parts of the
- * one named before stay, for readers under way.
+ * <p>All parts are written before the snapshot is named, and each is created only if absent. So a
+ * writer that crashes half-way, or two concurrent writers, can't leave an incomplete snapshot that
+ * reads as complete. The parts of the previous snapshot stay, for reads in progress.
  */
 final class SnapshotStore {
-    /** Bytes in a part; the store takes a megabyte, in base64 and with the key around it. */
+    /** Bytes in a part. The store takes a megabyte for a part in base64 together with its key. */
     static final int PART = 512 * 1024;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -40,13 +40,19 @@
         this.newestKey = prefix + "/config/snapshot-newest";
     }
 
-    /** Which snapshot is the newest, and how many parts it and the one before have. */
+    /**
+     * Names the newest snapshot.
+     *
+     * @param sequence the sequence number of the newest snapshot
+     * @param parts the number of its parts
+     * @param before the sequence number of the previous snapshot; 0 if there is none
+     */
     record Newest(
             @JsonProperty("sequence") long sequence,
             @JsonProperty("parts") int parts,
             @JsonProperty("before") long before) {}
 
-    /** The condition that no snapshot was ever written. */
+    /** Returns the condition that no snapshot was ever written. */
     Condition none() {
         return new Condition.Absent(newestKey);
     }
@@ -55,7 +61,7 @@
         return store.read(newestKey).thenApply(found -> found.map(SnapshotStore::parse));
     }
 
-    /** The newest whole snapshot; empty if there is none. */
+    /** Returns the newest complete snapshot; empty if there is none. */
     CompletionStage<Optional<Snapshot>> read() {
         return newest().thenCompose(
                         found ->
@@ -67,7 +73,10 @@
                                                                 .map(Snapshot::decode)));
     }
 
-    /** Writes it and names it the newest; false if another writer was as far already. */
+    /**
+     * Writes a snapshot and names it the newest. Returns false if one at least as new is named
+     * already.
+     */
     CompletionStage<Boolean> write(Snapshot snapshot) {
         byte[] bytes = snapshot.encode();
         int parts = (bytes.length + PART - 1) / PART;
@@ -109,7 +118,7 @@
                 .thenApply(KeyValueStore.TxnResult::committed);
     }
 
-    /** Removes the parts of snapshots older than the one before. */
+    /** Removes the parts of all snapshots older than the previous one. */
     private CompletionStage<Boolean> sweep(Newest next) {
         return store.range(folder, key(next.before(), 0), ConfigurationLog.PAGE)
                 .thenCompose(
@@ -132,7 +141,14 @@
                 .thenApply(
                         found -> {
                             if (found.entries().size() != newest.parts()) {
-                                throw bad("parts of a snapshot are missing", null);
+                                throw bad(
+                                        "snapshot "
+                                                + newest.sequence()
+                                                + " must have "
+                                                + newest.parts()
+                                                + " parts, found "
+                                                + found.entries().size(),
+                                        null);
                             }
                             ByteArrayOutputStream all = new ByteArrayOutputStream();
                             found.entries().forEach(part -> all.writeBytes(part.value()));
@@ -152,7 +168,9 @@
         try {
             return JSON.readValue(entry.value(), Newest.class);
         } catch (IOException e) {
-            throw bad("can't read which snapshot is the newest", e);
+            throw bad(
+                    "can't parse the value of " + entry.key() + ", which names the newest snapshot",
+                    e);
         }
     }
 
@@ -160,7 +178,7 @@
         try {
             return JSON.writeValueAsBytes(newest);
         } catch (IOException e) {
-            throw bad("can't write which snapshot is the newest", e);
+            throw bad("can't encode the name of the newest snapshot, " + newest.sequence(), e);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotWriter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotWriter.java
@@ -9,13 +9,13 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Writes a snapshot every {@value #EVERY} entries and then shortens the log; lives on the control
- * thread of a process that reads the log itself.
+ * Writes a snapshot every {@value #EVERY} entries and then truncates the log. Runs on the control
+ * thread of a process that follows the store itself.
  *
- * <p>Several processes may do so at once: they wait a random time, look whether another was first,
- * and the store's conditions decide. The log keeps {@value #KEPT} entries below the snapshot, its
- * newest always among them: accepting a ticket asks for the entry before its own to be there, and a
- * reader that is a little behind needs no snapshot.
+ * <p>Several processes may write at once: each waits a random time and checks whether another one
+ * was first, and the conditions of the store's transactions decide. The log keeps the {@value
+ * #KEPT} entries before the snapshot and so always its newest entry: accepting a ticket requires
+ * that the preceding entry is present, and a reader that is a little behind needs no snapshot.
  */
 final class SnapshotWriter {
     static final int EVERY = 1_000;
@@ -48,7 +48,10 @@
         this.random = random;
     }
 
-    /** The log has grown to this entry. */
+    /**
+     * Records that the log has grown to this sequence number, and schedules a snapshot if one is
+     * due.
+     */
     void reached(long sequence) {
         if (busy || !onDuty.getAsBoolean() || sequence - newest < EVERY) {
             return;
@@ -95,7 +98,10 @@
     private void over(Throwable failure) {
         busy = false;
         if (failure != null) {
-            LOG.info("no snapshot written this time: {}", failure.getMessage());
+            LOG.info(
+                    "writing a snapshot of the configuration or truncating the log failed, trying"
+                            + " again with a later entry: {}",
+                    failure.getMessage());
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SubmissionRun.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SubmissionRun.java
@@ -10,7 +10,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Carries out what one {@link TicketSubmission} asks for; lives on the control thread. */
+/**
+ * Executes the actions of one {@link TicketSubmission} against the log. Runs on the control thread.
+ */
 final class SubmissionRun {
     private final ControlThread control;
     private final ConfigurationLog log;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Ticket.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Ticket.java
@@ -15,24 +15,25 @@
 import java.util.List;
 
 /**
- * A numbered change of the configuration; each object in it carries its whole new state.
+ * A numbered change of the configuration by an operator; each changed object is given with its
+ * complete new state.
  *
- * @param number given by the operators
- * @param digest SHA-256 over the canonical JSON, as 64 hexadecimal digits: two tickets with the
- *     same meaning have the same one, in whatever order they list their objects
- * @param changes in order of kind and name
+ * @param number the number that the operators gave the ticket, from 1 on
+ * @param digest the SHA-256 of the canonical JSON, as 64 hexadecimal digits: tickets with the same
+ *     meaning have the same digest, in whatever order they list their objects
+ * @param changes the changes in order of kind and name
  */
 public record Ticket(long number, String digest, List<Change> changes) {
     private static final ObjectMapper JSON = JsonMapper.builder().build();
 
-    /** A ticket of these changes; get one from {@link TicketParser}. */
+    /** Returns a ticket with these changes. Other packages get one from {@link TicketParser}. */
     static Ticket of(long number, List<Change> changes) {
         List<Change> sorted =
                 changes.stream().sorted(Comparator.comparing(Change::object)).toList();
         return new Ticket(number, sha256(canonical(number, sorted)), sorted);
     }
 
-    /** The stored form: canonical JSON, with hashes in place of caller keys. */
+    /** Returns the stored form: canonical JSON, with hashes in place of caller keys. */
     public byte[] toJson() {
         return canonical(number, changes);
     }
@@ -43,7 +44,7 @@
         try {
             return JSON.writeValueAsBytes(root);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a tree of plain values can always be written", e);
+            throw new IllegalStateException("encoding a ticket as JSON failed", e);
         }
     }
 
@@ -104,7 +105,8 @@
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("SHA-256 belongs to every Java platform", e);
+            throw new IllegalStateException(
+                    "SHA-256 is missing, though every Java platform must have it", e);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketException.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketException.java
@@ -2,54 +2,62 @@
 
 import io.damaskyoke.DamaskyokeException;
 
-/** Says why a ticket is refused; the message names the field or object. */
+/** Thrown when a ticket is refused; the message names the field or object at fault. */
 public final class TicketException extends DamaskyokeException {
     private static final long serialVersionUID = 1L;
 
     private final transient Code code;
 
-    /** Why a ticket is refused. */
+    /** The reasons for which a ticket is refused. */
     public enum Code {
-        /** It is not the JSON of a ticket. */
+        /** The bytes are not JSON of the form of a ticket. */
         MALFORMED,
-        /** It changes nothing. */
+        /** The ticket contains no change. */
         EMPTY,
-        /** It has a field that no ticket has. */
+        /** The ticket has a field that is not defined. */
         UNKNOWN_FIELD,
-        /** A field is missing or has a value that can't be. */
+        /** A field is missing or has an invalid value. */
         BAD_VALUE,
-        /** It names the same object twice. */
+        /** The ticket changes the same object twice. */
         DUPLICATE_OBJECT,
-        /** It is larger than the log takes. */
+        /** The ticket exceeds {@link TicketParser#MAX_BYTES}. */
         TOO_LARGE,
-        /** It refers to, or removes, what does not exist. */
+        /** The ticket refers to, or removes, an object that does not exist. */
         UNKNOWN_OBJECT,
-        /** It removes what others still refer to. */
+        /** The ticket removes an object that others still refer to. */
         IN_USE,
-        /** Two key ids have the same caller key. */
+        /** Two key ids would have the same caller key. */
         KEY_TAKEN,
-        /** A newer ticket has set one of its objects, or its number is too old to be told apart. */
+        /**
+         * A newer ticket has set one of the objects, or the number is so low that it is no longer
+         * known whether it was used.
+         */
         OUTDATED,
-        /** Its number came before with other content. */
+        /** A ticket with the same number and other content was accepted before. */
         NUMBER_REUSED,
-        /** Too many tickets wait already, or too many others won the race for the log. */
+        /**
+         * Too many tickets are queued, or too many attempts failed because other tickets were
+         * accepted first.
+         */
         BUSY,
-        /** The store can't be reached; the ticket surely was not accepted. */
+        /** The store can't be reached; the ticket was not accepted. */
         STORE_UNAVAILABLE,
         /** The ticket may have been accepted; send the same one again. */
         OUTCOME_UNKNOWN
     }
 
+    /** Creates a refusal without a cause. */
     public TicketException(Code code, String message) {
         this(code, message, null);
     }
 
+    /** Creates a refusal with a cause. */
     public TicketException(Code code, String message, Throwable cause) {
         super(code, message, cause);
         this.code = code;
     }
 
-    /** Why the ticket is refused. */
+    /** Returns the reason for which the ticket is refused. */
     public Code code() {
         return code;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketFields.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketFields.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** One JSON object of a ticket, read strictly; every complaint names the field by its path. */
+/** Reads one JSON object of a ticket strictly; every error message names the field by its path. */
 final class TicketFields {
     private final JsonNode node;
     private final String path;
@@ -49,12 +49,15 @@
     String text(String name) {
         JsonNode value = node.path(name);
         if (!value.isTextual() || value.textValue().isBlank()) {
-            throw bad(name, "must be a string that is not empty");
+            throw bad(name, "must be a non-blank string");
         }
         return value.textValue();
     }
 
-    /** Only {@code true} says that an object is removed; anything else would be a slip. */
+    /**
+     * Returns true if the object is to be removed. The field must be {@code true} or absent; any
+     * other value is an error.
+     */
     boolean removed() {
         if (!has("removed")) {
             return false;
@@ -63,7 +66,7 @@
             throw bad("removed", "must be true or absent");
         }
         if (node.size() > 2) {
-            throw bad("removed", "goes with the name alone");
+            throw bad("removed", "must be the only field beside the id or name");
         }
         return true;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketHistory.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketHistory.java
@@ -6,13 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * Which ticket numbers were accepted lately, so that the same ticket sent again is known and a
- * number used for other content is refused.
+ * Holds the recently accepted ticket numbers, so that a ticket sent again is recognized and a
+ * number reused for other content is refused.
  *
- * <p>It holds the highest {@value #CAPACITY} numbers, which is near four days of 4,200 tickets. A
- * number below all those held can't be told from a used one, so such a ticket counts as outdated;
- * without that floor the history would grow as long as the system lives. What is held depends on
- * the log alone, hence all processes judge alike.
+ * <p>It holds the highest {@value #CAPACITY} numbers, which is nearly four days at 4,200 tickets a
+ * day. Of a number up to the floor it is no longer known whether it was used, so such a ticket
+ * counts as outdated; without the floor the history would grow without bound. The content depends
+ * only on the log, so all processes reach the same decision.
  */
 public final class TicketHistory {
     static final int CAPACITY = 16_384;
@@ -20,17 +20,17 @@
     private final TreeMap<Long, Accepted> accepted = new TreeMap<>();
     private long floor;
 
-    /** An empty history. */
+    /** Creates an empty history. */
     TicketHistory() {
         this(0);
     }
 
-    /** An empty history that knows nothing of numbers up to the floor. */
+    /** Creates an empty history that treats all numbers up to the floor as possibly used. */
     TicketHistory(long floor) {
         this.floor = floor;
     }
 
-    /** One accepted ticket. */
+    /** The number, log sequence number and digest of an accepted ticket. */
     record Accepted(long number, long sequence, String digest) {}
 
     void add(Accepted ticket) {
@@ -44,24 +44,24 @@
         return Optional.ofNullable(accepted.get(number));
     }
 
-    /** One that later additions to this one leave as it is. */
+    /** Returns an independent copy. */
     TicketHistory copy() {
         TicketHistory copy = new TicketHistory(floor);
         copy.accepted.putAll(accepted);
         return copy;
     }
 
-    /** All that are held, by number. */
+    /** Returns all held tickets in order of their numbers. */
     Collection<Accepted> all() {
         return List.copyOf(accepted.values());
     }
 
-    /** The highest number that is no longer held; 0 if none was dropped. */
+    /** Returns the highest number that is no longer held; 0 if none was dropped. */
     long floor() {
         return floor;
     }
 
-    /** True if nobody can say any more whether the number was used. */
+    /** Returns true if it is no longer known whether the number was used. */
     boolean forgotten(long number) {
         return number <= floor;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketParser.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketParser.java
@@ -21,13 +21,17 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads tickets: {@code TicketParser.with(hasher).parse(bytes)}.
+ * Parses and validates the JSON of tickets: {@code TicketParser.with(hasher).parse(bytes)}.
  *
- * <p>It is strict: an unknown field, a doubled object or a value out of range is a {@link
- * TicketException} that names the field. Caller keys are hashed here and never kept.
+ * <p>Parsing is strict: an unknown field, a duplicate object or a value out of range causes a
+ * {@link TicketException} that names the field. Caller keys are hashed here and never stored as
+ * plain text.
  */
 public final class TicketParser {
-    /** The largest ticket taken, in bytes of its stored form: half of what the store takes. */
+    /**
+     * The largest ticket accepted, in bytes, both as received and as stored: half of the limit for
+     * a value in the store.
+     */
     public static final int MAX_BYTES = 512 * 1024;
 
     private static final double MAX_TOKENS = 1e12;
@@ -67,17 +71,17 @@
         this.hasher = hasher;
     }
 
-    /** A parser for operators' tickets, which may hold caller keys as plain text. */
+    /** Returns a parser for operators' tickets, which may contain caller keys as plain text. */
     public static TicketParser with(KeyHasher hasher) {
         return new TicketParser(Optional.of(hasher));
     }
 
-    /** A parser for stored tickets, which hold hashes only. */
+    /** Returns a parser for stored tickets, which contain hashes of caller keys only. */
     static TicketParser stored() {
         return new TicketParser(Optional.empty());
     }
 
-    /** The ticket in this JSON, or a {@link TicketException}. */
+    /** Returns the ticket in this JSON, or throws a {@link TicketException}. */
     public Ticket parse(byte[] json) {
         if (json.length > MAX_BYTES) {
             throw tooLarge();
@@ -101,7 +105,7 @@
         try {
             return JSON.readTree(json);
         } catch (JsonProcessingException e) {
-            // Jackson's own message may quote the input, and with it a caller key.
+            // Omits Jackson's message, which may quote a caller key from the input.
             String where =
                     e.getLocation() == null ? "" : " near line " + e.getLocation().getLineNr();
             throw new TicketException(
@@ -120,7 +124,7 @@
             if (!seen.add(change.object())) {
                 throw new TicketException(
                         Code.DUPLICATE_OBJECT,
-                        change.object() + " stands twice in ticket " + number);
+                        change.object() + " occurs twice in ticket " + number);
             }
         }
     }
@@ -154,11 +158,16 @@
 
     private String hash(TicketFields fields) {
         if (fields.has("key") == fields.has("hash")) {
-            throw fields.bad("key", "give either key or hash");
+            throw fields.bad("key", "exactly one of key and hash must be given");
         }
         if (fields.has("key")) {
             String text = fields.text("key");
-            return hasher.orElseThrow(() -> fields.bad("key", "is never stored")).hash(text);
+            return hasher.orElseThrow(
+                            () ->
+                                    fields.bad(
+                                            "key",
+                                            "is not allowed in a stored ticket, only its hash is"))
+                    .hash(text);
         }
         String hash = fields.text("hash");
         if (!HASH.matcher(hash).matches()) {
@@ -206,7 +215,8 @@
 
     private static String call(String text) {
         if (!CALL.matcher(text).matches()) {
-            throw new IllegalArgumentException("must be a method and a path, as in POST /lookup");
+            throw new IllegalArgumentException(
+                    "must be a method and a path, for example POST /lookup");
         }
         return text;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketResult.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketResult.java
@@ -1,25 +1,27 @@
 package io.damaskyoke.control.configuration;
 
-/** What became of a ticket. */
+/** The outcome of a ticket submission. */
 public sealed interface TicketResult {
-    /** The ticket's number. */
+    /** Returns the number of the ticket. */
     long number();
 
     /**
-     * The ticket is in the log, now or since an earlier try.
+     * The ticket is in the log, through this submission or an earlier one.
      *
-     * @param sequence its place in the log
-     * @param digest see {@link Ticket#digest()}
+     * @param number the number of the ticket
+     * @param sequence its sequence number in the log
+     * @param digest its digest, see {@link Ticket#digest()}
      */
     record Accepted(long number, long sequence, String digest) implements TicketResult {}
 
     /**
      * The ticket is refused.
      *
-     * @param code why
-     * @param message one sentence for people
-     * @param outcomeKnown true if this try surely did not put it in the log; false if it may be
-     *     there, so that the same ticket should be sent again
+     * @param number the number of the ticket
+     * @param code the reason
+     * @param message the reason as a sentence for people
+     * @param outcomeKnown true if this submission has certainly not written the ticket to the log;
+     *     false if it may be there, so that the same ticket should be sent again
      */
     record Refused(long number, TicketException.Code code, String message, boolean outcomeKnown)
             implements TicketResult {}
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
@@ -10,17 +10,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Brings one ticket into the log, or refuses it.
+ * A state machine that appends one ticket to the log or refuses it.
  *
- * <p>A ticket is accepted by creating the next entry of the log if it is absent, so of two racing
- * operators one wins, and the loser judges its ticket anew against what the winner left. After a
- * lost answer the ticket may stand at the tried place, now or later: a request can still be on its
- * way. Therefore the same place is tried again until it is known to be taken, by this ticket or by
- * another; only then is a next place tried, and the ticket can never stand in the log twice.
+ * <p>A ticket is accepted by creating the next entry of the log if it is absent. So of two
+ * concurrent submissions one succeeds, and the other validates its ticket again against the new
+ * configuration. After a lost answer the ticket may be at the attempted sequence number, now or
+ * later, because the request can still be in flight. Therefore the same sequence number is
+ * attempted until it is known to be taken, by this ticket or by another; only then the next one is
+ * attempted, so the ticket can never be in the log twice.
  */
 public final class TicketSubmission
         implements StateMachine<TicketSubmission.Input, TicketSubmission.Action> {
-    /** How often the store is asked before the ticket is refused. */
+    /** The most reads and writes of the store before the ticket is refused. */
     static final int MAX_TRIES = 16;
 
     private static final Duration FIRST_PAUSE = Duration.ofMillis(20);
@@ -42,50 +43,57 @@
         this.random = random;
     }
 
-    /** What the machine hears. */
+    /** What has happened. */
     public sealed interface Input {
-        /** Begins, with the ticket. */
+        /** A ticket was submitted. */
         record Submit(Ticket ticket) implements Input {}
 
-        /** The log's entries from the place asked for to its head. */
+        /** The log was read from the requested sequence number to its head. */
         record LogRead(List<LogEntry> entries, long head) implements Input {}
 
-        /** Whether the entry was created; if not, another stands there. */
+        /**
+         * The store answered whether it created the entry; if not, another entry has the sequence
+         * number.
+         */
         record CommitResult(boolean created) implements Input {}
 
-        /** The store didn't do the last action. */
+        /** The store failed to carry out the last action. */
         record StoreFailed(PlatformException.Code code) implements Input {}
 
-        /** The pause is over. */
+        /** The pause has elapsed. */
         record Tick() implements Input {}
     }
 
     /** What is to be done next. */
     public sealed interface Action {
-        /** Reads the log from this place to its head. */
+        /** Reads the log from this sequence number to its head. */
         record ReadLog(long from) implements Action {}
 
-        /** Creates this entry if it is absent. */
+        /** Creates the entry if it is absent. */
         record Create(long sequence, byte[] value) implements Action {}
 
-        /** Waits, then sends a tick. */
+        /** Waits for this time, then sends {@link Input.Tick}. */
         record Pause(Duration duration) implements Action {}
 
-        /** The ticket is in the log. */
+        /** Reports that the ticket is in the log. */
         record Accepted(long sequence) implements Action {}
 
-        /** The ticket is refused; see {@link TicketResult.Refused}. */
+        /** Reports that the ticket is refused, see {@link TicketResult.Refused}. */
         record Refused(Code code, String message, boolean outcomeKnown) implements Action {}
     }
 
-    /** A submission on top of what the follower knows; what it reads goes to the follower too. */
+    /**
+     * Returns a submission that first validates against the current configuration of the follower.
+     * Entries that it reads are applied to the follower.
+     */
     public static TicketSubmission on(ConfigurationFollower follower, RandomGenerator random) {
         return new TicketSubmission(follower, random);
     }
 
     /**
-     * The same, which reads the log before it writes. In an outage that read fails, and so the
-     * ticket is refused with nothing written whose outcome all routers would have to wait for.
+     * Returns a submission that reads the log before its first write. In an outage that read fails,
+     * so the ticket is refused before a write whose unknown outcome all routers would have to wait
+     * for.
      */
     public static TicketSubmission readingFirst(
             ConfigurationFollower follower, RandomGenerator random) {
@@ -119,7 +127,7 @@
         return read();
     }
 
-    /** Decides on the follower's present state. */
+    /** Decides what to do from the follower's current state. */
     private List<Action> judge() {
         Optional<TicketHistory.Accepted> own = own();
         if (own.isPresent()) {
@@ -135,7 +143,7 @@
         return refused(complaint.get().code(), complaint.get().getMessage());
     }
 
-    /** This very ticket, if the follower has met it in the log, perhaps by a watch or a peer. */
+    /** Returns the entry of this ticket, if the follower has received it from any source. */
     private Optional<TicketHistory.Accepted> own() {
         return follower.history()
                 .find(ticket.number())
@@ -147,7 +155,9 @@
             return Optional.of(
                     new TicketException(
                             Code.NUMBER_REUSED,
-                            "number " + ticket.number() + " was accepted with other content"));
+                            "number "
+                                    + ticket.number()
+                                    + " was already accepted with other content"));
         }
         if (follower.history().forgotten(ticket.number())) {
             return Optional.of(
@@ -155,7 +165,8 @@
                             Code.OUTDATED,
                             "number "
                                     + ticket.number()
-                                    + " is too old to be told from a used one"));
+                                    + " is too low: whether it was used before is no longer"
+                                    + " known"));
         }
         try {
             ConfigurationRules.check(follower.current(), ticket);
@@ -167,7 +178,8 @@
 
     private List<Action> create() {
         if (++tries > MAX_TRIES) {
-            return refused(Code.BUSY, "too many other tickets came in between; send it again");
+            return refused(
+                    Code.BUSY, "too many other tickets were accepted in between; send it again");
         }
         creating = true;
         freshlyRead = false;
@@ -177,14 +189,16 @@
 
     private List<Action> read() {
         if (++tries > MAX_TRIES) {
-            return refused(Code.BUSY, "too many other tickets came in between; send it again");
+            return refused(
+                    Code.BUSY, "too many other tickets were accepted in between; send it again");
         }
         creating = false;
         return List.of(new Action.ReadLog(follower.current().sequence() + 1));
     }
 
     /**
-     * Whoever won may have brought in this very ticket, by another router; so nothing is sure yet.
+     * Handles that another entry has the sequence number. That entry may be this same ticket,
+     * submitted through another router, so the outcome is still uncertain.
      */
     private List<Action> lost() {
         uncertainPlace = place;
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/package-info.java
@@ -1,2 +1,5 @@
-/** What operators set: tickets, the log they are kept in, and the configuration they add up to. */
+/**
+ * The configuration set by operators: tickets, the log that stores them, and the configuration that
+ * results from them.
+ */
 package io.damaskyoke.control.configuration;
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ConfigurationServiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ConfigurationServiceTest.java
@@ -78,9 +78,9 @@
     }
 
     /**
-     * The operator sees one of two racing tickets refused. The other router's ticket removes the
-     * workspace between this router's judgement and its write; the write loses, the log is read,
-     * and the ticket, which was right before, refers to what is gone.
+     * Guards against a ticket that is written after its validation went stale. The other router's
+     * ticket removes the workspace between the validation and the write here; the write fails, and
+     * the ticket must be validated again and refused.
      */
     @Test
     void theLoserOfARaceIsJudgedAgainstWhatTheWinnerLeft() {
@@ -95,8 +95,8 @@
     }
 
     /**
-     * The operator sees an accepted ticket although the store's answer was lost. The write took
-     * effect, the answer didn't come; the log is read again and holds the ticket with its digest.
+     * Guards against refusing a ticket whose write took effect while the store's answer was lost.
+     * The log is read again and holds the ticket with its digest.
      */
     @Test
     void aTicketWhoseAnswerWasLostIsAcceptedOnce() {
@@ -109,8 +109,8 @@
     }
 
     /**
-     * The operator sees a refusal that says that the ticket is surely not in force. The store is
-     * down from the start, so no write was ever sent; after a bounded number of tries it ends.
+     * Guards against reporting an unknown outcome when no write was sent: the store is down from
+     * the start, and the attempts are bounded.
      */
     @Test
     void inAnOutageATicketIsRefusedAndSurelyNotInForce() {
@@ -124,8 +124,8 @@
     }
 
     /**
-     * The operator is told to send the ticket again. The answer to the write was lost, and the
-     * store is down before the log can be read: the ticket may be in force, and in fact is.
+     * Guards against reporting a ticket as not accepted when it may be. The answer to the write is
+     * lost, and the store goes down before the log can be read; the ticket is in fact in the log.
      */
     @Test
     void anAnswerLostBeforeAnOutageIsSaidToBeUnknown() {
@@ -142,9 +142,9 @@
     }
 
     /**
-     * The operator sees the ticket accepted. The answer to the write was lost and the store went
-     * down, but the watch had told of the entry before: what is in force must not be called
-     * refused, as the machine once did since it looked at the log only after reading it itself.
+     * Guards against refusing a ticket that is already applied. The answer to the write is lost and
+     * the store goes down, but the watch delivered the entry before; it must count although the
+     * submission did not read it itself.
      */
     @Test
     void anAnswerLostBeforeAnOutageIsMadeUpForByTheWatch() {
@@ -171,8 +171,9 @@
     }
 
     /**
-     * Callers see the new configuration after one poll. The watch stays open but tells nothing, as
-     * behind a switch that drops packets; the poll finds the entry and opens the watch anew.
+     * Guards against a configuration that stays outdated while the watch is open but delivers
+     * nothing, for example behind a switch that drops packets. The poll finds the entry and reopens
+     * the watch.
      */
     @Test
     void aSilentWatchDelaysAConfigurationByOnePollAtMost() {
@@ -187,8 +188,8 @@
     }
 
     /**
-     * The store is not asked ever faster. It lists but refuses watches; each refusal brings a new
-     * listing, whose success once reset the backoff, so that 200 ms was the pause for good.
+     * Guards against polling a store every 200 ms for good. The store lists but refuses watches;
+     * each refusal causes a listing, whose success must not reset the backoff.
      */
     @Test
     void aStoreThatRefusesWatchesIsAskedLessAndLessOften() {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
@@ -27,10 +27,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Routers lose and find the store and each other, take tickets whose answers are lost, freeze
- * (their messages wait), restart, come and go. Whatever is confirmed as of a moment must know all
- * that was accepted before it; else a withdrawn key goes on working. The naive version takes an
- * outage for "nothing changes".
+ * Guards against a withdrawn key that keeps working: a configuration confirmed as of some time must
+ * include every ticket accepted before it. The simulated routers lose and regain the store and each
+ * other, lose answers to writes, freeze (their messages wait), restart, join and leave. The naive
+ * version assumes that nothing changes during an outage.
  */
 class OutageConfirmationTest {
     private static final int STEPS = 1_500;
@@ -40,7 +40,7 @@
         assertEquals(List.of(), new World(seed, false).run().faults);
     }
 
-    /** Shows that the test can fail, and that the true version confirms at all. */
+    /** Shows that the property can fail, and that the real implementation does confirm. */
     @Test
     void theNaiveVersionConfirmsPastAWithdrawnKey() {
         assertTrue(
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Peers must not count on a router whose write may have reached the store. The answer is lost
-     * and the store is gone, so the outcome stays unknown after the operator was told so; once the
-     * store is back and the place is known to be taken, the router's word counts again.
+     * Guards against peers relying on a router whose write may have reached the store. The answer
+     * is lost in an outage, so the write stays unconfirmed until the store is back and the sequence
+     * number is known to be taken.
      */
     @Test
     void aWriteOfUnknownOutcomeIsOpenUntilItsPlaceIsKnown() {
@@ -70,7 +70,10 @@
         assertTrue(service.settled());
     }
 
-    /** The others couldn't ask it in an outage; once listed, it brings in what waits. */
+    /**
+     * In an outage the other routers could not ask an unlisted router; once listed, it submits its
+     * queued tickets.
+     */
     @Test
     void aRouterThatTheListDoesNotNameTakesNoTickets() {
         TestControlThread control = new TestControlThread();
@@ -116,7 +119,9 @@
         }
     }
 
-    /** Something on its way; {@code writer} only if it is a write that the store hasn't met. */
+    /**
+     * A message in flight; {@code writer} is set only for a write that has not reached the store.
+     */
     private record Flight(Optional<Router> writer, Runnable arrival) {}
 
     private static final class World {
@@ -190,7 +195,7 @@
             router.writing = false;
         }
 
-        /** Nobody comes, takes a ticket and goes within ten seconds: see the design note. */
+        /** No router joins, writes a ticket and leaves within ten seconds: see the design note. */
         private boolean mayGo(Router router) {
             return now.isAfter(router.listedAt.plusSeconds(11));
         }
@@ -203,7 +208,9 @@
             live(router);
         }
 
-        /** A VM goes for good. Its open writes go with it: see the limits in the design note. */
+        /**
+         * A VM leaves for good. Its writes in flight are lost: see the limits in the design note.
+         */
         private void leave(Router router) {
             if (all.size() > 2 && mayGo(router)) {
                 flying.removeIf(flight -> flight.writer().equals(Optional.of(router)));
@@ -224,7 +231,7 @@
             }
         }
 
-        /** What a relay's answer gives its follower. */
+        /** Applies a relay's answer to its follower. */
         private void follow(Router one, Router relay) {
             one.head = Math.max(one.head, relay.head);
             if (one.head == relay.head) {
@@ -330,7 +337,10 @@
             flying.add(new Flight(Optional.empty(), arrival));
         }
 
-        /** One of what is on its way, in any order; some is lost, but no write half-known. */
+        /**
+         * Delivers a random message in flight; answers may be lost, but no write takes partial
+         * effect.
+         */
         private void arrive() {
             if (!flying.isEmpty()) {
                 Flight flight = flying.remove(random.nextInt(flying.size()));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SampleTickets.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SampleTickets.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Small tickets for tests. */
+/** Creates small tickets for tests. */
 public final class SampleTickets {
     private static final TicketParser PARSER = TicketParser.with(KeyHasher.of("0123456789abcdef"));
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ServiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ServiceTest.java
@@ -27,8 +27,8 @@
 
     @Test
     void aMarkedCallDoesNotCoverAPathThatMerelyBeginsLikeIt() {
-        // An operator marks lookups as idempotent. Compared as text, the mark would also cover a
-        // payment at /lookupandpay, which would then be run again when its agent dies.
+        // Guards against a text prefix match: the idempotent call POST /lookup would cover a
+        // payment at /lookupandpay, which would then be run again when its agent crashes.
         assertFalse(leases.idempotent("POST", "/lookupandpay"));
         assertFalse(leases.idempotent("POST", "/lookup-and-pay?x=/"));
         assertFalse(leases.idempotent("PUT", "/lookup"));
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SnapshotTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SnapshotTest.java
@@ -60,10 +60,9 @@
     }
 
     /**
-     * The operator's ticket stands at a new place, not at one that was given out before. A process
-     * that was paused at entry 10 tries entry 11, which was accepted and removed long ago. The
-     * naive version asks only that the entry is absent, succeeds, and the ticket is in force
-     * nowhere.
+     * Guards against reusing a sequence number whose entry was truncated. A process that was paused
+     * at entry 10 attempts entry 11, which was accepted and removed. The naive version only
+     * requires that the entry is absent, so it succeeds and the ticket is applied nowhere.
      */
     @Test
     void aPausedProcessCannotCreateAPlaceThatWasGivenOutAndRemoved() {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketRaceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketRaceTest.java
@@ -22,8 +22,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Operators race each other at several routers over one log, in random order, with writes that take
- * effect late or whose answers are lost. The naive version reads the log's head and puts.
+ * Guards against tickets that are lost or stored twice when operators submit concurrently through
+ * several routers, in random order, with writes that take effect late or whose answers are lost.
+ * The naive version reads the log's head and overwrites the next entry.
  */
 class TicketRaceTest {
     private static final Instant NOW = Instant.parse("2026-12-01T00:00:00Z");
@@ -54,7 +55,7 @@
         }
     }
 
-    /** Shows that the race test can fail: on the same schedules the naive version loses tickets. */
+    /** Shows that the property can fail: on some schedules the naive version loses tickets. */
     @Test
     void theNaiveVersionLosesAcceptedTickets() {
         long faulty =
@@ -92,7 +93,7 @@
         return draft.close();
     }
 
-    /** One random schedule over a log that other operators write to as well. */
+    /** One random schedule of concurrent submissions to one log. */
     private static final class Race {
         private final SplittableRandom random;
         private final boolean createIfAbsent;
@@ -119,7 +120,7 @@
             return this;
         }
 
-        /** What is wrong with the log, given what operators were told. */
+        /** Returns the contradictions between the log and the outcomes reported to operators. */
         List<String> faults() {
             List<String> faults = new ArrayList<>();
             Map<Long, Long> places =
@@ -172,7 +173,10 @@
             }
         }
 
-        /** The answer comes, is lost after the write, or is lost long before the write lands. */
+        /**
+         * The answer arrives, is lost after the write, or is lost long before the write takes
+         * effect.
+         */
         private void create(
                 Ticket ticket, TicketSubmission from, TicketSubmission.Action.Create create) {
             switch (random.nextInt(4)) {
