--- a/damaskyoke/src/main/java/io/damaskyoke/caller/CallerHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/caller/CallerHandler.java
@@ -138,7 +138,7 @@
                 admitted.route().kind() == Route.Kind.MODEL_LIST
                         ? AnswerWriter.modelList(
                                 now.models().values().stream()
-                                        .filter(model -> model.open(admitted.workspace()))
+                                        .filter(model -> model.allows(admitted.workspace()))
                                         .sorted(Comparator.comparing(Model::name)))
                         : AnswerWriter.modelCard(
                                 RequestReader.model(
--- a/damaskyoke/src/main/java/io/damaskyoke/caller/KeyCheck.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/caller/KeyCheck.java
@@ -32,7 +32,7 @@
     CallerKey granted(String text, Configuration configuration) {
         CallerKey key =
                 configuration
-                        .key(hasher.hash(text))
+                        .findKey(hasher.hash(text))
                         .orElseThrow(
                                 () ->
                                         CallerException.of(
--- a/damaskyoke/src/main/java/io/damaskyoke/caller/RequestReader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/caller/RequestReader.java
@@ -110,7 +110,7 @@
         return new Part(
                 new Target.Service(service.name()),
                 route.rest() + admitted.head().query(),
-                service.idempotent(admitted.head().method(), route.rest()),
+                service.isIdempotent(admitted.head().method(), route.rest()),
                 TokenEstimate.PER_SERVICE_CALL);
     }
 
@@ -118,7 +118,7 @@
     static Model model(String name, WorkspaceId workspace, Configuration configuration) {
         return Optional.ofNullable(ModelCall.name(name))
                 .map(configuration.models()::get)
-                .filter(model -> model.open(workspace))
+                .filter(model -> model.allows(workspace))
                 .orElseThrow(
                         () ->
                                 CallerException.of(
@@ -129,7 +129,7 @@
             String name, WorkspaceId workspace, Configuration configuration) {
         return serviceName(name)
                 .map(configuration.services()::get)
-                .filter(service -> service.open(workspace))
+                .filter(service -> service.allows(workspace))
                 .orElseThrow(
                         () -> CallerException.of(RefusalCode.UNKNOWN_SERVICE, "no such service"));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Configuration.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Configuration.java
@@ -94,7 +94,7 @@
     }
 
     /** Returns the caller key with this hash, even if it is withdrawn. */
-    public Optional<CallerKey> key(String hash) {
+    public Optional<CallerKey> findKey(String hash) {
         return Optional.ofNullable(keys.get(hash));
     }
 
@@ -102,7 +102,7 @@
      * Returns true if the caller key with this id is granted; false once it is withdrawn or
      * removed.
      */
-    public boolean granted(KeyId id) {
+    public boolean isGranted(KeyId id) {
         return granted.contains(id);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationDraft.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationDraft.java
@@ -37,43 +37,43 @@
         return new ConfigurationDraft(from);
     }
 
-    void put(Ticket ticket, long atSequence) {
-        for (Change change : ticket.changes()) {
-            put(change);
-            lastTicket.put(change.object(), ticket.number());
+    void apply(Ticket ticket, long atSequence) {
+        for (ConfigurationChange change : ticket.changes()) {
+            apply(change);
+            lastTicket.put(change.objectId(), ticket.number());
         }
         sequence = atSequence;
     }
 
     /** Lets the decoder of a snapshot replace the map of each object to its last ticket. */
-    void lastTickets(Consumer<Map<String, Long>> change) {
+    void updateLastTickets(Consumer<Map<String, Long>> change) {
         change.accept(lastTicket);
     }
 
     /** Returns the configuration as of this sequence number, even if no ticket was applied. */
-    Configuration close(long atSequence) {
+    Configuration build(long atSequence) {
         sequence = atSequence;
-        return close();
+        return build();
     }
 
-    Configuration close() {
+    Configuration build() {
         return new Configuration(sequence, workspaces, keys, models, services, lastTicket);
     }
 
-    private void put(Change change) {
-        if (change instanceof Change.SetWorkspace set) {
+    private void apply(ConfigurationChange change) {
+        if (change instanceof ConfigurationChange.SetWorkspace set) {
             workspaces.put(set.workspace().id(), set.workspace());
-        } else if (change instanceof Change.RemoveWorkspace remove) {
+        } else if (change instanceof ConfigurationChange.RemoveWorkspace remove) {
             workspaces.remove(remove.id());
-        } else if (change instanceof Change.SetKey set) {
+        } else if (change instanceof ConfigurationChange.SetKey set) {
             put(set.key());
-        } else if (change instanceof Change.SetModel set) {
+        } else if (change instanceof ConfigurationChange.SetModel set) {
             models.put(set.model().name(), set.model());
-        } else if (change instanceof Change.RemoveModel remove) {
+        } else if (change instanceof ConfigurationChange.RemoveModel remove) {
             models.remove(remove.name());
-        } else if (change instanceof Change.SetService set) {
+        } else if (change instanceof ConfigurationChange.SetService set) {
             services.put(set.service().name(), set.service());
-        } else if (change instanceof Change.RemoveService remove) {
+        } else if (change instanceof ConfigurationChange.RemoveService remove) {
             services.remove(remove.name());
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
@@ -14,8 +14,9 @@
  * configuration.
  */
 public final class ConfigurationFollower
-        implements StateMachine<ConfigurationFollower.Offer, ConfigurationFollower.Action> {
-    private static final TicketParser STORED = TicketParser.stored();
+        implements StateMachine<
+                ConfigurationFollower.EntriesReceived, ConfigurationFollower.Action> {
+    private static final TicketParser STORED = TicketParser.forStoredTickets();
 
     private final LogTail tail = new LogTail();
     private TicketHistory history = new TicketHistory();
@@ -31,34 +32,36 @@
      *     start of a linearizable read of the store, or the time reported by a confirmed peer;
      *     empty if it is not proved
      */
-    public record Offer(List<LogEntry> entries, long head, Optional<Instant> confirmedAsOf) {}
+    public record EntriesReceived(
+            List<LogEntry> entries, long head, Optional<Instant> confirmedAsOf) {}
 
     /** What is to be done after entries were received. */
     public sealed interface Action {
         /** Makes a newer configuration the current one. */
-        record Apply(Configuration configuration) implements Action {}
+        record ApplyConfiguration(Configuration configuration) implements Action {}
 
         /** Fetches the entries from this sequence number on, because some are missing. */
-        record Fetch(long from) implements Action {}
+        record FetchEntries(long from) implements Action {}
 
         /** Reports an entry that cannot be parsed; no entry after it is applied. */
-        record Unreadable(long sequence, String reason) implements Action {}
+        record ReportUnreadableEntry(long sequence, String reason) implements Action {}
     }
 
     @Override
-    public List<Action> on(Offer offer, Instant now) {
+    public List<Action> on(EntriesReceived offer, Instant now) {
         List<Action> actions = new ArrayList<>();
         long before = current.sequence();
         apply(offer.entries(), actions);
         if (current.sequence() > before) {
-            actions.add(new Action.Apply(current));
+            actions.add(new Action.ApplyConfiguration(current));
         }
-        boolean unreadable = actions.stream().anyMatch(Action.Unreadable.class::isInstance);
+        boolean unreadable =
+                actions.stream().anyMatch(Action.ReportUnreadableEntry.class::isInstance);
         if (current.sequence() < offer.head() && !unreadable) {
-            actions.add(new Action.Fetch(current.sequence() + 1));
+            actions.add(new Action.FetchEntries(current.sequence() + 1));
         }
         if (current.sequence() >= offer.head()) {
-            offer.confirmedAsOf().ifPresent(this::confirm);
+            offer.confirmedAsOf().ifPresent(this::updateConfirmedAt);
         }
         return actions;
     }
@@ -67,19 +70,19 @@
      * Replaces the configuration by that of the snapshot, unless the current one is at least as
      * new.
      */
-    public List<Action> restore(Snapshot snapshot) {
+    public List<Action> restore(ConfigurationSnapshot snapshot) {
         if (snapshot.sequence() <= current.sequence()) {
             return List.of();
         }
         current = snapshot.configuration();
         history = snapshot.history();
         tail.clear();
-        return List.of(new Action.Apply(current));
+        return List.of(new Action.ApplyConfiguration(current));
     }
 
     /** Returns a snapshot of all applied entries, from which another process can start. */
-    public Snapshot snapshot() {
-        return new Snapshot(current, history.copy());
+    public ConfigurationSnapshot snapshot() {
+        return new ConfigurationSnapshot(current, history.copy());
     }
 
     /** Returns the most recently applied entries. */
@@ -100,7 +103,7 @@
     /**
      * Returns true if the configuration was proved to be the newest within this limit before now.
      */
-    public boolean confirmed(Instant now, Duration limit) {
+    public boolean isConfirmed(Instant now, Duration limit) {
         return confirmedAt.filter(at -> !now.isAfter(at.plus(limit))).isPresent();
     }
 
@@ -124,30 +127,30 @@
                 break;
             }
             if (entry.sequence() == next) {
-                if (!put(draft, entry, actions)) {
+                if (!applyEntry(draft, entry, actions)) {
                     break;
                 }
                 next++;
             }
         }
-        current = draft.close();
+        current = draft.build();
     }
 
-    private boolean put(ConfigurationDraft draft, LogEntry entry, List<Action> actions) {
+    private boolean applyEntry(ConfigurationDraft draft, LogEntry entry, List<Action> actions) {
         try {
             Ticket ticket = STORED.parse(entry.value());
-            draft.put(ticket, entry.sequence());
+            draft.apply(ticket, entry.sequence());
             tail.add(entry);
             history.add(
                     new TicketHistory.Accepted(ticket.number(), entry.sequence(), ticket.digest()));
             return true;
         } catch (TicketException e) {
-            actions.add(new Action.Unreadable(entry.sequence(), e.getMessage()));
+            actions.add(new Action.ReportUnreadableEntry(entry.sequence(), e.getMessage()));
             return false;
         }
     }
 
-    private void confirm(Instant asOf) {
+    private void updateConfirmedAt(Instant asOf) {
         if (confirmedAt.isEmpty() || confirmedAt.get().isBefore(asOf)) {
             confirmedAt = Optional.of(asOf);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationLog.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationLog.java
@@ -32,11 +32,15 @@
      * read, and whether this is the last page. It has the newest snapshot if the log no longer
      * reaches back to the requested entry.
      */
-    record Page(Optional<Snapshot> snapshot, List<LogEntry> entries, long revision, boolean last) {}
+    record Page(
+            Optional<ConfigurationSnapshot> snapshot,
+            List<LogEntry> entries,
+            long revision,
+            boolean last) {}
 
     CompletionStage<Page> read(long from) {
-        return store.range(key(from), key(Long.MAX_VALUE), PAGE)
-                .thenCompose(listing -> whole(page(listing), from));
+        return store.range(entryKey(from), entryKey(Long.MAX_VALUE), PAGE)
+                .thenCompose(listing -> withSnapshotIfTruncated(toPage(listing), from));
     }
 
     SnapshotStore snapshots() {
@@ -47,15 +51,15 @@
      * Removes the entries up to this sequence number, a page at a time. The newest entry must be
      * above it.
      */
-    CompletionStage<Void> shorten(long upTo) {
-        return store.range(folder, key(Math.max(0, upTo) + 1), PAGE)
+    CompletionStage<Void> truncate(long upTo) {
+        return store.range(folder, entryKey(Math.max(0, upTo) + 1), PAGE)
                 .thenCompose(
                         old -> {
                             if (old.entries().isEmpty()) {
                                 return CompletableFuture.completedFuture(null);
                             }
                             return store.commit(List.of(), SnapshotStore.deletions(old))
-                                    .thenCompose(done -> shorten(upTo));
+                                    .thenCompose(done -> truncate(upTo));
                         });
     }
 
@@ -67,11 +71,11 @@
      * applied.
      */
     CompletionStage<Boolean> create(long sequence, byte[] value) {
-        String key = key(sequence);
+        String key = entryKey(sequence);
         WatchedStore.Condition reachable =
                 sequence == 1
-                        ? snapshots.none()
-                        : new WatchedStore.Condition.Present(key(sequence - 1));
+                        ? snapshots.noSnapshotWritten()
+                        : new WatchedStore.Condition.Present(entryKey(sequence - 1));
         return store.commit(
                         List.of(new WatchedStore.Condition.Absent(key), reachable),
                         List.of(new WatchedStore.Write.Put(key, value, 0)))
@@ -87,10 +91,10 @@
      * old entries.
      */
     List<LogEntry> entries(List<WatchedStore.Change> changes) {
-        return entriesOf(changes.stream().flatMap(change -> change.entry().stream()).toList());
+        return toLogEntries(changes.stream().flatMap(change -> change.entry().stream()).toList());
     }
 
-    private CompletionStage<Page> whole(Page page, long from) {
+    private CompletionStage<Page> withSnapshotIfTruncated(Page page, long from) {
         if (page.entries().isEmpty() || page.entries().get(0).sequence() <= from) {
             return CompletableFuture.completedFuture(page);
         }
@@ -101,22 +105,22 @@
                                 new Page(snapshot, page.entries(), page.revision(), page.last()));
     }
 
-    private Page page(WatchedStore.Listing listing) {
+    private Page toPage(WatchedStore.Listing listing) {
         return new Page(
                 Optional.empty(),
-                entriesOf(listing.entries()),
+                toLogEntries(listing.entries()),
                 listing.revision(),
                 listing.entries().size() < PAGE);
     }
 
-    private List<LogEntry> entriesOf(List<WatchedStore.Entry> found) {
+    private List<LogEntry> toLogEntries(List<WatchedStore.Entry> found) {
         return found.stream()
-                .filter(entry -> sequence(entry.key()).isPresent())
-                .map(entry -> new LogEntry(sequence(entry.key()).getAsLong(), entry.value()))
+                .filter(entry -> parseSequence(entry.key()).isPresent())
+                .map(entry -> new LogEntry(parseSequence(entry.key()).getAsLong(), entry.value()))
                 .toList();
     }
 
-    private OptionalLong sequence(String key) {
+    private OptionalLong parseSequence(String key) {
         try {
             return OptionalLong.of(Long.parseLong(key.substring(folder.length())));
         } catch (NumberFormatException e) {
@@ -124,7 +128,7 @@
         }
     }
 
-    private String key(long sequence) {
+    private String entryKey(long sequence) {
         return LogKeys.entry(prefix, sequence);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
@@ -48,7 +48,7 @@
     private final LogReader reader;
     private final SnapshotWriter snapshotWriter;
     private final ConfigurationFollower follower = new ConfigurationFollower();
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
+    private final ArrayDeque<QueuedTicket> waiting = new ArrayDeque<>();
     private final PendingWrites pending = new PendingWrites();
     private final Instant startedAt;
     private final List<Consumer<Configuration>> listeners = new CopyOnWriteArrayList<>();
@@ -58,7 +58,7 @@
     private volatile Configuration current = Configuration.EMPTY;
     private volatile Optional<Instant> confirmedAt = Optional.empty();
 
-    private record Waiting(Ticket ticket, CompletableFuture<TicketResult> result) {}
+    private record QueuedTicket(Ticket ticket, CompletableFuture<TicketResult> result) {}
 
     private ConfigurationService(Builder builder) {
         control = builder.control;
@@ -71,18 +71,18 @@
                         control,
                         log,
                         () -> follower.current().sequence(),
-                        this::take,
+                        this::applyEntries,
                         this::restore,
                         builder.pollPeriod,
                         random);
-        reader.follow(builder.direct);
+        reader.setFollowing(builder.direct);
         snapshotWriter =
                 new SnapshotWriter(
                         control,
                         log.snapshots(),
                         log,
                         follower::snapshot,
-                        reader::following,
+                        reader::isFollowing,
                         random);
     }
 
@@ -115,8 +115,8 @@
      * Sets whether to watch the store and to read it once a period, as relays do, or to read it
      * only on {@link #refresh()}. Must be called on the control thread.
      */
-    public void direct(boolean value) {
-        reader.follow(value);
+    public void followStore(boolean value) {
+        reader.setFollowing(value);
     }
 
     /** Reads the store once, from the next entry on. Must be called on the control thread. */
@@ -129,7 +129,7 @@
      * router that is not on the list of VMs must not write: in an outage the other routers could
      * not ask it for unconfirmed writes. Must be called on the control thread.
      */
-    public void takeTickets(boolean value) {
+    public void acceptTickets(boolean value) {
         takesTickets = value;
         submitNext();
     }
@@ -142,8 +142,8 @@
         if (from > current.sequence()) {
             return Optional.of(List.of());
         }
-        return follower.tail().reaches(from)
-                ? Optional.of(follower.tail().from(from))
+        return follower.tail().covers(from)
+                ? Optional.of(follower.tail().entriesFrom(from))
                 : Optional.empty();
     }
 
@@ -151,7 +151,7 @@
      * Returns a snapshot of the current configuration, for a process that starts. Must be called on
      * the control thread.
      */
-    public Snapshot snapshot() {
+    public ConfigurationSnapshot snapshot() {
         return follower.snapshot();
     }
 
@@ -159,7 +159,7 @@
      * Applies a snapshot from a peer, unless the current configuration is at least as new. Safe to
      * call from any thread.
      */
-    public void offer(Snapshot snapshot) {
+    public void offer(ConfigurationSnapshot snapshot) {
         control.run(() -> restore(snapshot));
     }
 
@@ -177,7 +177,7 @@
      * Returns true if the configuration was confirmed since this process started. A confirmation
      * from before may come from an earlier incarnation that knew more entries.
      */
-    public boolean confirmedInThisLife() {
+    public boolean confirmedSinceStart() {
         return confirmedAt.filter(at -> !at.isBefore(startedAt)).isPresent();
     }
 
@@ -185,15 +185,15 @@
      * Returns true if no ticket submitted here can be in the log beyond the current configuration:
      * none is being written, and none has an unknown outcome. Must be called on the control thread.
      */
-    public boolean settled() {
-        return pending.settled(current.sequence());
+    public boolean isSettled() {
+        return pending.isSettled(current.sequence());
     }
 
     /**
      * Returns true if the configuration was proved to be the newest within this limit before now.
      * Safe to call from any thread.
      */
-    public boolean confirmed(Duration limit) {
+    public boolean isConfirmed(Duration limit) {
         Instant now = control.clock().instant();
         return confirmedAt.filter(at -> !now.isAfter(at.plus(limit))).isPresent();
     }
@@ -208,12 +208,12 @@
     public void offer(List<LogEntry> entries, long head, boolean confirmed) {
         Optional<Instant> asOf =
                 confirmed ? Optional.of(control.clock().instant()) : Optional.empty();
-        offer(new ConfigurationFollower.Offer(entries, head, asOf));
+        offer(new ConfigurationFollower.EntriesReceived(entries, head, asOf));
     }
 
     /** Accepts entries whose confirmation carries its own time. Safe to call from any thread. */
-    public void offer(ConfigurationFollower.Offer offer) {
-        control.run(() -> take(offer));
+    public void offer(ConfigurationFollower.EntriesReceived offer) {
+        control.run(() -> applyEntries(offer));
     }
 
     /**
@@ -223,7 +223,7 @@
     public CompletionStage<TicketResult> submit(Ticket ticket) {
         Objects.requireNonNull(ticket, "ticket");
         CompletableFuture<TicketResult> result = new CompletableFuture<>();
-        control.run(() -> enqueue(new Waiting(ticket, result)));
+        control.run(() -> enqueue(new QueuedTicket(ticket, result)));
         return result;
     }
 
@@ -231,7 +231,7 @@
      * Returns the accepted ticket with this number, if it is among the highest 16,384 accepted
      * numbers. Safe to call from any thread.
      */
-    public CompletionStage<Optional<TicketResult.Accepted>> ticket(long number) {
+    public CompletionStage<Optional<TicketResult.Accepted>> findTicket(long number) {
         return control.call(
                 () ->
                         follower.history()
@@ -244,9 +244,9 @@
                                                         ticket.digest())));
     }
 
-    private void enqueue(Waiting next) {
+    private void enqueue(QueuedTicket next) {
         if (waiting.size() >= MAX_WAITING) {
-            finish(
+            completeTicket(
                     next,
                     new TicketResult.Refused(
                             next.ticket().number(),
@@ -259,14 +259,14 @@
         }
         waiting.add(next);
         if (!takesTickets) {
-            control.after(LISTING, () -> giveUp(next));
+            control.after(LISTING, () -> refuseUnlisted(next));
         }
         submitNext();
     }
 
-    private void giveUp(Waiting unlisted) {
+    private void refuseUnlisted(QueuedTicket unlisted) {
         if (!takesTickets && waiting.remove(unlisted)) {
-            finish(
+            completeTicket(
                     unlisted,
                     new TicketResult.Refused(
                             unlisted.ticket().number(),
@@ -282,29 +282,29 @@
             return;
         }
         submitting = true;
-        Waiting next = waiting.remove();
+        QueuedTicket next = waiting.remove();
         TicketSubmission machine = TicketSubmission.readingFirst(follower, random);
-        new SubmissionRun(control, log, machine, next.ticket(), pending, this::restore)
+        new SubmissionRunner(control, log, machine, next.ticket(), pending, this::restore)
                 .start()
                 .thenAccept(result -> control.run(() -> submitted(next, result)));
     }
 
-    private void submitted(Waiting done, TicketResult result) {
+    private void submitted(QueuedTicket done, TicketResult result) {
         submitting = false;
         if (result instanceof TicketResult.Accepted accepted) {
             byte[] value = done.ticket().toJson();
-            take(
-                    new ConfigurationFollower.Offer(
+            applyEntries(
+                    new ConfigurationFollower.EntriesReceived(
                             List.of(new LogEntry(accepted.sequence(), value)),
                             accepted.sequence(),
                             Optional.empty()));
         }
-        finish(done, result);
+        completeTicket(done, result);
         publish();
         submitNext();
     }
 
-    private void finish(Waiting done, TicketResult result) {
+    private void completeTicket(QueuedTicket done, TicketResult result) {
         String subject = Long.toString(result.number());
         if (result instanceof TicketResult.Accepted accepted) {
             timeline.add(
@@ -320,17 +320,18 @@
         done.result().complete(result);
     }
 
-    private void restore(Snapshot snapshot) {
+    private void restore(ConfigurationSnapshot snapshot) {
         follower.restore(snapshot);
         publish();
     }
 
-    private void take(ConfigurationFollower.Offer offer) {
+    private void applyEntries(ConfigurationFollower.EntriesReceived offer) {
         for (ConfigurationFollower.Action action : follower.on(offer, control.clock().instant())) {
-            if (action instanceof ConfigurationFollower.Action.Fetch) {
+            if (action instanceof ConfigurationFollower.Action.FetchEntries) {
                 reader.read();
-            } else if (action instanceof ConfigurationFollower.Action.Unreadable unreadable) {
-                report(unreadable);
+            } else if (action
+                    instanceof ConfigurationFollower.Action.ReportUnreadableEntry unreadable) {
+                reportUnreadable(unreadable);
             }
         }
         publish();
@@ -346,8 +347,8 @@
         if (newest.sequence() > current.sequence()) {
             current = newest;
             timeline.add(EventType.IN_FORCE, Long.toString(newest.sequence()));
-            listeners.forEach(listener -> tell(listener, newest));
-            snapshotWriter.reached(newest.sequence());
+            listeners.forEach(listener -> notifyListener(listener, newest));
+            snapshotWriter.logGrewTo(newest.sequence());
         }
     }
 
@@ -355,7 +356,7 @@
      * Calls one listener. If it throws, the other listeners and the queued tickets must still be
      * served.
      */
-    private static void tell(Consumer<Configuration> listener, Configuration newest) {
+    private static void notifyListener(Consumer<Configuration> listener, Configuration newest) {
         try {
             listener.accept(newest);
         } catch (RuntimeException e) {
@@ -366,7 +367,7 @@
         }
     }
 
-    private void report(ConfigurationFollower.Action.Unreadable unreadable) {
+    private void reportUnreadable(ConfigurationFollower.Action.ReportUnreadableEntry unreadable) {
         if (!broken) {
             broken = true;
             LOG.error(
@@ -409,10 +410,10 @@
         }
 
         /**
-         * Sets whether to follow the store from the start, see {@link ConfigurationService#direct};
-         * true by default.
+         * Sets whether to follow the store from the start, see {@link
+         * ConfigurationService#followStore}; true by default.
          */
-        public Builder direct(boolean value) {
+        public Builder followStore(boolean value) {
             direct = value;
             return this;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Snapshot.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationSnapshot.java
@@ -22,7 +22,7 @@
  * @param configuration the configuration as of the last entry
  * @param history the accepted ticket numbers
  */
-public record Snapshot(Configuration configuration, TicketHistory history) {
+public record ConfigurationSnapshot(Configuration configuration, TicketHistory history) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** Returns the sequence number of the last applied entry. */
@@ -37,24 +37,24 @@
         new TreeMap<>(configuration.lastTicket()).forEach(last::put);
         root.put("floor", history.floor());
         ArrayNode accepted = root.putArray("accepted");
-        for (TicketHistory.Accepted each : history.all()) {
+        for (TicketHistory.Accepted each : history.acceptedTickets()) {
             accepted.addArray().add(each.number()).add(each.sequence()).add(each.digest());
         }
         try {
             ArrayNode objects = root.putArray("objects");
-            for (Change change : objects()) {
+            for (ConfigurationChange change : toChanges()) {
                 objects.add(JSON.readTree(Ticket.of(1, List.of(change)).toJson()));
             }
-            return zipped(JSON.writeValueAsBytes(root));
+            return gzip(JSON.writeValueAsBytes(root));
         } catch (IOException e) {
             throw new IllegalStateException("writing a snapshot to memory failed", e);
         }
     }
 
     /** Decodes the stored form, or throws a {@link TicketException} with {@code BAD_VALUE}. */
-    public static Snapshot decode(byte[] bytes) {
+    public static ConfigurationSnapshot decode(byte[] bytes) {
         try (GZIPInputStream unzipped = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
-            return read(JSON.readTree(unzipped));
+            return fromJson(JSON.readTree(unzipped));
         } catch (IOException | RuntimeException e) {
             throw new TicketException(
                     TicketException.Code.BAD_VALUE,
@@ -62,14 +62,16 @@
         }
     }
 
-    private static Snapshot read(JsonNode root) throws JsonProcessingException {
+    private static ConfigurationSnapshot fromJson(JsonNode root) throws JsonProcessingException {
         ConfigurationDraft draft = ConfigurationDraft.of(Configuration.EMPTY);
         long sequence = root.get("sequence").longValue();
         // Parses one object at a time, since all together may exceed the size limit of a ticket.
         for (JsonNode object : root.get("objects")) {
-            draft.put(TicketParser.stored().parse(JSON.writeValueAsBytes(object)), sequence);
+            draft.apply(
+                    TicketParser.forStoredTickets().parse(JSON.writeValueAsBytes(object)),
+                    sequence);
         }
-        draft.lastTickets(
+        draft.updateLastTickets(
                 tickets -> {
                     tickets.clear();
                     root.get("last_ticket")
@@ -85,19 +87,28 @@
                             each.get(1).longValue(),
                             each.get(2).textValue()));
         }
-        return new Snapshot(draft.close(sequence), history);
+        return new ConfigurationSnapshot(draft.build(sequence), history);
     }
 
-    private List<Change> objects() {
-        List<Change> all = new ArrayList<>();
-        configuration.workspaces().values().forEach(it -> all.add(new Change.SetWorkspace(it)));
-        configuration.keys().values().forEach(it -> all.add(new Change.SetKey(it)));
-        configuration.models().values().forEach(it -> all.add(new Change.SetModel(it)));
-        configuration.services().values().forEach(it -> all.add(new Change.SetService(it)));
+    private List<ConfigurationChange> toChanges() {
+        List<ConfigurationChange> all = new ArrayList<>();
+        configuration
+                .workspaces()
+                .values()
+                .forEach(it -> all.add(new ConfigurationChange.SetWorkspace(it)));
+        configuration.keys().values().forEach(it -> all.add(new ConfigurationChange.SetKey(it)));
+        configuration
+                .models()
+                .values()
+                .forEach(it -> all.add(new ConfigurationChange.SetModel(it)));
+        configuration
+                .services()
+                .values()
+                .forEach(it -> all.add(new ConfigurationChange.SetService(it)));
         return all;
     }
 
-    private static byte[] zipped(byte[] plain) throws IOException {
+    private static byte[] gzip(byte[] plain) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (GZIPOutputStream zip = new GZIPOutputStream(out)) {
             zip.write(plain);
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
@@ -32,8 +32,8 @@
     private final ControlThread control;
     private final ConfigurationLog log;
     private final LongSupplier sequence;
-    private final Consumer<ConfigurationFollower.Offer> offers;
-    private final Consumer<Snapshot> snapshots;
+    private final Consumer<ConfigurationFollower.EntriesReceived> offers;
+    private final Consumer<ConfigurationSnapshot> snapshots;
     private final Duration period;
     private final RandomGenerator random;
     private Optional<WatchedStore.Watch> watch = Optional.empty();
@@ -48,8 +48,8 @@
             ControlThread control,
             ConfigurationLog log,
             LongSupplier sequence,
-            Consumer<ConfigurationFollower.Offer> offers,
-            Consumer<Snapshot> snapshots,
+            Consumer<ConfigurationFollower.EntriesReceived> offers,
+            Consumer<ConfigurationSnapshot> snapshots,
             Duration period,
             RandomGenerator random) {
         this.control = control;
@@ -77,9 +77,9 @@
                                         () -> {
                                             reading = false;
                                             if (error == null) {
-                                                took(page, from, begun);
+                                                handlePage(page, from, begun);
                                             } else {
-                                                failed();
+                                                retryAfterBackoff();
                                             }
                                         }));
     }
@@ -91,7 +91,7 @@
      * <p>Only thirty processes of a fleet follow the store themselves. If all did, the store would
      * deliver each entry once for each process, and each open watch counts as a call.
      */
-    void follow(boolean value) {
+    void setFollowing(boolean value) {
         if (following == value) {
             return;
         }
@@ -104,7 +104,7 @@
         closeWatch();
     }
 
-    boolean following() {
+    boolean isFollowing() {
         return following;
     }
 
@@ -114,7 +114,7 @@
         closeWatch();
     }
 
-    private void took(ConfigurationLog.Page page, long from, Instant begun) {
+    private void handlePage(ConfigurationLog.Page page, long from, Instant begun) {
         if (stopped) {
             return;
         }
@@ -122,14 +122,14 @@
             failures = 0;
         }
         page.snapshot().ifPresent(snapshots);
-        if (gap(page)) {
-            failed();
+        if (hasGap(page)) {
+            retryAfterBackoff();
             return;
         }
-        long head = head(page.entries(), from - 1);
+        long head = lastSequence(page.entries(), from - 1);
         boolean missed = sequence.getAsLong() < head;
         offers.accept(
-                new ConfigurationFollower.Offer(
+                new ConfigurationFollower.EntriesReceived(
                         page.entries(), head, page.last() ? Optional.of(begun) : Optional.empty()));
         if (!page.last() && sequence.getAsLong() >= from) {
             read();
@@ -141,15 +141,15 @@
         if (missed || watch.isEmpty()) {
             openWatch(page.revision() + 1);
         }
-        next(jittered(period));
+        scheduleRead(jittered(period));
     }
 
-    private void failed() {
+    private void retryAfterBackoff() {
         Duration backoff = FIRST_BACKOFF.multipliedBy(1L << Math.min(failures++, MOST_DOUBLINGS));
-        next(jittered(backoff.compareTo(LONGEST_BACKOFF) < 0 ? backoff : LONGEST_BACKOFF));
+        scheduleRead(jittered(backoff.compareTo(LONGEST_BACKOFF) < 0 ? backoff : LONGEST_BACKOFF));
     }
 
-    private void next(Duration delay) {
+    private void scheduleRead(Duration delay) {
         if (!stopped && following) {
             timer.ifPresent(ControlThread.Cancellable::cancel);
             timer = Optional.of(control.after(delay, this::read));
@@ -168,14 +168,14 @@
         watch = Optional.empty();
     }
 
-    private void ended(long number, PlatformException cause) {
+    private void watchEnded(long number, PlatformException cause) {
         if (number == watchNumber && !stopped) {
             LOG.info(
                     "the watch of the configuration log ended, listing the log again after a"
                             + " backoff: {}",
                     cause.getMessage());
             closeWatch();
-            failed();
+            retryAfterBackoff();
         }
     }
 
@@ -188,12 +188,12 @@
      * Returns true if entries are missing before those read; a later read finds the snapshot that
      * holds them.
      */
-    private boolean gap(ConfigurationLog.Page page) {
+    private boolean hasGap(ConfigurationLog.Page page) {
         return !page.entries().isEmpty()
                 && page.entries().get(0).sequence() > sequence.getAsLong() + 1;
     }
 
-    private static long head(List<LogEntry> entries, long otherwise) {
+    private static long lastSequence(List<LogEntry> entries, long otherwise) {
         return entries.isEmpty() ? otherwise : entries.get(entries.size() - 1).sequence();
     }
 
@@ -212,13 +212,13 @@
             control.run(
                     () ->
                             offers.accept(
-                                    new ConfigurationFollower.Offer(
+                                    new ConfigurationFollower.EntriesReceived(
                                             entries, head, Optional.empty())));
         }
 
         @Override
         public void ended(PlatformException cause) {
-            control.run(() -> LogReader.this.ended(number, cause));
+            control.run(() -> LogReader.this.watchEnded(number, cause));
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogTail.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogTail.java
@@ -5,7 +5,7 @@
 
 /**
  * The most recent entries of the log, for peers that are a few entries behind. Its size is bounded
- * in bytes; a peer that is further behind takes a {@link Snapshot}.
+ * in bytes; a peer that is further behind takes a {@link ConfigurationSnapshot}.
  */
 final class LogTail {
     static final int MAX_BYTES = 1 << 20;
@@ -32,12 +32,12 @@
     }
 
     /** Returns true if all entries from this sequence number on are held. */
-    boolean reaches(long from) {
+    boolean covers(long from) {
         return !entries.isEmpty() && entries.peek().sequence() <= from;
     }
 
     /** Returns the held entries from this sequence number on. */
-    List<LogEntry> from(long from) {
+    List<LogEntry> entriesFrom(long from) {
         return entries.stream().filter(entry -> entry.sequence() >= from).toList();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Model.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Model.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns true if requests of this workspace may use the model. */
-    public boolean open(WorkspaceId workspace) {
+    public boolean allows(WorkspaceId workspace) {
         return workspaces.isEmpty() || workspaces.contains(workspace);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/PendingWrites.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/PendingWrites.java
@@ -14,7 +14,7 @@
     private long unknown;
 
     /** Records that the creation of the entry with this sequence number has started. */
-    void begun(long place) {
+    void writeStarted(long place) {
         underWay = place;
     }
 
@@ -22,13 +22,13 @@
      * Records that the store answered. Whose entry has the sequence number is known once the log is
      * applied that far.
      */
-    void answered() {
+    void writeAnswered() {
         unknown = Math.max(unknown, underWay);
         underWay = 0;
     }
 
     /** Records that the write failed. It may still take effect unless the store was unavailable. */
-    void failed(PlatformException.Code code) {
+    void writeFailed(PlatformException.Code code) {
         if (code != PlatformException.Code.UNAVAILABLE) {
             unknown = Math.max(unknown, underWay);
         }
@@ -36,7 +36,7 @@
     }
 
     /** Returns true if no ticket of this process can be in the log beyond this sequence number. */
-    boolean settled(long head) {
+    boolean isSettled(long head) {
         return underWay == 0 && unknown <= head;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Service.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Service.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns true if requests of this workspace may use the service. */
-    public boolean open(WorkspaceId workspace) {
+    public boolean allows(WorkspaceId workspace) {
         return workspaces.isEmpty() || workspaces.contains(workspace);
     }
 
@@ -34,22 +34,22 @@
      * Returns true if a call may be repeated: its method is safe, or operators marked it as
      * idempotent.
      */
-    public boolean idempotent(String method, String path) {
+    public boolean isIdempotent(String method, String path) {
         return SAFE_METHODS.contains(method)
                 || idempotent.stream()
-                        .anyMatch(call -> covers(call, method + " " + pathOnly(path)));
+                        .anyMatch(call -> matches(call, method + " " + withoutQuery(path)));
     }
 
     // A call matches whole path segments only. As a text prefix, "POST /lookup" would also match
     // POST /lookupandpay, and a payment whose agent crashed would be sent again.
-    private static boolean covers(String call, String asked) {
+    private static boolean matches(String call, String asked) {
         return asked.startsWith(call)
                 && (asked.length() == call.length()
                         || call.endsWith("/")
                         || asked.charAt(call.length()) == '/');
     }
 
-    private static String pathOnly(String path) {
+    private static String withoutQuery(String path) {
         int query = path.indexOf('?');
         return query < 0 ? path : path.substring(0, query);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotStore.java
@@ -47,84 +47,92 @@
      * @param parts the number of its parts
      * @param before the sequence number of the previous snapshot; 0 if there is none
      */
-    record Newest(
+    record NewestSnapshot(
             @JsonProperty("sequence") long sequence,
             @JsonProperty("parts") int parts,
             @JsonProperty("before") long before) {}
 
     /** Returns the condition that no snapshot was ever written. */
-    Condition none() {
+    Condition noSnapshotWritten() {
         return new Condition.Absent(newestKey);
     }
 
-    CompletionStage<Optional<Newest>> newest() {
-        return store.read(newestKey).thenApply(found -> found.map(SnapshotStore::parse));
+    CompletionStage<Optional<NewestSnapshot>> readNewest() {
+        return store.read(newestKey).thenApply(found -> found.map(SnapshotStore::parseNewest));
     }
 
     /** Returns the newest complete snapshot; empty if there is none. */
-    CompletionStage<Optional<Snapshot>> read() {
-        return newest().thenCompose(
+    CompletionStage<Optional<ConfigurationSnapshot>> read() {
+        return readNewest()
+                .thenCompose(
                         found ->
-                                found.map(this::parts)
+                                found.map(this::readParts)
                                         .orElse(CompletableFuture.completedFuture(null))
                                         .thenApply(
                                                 bytes ->
                                                         Optional.ofNullable(bytes)
-                                                                .map(Snapshot::decode)));
+                                                                .map(
+                                                                        ConfigurationSnapshot
+                                                                                ::decode)));
     }
 
     /**
      * Writes a snapshot and names it the newest. Returns false if one at least as new is named
      * already.
      */
-    CompletionStage<Boolean> write(Snapshot snapshot) {
+    CompletionStage<Boolean> write(ConfigurationSnapshot snapshot) {
         byte[] bytes = snapshot.encode();
         int parts = (bytes.length + PART - 1) / PART;
         return store.read(newestKey)
                 .thenCompose(
                         found -> {
                             long before =
-                                    found.map(SnapshotStore::parse)
-                                            .map(Newest::sequence)
+                                    found.map(SnapshotStore::parseNewest)
+                                            .map(NewestSnapshot::sequence)
                                             .orElse(0L);
                             if (before >= snapshot.sequence()) {
                                 return CompletableFuture.completedFuture(false);
                             }
-                            Newest next = new Newest(snapshot.sequence(), parts, before);
-                            return create(bytes, next, 0)
-                                    .thenCompose(done -> name(next, found))
-                                    .thenCompose(named -> named ? sweep(next) : done(false));
+                            NewestSnapshot next =
+                                    new NewestSnapshot(snapshot.sequence(), parts, before);
+                            return createParts(bytes, next, 0)
+                                    .thenCompose(done -> publish(next, found))
+                                    .thenCompose(
+                                            named ->
+                                                    named
+                                                            ? deleteOldParts(next)
+                                                            : completed(false));
                         });
     }
 
-    private CompletionStage<Void> create(byte[] bytes, Newest next, int part) {
+    private CompletionStage<Void> createParts(byte[] bytes, NewestSnapshot next, int part) {
         if (part == next.parts()) {
             return CompletableFuture.completedFuture(null);
         }
         byte[] slice =
                 Arrays.copyOfRange(bytes, part * PART, Math.min(bytes.length, (part + 1) * PART));
-        String key = key(next.sequence(), part);
+        String key = partKey(next.sequence(), part);
         return store.commit(
                         List.of(new Condition.Absent(key)), List.of(new Write.Put(key, slice, 0)))
-                .thenCompose(result -> create(bytes, next, part + 1));
+                .thenCompose(result -> createParts(bytes, next, part + 1));
     }
 
-    private CompletionStage<Boolean> name(Newest next, Optional<Entry> found) {
+    private CompletionStage<Boolean> publish(NewestSnapshot next, Optional<Entry> found) {
         Condition unchanged =
                 found.<Condition>map(
                                 entry -> new Condition.Unchanged(newestKey, entry.modRevision()))
-                        .orElse(none());
+                        .orElse(noSnapshotWritten());
         return store.commit(List.of(unchanged), List.of(new Write.Put(newestKey, write(next), 0)))
                 .thenApply(KeyValueStore.TxnResult::committed);
     }
 
     /** Removes the parts of all snapshots older than the previous one. */
-    private CompletionStage<Boolean> sweep(Newest next) {
-        return store.range(folder, key(next.before(), 0), ConfigurationLog.PAGE)
+    private CompletionStage<Boolean> deleteOldParts(NewestSnapshot next) {
+        return store.range(folder, partKey(next.before(), 0), ConfigurationLog.PAGE)
                 .thenCompose(
                         old ->
                                 old.entries().isEmpty()
-                                        ? done(true)
+                                        ? completed(true)
                                         : store.commit(List.of(), deletions(old))
                                                 .thenApply(result -> true));
     }
@@ -133,15 +141,15 @@
         return listing.entries().stream().<Write>map(it -> new Write.Delete(it.key())).toList();
     }
 
-    private CompletionStage<byte[]> parts(Newest newest) {
+    private CompletionStage<byte[]> readParts(NewestSnapshot newest) {
         return store.range(
-                        key(newest.sequence(), 0),
-                        key(newest.sequence(), newest.parts()),
+                        partKey(newest.sequence(), 0),
+                        partKey(newest.sequence(), newest.parts()),
                         newest.parts())
                 .thenApply(
                         found -> {
                             if (found.entries().size() != newest.parts()) {
-                                throw bad(
+                                throw badAnswer(
                                         "snapshot "
                                                 + newest.sequence()
                                                 + " must have "
@@ -156,33 +164,34 @@
                         });
     }
 
-    private String key(long sequence, int part) {
+    private String partKey(long sequence, int part) {
         return folder + String.format(Locale.ROOT, "%016d/%04d", sequence, part);
     }
 
-    private static CompletionStage<Boolean> done(boolean value) {
+    private static CompletionStage<Boolean> completed(boolean value) {
         return CompletableFuture.completedFuture(value);
     }
 
-    private static Newest parse(Entry entry) {
+    private static NewestSnapshot parseNewest(Entry entry) {
         try {
-            return JSON.readValue(entry.value(), Newest.class);
+            return JSON.readValue(entry.value(), NewestSnapshot.class);
         } catch (IOException e) {
-            throw bad(
+            throw badAnswer(
                     "can't parse the value of " + entry.key() + ", which names the newest snapshot",
                     e);
         }
     }
 
-    private static byte[] write(Newest newest) {
+    private static byte[] write(NewestSnapshot newest) {
         try {
             return JSON.writeValueAsBytes(newest);
         } catch (IOException e) {
-            throw bad("can't encode the name of the newest snapshot, " + newest.sequence(), e);
+            throw badAnswer(
+                    "can't encode the name of the newest snapshot, " + newest.sequence(), e);
         }
     }
 
-    private static PlatformException bad(String message, Throwable cause) {
+    private static PlatformException badAnswer(String message, Throwable cause) {
         return new PlatformException(PlatformException.Code.BAD_ANSWER, message, cause);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotWriter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotWriter.java
@@ -27,7 +27,7 @@
     private final ControlThread control;
     private final SnapshotStore snapshots;
     private final ConfigurationLog log;
-    private final Supplier<Snapshot> source;
+    private final Supplier<ConfigurationSnapshot> source;
     private final BooleanSupplier onDuty;
     private final RandomGenerator random;
     private long newest;
@@ -37,7 +37,7 @@
             ControlThread control,
             SnapshotStore snapshots,
             ConfigurationLog log,
-            Supplier<Snapshot> source,
+            Supplier<ConfigurationSnapshot> source,
             BooleanSupplier onDuty,
             RandomGenerator random) {
         this.control = control;
@@ -52,24 +52,24 @@
      * Records that the log has grown to this sequence number, and schedules a snapshot if one is
      * due.
      */
-    void reached(long sequence) {
+    void logGrewTo(long sequence) {
         if (busy || !onDuty.getAsBoolean() || sequence - newest < EVERY) {
             return;
         }
         busy = true;
         Duration wait = Duration.ofMillis(random.nextLong(LONGEST_WAIT.toMillis()));
-        control.after(wait, this::look);
+        control.after(wait, this::checkNewest);
     }
 
-    private void look() {
+    private void checkNewest() {
         snapshots
-                .newest()
+                .readNewest()
                 .whenComplete(
                         (found, failure) ->
                                 control.run(
                                         () -> {
                                             if (failure != null) {
-                                                over(failure);
+                                                finish(failure);
                                                 return;
                                             }
                                             found.ifPresent(it -> newest = it.sequence());
@@ -78,24 +78,24 @@
     }
 
     private void write() {
-        Snapshot snapshot = source.get();
+        ConfigurationSnapshot snapshot = source.get();
         if (snapshot.sequence() - newest < EVERY || !onDuty.getAsBoolean()) {
             busy = false;
             return;
         }
         snapshots
                 .write(snapshot)
-                .thenCompose(named -> log.shorten(snapshot.sequence() - KEPT))
+                .thenCompose(named -> log.truncate(snapshot.sequence() - KEPT))
                 .whenComplete(
                         (done, failure) ->
                                 control.run(
                                         () -> {
                                             newest = snapshot.sequence();
-                                            over(failure);
+                                            finish(failure);
                                         }));
     }
 
-    private void over(Throwable failure) {
+    private void finish(Throwable failure) {
         busy = false;
         if (failure != null) {
             LOG.info(
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SubmissionRun.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SubmissionRunner.java
@@ -13,22 +13,22 @@
 /**
  * Executes the actions of one {@link TicketSubmission} against the log. Runs on the control thread.
  */
-final class SubmissionRun {
+final class SubmissionRunner {
     private final ControlThread control;
     private final ConfigurationLog log;
     private final TicketSubmission machine;
     private final Ticket ticket;
     private final PendingWrites pending;
-    private final Consumer<Snapshot> snapshots;
+    private final Consumer<ConfigurationSnapshot> snapshots;
     private final CompletableFuture<TicketResult> result = new CompletableFuture<>();
 
-    SubmissionRun(
+    SubmissionRunner(
             ControlThread control,
             ConfigurationLog log,
             TicketSubmission machine,
             Ticket ticket,
             PendingWrites pending,
-            Consumer<Snapshot> snapshots) {
+            Consumer<ConfigurationSnapshot> snapshots) {
         this.control = control;
         this.log = log;
         this.machine = machine;
@@ -38,26 +38,26 @@
     }
 
     CompletionStage<TicketResult> start() {
-        feed(new TicketSubmission.Input.Submit(ticket));
+        feed(new TicketSubmission.Input.TicketSubmitted(ticket));
         return result;
     }
 
     private void feed(TicketSubmission.Input input) {
-        machine.on(input, control.clock().instant()).forEach(this::carryOut);
+        machine.on(input, control.clock().instant()).forEach(this::execute);
     }
 
-    private void carryOut(TicketSubmission.Action action) {
+    private void execute(TicketSubmission.Action action) {
         if (action instanceof TicketSubmission.Action.ReadLog read) {
-            hand(readAll(read.from(), List.of()), input -> input);
-        } else if (action instanceof TicketSubmission.Action.Create create) {
+            feedResult(readAll(read.from(), List.of()), input -> input);
+        } else if (action instanceof TicketSubmission.Action.CreateEntry create) {
             create(create);
         } else if (action instanceof TicketSubmission.Action.Pause pause) {
-            control.after(pause.duration(), () -> feed(new TicketSubmission.Input.Tick()));
-        } else if (action instanceof TicketSubmission.Action.Accepted accepted) {
+            control.after(pause.duration(), () -> feed(new TicketSubmission.Input.PauseElapsed()));
+        } else if (action instanceof TicketSubmission.Action.ReportAccepted accepted) {
             result.complete(
                     new TicketResult.Accepted(
                             ticket.number(), accepted.sequence(), ticket.digest()));
-        } else if (action instanceof TicketSubmission.Action.Refused refused) {
+        } else if (action instanceof TicketSubmission.Action.ReportRefused refused) {
             result.complete(
                     new TicketResult.Refused(
                             ticket.number(),
@@ -67,19 +67,19 @@
         }
     }
 
-    private void create(TicketSubmission.Action.Create create) {
-        pending.begun(create.sequence());
+    private void create(TicketSubmission.Action.CreateEntry create) {
+        pending.writeStarted(create.sequence());
         log.create(create.sequence(), create.value())
                 .whenComplete((done, error) -> control.run(() -> created(done, error)));
     }
 
     private void created(Boolean done, Throwable error) {
         if (error == null) {
-            pending.answered();
-            feed(new TicketSubmission.Input.CommitResult(done));
+            pending.writeAnswered();
+            feed(new TicketSubmission.Input.CreateAnswered(done));
         } else {
             TicketSubmission.Input.StoreFailed failure = failure(error);
-            pending.failed(failure.code());
+            pending.writeFailed(failure.code());
             feed(failure);
         }
     }
@@ -101,7 +101,8 @@
                         });
     }
 
-    private <T> void hand(CompletionStage<T> stage, Function<T, TicketSubmission.Input> input) {
+    private <T> void feedResult(
+            CompletionStage<T> stage, Function<T, TicketSubmission.Input> input) {
         stage.whenComplete(
                 (value, error) ->
                         control.run(
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Ticket.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Ticket.java
@@ -23,13 +23,15 @@
  *     meaning have the same digest, in whatever order they list their objects
  * @param changes the changes in order of kind and name
  */
-public record Ticket(long number, String digest, List<Change> changes) {
+public record Ticket(long number, String digest, List<ConfigurationChange> changes) {
     private static final ObjectMapper JSON = JsonMapper.builder().build();
 
     /** Returns a ticket with these changes. Other packages get one from {@link TicketParser}. */
-    static Ticket of(long number, List<Change> changes) {
-        List<Change> sorted =
-                changes.stream().sorted(Comparator.comparing(Change::object)).toList();
+    static Ticket of(long number, List<ConfigurationChange> changes) {
+        List<ConfigurationChange> sorted =
+                changes.stream()
+                        .sorted(Comparator.comparing(ConfigurationChange::objectId))
+                        .toList();
         return new Ticket(number, sha256(canonical(number, sorted)), sorted);
     }
 
@@ -38,7 +40,7 @@
         return canonical(number, changes);
     }
 
-    private static byte[] canonical(long number, List<Change> changes) {
+    private static byte[] canonical(long number, List<ConfigurationChange> changes) {
         ObjectNode root = JsonNodeFactory.instance.objectNode().put("number", number);
         changes.forEach(change -> write(root, change));
         try {
@@ -48,8 +50,8 @@
         }
     }
 
-    private static void write(ObjectNode root, Change change) {
-        if (change instanceof Change.SetWorkspace set) {
+    private static void write(ObjectNode root, ConfigurationChange change) {
+        if (change instanceof ConfigurationChange.SetWorkspace set) {
             Workspace workspace = set.workspace();
             root.withArray("workspaces")
                     .addObject()
@@ -57,9 +59,9 @@
                     .put("rate", workspace.rate())
                     .put("burst", workspace.burst())
                     .put("weight", workspace.weight());
-        } else if (change instanceof Change.RemoveWorkspace remove) {
+        } else if (change instanceof ConfigurationChange.RemoveWorkspace remove) {
             removed(root, "workspaces", "id", remove.id().value());
-        } else if (change instanceof Change.SetKey set) {
+        } else if (change instanceof ConfigurationChange.SetKey set) {
             CallerKey key = set.key();
             root.withArray("keys")
                     .addObject()
@@ -67,17 +69,17 @@
                     .put("workspace", key.workspace().value())
                     .put("hash", key.hash())
                     .put("state", key.granted() ? "granted" : "withdrawn");
-        } else if (change instanceof Change.SetModel set) {
+        } else if (change instanceof ConfigurationChange.SetModel set) {
             write(root, set.model());
-        } else if (change instanceof Change.RemoveModel remove) {
+        } else if (change instanceof ConfigurationChange.RemoveModel remove) {
             removed(root, "models", "name", remove.name().value());
-        } else if (change instanceof Change.SetService set) {
+        } else if (change instanceof ConfigurationChange.SetService set) {
             Service service = set.service();
             ObjectNode node = root.withArray("services").addObject();
             node.put("name", service.name().value()).put("pool", service.pool().value());
             sorted(node.putArray("idempotent"), service.idempotent());
             sorted(node.putArray("workspaces"), service.workspaces());
-        } else if (change instanceof Change.RemoveService remove) {
+        } else if (change instanceof ConfigurationChange.RemoveService remove) {
             removed(root, "services", "name", remove.name().value());
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketFields.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketFields.java
@@ -42,14 +42,14 @@
         try {
             return type.apply(text);
         } catch (IllegalArgumentException e) {
-            throw bad(name, e.getMessage());
+            throw badValue(name, e.getMessage());
         }
     }
 
     String text(String name) {
         JsonNode value = node.path(name);
         if (!value.isTextual() || value.textValue().isBlank()) {
-            throw bad(name, "must be a non-blank string");
+            throw badValue(name, "must be a non-blank string");
         }
         return value.textValue();
     }
@@ -58,26 +58,26 @@
      * Returns true if the object is to be removed. The field must be {@code true} or absent; any
      * other value is an error.
      */
-    boolean removed() {
+    boolean isRemoved() {
         if (!has("removed")) {
             return false;
         }
         if (!node.path("removed").isBoolean() || !node.path("removed").booleanValue()) {
-            throw bad("removed", "must be true or absent");
+            throw badValue("removed", "must be true or absent");
         }
         if (node.size() > 2) {
-            throw bad("removed", "must be the only field beside the id or name");
+            throw badValue("removed", "must be the only field beside the id or name");
         }
         return true;
     }
 
-    long whole(String name, long least, long most) {
+    long integer(String name, long least, long most) {
         JsonNode value = node.path(name);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
-            throw bad(name, "must be a whole number from " + least + " to " + most);
+            throw badValue(name, "must be a whole number from " + least + " to " + most);
         }
         if (value.longValue() < least || value.longValue() > most) {
-            throw bad(name, "must be from " + least + " to " + most + ": " + value);
+            throw badValue(name, "must be from " + least + " to " + most + ": " + value);
         }
         return value.longValue();
     }
@@ -85,7 +85,7 @@
     double number(String name, double least, double most) {
         JsonNode value = node.path(name);
         if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-            throw bad(name, "must be a number from " + least + " to " + most);
+            throw badValue(name, "must be a number from " + least + " to " + most);
         }
         return value.doubleValue();
     }
@@ -94,12 +94,12 @@
         List<T> values = new ArrayList<>();
         for (JsonNode item : array(name)) {
             if (!item.isTextual()) {
-                throw bad(name, "must be a list of strings");
+                throw badValue(name, "must be a list of strings");
             }
             try {
                 values.add(type.apply(item.textValue()));
             } catch (IllegalArgumentException e) {
-                throw bad(name, e.getMessage());
+                throw badValue(name, e.getMessage());
             }
         }
         return values;
@@ -113,14 +113,14 @@
         return objects;
     }
 
-    TicketException bad(String name, String complaint) {
+    TicketException badValue(String name, String complaint) {
         return new TicketException(Code.BAD_VALUE, path + "." + name + ": " + complaint);
     }
 
     private Iterable<JsonNode> array(String name) {
         JsonNode value = node.path(name);
         if (!value.isMissingNode() && !value.isArray()) {
-            throw bad(name, "must be a list");
+            throw badValue(name, "must be a list");
         }
         return value;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketHistory.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketHistory.java
@@ -52,7 +52,7 @@
     }
 
     /** Returns all held tickets in order of their numbers. */
-    Collection<Accepted> all() {
+    Collection<Accepted> acceptedTickets() {
         return List.copyOf(accepted.values());
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Returns true if it is no longer known whether the number was used. */
-    boolean forgotten(long number) {
+    boolean isForgotten(long number) {
         return number <= floor;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketParser.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketParser.java
@@ -21,7 +21,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses and validates the JSON of tickets: {@code TicketParser.with(hasher).parse(bytes)}.
+ * Parses and validates the JSON of tickets: {@code TicketParser.withHasher(hasher).parse(bytes)}.
  *
  * <p>Parsing is strict: an unknown field, a duplicate object or a value out of range causes a
  * {@link TicketException} that names the field. Caller keys are hashed here and never stored as
@@ -72,12 +72,12 @@
     }
 
     /** Returns a parser for operators' tickets, which may contain caller keys as plain text. */
-    public static TicketParser with(KeyHasher hasher) {
+    public static TicketParser withHasher(KeyHasher hasher) {
         return new TicketParser(Optional.of(hasher));
     }
 
     /** Returns a parser for stored tickets, which contain hashes of caller keys only. */
-    static TicketParser stored() {
+    static TicketParser forStoredTickets() {
         return new TicketParser(Optional.empty());
     }
 
@@ -86,14 +86,14 @@
         if (json.length > MAX_BYTES) {
             throw tooLarge();
         }
-        TicketFields root = TicketFields.of(tree(json), "ticket", ROOT);
-        long number = root.whole("number", 1, Long.MAX_VALUE);
-        List<Change> changes = new ArrayList<>();
-        root.objects("workspaces", WORKSPACE).forEach(item -> changes.add(workspace(item)));
-        root.objects("keys", KEY).forEach(item -> changes.add(key(item)));
-        root.objects("models", MODEL).forEach(item -> changes.add(model(item)));
-        root.objects("services", SERVICE).forEach(item -> changes.add(service(item)));
-        check(number, changes);
+        TicketFields root = TicketFields.of(parseJson(json), "ticket", ROOT);
+        long number = root.integer("number", 1, Long.MAX_VALUE);
+        List<ConfigurationChange> changes = new ArrayList<>();
+        root.objects("workspaces", WORKSPACE).forEach(item -> changes.add(parseWorkspace(item)));
+        root.objects("keys", KEY).forEach(item -> changes.add(parseKey(item)));
+        root.objects("models", MODEL).forEach(item -> changes.add(parseModel(item)));
+        root.objects("services", SERVICE).forEach(item -> changes.add(parseService(item)));
+        checkChanges(number, changes);
         Ticket ticket = Ticket.of(number, changes);
         if (ticket.toJson().length > MAX_BYTES) {
             throw tooLarge();
@@ -101,7 +101,7 @@
         return ticket;
     }
 
-    private static JsonNode tree(byte[] json) {
+    private static JsonNode parseJson(byte[] json) {
         try {
             return JSON.readTree(json);
         } catch (JsonProcessingException e) {
@@ -115,27 +115,27 @@
         }
     }
 
-    private static void check(long number, List<Change> changes) {
+    private static void checkChanges(long number, List<ConfigurationChange> changes) {
         if (changes.isEmpty()) {
             throw new TicketException(Code.EMPTY, "ticket " + number + " changes nothing");
         }
         Set<String> seen = new HashSet<>();
-        for (Change change : changes) {
-            if (!seen.add(change.object())) {
+        for (ConfigurationChange change : changes) {
+            if (!seen.add(change.objectId())) {
                 throw new TicketException(
                         Code.DUPLICATE_OBJECT,
-                        change.object() + " occurs twice in ticket " + number);
+                        change.objectId() + " occurs twice in ticket " + number);
             }
         }
     }
 
-    private static Change workspace(TicketFields fields) {
+    private static ConfigurationChange parseWorkspace(TicketFields fields) {
         WorkspaceId id = fields.id("id", WorkspaceId::of);
-        if (fields.removed()) {
-            return new Change.RemoveWorkspace(id);
+        if (fields.isRemoved()) {
+            return new ConfigurationChange.RemoveWorkspace(id);
         }
         double weight = fields.has("weight") ? fields.number("weight", MIN_WEIGHT, MAX_WEIGHT) : 1;
-        return new Change.SetWorkspace(
+        return new ConfigurationChange.SetWorkspace(
                 new Workspace(
                         id,
                         fields.number("rate", 0, MAX_TOKENS),
@@ -143,43 +143,43 @@
                         weight));
     }
 
-    private Change key(TicketFields fields) {
+    private ConfigurationChange parseKey(TicketFields fields) {
         String state = fields.text("state");
         if (!state.equals("granted") && !state.equals("withdrawn")) {
-            throw fields.bad("state", "must be granted or withdrawn");
+            throw fields.badValue("state", "must be granted or withdrawn");
         }
-        return new Change.SetKey(
+        return new ConfigurationChange.SetKey(
                 new CallerKey(
                         fields.id("id", KeyId::of),
                         fields.id("workspace", WorkspaceId::of),
-                        hash(fields),
+                        parseHash(fields),
                         state.equals("granted")));
     }
 
-    private String hash(TicketFields fields) {
+    private String parseHash(TicketFields fields) {
         if (fields.has("key") == fields.has("hash")) {
-            throw fields.bad("key", "exactly one of key and hash must be given");
+            throw fields.badValue("key", "exactly one of key and hash must be given");
         }
         if (fields.has("key")) {
             String text = fields.text("key");
             return hasher.orElseThrow(
                             () ->
-                                    fields.bad(
+                                    fields.badValue(
                                             "key",
                                             "is not allowed in a stored ticket, only its hash is"))
                     .hash(text);
         }
         String hash = fields.text("hash");
         if (!HASH.matcher(hash).matches()) {
-            throw fields.bad("hash", "must be 64 lower case hexadecimal digits");
+            throw fields.badValue("hash", "must be 64 lower case hexadecimal digits");
         }
         return hash;
     }
 
-    private static Change model(TicketFields fields) {
+    private static ConfigurationChange parseModel(TicketFields fields) {
         ModelName name = fields.id("name", ModelName::of);
-        if (fields.removed()) {
-            return new Change.RemoveModel(name);
+        if (fields.isRemoved()) {
+            return new ConfigurationChange.RemoveModel(name);
         }
         Optional<ModelName> base =
                 fields.has("base")
@@ -187,33 +187,33 @@
                         : Optional.empty();
         int replicas =
                 fields.has("max_replicas")
-                        ? (int) fields.whole("max_replicas", 1, MAX_REPLICAS)
+                        ? (int) fields.integer("max_replicas", 1, MAX_REPLICAS)
                         : 1;
-        return new Change.SetModel(
+        return new ConfigurationChange.SetModel(
                 new Model(
                         name,
                         fields.text("version"),
                         fields.id("pool", PoolName::of),
                         base,
-                        fields.whole("memory_bytes", 1, Long.MAX_VALUE),
+                        fields.integer("memory_bytes", 1, Long.MAX_VALUE),
                         replicas,
                         Set.copyOf(fields.list("workspaces", WorkspaceId::of))));
     }
 
-    private static Change service(TicketFields fields) {
+    private static ConfigurationChange parseService(TicketFields fields) {
         ServiceName name = fields.id("name", ServiceName::of);
-        if (fields.removed()) {
-            return new Change.RemoveService(name);
+        if (fields.isRemoved()) {
+            return new ConfigurationChange.RemoveService(name);
         }
-        return new Change.SetService(
+        return new ConfigurationChange.SetService(
                 new Service(
                         name,
                         fields.id("pool", PoolName::of),
-                        fields.list("idempotent", TicketParser::call),
+                        fields.list("idempotent", TicketParser::parseCall),
                         Set.copyOf(fields.list("workspaces", WorkspaceId::of))));
     }
 
-    private static String call(String text) {
+    private static String parseCall(String text) {
         if (!CALL.matcher(text).matches()) {
             throw new IllegalArgumentException(
                     "must be a method and a path, for example POST /lookup");
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
@@ -46,7 +46,7 @@
     /** What has happened. */
     public sealed interface Input {
         /** A ticket was submitted. */
-        record Submit(Ticket ticket) implements Input {}
+        record TicketSubmitted(Ticket ticket) implements Input {}
 
         /** The log was read from the requested sequence number to its head. */
         record LogRead(List<LogEntry> entries, long head) implements Input {}
@@ -55,13 +55,13 @@
          * The store answered whether it created the entry; if not, another entry has the sequence
          * number.
          */
-        record CommitResult(boolean created) implements Input {}
+        record CreateAnswered(boolean created) implements Input {}
 
         /** The store failed to carry out the last action. */
         record StoreFailed(PlatformException.Code code) implements Input {}
 
         /** The pause has elapsed. */
-        record Tick() implements Input {}
+        record PauseElapsed() implements Input {}
     }
 
     /** What is to be done next. */
@@ -70,23 +70,24 @@
         record ReadLog(long from) implements Action {}
 
         /** Creates the entry if it is absent. */
-        record Create(long sequence, byte[] value) implements Action {}
+        record CreateEntry(long sequence, byte[] value) implements Action {}
 
-        /** Waits for this time, then sends {@link Input.Tick}. */
+        /** Waits for this time, then sends {@link Input.PauseElapsed}. */
         record Pause(Duration duration) implements Action {}
 
         /** Reports that the ticket is in the log. */
-        record Accepted(long sequence) implements Action {}
+        record ReportAccepted(long sequence) implements Action {}
 
         /** Reports that the ticket is refused, see {@link TicketResult.Refused}. */
-        record Refused(Code code, String message, boolean outcomeKnown) implements Action {}
+        record ReportRefused(Code code, String message, boolean outcomeKnown) implements Action {}
     }
 
     /**
      * Returns a submission that first validates against the current configuration of the follower.
      * Entries that it reads are applied to the follower.
      */
-    public static TicketSubmission on(ConfigurationFollower follower, RandomGenerator random) {
+    public static TicketSubmission validatingFirst(
+            ConfigurationFollower follower, RandomGenerator random) {
         return new TicketSubmission(follower, random);
     }
 
@@ -107,50 +108,51 @@
         if (done) {
             return List.of();
         }
-        if (input instanceof Input.Submit submit) {
+        if (input instanceof Input.TicketSubmitted submit) {
             ticket = submit.ticket();
-            return readFirst ? read() : judge();
+            return readFirst ? readLog() : evaluate();
         }
         if (input instanceof Input.LogRead read) {
             follower.on(
-                    new ConfigurationFollower.Offer(read.entries(), read.head(), Optional.empty()),
+                    new ConfigurationFollower.EntriesReceived(
+                            read.entries(), read.head(), Optional.empty()),
                     now);
             freshlyRead = true;
-            return judge();
+            return evaluate();
         }
-        if (input instanceof Input.CommitResult result) {
-            return result.created() ? accepted(place) : lost();
+        if (input instanceof Input.CreateAnswered result) {
+            return result.created() ? accepted(place) : sequenceTaken();
         }
         if (input instanceof Input.StoreFailed failed) {
             return storeFailed(failed.code());
         }
-        return read();
+        return readLog();
     }
 
     /** Decides what to do from the follower's current state. */
-    private List<Action> judge() {
-        Optional<TicketHistory.Accepted> own = own();
+    private List<Action> evaluate() {
+        Optional<TicketHistory.Accepted> own = findOwnEntry();
         if (own.isPresent()) {
             return accepted(own.get().sequence());
         }
-        Optional<TicketException> complaint = complaint();
+        Optional<TicketException> complaint = findViolation();
         if (complaint.isEmpty()) {
-            return create();
+            return createEntry();
         }
         if (!freshlyRead) {
-            return read();
+            return readLog();
         }
         return refused(complaint.get().code(), complaint.get().getMessage());
     }
 
     /** Returns the entry of this ticket, if the follower has received it from any source. */
-    private Optional<TicketHistory.Accepted> own() {
+    private Optional<TicketHistory.Accepted> findOwnEntry() {
         return follower.history()
                 .find(ticket.number())
                 .filter(known -> known.digest().equals(ticket.digest()));
     }
 
-    private Optional<TicketException> complaint() {
+    private Optional<TicketException> findViolation() {
         if (follower.history().find(ticket.number()).isPresent()) {
             return Optional.of(
                     new TicketException(
@@ -159,7 +161,7 @@
                                     + ticket.number()
                                     + " was already accepted with other content"));
         }
-        if (follower.history().forgotten(ticket.number())) {
+        if (follower.history().isForgotten(ticket.number())) {
             return Optional.of(
                     new TicketException(
                             Code.OUTDATED,
@@ -169,14 +171,14 @@
                                     + " known"));
         }
         try {
-            ConfigurationRules.check(follower.current(), ticket);
+            TicketValidator.check(follower.current(), ticket);
             return Optional.empty();
         } catch (TicketException e) {
             return Optional.of(e);
         }
     }
 
-    private List<Action> create() {
+    private List<Action> createEntry() {
         if (++tries > MAX_TRIES) {
             return refused(
                     Code.BUSY, "too many other tickets were accepted in between; send it again");
@@ -184,10 +186,10 @@
         creating = true;
         freshlyRead = false;
         place = follower.current().sequence() + 1;
-        return List.of(new Action.Create(place, ticket.toJson()));
+        return List.of(new Action.CreateEntry(place, ticket.toJson()));
     }
 
-    private List<Action> read() {
+    private List<Action> readLog() {
         if (++tries > MAX_TRIES) {
             return refused(
                     Code.BUSY, "too many other tickets were accepted in between; send it again");
@@ -200,9 +202,9 @@
      * Handles that another entry has the sequence number. That entry may be this same ticket,
      * submitted through another router, so the outcome is still uncertain.
      */
-    private List<Action> lost() {
+    private List<Action> sequenceTaken() {
         uncertainPlace = place;
-        return read();
+        return readLog();
     }
 
     private List<Action> storeFailed(PlatformException.Code code) {
@@ -212,10 +214,10 @@
         if (tries >= MAX_TRIES) {
             return refused(Code.STORE_UNAVAILABLE, "the store can't be reached");
         }
-        return List.of(new Action.Pause(pause()));
+        return List.of(new Action.Pause(backoff()));
     }
 
-    private Duration pause() {
+    private Duration backoff() {
         long most = FIRST_PAUSE.toMillis() << Math.min(tries, 10);
         long bounded = Math.min(most, LONGEST_PAUSE.toMillis());
         return Duration.ofMillis(bounded / 2 + random.nextLong(bounded / 2 + 1));
@@ -223,22 +225,22 @@
 
     private List<Action> accepted(long sequence) {
         done = true;
-        return List.of(new Action.Accepted(sequence));
+        return List.of(new Action.ReportAccepted(sequence));
     }
 
     private List<Action> refused(Code code, String message) {
-        Optional<TicketHistory.Accepted> own = own();
+        Optional<TicketHistory.Accepted> own = findOwnEntry();
         if (own.isPresent()) {
             return accepted(own.get().sequence());
         }
         done = true;
         if (uncertainPlace > follower.current().sequence()) {
             return List.of(
-                    new Action.Refused(
+                    new Action.ReportRefused(
                             Code.OUTCOME_UNKNOWN,
                             "the ticket may have been accepted; send the same one again",
                             false));
         }
-        return List.of(new Action.Refused(code, message, true));
+        return List.of(new Action.ReportRefused(code, message, true));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationRules.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketValidator.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /** Validates a ticket against the configuration it is to change. */
-final class ConfigurationRules {
+final class TicketValidator {
     private final Configuration before;
     private final Ticket ticket;
     private final ConfigurationDraft after;
 
-    private ConfigurationRules(Configuration before, Ticket ticket) {
+    private TicketValidator(Configuration before, Ticket ticket) {
         this.before = before;
         this.ticket = ticket;
         this.after = ConfigurationDraft.of(before);
@@ -22,22 +22,22 @@
 
     /** Throws a {@link TicketException} if the ticket is not valid on top of this configuration. */
     static void check(Configuration before, Ticket ticket) {
-        new ConfigurationRules(before, ticket).check();
+        new TicketValidator(before, ticket).check();
     }
 
     private void check() {
         ticket.changes().forEach(this::checkNewest);
         checkKeysDiffer();
-        after.put(ticket, before.sequence() + 1);
+        after.apply(ticket, before.sequence() + 1);
         ticket.changes().forEach(this::checkReferences);
     }
 
-    private void checkNewest(Change change) {
-        long last = before.lastTicket().getOrDefault(change.object(), 0L);
+    private void checkNewest(ConfigurationChange change) {
+        long last = before.lastTicket().getOrDefault(change.objectId(), 0L);
         if (last >= ticket.number()) {
             throw new TicketException(
                     Code.OUTDATED,
-                    change.object()
+                    change.objectId()
                             + " was set by ticket "
                             + last
                             + ", which is not older than "
@@ -51,43 +51,46 @@
      */
     private void checkKeysDiffer() {
         Set<String> seen = new HashSet<>();
-        for (Change change : ticket.changes()) {
-            if (change instanceof Change.SetKey set) {
+        for (ConfigurationChange change : ticket.changes()) {
+            if (change instanceof ConfigurationChange.SetKey set) {
                 CallerKey key = set.key();
                 boolean taken =
-                        before.key(key.hash()).filter(k -> !k.id().equals(key.id())).isPresent();
+                        before.findKey(key.hash())
+                                .filter(k -> !k.id().equals(key.id()))
+                                .isPresent();
                 if (taken || !seen.add(key.hash())) {
                     throw new TicketException(
-                            Code.KEY_TAKEN, change.object() + " has the caller key of another id");
+                            Code.KEY_TAKEN,
+                            change.objectId() + " has the caller key of another id");
                 }
             }
         }
     }
 
-    private void checkReferences(Change change) {
-        String object = change.object();
-        if (change instanceof Change.SetKey set) {
+    private void checkReferences(ConfigurationChange change) {
+        String object = change.objectId();
+        if (change instanceof ConfigurationChange.SetKey set) {
             require(
                     after.workspaces.containsKey(set.key().workspace()),
                     object,
                     "workspace/" + set.key().workspace());
-        } else if (change instanceof Change.SetModel set) {
+        } else if (change instanceof ConfigurationChange.SetModel set) {
             checkModel(object, set.model());
-        } else if (change instanceof Change.SetService set) {
+        } else if (change instanceof ConfigurationChange.SetService set) {
             checkWorkspaces(object, set.service().workspaces());
-        } else if (change instanceof Change.RemoveWorkspace remove) {
+        } else if (change instanceof ConfigurationChange.RemoveWorkspace remove) {
             require(
                     before.workspaces().containsKey(remove.id()),
                     "ticket " + ticket.number(),
                     object);
             checkUnused(object, remove.id());
-        } else if (change instanceof Change.RemoveModel remove) {
+        } else if (change instanceof ConfigurationChange.RemoveModel remove) {
             require(
                     before.models().containsKey(remove.name()),
                     "ticket " + ticket.number(),
                     object);
             checkNoAdapters(object, remove.name());
-        } else if (change instanceof Change.RemoveService remove) {
+        } else if (change instanceof ConfigurationChange.RemoveService remove) {
             require(
                     before.services().containsKey(remove.name()),
                     "ticket " + ticket.number(),
--- a/damaskyoke/src/main/java/io/damaskyoke/node/Node.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/Node.java
@@ -97,7 +97,7 @@
                 ConfigurationService.builder(control, store, timeline)
                         .prefix(platform.storePrefix())
                         .pollPeriod(CONFIRM_PERIOD)
-                        .direct(false)
+                        .followStore(false)
                         .build();
         this.agents = new AgentRegistrations(control, store, storePrefix, metrics);
         this.relays =
--- a/damaskyoke/src/main/java/io/damaskyoke/node/RelayClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/RelayClient.java
@@ -1,9 +1,9 @@
 package io.damaskyoke.node;
 
 import io.damaskyoke.control.ControlThread;
-import io.damaskyoke.control.configuration.ConfigurationFollower.Offer;
+import io.damaskyoke.control.configuration.ConfigurationFollower;
 import io.damaskyoke.control.configuration.ConfigurationService;
-import io.damaskyoke.control.configuration.Snapshot;
+import io.damaskyoke.control.configuration.ConfigurationSnapshot;
 import io.damaskyoke.control.configuration.TicketException;
 import io.damaskyoke.control.relay.OutageAction;
 import io.damaskyoke.control.relay.OutageConfirmation;
@@ -123,7 +123,7 @@
                         .filter(vm -> vm.role() == VmList.Role.ROUTER)
                         .collect(Collectors.toMap(VmList.Vm::id, vm -> vm, (one, two) -> two));
         routers.putAll(all);
-        configuration.takeTickets(all.isEmpty() || all.containsKey(self));
+        configuration.acceptTickets(all.isEmpty() || all.containsKey(self));
         feedOutage(new OutageInput.Listed(all.keySet(), askedAt));
         feed(new RelayInput.Listed(vms));
     }
@@ -163,8 +163,8 @@
     private OutageInput.Word ownWord() {
         return new OutageInput.Word(
                 configuration.current().sequence(),
-                configuration.settled(),
-                configuration.confirmedInThisLife());
+                configuration.isSettled(),
+                configuration.confirmedSinceStart());
     }
 
     /** Agents are not on the list of routers, so that the machine does nothing for them. */
@@ -183,7 +183,8 @@
     }
 
     private void confirm(long head, Instant asOf) {
-        configuration.offer(new Offer(List.of(), head, Optional.of(asOf)));
+        configuration.offer(
+                new ConfigurationFollower.EntriesReceived(List.of(), head, Optional.of(asOf)));
     }
 
     private void feed(RelayInput input) {
@@ -194,7 +195,7 @@
         if (action instanceof RelayAction.Watch watch) {
             metrics.count("relay_turns");
             relay = watch.on();
-            configuration.direct(watch.on());
+            configuration.followStore(watch.on());
             agents.watch(watch.on());
         } else if (action instanceof RelayAction.Follow follow) {
             follow.relays().forEach(relay -> network.link(address(relay)));
@@ -259,7 +260,8 @@
         }
         long before = configuration.current().sequence();
         configuration.offer(
-                new Offer(RelayFrames.entries(frame), frame.getHeadSequence(), Optional.empty()));
+                new ConfigurationFollower.EntriesReceived(
+                        RelayFrames.entries(frame), frame.getHeadSequence(), Optional.empty()));
         control.run(() -> confirmAndGoOn(link, frame, before));
     }
 
@@ -313,7 +315,7 @@
 
     private void restore(byte[] snapshot) {
         try {
-            configuration.offer(Snapshot.decode(snapshot));
+            configuration.offer(ConfigurationSnapshot.decode(snapshot));
         } catch (TicketException e) {
             metrics.count("relay_snapshots_unreadable");
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/node/RelayFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/RelayFrames.java
@@ -1,8 +1,8 @@
 package io.damaskyoke.node;
 
 import com.google.protobuf.ByteString;
+import io.damaskyoke.control.configuration.ConfigurationSnapshot;
 import io.damaskyoke.control.configuration.LogEntry;
-import io.damaskyoke.control.configuration.Snapshot;
 import io.damaskyoke.control.relay.RegistrationTable.Delta;
 import io.damaskyoke.control.relay.RegistrationTable.Row;
 import io.damaskyoke.id.VmId;
@@ -52,7 +52,7 @@
         return Frame.newBuilder().setConfigEntries(entries).build();
     }
 
-    static List<Frame> snapshot(Snapshot snapshot) {
+    static List<Frame> snapshot(ConfigurationSnapshot snapshot) {
         byte[] bytes = snapshot.encode();
         int count = (bytes.length + BATCH_BYTES - 1) / BATCH_BYTES;
         List<Frame> frames = new ArrayList<>();
--- a/damaskyoke/src/main/java/io/damaskyoke/node/RelayServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/RelayServer.java
@@ -90,8 +90,8 @@
         ConfigEntries.Builder answer =
                 ConfigEntries.newBuilder()
                         .setHeadSequence(current.sequence())
-                        .setSettled(configuration.settled())
-                        .setConfirmedInThisLife(configuration.confirmedInThisLife());
+                        .setSettled(configuration.isSettled())
+                        .setConfirmedInThisLife(configuration.confirmedSinceStart());
         Optional<Instant> confirmedAt = configuration.confirmedAt();
         confirmedAt.ifPresent(at -> answer.setConfirmed(true).setConfirmedAgeMs(age(at)));
         Optional<List<LogEntry>> entries = configuration.entries(subscriber.sequence + 1);
--- a/damaskyoke/src/main/java/io/damaskyoke/operator/Tickets.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/operator/Tickets.java
@@ -14,7 +14,10 @@
     /** The accepted ticket with this number, if it is known. */
     CompletionStage<Optional<TicketResult.Accepted>> find(long number);
 
-    /** Tickets that go to this service: {@code Tickets.of(TicketParser.with(hasher), service)}. */
+    /**
+     * Tickets that go to this service: {@code Tickets.of(TicketParser.withHasher(hasher),
+     * service)}.
+     */
     static Tickets of(TicketParser parser, ConfigurationService service) {
         return new Tickets() {
             @Override
@@ -24,7 +27,7 @@
 
             @Override
             public CompletionStage<Optional<TicketResult.Accepted>> find(long number) {
-                return service.ticket(number);
+                return service.findTicket(number);
             }
         };
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
@@ -120,7 +120,7 @@
     /** Refuses those that wait with a key that is no longer granted. */
     void configurationChanged(Configuration now) {
         for (RequestFlow flow : new ArrayList<>(flows)) {
-            if (!now.granted(flow.request().key())) {
+            if (!now.isGranted(flow.request().key())) {
                 flow.keyWithdrawn();
             }
         }
@@ -205,7 +205,7 @@
     }
 
     private Optional<Refusal> withdrawn(Request request) {
-        if (configuration.get().granted(request.key())) {
+        if (configuration.get().isGranted(request.key())) {
             return Optional.empty();
         }
         return Optional.of(
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
@@ -159,7 +159,7 @@
                 node.metrics(),
                 node.timeline(),
                 node.configuration()::current,
-                () -> node.configuration().confirmed(settings.control().unconfirmedLimit()),
+                () -> node.configuration().isConfirmed(settings.control().unconfirmedLimit()),
                 settings.control().maxWaiting(),
                 placement::whenPlaced);
     }
@@ -170,7 +170,7 @@
                 fleet,
                 heard,
                 settings.control().placementLease(),
-                () -> node.configuration().confirmed(settings.control().unconfirmedLimit()));
+                () -> node.configuration().isConfirmed(settings.control().unconfirmedLimit()));
     }
 
     private static RateAdmission.Parts rateParts(Node node) {
@@ -207,7 +207,7 @@
         return OperatorServer.builder(node.system())
                 .address(settings.operator().host(), settings.operator().port())
                 .token(settings.operator().token())
-                .tickets(Tickets.of(TicketParser.with(hasher), node.configuration()))
+                .tickets(Tickets.of(TicketParser.withHasher(hasher), node.configuration()))
                 .status(this::status)
                 .timeline(node.timeline())
                 .processes(this::processes)
@@ -236,7 +236,7 @@
         if (stopping) {
             return Optional.of("stopping");
         }
-        if (!node.configuration().confirmed(settings.control().unconfirmedLimit())) {
+        if (!node.configuration().isConfirmed(settings.control().unconfirmedLimit())) {
             return Optional.of("the configuration is not confirmed");
         }
         return Optional.empty();
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ConfigurationServiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ConfigurationServiceTest.java
@@ -1,10 +1,10 @@
 package io.damaskyoke.control.configuration;
 
-import static io.damaskyoke.control.configuration.SampleTickets.key;
+import static io.damaskyoke.control.configuration.SampleTickets.keyTicketJson;
 import static io.damaskyoke.control.configuration.SampleTickets.model;
 import static io.damaskyoke.control.configuration.SampleTickets.ticket;
-import static io.damaskyoke.control.configuration.SampleTickets.withoutWorkspace;
 import static io.damaskyoke.control.configuration.SampleTickets.workspace;
+import static io.damaskyoke.control.configuration.SampleTickets.workspaceRemoval;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -62,18 +62,19 @@
     void aTicketThatTouchesWhatDoesNotExistIsRefused() {
         here.start();
         accepted(here, workspace(1, "a", 10));
-        accepted(here, ticket(key(2, "k", "a", "sk-1", "granted")));
+        accepted(here, ticket(keyTicketJson(2, "k", "a", "sk-1", "granted")));
         accepted(here, model(3, "base", ""));
         accepted(here, model(4, "adapter", "base"));
         assertEquals(
                 Code.UNKNOWN_OBJECT,
-                refused(here, ticket(key(9, "l", "nobody", "sk-2", "granted"))).code());
+                refused(here, ticket(keyTicketJson(9, "l", "nobody", "sk-2", "granted"))).code());
         assertEquals(Code.UNKNOWN_OBJECT, refused(here, model(9, "x", "none")).code());
         assertEquals(Code.BAD_VALUE, refused(here, model(9, "x", "adapter")).code());
-        assertEquals(Code.UNKNOWN_OBJECT, refused(here, withoutWorkspace(9, "z")).code());
-        assertEquals(Code.IN_USE, refused(here, withoutWorkspace(9, "a")).code());
+        assertEquals(Code.UNKNOWN_OBJECT, refused(here, workspaceRemoval(9, "z")).code());
+        assertEquals(Code.IN_USE, refused(here, workspaceRemoval(9, "a")).code());
         assertEquals(
-                Code.KEY_TAKEN, refused(here, ticket(key(9, "l", "a", "sk-1", "granted"))).code());
+                Code.KEY_TAKEN,
+                refused(here, ticket(keyTicketJson(9, "l", "a", "sk-1", "granted"))).code());
         assertEquals(4, here.current().sequence());
     }
 
@@ -88,8 +89,9 @@
         there.start();
         accepted(here, workspace(1, "a", 10));
         store.silenceWatches(true);
-        accepted(there, withoutWorkspace(2, "a"));
-        TicketResult.Refused refusal = refused(here, ticket(key(3, "k", "a", "sk", "granted")));
+        accepted(there, workspaceRemoval(2, "a"));
+        TicketResult.Refused refusal =
+                refused(here, ticket(keyTicketJson(3, "k", "a", "sk", "granted")));
         assertEquals(Code.UNKNOWN_OBJECT, refusal.code());
         assertEquals(2, here.current().sequence());
     }
@@ -162,10 +164,10 @@
         there.start();
         store.down(true);
         control.advance(Duration.ofMinutes(1));
-        assertFalse(here.confirmed(Duration.ofSeconds(30)));
+        assertFalse(here.isConfirmed(Duration.ofSeconds(30)));
         store.down(false);
         control.advance(Duration.ofMinutes(1));
-        assertTrue(here.confirmed(Duration.ofSeconds(30)));
+        assertTrue(here.isConfirmed(Duration.ofSeconds(30)));
         accepted(there, workspace(1, "a", 10));
         assertEquals(1, here.current().sequence());
     }
@@ -224,7 +226,7 @@
         }
         there.start();
         assertEquals(3 * ConfigurationLog.PAGE, there.current().sequence());
-        assertTrue(there.confirmed(Duration.ZERO));
+        assertTrue(there.isConfirmed(Duration.ZERO));
     }
 
     private ConfigurationService service() {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
@@ -58,16 +58,16 @@
         TestControlThread control = new TestControlThread();
         FakeStore store = new FakeStore();
         ConfigurationService service = service(control, store);
-        assertTrue(service.settled());
+        assertTrue(service.isSettled());
         store.loseAnswerAndGoDown();
         service.submit(SampleTickets.workspace(1, "a", 10));
-        assertFalse(service.settled());
+        assertFalse(service.isSettled());
         control.advance(Duration.ofMinutes(1));
-        assertFalse(service.settled());
+        assertFalse(service.isSettled());
         store.down(false);
         service.refresh();
         assertEquals(1, service.current().sequence());
-        assertTrue(service.settled());
+        assertTrue(service.isSettled());
     }
 
     /**
@@ -78,20 +78,20 @@
     void aRouterThatTheListDoesNotNameTakesNoTickets() {
         TestControlThread control = new TestControlThread();
         ConfigurationService service = service(control, new FakeStore());
-        service.takeTickets(false);
+        service.acceptTickets(false);
         var late = service.submit(SampleTickets.workspace(1, "a", 10)).toCompletableFuture();
         control.advance(Duration.ofSeconds(11));
         assertTrue(late.join() instanceof TicketResult.Refused, late.toString());
         service.submit(SampleTickets.workspace(2, "b", 10));
         assertEquals(0, service.current().sequence());
-        service.takeTickets(true);
+        service.acceptTickets(true);
         assertEquals(1, service.current().sequence());
     }
 
     private static ConfigurationService service(TestControlThread control, FakeStore store) {
         Timeline timeline = Timeline.of("r", HybridClock.over(control.clock()), 100);
         return ConfigurationService.builder(control, store, timeline)
-                .direct(false)
+                .followStore(false)
                 .random(new SplittableRandom(1))
                 .build()
                 .start();
@@ -115,7 +115,7 @@
 
         private OutageInput.Word word() {
             boolean inThisLife = confirmed.filter(at -> !at.isBefore(started)).isPresent();
-            return new OutageInput.Word(head, pending.settled(head), inThisLife);
+            return new OutageInput.Word(head, pending.isSettled(head), inThisLife);
         }
     }
 
@@ -297,7 +297,7 @@
             if (router.reachesStore && !router.writing) {
                 long place = router.head + 1;
                 router.writing = true;
-                router.pending.begun(place);
+                router.pending.writeStarted(place);
                 Incarnation life = router.life;
                 boolean answerLost = random.nextInt(3) == 0;
                 flying.add(
@@ -321,7 +321,7 @@
         private void written(Router router, Incarnation life, long place, boolean created) {
             if (router.life.equals(life)) {
                 router.writing = false;
-                router.pending.answered();
+                router.pending.writeAnswered();
                 router.head = created ? Math.max(router.head, place) : router.head;
             }
         }
@@ -329,7 +329,7 @@
         private void unanswered(Router router, Incarnation life) {
             if (router.life.equals(life)) {
                 router.writing = false;
-                router.pending.failed(Code.OUTCOME_UNKNOWN);
+                router.pending.writeFailed(Code.OUTCOME_UNKNOWN);
             }
         }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SampleTickets.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SampleTickets.java
@@ -4,7 +4,8 @@
 
 /** Creates small tickets for tests. */
 public final class SampleTickets {
-    private static final TicketParser PARSER = TicketParser.with(KeyHasher.of("0123456789abcdef"));
+    private static final TicketParser PARSER =
+            TicketParser.withHasher(KeyHasher.of("0123456789abcdef"));
 
     private SampleTickets() {}
 
@@ -18,13 +19,14 @@
                         .formatted(number, id, rate, rate));
     }
 
-    public static Ticket withoutWorkspace(long number, String id) {
+    public static Ticket workspaceRemoval(long number, String id) {
         return ticket(
                 "{\"number\":%d,\"workspaces\":[{\"id\":\"%s\",\"removed\":true}]}"
                         .formatted(number, id));
     }
 
-    public static String key(long number, String id, String workspace, String key, String state) {
+    public static String keyTicketJson(
+            long number, String id, String workspace, String key, String state) {
         return "{\"number\":%d,\"keys\":[{\"id\":\"%s\",\"workspace\":\"%s\",\"key\":\"%s\",\"state\":\"%s\"}]}"
                 .formatted(number, id, workspace, key, state);
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ServiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ServiceTest.java
@@ -19,24 +19,24 @@
 
     @Test
     void aMarkedCallCoversItsPathAndWhatIsBelow() {
-        assertTrue(leases.idempotent("POST", "/lookup"));
-        assertTrue(leases.idempotent("POST", "/lookup?bed=7"));
-        assertTrue(leases.idempotent("POST", "/lookup/north"));
-        assertTrue(leases.idempotent("PUT", "/notes/7"));
+        assertTrue(leases.isIdempotent("POST", "/lookup"));
+        assertTrue(leases.isIdempotent("POST", "/lookup?bed=7"));
+        assertTrue(leases.isIdempotent("POST", "/lookup/north"));
+        assertTrue(leases.isIdempotent("PUT", "/notes/7"));
     }
 
     @Test
     void aMarkedCallDoesNotCoverAPathThatMerelyBeginsLikeIt() {
         // Guards against a text prefix match: the idempotent call POST /lookup would cover a
         // payment at /lookupandpay, which would then be run again when its agent crashes.
-        assertFalse(leases.idempotent("POST", "/lookupandpay"));
-        assertFalse(leases.idempotent("POST", "/lookup-and-pay?x=/"));
-        assertFalse(leases.idempotent("PUT", "/lookup"));
-        assertFalse(leases.idempotent("POST", "/"));
+        assertFalse(leases.isIdempotent("POST", "/lookupandpay"));
+        assertFalse(leases.isIdempotent("POST", "/lookup-and-pay?x=/"));
+        assertFalse(leases.isIdempotent("PUT", "/lookup"));
+        assertFalse(leases.isIdempotent("POST", "/"));
     }
 
     @Test
     void safeMethodsMayBeRepeatedUnmarked() {
-        assertTrue(leases.idempotent("GET", "/pay"));
+        assertTrue(leases.isIdempotent("GET", "/pay"));
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SnapshotTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SnapshotTest.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.control.configuration;
 
-import static io.damaskyoke.control.configuration.SampleTickets.key;
+import static io.damaskyoke.control.configuration.SampleTickets.keyTicketJson;
 import static io.damaskyoke.control.configuration.SampleTickets.model;
 import static io.damaskyoke.control.configuration.SampleTickets.ticket;
 import static io.damaskyoke.control.configuration.SampleTickets.workspace;
@@ -30,11 +30,11 @@
     void whatWasWrittenIsRead() {
         here.start();
         submit(workspace(1, "a", 10));
-        submit(ticket(key(2, "k", "a", "sk-1", "granted")));
+        submit(ticket(keyTicketJson(2, "k", "a", "sk-1", "granted")));
         submit(model(3, "base", ""));
         submit(model(4, "adapter", "base"));
-        Snapshot snapshot = here.snapshot();
-        Snapshot read = Snapshot.decode(snapshot.encode());
+        ConfigurationSnapshot snapshot = here.snapshot();
+        ConfigurationSnapshot read = ConfigurationSnapshot.decode(snapshot.encode());
         assertEquals(snapshot.configuration(), read.configuration());
         assertEquals(snapshot.history().find(3), read.history().find(3));
         assertArrayEquals(snapshot.encode(), read.encode());
@@ -48,7 +48,7 @@
         ConfigurationService there = service();
         there.start();
         assertEquals(here.current(), there.current());
-        assertTrue(there.confirmed(Duration.ZERO));
+        assertTrue(there.isConfirmed(Duration.ZERO));
     }
 
     @Test
@@ -86,7 +86,7 @@
     @Test
     void aSnapshotHalfWrittenIsNotRead() {
         fill();
-        Snapshot newest = here.snapshot();
+        ConfigurationSnapshot newest = here.snapshot();
         store.down(true);
         log.snapshots().write(newest);
         store.down(false);
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketParserTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketParserTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class TicketParserTest {
-    private final TicketParser parser = TicketParser.with(KeyHasher.of("0123456789abcdef"));
+    private final TicketParser parser = TicketParser.withHasher(KeyHasher.of("0123456789abcdef"));
 
     @ParameterizedTest
     @CsvSource(
@@ -64,7 +64,7 @@
 
     @Test
     void callerKeysAreKeptByTheirHashAlone() {
-        Ticket ticket = parse(SampleTickets.key(1, "k", "a", "sk-secret", "granted"));
+        Ticket ticket = parse(SampleTickets.keyTicketJson(1, "k", "a", "sk-secret", "granted"));
         assertFalse(ticket.toString().contains("sk-secret"), ticket.toString());
     }
 
@@ -88,7 +88,7 @@
                                     "max_replicas":2,"base":"m","workspaces":["a"]}],
                          "services":[{"name":"s","pool":"q","idempotent":["POST /look"]}]}
                         """);
-        assertEquals(ticket, TicketParser.stored().parse(ticket.toJson()));
+        assertEquals(ticket, TicketParser.forStoredTickets().parse(ticket.toJson()));
     }
 
     @Test
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketRaceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketRaceTest.java
@@ -47,7 +47,7 @@
             int to = from + random.nextInt(log.size() - from) + 1;
             List<LogEntry> some = new ArrayList<>(log.subList(from, to));
             Collections.shuffle(some, new Random(random.nextLong()));
-            follower.on(new ConfigurationFollower.Offer(some, to, Optional.empty()), NOW);
+            follower.on(new ConfigurationFollower.EntriesReceived(some, to, Optional.empty()), NOW);
             if (from <= naive.sequence() && to > naive.sequence()) {
                 naive = replay(log.subList(0, to));
             }
@@ -71,10 +71,11 @@
         ConfigurationFollower follower = new ConfigurationFollower();
         var actions =
                 follower.on(
-                        new ConfigurationFollower.Offer(log(3).subList(1, 3), 3, Optional.of(NOW)),
+                        new ConfigurationFollower.EntriesReceived(
+                                log(3).subList(1, 3), 3, Optional.of(NOW)),
                         NOW);
-        assertEquals(List.of(new ConfigurationFollower.Action.Fetch(1)), actions);
-        assertFalse(follower.confirmed(NOW, Duration.ofHours(1)));
+        assertEquals(List.of(new ConfigurationFollower.Action.FetchEntries(1)), actions);
+        assertFalse(follower.isConfirmed(NOW, Duration.ofHours(1)));
     }
 
     private static List<LogEntry> log(int length) {
@@ -89,8 +90,11 @@
     private static Configuration replay(List<LogEntry> log) {
         ConfigurationDraft draft = ConfigurationDraft.of(Configuration.EMPTY);
         log.forEach(
-                entry -> draft.put(TicketParser.stored().parse(entry.value()), entry.sequence()));
-        return draft.close();
+                entry ->
+                        draft.apply(
+                                TicketParser.forStoredTickets().parse(entry.value()),
+                                entry.sequence()));
+        return draft.build();
     }
 
     /** One random schedule of concurrent submissions to one log. */
@@ -125,7 +129,7 @@
             List<String> faults = new ArrayList<>();
             Map<Long, Long> places =
                     log.values().stream()
-                            .map(TicketParser.stored()::parse)
+                            .map(TicketParser.forStoredTickets()::parse)
                             .collect(Collectors.groupingBy(Ticket::number, Collectors.counting()));
             places.forEach(
                     (number, count) -> {
@@ -148,8 +152,13 @@
 
         private void begin(Ticket ticket) {
             ConfigurationFollower follower = new ConfigurationFollower();
-            TicketSubmission machine = TicketSubmission.on(follower, random.split());
-            steps.add(() -> feed(ticket, machine, new TicketSubmission.Input.Submit(ticket)));
+            TicketSubmission machine = TicketSubmission.validatingFirst(follower, random.split());
+            steps.add(
+                    () ->
+                            feed(
+                                    ticket,
+                                    machine,
+                                    new TicketSubmission.Input.TicketSubmitted(ticket)));
         }
 
         private void feed(Ticket ticket, TicketSubmission to, TicketSubmission.Input input) {
@@ -161,13 +170,13 @@
         private void carryOut(Ticket ticket, TicketSubmission from, TicketSubmission.Action act) {
             if (act instanceof TicketSubmission.Action.ReadLog read) {
                 feed(ticket, from, random.nextInt(5) == 0 ? lost() : read(read.from()));
-            } else if (act instanceof TicketSubmission.Action.Create create) {
+            } else if (act instanceof TicketSubmission.Action.CreateEntry create) {
                 create(ticket, from, create);
             } else if (act instanceof TicketSubmission.Action.Pause) {
-                feed(ticket, from, new TicketSubmission.Input.Tick());
-            } else if (act instanceof TicketSubmission.Action.Accepted) {
+                feed(ticket, from, new TicketSubmission.Input.PauseElapsed());
+            } else if (act instanceof TicketSubmission.Action.ReportAccepted) {
                 outcomes.put(ticket.number(), "accepted");
-            } else if (act instanceof TicketSubmission.Action.Refused refused) {
+            } else if (act instanceof TicketSubmission.Action.ReportRefused refused) {
                 outcomes.putIfAbsent(
                         ticket.number(), refused.outcomeKnown() ? "refused" : "unknown");
             }
@@ -178,7 +187,7 @@
          * effect.
          */
         private void create(
-                Ticket ticket, TicketSubmission from, TicketSubmission.Action.Create create) {
+                Ticket ticket, TicketSubmission from, TicketSubmission.Action.CreateEntry create) {
             switch (random.nextInt(4)) {
                 case 0 -> {
                     put(create);
@@ -188,11 +197,12 @@
                     steps.add(() -> put(create));
                     feed(ticket, from, lost());
                 }
-                default -> feed(ticket, from, new TicketSubmission.Input.CommitResult(put(create)));
+                default ->
+                        feed(ticket, from, new TicketSubmission.Input.CreateAnswered(put(create)));
             }
         }
 
-        private boolean put(TicketSubmission.Action.Create create) {
+        private boolean put(TicketSubmission.Action.CreateEntry create) {
             if (createIfAbsent) {
                 return log.putIfAbsent(create.sequence(), create.value()) == null;
             }
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/LogRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/LogRouter.java
@@ -3,9 +3,9 @@
 import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.control.configuration.Configuration;
 import io.damaskyoke.control.configuration.ConfigurationFollower;
+import io.damaskyoke.control.configuration.ConfigurationSnapshot;
 import io.damaskyoke.control.configuration.LogEntry;
 import io.damaskyoke.control.configuration.LogKeys;
-import io.damaskyoke.control.configuration.Snapshot;
 import io.damaskyoke.control.configuration.Ticket;
 import io.damaskyoke.control.configuration.TicketSubmission;
 import io.damaskyoke.platform.KeyValueStore;
@@ -50,12 +50,12 @@
         return follower.current();
     }
 
-    Snapshot snapshot() {
+    ConfigurationSnapshot snapshot() {
         return follower.snapshot();
     }
 
     /** Hears of a peer's whole state. */
-    void restore(Snapshot snapshot) {
+    void restore(ConfigurationSnapshot snapshot) {
         control.run(
                 () -> {
                     beforeChange.run();
@@ -75,8 +75,8 @@
     void submit(Ticket ticket, Consumer<TicketSubmission.Action> outcome) {
         control.run(
                 () ->
-                        new Submission(TicketSubmission.on(follower, random), outcome)
-                                .feed(new TicketSubmission.Input.Submit(ticket)));
+                        new Submission(TicketSubmission.validatingFirst(follower, random), outcome)
+                                .feed(new TicketSubmission.Input.TicketSubmitted(ticket)));
     }
 
     private void poll() {
@@ -93,13 +93,13 @@
         beforeChange.run();
         applied(
                 follower.on(
-                        new ConfigurationFollower.Offer(entries, head, Optional.empty()),
+                        new ConfigurationFollower.EntriesReceived(entries, head, Optional.empty()),
                         control.clock().instant()));
     }
 
     private void applied(List<ConfigurationFollower.Action> actions) {
         for (ConfigurationFollower.Action action : actions) {
-            if (action instanceof ConfigurationFollower.Action.Apply apply) {
+            if (action instanceof ConfigurationFollower.Action.ApplyConfiguration apply) {
                 inForce.accept(apply.configuration());
             }
         }
@@ -155,16 +155,17 @@
                         from,
                         (entries, failure) ->
                                 feed(failure == null ? logRead(entries, from) : failed(failure)));
-            } else if (action instanceof TicketSubmission.Action.Create create) {
+            } else if (action instanceof TicketSubmission.Action.CreateEntry create) {
                 create(create);
             } else if (action instanceof TicketSubmission.Action.Pause pause) {
-                control.after(pause.duration(), () -> feed(new TicketSubmission.Input.Tick()));
+                control.after(
+                        pause.duration(), () -> feed(new TicketSubmission.Input.PauseElapsed()));
             } else {
                 outcome.accept(action);
             }
         }
 
-        private void create(TicketSubmission.Action.Create create) {
+        private void create(TicketSubmission.Action.CreateEntry create) {
             String key = LogKeys.entry("t", create.sequence());
             onControl(
                     store.commit(
@@ -173,7 +174,7 @@
                     (result, failure) ->
                             feed(
                                     failure == null
-                                            ? new TicketSubmission.Input.CommitResult(
+                                            ? new TicketSubmission.Input.CreateAnswered(
                                                     result.committed())
                                             : failed(failure)));
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/Operators.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/Operators.java
@@ -56,7 +56,7 @@
 
     private void told(Ticket ticket, TicketSubmission.Action outcome) {
         world.log().outcome(ticket, outcome);
-        if (outcome instanceof TicketSubmission.Action.Refused no && !no.outcomeKnown()) {
+        if (outcome instanceof TicketSubmission.Action.ReportRefused no && !no.outcomeKnown()) {
             unknown++;
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/TrueLog.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/TrueLog.java
@@ -67,9 +67,10 @@
 
     void outcome(Ticket ticket, TicketSubmission.Action outcome) {
         outcomes++;
-        if (outcome instanceof TicketSubmission.Action.Accepted) {
+        if (outcome instanceof TicketSubmission.Action.ReportAccepted) {
             accepted.add(ticket.number());
-        } else if (outcome instanceof TicketSubmission.Action.Refused no && no.outcomeKnown()) {
+        } else if (outcome instanceof TicketSubmission.Action.ReportRefused no
+                && no.outcomeKnown()) {
             refused.add(ticket.number());
         }
     }
@@ -107,7 +108,8 @@
     private void append(LogEntry entry, List<String> found) {
         entries.add(entry);
         reference.on(
-                new ConfigurationFollower.Offer(List.of(entry), entry.sequence(), Optional.empty()),
+                new ConfigurationFollower.EntriesReceived(
+                        List.of(entry), entry.sequence(), Optional.empty()),
                 Instant.EPOCH);
         configurations.add(reference.current());
         long number = SampleTickets.ticket(new String(entry.value(), UTF_8)).number();
--- a/damaskyoke/src/test/java/io/damaskyoke/operator/OperatorServerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/operator/OperatorServerTest.java
@@ -46,7 +46,10 @@
     private final ConfigurationService configuration =
             ConfigurationService.builder(control, new FakeStore(), timeline).build();
     private OperatorServer server =
-            start(Tickets.of(TicketParser.with(KeyHasher.of("0123456789abcdef")), configuration));
+            start(
+                    Tickets.of(
+                            TicketParser.withHasher(KeyHasher.of("0123456789abcdef")),
+                            configuration));
 
     @BeforeAll
     static void startSystem() {
