--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Configuration.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Configuration.java
@@ -25,7 +25,7 @@
     private final Map<ModelName, Model> models;
     private final Map<ServiceName, Service> services;
     private final Map<String, Long> lastTicket;
-    private final Set<KeyId> granted;
+    private final Set<KeyId> grantedKeys;
 
     /**
      * Creates a configuration with copies of the maps, so that later changes to them have no effect
@@ -53,7 +53,7 @@
         this.models = Map.copyOf(models);
         this.services = Map.copyOf(services);
         this.lastTicket = Map.copyOf(lastTicket);
-        this.granted =
+        this.grantedKeys =
                 this.keys.values().stream()
                         .filter(CallerKey::granted)
                         .map(CallerKey::id)
@@ -103,7 +103,7 @@
      * removed.
      */
     public boolean isGranted(KeyId id) {
-        return granted.contains(id);
+        return grantedKeys.contains(id);
     }
 
     @Override
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationDraft.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationDraft.java
@@ -19,22 +19,22 @@
     final Map<String, CallerKey> keys;
     final Map<ModelName, Model> models;
     final Map<ServiceName, Service> services;
-    private final Map<KeyId, String> hashes = new HashMap<>();
+    private final Map<KeyId, String> hashById = new HashMap<>();
     private final Map<String, Long> lastTicket;
     private long sequence;
 
-    private ConfigurationDraft(Configuration from) {
-        workspaces = new HashMap<>(from.workspaces());
-        keys = new HashMap<>(from.keys());
-        models = new HashMap<>(from.models());
-        services = new HashMap<>(from.services());
-        lastTicket = new HashMap<>(from.lastTicket());
-        sequence = from.sequence();
-        keys.forEach((hash, key) -> hashes.put(key.id(), hash));
+    private ConfigurationDraft(Configuration base) {
+        workspaces = new HashMap<>(base.workspaces());
+        keys = new HashMap<>(base.keys());
+        models = new HashMap<>(base.models());
+        services = new HashMap<>(base.services());
+        lastTicket = new HashMap<>(base.lastTicket());
+        sequence = base.sequence();
+        keys.forEach((hash, key) -> hashById.put(key.id(), hash));
     }
 
-    static ConfigurationDraft of(Configuration from) {
-        return new ConfigurationDraft(from);
+    static ConfigurationDraft of(Configuration base) {
+        return new ConfigurationDraft(base);
     }
 
     void apply(Ticket ticket, long atSequence) {
@@ -79,9 +79,9 @@
     }
 
     private void put(CallerKey key) {
-        String before = hashes.put(key.id(), key.hash());
-        if (before != null && keys.get(before).id().equals(key.id())) {
-            keys.remove(before);
+        String previousHash = hashById.put(key.id(), key.hash());
+        if (previousHash != null && keys.get(previousHash).id().equals(key.id())) {
+            keys.remove(previousHash);
         }
         keys.put(key.hash(), key);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
@@ -16,7 +16,7 @@
 public final class ConfigurationFollower
         implements StateMachine<
                 ConfigurationFollower.EntriesReceived, ConfigurationFollower.Action> {
-    private static final TicketParser STORED = TicketParser.forStoredTickets();
+    private static final TicketParser STORED_TICKET_PARSER = TicketParser.forStoredTickets();
 
     private final LogTail tail = new LogTail();
     private TicketHistory history = new TicketHistory();
@@ -48,20 +48,20 @@
     }
 
     @Override
-    public List<Action> on(EntriesReceived offer, Instant now) {
+    public List<Action> on(EntriesReceived received, Instant now) {
         List<Action> actions = new ArrayList<>();
         long before = current.sequence();
-        apply(offer.entries(), actions);
+        apply(received.entries(), actions);
         if (current.sequence() > before) {
             actions.add(new Action.ApplyConfiguration(current));
         }
         boolean unreadable =
                 actions.stream().anyMatch(Action.ReportUnreadableEntry.class::isInstance);
-        if (current.sequence() < offer.head() && !unreadable) {
+        if (current.sequence() < received.head() && !unreadable) {
             actions.add(new Action.FetchEntries(current.sequence() + 1));
         }
-        if (current.sequence() >= offer.head()) {
-            offer.confirmedAsOf().ifPresent(this::updateConfirmedAt);
+        if (current.sequence() >= received.head()) {
+            received.confirmedAsOf().ifPresent(this::updateConfirmedAt);
         }
         return actions;
     }
@@ -138,7 +138,7 @@
 
     private boolean applyEntry(ConfigurationDraft draft, LogEntry entry, List<Action> actions) {
         try {
-            Ticket ticket = STORED.parse(entry.value());
+            Ticket ticket = STORED_TICKET_PARSER.parse(entry.value());
             draft.apply(ticket, entry.sequence());
             tail.add(entry);
             history.add(
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationLog.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationLog.java
@@ -13,7 +13,7 @@
  */
 final class ConfigurationLog {
     /** Entries read at once. They are small in practice, and half a megabyte each at worst. */
-    static final int PAGE = 64;
+    static final int PAGE_ENTRIES = 64;
 
     private final WatchedStore store;
     private final String prefix;
@@ -39,7 +39,7 @@
             boolean last) {}
 
     CompletionStage<Page> read(long from) {
-        return store.range(entryKey(from), entryKey(Long.MAX_VALUE), PAGE)
+        return store.range(entryKey(from), entryKey(Long.MAX_VALUE), PAGE_ENTRIES)
                 .thenCompose(listing -> withSnapshotIfTruncated(toPage(listing), from));
     }
 
@@ -52,7 +52,7 @@
      * above it.
      */
     CompletionStage<Void> truncate(long upTo) {
-        return store.range(folder, entryKey(Math.max(0, upTo) + 1), PAGE)
+        return store.range(folder, entryKey(Math.max(0, upTo) + 1), PAGE_ENTRIES)
                 .thenCompose(
                         old -> {
                             if (old.entries().isEmpty()) {
@@ -110,7 +110,7 @@
                 Optional.empty(),
                 toLogEntries(listing.entries()),
                 listing.revision(),
-                listing.entries().size() < PAGE);
+                listing.entries().size() < PAGE_ENTRIES);
     }
 
     private List<LogEntry> toLogEntries(List<WatchedStore.Entry> found) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
@@ -34,10 +34,10 @@
  */
 public final class ConfigurationService {
     /** How long a ticket waits until this process is on the list of VMs. */
-    static final Duration LISTING = Duration.ofSeconds(10);
+    static final Duration LISTING_TIMEOUT = Duration.ofSeconds(10);
 
     /** The most tickets that may be queued; they are submitted to the log one at a time. */
-    static final int MAX_WAITING = 64;
+    static final int MAX_QUEUED_TICKETS = 64;
 
     private static final Logger LOG = LogManager.getLogger(ConfigurationService.class);
 
@@ -48,13 +48,13 @@
     private final LogReader reader;
     private final SnapshotWriter snapshotWriter;
     private final ConfigurationFollower follower = new ConfigurationFollower();
-    private final ArrayDeque<QueuedTicket> waiting = new ArrayDeque<>();
-    private final PendingWrites pending = new PendingWrites();
+    private final ArrayDeque<QueuedTicket> queue = new ArrayDeque<>();
+    private final PendingWrites pendingWrites = new PendingWrites();
     private final Instant startedAt;
     private final List<Consumer<Configuration>> listeners = new CopyOnWriteArrayList<>();
-    private boolean takesTickets = true;
+    private boolean acceptingTickets = true;
     private boolean submitting;
-    private boolean broken;
+    private boolean unreadableReported;
     private volatile Configuration current = Configuration.EMPTY;
     private volatile Optional<Instant> confirmedAt = Optional.empty();
 
@@ -75,7 +75,7 @@
                         this::restore,
                         builder.pollPeriod,
                         random);
-        reader.setFollowing(builder.direct);
+        reader.setFollowing(builder.followStore);
         snapshotWriter =
                 new SnapshotWriter(
                         control,
@@ -130,7 +130,7 @@
      * not ask it for unconfirmed writes. Must be called on the control thread.
      */
     public void acceptTickets(boolean value) {
-        takesTickets = value;
+        acceptingTickets = value;
         submitNext();
     }
 
@@ -186,7 +186,7 @@
      * none is being written, and none has an unknown outcome. Must be called on the control thread.
      */
     public boolean isSettled() {
-        return pending.isSettled(current.sequence());
+        return pendingWrites.isSettled(current.sequence());
     }
 
     /**
@@ -212,8 +212,8 @@
     }
 
     /** Accepts entries whose confirmation carries its own time. Safe to call from any thread. */
-    public void offer(ConfigurationFollower.EntriesReceived offer) {
-        control.run(() -> applyEntries(offer));
+    public void offer(ConfigurationFollower.EntriesReceived received) {
+        control.run(() -> applyEntries(received));
     }
 
     /**
@@ -245,27 +245,27 @@
     }
 
     private void enqueue(QueuedTicket next) {
-        if (waiting.size() >= MAX_WAITING) {
+        if (queue.size() >= MAX_QUEUED_TICKETS) {
             completeTicket(
                     next,
                     new TicketResult.Refused(
                             next.ticket().number(),
                             Code.BUSY,
                             "too many tickets are queued at this process, at most "
-                                    + MAX_WAITING
+                                    + MAX_QUEUED_TICKETS
                                     + " may be; send it again later",
                             true));
             return;
         }
-        waiting.add(next);
-        if (!takesTickets) {
-            control.after(LISTING, () -> refuseUnlisted(next));
+        queue.add(next);
+        if (!acceptingTickets) {
+            control.after(LISTING_TIMEOUT, () -> refuseUnlisted(next));
         }
         submitNext();
     }
 
     private void refuseUnlisted(QueuedTicket unlisted) {
-        if (!takesTickets && waiting.remove(unlisted)) {
+        if (!acceptingTickets && queue.remove(unlisted)) {
             completeTicket(
                     unlisted,
                     new TicketResult.Refused(
@@ -278,33 +278,33 @@
     }
 
     private void submitNext() {
-        if (submitting || !takesTickets || waiting.isEmpty()) {
+        if (submitting || !acceptingTickets || queue.isEmpty()) {
             return;
         }
         submitting = true;
-        QueuedTicket next = waiting.remove();
-        TicketSubmission machine = TicketSubmission.readingFirst(follower, random);
-        new SubmissionRunner(control, log, machine, next.ticket(), pending, this::restore)
+        QueuedTicket next = queue.remove();
+        TicketSubmission submission = TicketSubmission.readingFirst(follower, random);
+        new SubmissionRunner(control, log, submission, next.ticket(), pendingWrites, this::restore)
                 .start()
                 .thenAccept(result -> control.run(() -> submitted(next, result)));
     }
 
-    private void submitted(QueuedTicket done, TicketResult result) {
+    private void submitted(QueuedTicket completed, TicketResult result) {
         submitting = false;
         if (result instanceof TicketResult.Accepted accepted) {
-            byte[] value = done.ticket().toJson();
+            byte[] value = completed.ticket().toJson();
             applyEntries(
                     new ConfigurationFollower.EntriesReceived(
                             List.of(new LogEntry(accepted.sequence(), value)),
                             accepted.sequence(),
                             Optional.empty()));
         }
-        completeTicket(done, result);
+        completeTicket(completed, result);
         publish();
         submitNext();
     }
 
-    private void completeTicket(QueuedTicket done, TicketResult result) {
+    private void completeTicket(QueuedTicket completed, TicketResult result) {
         String subject = Long.toString(result.number());
         if (result instanceof TicketResult.Accepted accepted) {
             timeline.add(
@@ -317,7 +317,7 @@
                     subject,
                     Map.of("code", refused.code().name(), "message", refused.message()));
         }
-        done.result().complete(result);
+        completed.result().complete(result);
     }
 
     private void restore(ConfigurationSnapshot snapshot) {
@@ -325,8 +325,9 @@
         publish();
     }
 
-    private void applyEntries(ConfigurationFollower.EntriesReceived offer) {
-        for (ConfigurationFollower.Action action : follower.on(offer, control.clock().instant())) {
+    private void applyEntries(ConfigurationFollower.EntriesReceived received) {
+        for (ConfigurationFollower.Action action :
+                follower.on(received, control.clock().instant())) {
             if (action instanceof ConfigurationFollower.Action.FetchEntries) {
                 reader.read();
             } else if (action
@@ -368,8 +369,8 @@
     }
 
     private void reportUnreadable(ConfigurationFollower.Action.ReportUnreadableEntry unreadable) {
-        if (!broken) {
-            broken = true;
+        if (!unreadableReported) {
+            unreadableReported = true;
             LOG.error(
                     "entry {} of the configuration log can't be parsed, no entry from it on is"
                             + " applied: {}",
@@ -385,7 +386,7 @@
         private final Timeline timeline;
         private String prefix = "/damaskyoke";
         private Duration pollPeriod = Duration.ofSeconds(5);
-        private boolean direct = true;
+        private boolean followStore = true;
         private RandomGenerator random = new SplittableRandom();
 
         private Builder(ControlThread control, WatchedStore store, Timeline timeline) {
@@ -414,7 +415,7 @@
          * ConfigurationService#followStore}; true by default.
          */
         public Builder followStore(boolean value) {
-            direct = value;
+            followStore = value;
             return this;
         }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogKeys.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogKeys.java
@@ -6,7 +6,7 @@
 public final class LogKeys {
     static final String FOLDER = "/config/log/";
 
-    private static final long HIGHEST = 9_999_999_999_999_999L;
+    private static final long MAX_SEQUENCE = 9_999_999_999_999_999L;
 
     private LogKeys() {}
 
@@ -15,7 +15,7 @@
      * configuration has the store check that the entry after the last applied one is absent.
      */
     public static String entry(String storePrefix, long sequence) {
-        long shown = Math.min(sequence, HIGHEST);
-        return storePrefix + FOLDER + String.format(Locale.ROOT, "%016d", shown);
+        long capped = Math.min(sequence, MAX_SEQUENCE);
+        return storePrefix + FOLDER + String.format(Locale.ROOT, "%016d", capped);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
@@ -26,14 +26,14 @@
 final class LogReader {
     private static final Logger LOG = LogManager.getLogger(LogReader.class);
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(200);
-    private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(10);
-    private static final int MOST_DOUBLINGS = 6;
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(10);
+    private static final int MAX_DOUBLINGS = 6;
 
     private final ControlThread control;
     private final ConfigurationLog log;
-    private final LongSupplier sequence;
-    private final Consumer<ConfigurationFollower.EntriesReceived> offers;
-    private final Consumer<ConfigurationSnapshot> snapshots;
+    private final LongSupplier currentSequence;
+    private final Consumer<ConfigurationFollower.EntriesReceived> onEntries;
+    private final Consumer<ConfigurationSnapshot> onSnapshot;
     private final Duration period;
     private final RandomGenerator random;
     private Optional<WatchedStore.Watch> watch = Optional.empty();
@@ -47,16 +47,16 @@
     LogReader(
             ControlThread control,
             ConfigurationLog log,
-            LongSupplier sequence,
-            Consumer<ConfigurationFollower.EntriesReceived> offers,
-            Consumer<ConfigurationSnapshot> snapshots,
+            LongSupplier currentSequence,
+            Consumer<ConfigurationFollower.EntriesReceived> onEntries,
+            Consumer<ConfigurationSnapshot> onSnapshot,
             Duration period,
             RandomGenerator random) {
         this.control = control;
         this.log = log;
-        this.sequence = sequence;
-        this.offers = offers;
-        this.snapshots = snapshots;
+        this.currentSequence = currentSequence;
+        this.onEntries = onEntries;
+        this.onSnapshot = onSnapshot;
         this.period = period;
         this.random = random;
     }
@@ -68,8 +68,8 @@
         }
         reading = true;
         timer.ifPresent(ControlThread.Cancellable::cancel);
-        Instant begun = control.clock().instant();
-        long from = sequence.getAsLong() + 1;
+        Instant startedAt = control.clock().instant();
+        long from = currentSequence.getAsLong() + 1;
         log.read(from)
                 .whenComplete(
                         (page, error) ->
@@ -77,7 +77,7 @@
                                         () -> {
                                             reading = false;
                                             if (error == null) {
-                                                handlePage(page, from, begun);
+                                                handlePage(page, from, startedAt);
                                             } else {
                                                 retryAfterBackoff();
                                             }
@@ -114,24 +114,26 @@
         closeWatch();
     }
 
-    private void handlePage(ConfigurationLog.Page page, long from, Instant begun) {
+    private void handlePage(ConfigurationLog.Page page, long from, Instant startedAt) {
         if (stopped) {
             return;
         }
         if (watch.isPresent()) {
             failures = 0;
         }
-        page.snapshot().ifPresent(snapshots);
+        page.snapshot().ifPresent(onSnapshot);
         if (hasGap(page)) {
             retryAfterBackoff();
             return;
         }
         long head = lastSequence(page.entries(), from - 1);
-        boolean missed = sequence.getAsLong() < head;
-        offers.accept(
+        boolean missed = currentSequence.getAsLong() < head;
+        onEntries.accept(
                 new ConfigurationFollower.EntriesReceived(
-                        page.entries(), head, page.last() ? Optional.of(begun) : Optional.empty()));
-        if (!page.last() && sequence.getAsLong() >= from) {
+                        page.entries(),
+                        head,
+                        page.last() ? Optional.of(startedAt) : Optional.empty()));
+        if (!page.last() && currentSequence.getAsLong() >= from) {
             read();
             return;
         }
@@ -145,8 +147,8 @@
     }
 
     private void retryAfterBackoff() {
-        Duration backoff = FIRST_BACKOFF.multipliedBy(1L << Math.min(failures++, MOST_DOUBLINGS));
-        scheduleRead(jittered(backoff.compareTo(LONGEST_BACKOFF) < 0 ? backoff : LONGEST_BACKOFF));
+        Duration backoff = FIRST_BACKOFF.multipliedBy(1L << Math.min(failures++, MAX_DOUBLINGS));
+        scheduleRead(jittered(backoff.compareTo(MAX_BACKOFF) < 0 ? backoff : MAX_BACKOFF));
     }
 
     private void scheduleRead(Duration delay) {
@@ -190,7 +192,7 @@
      */
     private boolean hasGap(ConfigurationLog.Page page) {
         return !page.entries().isEmpty()
-                && page.entries().get(0).sequence() > sequence.getAsLong() + 1;
+                && page.entries().get(0).sequence() > currentSequence.getAsLong() + 1;
     }
 
     private static long lastSequence(List<LogEntry> entries, long otherwise) {
@@ -211,7 +213,7 @@
             long head = entries.stream().mapToLong(LogEntry::sequence).max().orElse(0);
             control.run(
                     () ->
-                            offers.accept(
+                            onEntries.accept(
                                     new ConfigurationFollower.EntriesReceived(
                                             entries, head, Optional.empty())));
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/PendingWrites.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/PendingWrites.java
@@ -10,12 +10,12 @@
  * be taken, by any process.
  */
 final class PendingWrites {
-    private long underWay;
-    private long unknown;
+    private long writingSequence;
+    private long highestUncertainSequence;
 
     /** Records that the creation of the entry with this sequence number has started. */
-    void writeStarted(long place) {
-        underWay = place;
+    void writeStarted(long sequence) {
+        writingSequence = sequence;
     }
 
     /**
@@ -23,20 +23,20 @@
      * applied that far.
      */
     void writeAnswered() {
-        unknown = Math.max(unknown, underWay);
-        underWay = 0;
+        highestUncertainSequence = Math.max(highestUncertainSequence, writingSequence);
+        writingSequence = 0;
     }
 
     /** Records that the write failed. It may still take effect unless the store was unavailable. */
     void writeFailed(PlatformException.Code code) {
         if (code != PlatformException.Code.UNAVAILABLE) {
-            unknown = Math.max(unknown, underWay);
+            highestUncertainSequence = Math.max(highestUncertainSequence, writingSequence);
         }
-        underWay = 0;
+        writingSequence = 0;
     }
 
     /** Returns true if no ticket of this process can be in the log beyond this sequence number. */
     boolean isSettled(long head) {
-        return underWay == 0 && unknown <= head;
+        return writingSequence == 0 && highestUncertainSequence <= head;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Service.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/Service.java
@@ -42,11 +42,11 @@
 
     // A call matches whole path segments only. As a text prefix, "POST /lookup" would also match
     // POST /lookupandpay, and a payment whose agent crashed would be sent again.
-    private static boolean matches(String call, String asked) {
-        return asked.startsWith(call)
-                && (asked.length() == call.length()
+    private static boolean matches(String call, String request) {
+        return request.startsWith(call)
+                && (request.length() == call.length()
                         || call.endsWith("/")
-                        || asked.charAt(call.length()) == '/');
+                        || request.charAt(call.length()) == '/');
     }
 
     private static String withoutQuery(String path) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotStore.java
@@ -26,7 +26,7 @@
  */
 final class SnapshotStore {
     /** Bytes in a part. The store takes a megabyte for a part in base64 together with its key. */
-    static final int PART = 512 * 1024;
+    static final int PART_BYTES = 512 * 1024;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -77,12 +77,12 @@
     }
 
     /**
-     * Writes a snapshot and names it the newest. Returns false if one at least as new is named
-     * already.
+     * Writes a snapshot and names it the newest. Returns false if another writer has named one
+     * first.
      */
     CompletionStage<Boolean> write(ConfigurationSnapshot snapshot) {
         byte[] bytes = snapshot.encode();
-        int parts = (bytes.length + PART - 1) / PART;
+        int parts = (bytes.length + PART_BYTES - 1) / PART_BYTES;
         return store.read(newestKey)
                 .thenCompose(
                         found -> {
@@ -110,7 +110,8 @@
             return CompletableFuture.completedFuture(null);
         }
         byte[] slice =
-                Arrays.copyOfRange(bytes, part * PART, Math.min(bytes.length, (part + 1) * PART));
+                Arrays.copyOfRange(
+                        bytes, part * PART_BYTES, Math.min(bytes.length, (part + 1) * PART_BYTES));
         String key = partKey(next.sequence(), part);
         return store.commit(
                         List.of(new Condition.Absent(key)), List.of(new Write.Put(key, slice, 0)))
@@ -128,7 +129,7 @@
 
     /** Removes the parts of all snapshots older than the previous one. */
     private CompletionStage<Boolean> deleteOldParts(NewestSnapshot next) {
-        return store.range(folder, partKey(next.before(), 0), ConfigurationLog.PAGE)
+        return store.range(folder, partKey(next.before(), 0), ConfigurationLog.PAGE_ENTRIES)
                 .thenCompose(
                         old ->
                                 old.entries().isEmpty()
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotWriter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotWriter.java
@@ -9,42 +9,43 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Writes a snapshot every {@value #EVERY} entries and then truncates the log. Runs on the control
- * thread of a process that follows the store itself.
+ * Writes a snapshot every {@value #INTERVAL_ENTRIES} entries and then truncates the log. Runs on
+ * the control thread of a process that follows the store itself.
  *
  * <p>Several processes may write at once: each waits a random time and checks whether another one
  * was first, and the conditions of the store's transactions decide. The log keeps the {@value
- * #KEPT} entries before the snapshot and so always its newest entry: accepting a ticket requires
- * that the preceding entry is present, and a reader that is a little behind needs no snapshot.
+ * #KEPT_ENTRIES} entries before the snapshot and so always its newest entry: accepting a ticket
+ * requires that the preceding entry is present, and a reader that is a little behind needs no
+ * snapshot.
  */
 final class SnapshotWriter {
-    static final int EVERY = 1_000;
-    static final int KEPT = 128;
+    static final int INTERVAL_ENTRIES = 1_000;
+    static final int KEPT_ENTRIES = 128;
 
     private static final Logger LOG = LogManager.getLogger(SnapshotWriter.class);
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(30);
+    private static final Duration MAX_DELAY = Duration.ofSeconds(30);
 
     private final ControlThread control;
     private final SnapshotStore snapshots;
     private final ConfigurationLog log;
     private final Supplier<ConfigurationSnapshot> source;
-    private final BooleanSupplier onDuty;
+    private final BooleanSupplier followsStore;
     private final RandomGenerator random;
-    private long newest;
-    private boolean busy;
+    private long newestSequence;
+    private boolean writing;
 
     SnapshotWriter(
             ControlThread control,
             SnapshotStore snapshots,
             ConfigurationLog log,
             Supplier<ConfigurationSnapshot> source,
-            BooleanSupplier onDuty,
+            BooleanSupplier followsStore,
             RandomGenerator random) {
         this.control = control;
         this.snapshots = snapshots;
         this.log = log;
         this.source = source;
-        this.onDuty = onDuty;
+        this.followsStore = followsStore;
         this.random = random;
     }
 
@@ -53,12 +54,14 @@
      * due.
      */
     void logGrewTo(long sequence) {
-        if (busy || !onDuty.getAsBoolean() || sequence - newest < EVERY) {
+        if (writing
+                || !followsStore.getAsBoolean()
+                || sequence - newestSequence < INTERVAL_ENTRIES) {
             return;
         }
-        busy = true;
-        Duration wait = Duration.ofMillis(random.nextLong(LONGEST_WAIT.toMillis()));
-        control.after(wait, this::checkNewest);
+        writing = true;
+        Duration delay = Duration.ofMillis(random.nextLong(MAX_DELAY.toMillis()));
+        control.after(delay, this::checkNewest);
     }
 
     private void checkNewest() {
@@ -72,31 +75,32 @@
                                                 finish(failure);
                                                 return;
                                             }
-                                            found.ifPresent(it -> newest = it.sequence());
+                                            found.ifPresent(it -> newestSequence = it.sequence());
                                             write();
                                         }));
     }
 
     private void write() {
         ConfigurationSnapshot snapshot = source.get();
-        if (snapshot.sequence() - newest < EVERY || !onDuty.getAsBoolean()) {
-            busy = false;
+        if (snapshot.sequence() - newestSequence < INTERVAL_ENTRIES
+                || !followsStore.getAsBoolean()) {
+            writing = false;
             return;
         }
         snapshots
                 .write(snapshot)
-                .thenCompose(named -> log.truncate(snapshot.sequence() - KEPT))
+                .thenCompose(named -> log.truncate(snapshot.sequence() - KEPT_ENTRIES))
                 .whenComplete(
                         (done, failure) ->
                                 control.run(
                                         () -> {
-                                            newest = snapshot.sequence();
+                                            newestSequence = snapshot.sequence();
                                             finish(failure);
                                         }));
     }
 
     private void finish(Throwable failure) {
-        busy = false;
+        writing = false;
         if (failure != null) {
             LOG.info(
                     "writing a snapshot of the configuration or truncating the log failed, trying"
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SubmissionRunner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SubmissionRunner.java
@@ -16,25 +16,25 @@
 final class SubmissionRunner {
     private final ControlThread control;
     private final ConfigurationLog log;
-    private final TicketSubmission machine;
+    private final TicketSubmission submission;
     private final Ticket ticket;
-    private final PendingWrites pending;
-    private final Consumer<ConfigurationSnapshot> snapshots;
+    private final PendingWrites pendingWrites;
+    private final Consumer<ConfigurationSnapshot> onSnapshot;
     private final CompletableFuture<TicketResult> result = new CompletableFuture<>();
 
     SubmissionRunner(
             ControlThread control,
             ConfigurationLog log,
-            TicketSubmission machine,
+            TicketSubmission submission,
             Ticket ticket,
-            PendingWrites pending,
-            Consumer<ConfigurationSnapshot> snapshots) {
+            PendingWrites pendingWrites,
+            Consumer<ConfigurationSnapshot> onSnapshot) {
         this.control = control;
         this.log = log;
-        this.machine = machine;
+        this.submission = submission;
         this.ticket = ticket;
-        this.pending = pending;
-        this.snapshots = snapshots;
+        this.pendingWrites = pendingWrites;
+        this.onSnapshot = onSnapshot;
     }
 
     CompletionStage<TicketResult> start() {
@@ -43,7 +43,7 @@
     }
 
     private void feed(TicketSubmission.Input input) {
-        machine.on(input, control.clock().instant()).forEach(this::execute);
+        submission.on(input, control.clock().instant()).forEach(this::execute);
     }
 
     private void execute(TicketSubmission.Action action) {
@@ -68,18 +68,18 @@
     }
 
     private void create(TicketSubmission.Action.CreateEntry create) {
-        pending.writeStarted(create.sequence());
+        pendingWrites.writeStarted(create.sequence());
         log.create(create.sequence(), create.value())
                 .whenComplete((done, error) -> control.run(() -> created(done, error)));
     }
 
     private void created(Boolean done, Throwable error) {
         if (error == null) {
-            pending.writeAnswered();
+            pendingWrites.writeAnswered();
             feed(new TicketSubmission.Input.CreateAnswered(done));
         } else {
             TicketSubmission.Input.StoreFailed failure = failure(error);
-            pending.writeFailed(failure.code());
+            pendingWrites.writeFailed(failure.code());
             feed(failure);
         }
     }
@@ -89,7 +89,7 @@
                 .thenCompose(
                         page -> {
                             page.snapshot()
-                                    .ifPresent(it -> control.run(() -> snapshots.accept(it)));
+                                    .ifPresent(it -> control.run(() -> onSnapshot.accept(it)));
                             List<LogEntry> all = new ArrayList<>(before);
                             all.addAll(page.entries());
                             long head = all.isEmpty() ? 0 : all.get(all.size() - 1).sequence();
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketFields.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketFields.java
@@ -71,21 +71,21 @@
         return true;
     }
 
-    long integer(String name, long least, long most) {
+    long integer(String name, long min, long max) {
         JsonNode value = node.path(name);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
-            throw badValue(name, "must be a whole number from " + least + " to " + most);
+            throw badValue(name, "must be a whole number from " + min + " to " + max);
         }
-        if (value.longValue() < least || value.longValue() > most) {
-            throw badValue(name, "must be from " + least + " to " + most + ": " + value);
+        if (value.longValue() < min || value.longValue() > max) {
+            throw badValue(name, "must be from " + min + " to " + max + ": " + value);
         }
         return value.longValue();
     }
 
-    double number(String name, double least, double most) {
+    double number(String name, double min, double max) {
         JsonNode value = node.path(name);
-        if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-            throw badValue(name, "must be a number from " + least + " to " + most);
+        if (!value.isNumber() || !(value.doubleValue() >= min && value.doubleValue() <= max)) {
+            throw badValue(name, "must be a number from " + min + " to " + max);
         }
         return value.doubleValue();
     }
@@ -113,8 +113,8 @@
         return objects;
     }
 
-    TicketException badValue(String name, String complaint) {
-        return new TicketException(Code.BAD_VALUE, path + "." + name + ": " + complaint);
+    TicketException badValue(String name, String problem) {
+        return new TicketException(Code.BAD_VALUE, path + "." + name + ": " + problem);
     }
 
     private Iterable<JsonNode> array(String name) {
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketParser.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketParser.java
@@ -38,14 +38,15 @@
     private static final double MIN_WEIGHT = 1e-3;
     private static final double MAX_WEIGHT = 1e6;
     private static final int MAX_REPLICAS = 100_000;
-    private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
-    private static final Pattern CALL = Pattern.compile("[A-Z]+ /\\S*");
+    private static final Pattern HASH_PATTERN = Pattern.compile("[0-9a-f]{64}");
+    private static final Pattern CALL_PATTERN = Pattern.compile("[A-Z]+ /\\S*");
 
-    private static final Set<String> ROOT =
+    private static final Set<String> TICKET_FIELDS =
             Set.of("number", "workspaces", "keys", "models", "services");
-    private static final Set<String> WORKSPACE = Set.of("id", "rate", "burst", "weight", "removed");
-    private static final Set<String> KEY = Set.of("id", "workspace", "key", "hash", "state");
-    private static final Set<String> MODEL =
+    private static final Set<String> WORKSPACE_FIELDS =
+            Set.of("id", "rate", "burst", "weight", "removed");
+    private static final Set<String> KEY_FIELDS = Set.of("id", "workspace", "key", "hash", "state");
+    private static final Set<String> MODEL_FIELDS =
             Set.of(
                     "name",
                     "version",
@@ -55,7 +56,7 @@
                     "base",
                     "workspaces",
                     "removed");
-    private static final Set<String> SERVICE =
+    private static final Set<String> SERVICE_FIELDS =
             Set.of("name", "pool", "idempotent", "workspaces", "removed");
 
     private static final ObjectMapper JSON =
@@ -86,13 +87,14 @@
         if (json.length > MAX_BYTES) {
             throw tooLarge();
         }
-        TicketFields root = TicketFields.of(parseJson(json), "ticket", ROOT);
+        TicketFields root = TicketFields.of(parseJson(json), "ticket", TICKET_FIELDS);
         long number = root.integer("number", 1, Long.MAX_VALUE);
         List<ConfigurationChange> changes = new ArrayList<>();
-        root.objects("workspaces", WORKSPACE).forEach(item -> changes.add(parseWorkspace(item)));
-        root.objects("keys", KEY).forEach(item -> changes.add(parseKey(item)));
-        root.objects("models", MODEL).forEach(item -> changes.add(parseModel(item)));
-        root.objects("services", SERVICE).forEach(item -> changes.add(parseService(item)));
+        root.objects("workspaces", WORKSPACE_FIELDS)
+                .forEach(item -> changes.add(parseWorkspace(item)));
+        root.objects("keys", KEY_FIELDS).forEach(item -> changes.add(parseKey(item)));
+        root.objects("models", MODEL_FIELDS).forEach(item -> changes.add(parseModel(item)));
+        root.objects("services", SERVICE_FIELDS).forEach(item -> changes.add(parseService(item)));
         checkChanges(number, changes);
         Ticket ticket = Ticket.of(number, changes);
         if (ticket.toJson().length > MAX_BYTES) {
@@ -170,7 +172,7 @@
                     .hash(text);
         }
         String hash = fields.text("hash");
-        if (!HASH.matcher(hash).matches()) {
+        if (!HASH_PATTERN.matcher(hash).matches()) {
             throw fields.badValue("hash", "must be 64 lower case hexadecimal digits");
         }
         return hash;
@@ -214,7 +216,7 @@
     }
 
     private static String parseCall(String text) {
-        if (!CALL.matcher(text).matches()) {
+        if (!CALL_PATTERN.matcher(text).matches()) {
             throw new IllegalArgumentException(
                     "must be a method and a path, for example POST /lookup");
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
@@ -22,21 +22,21 @@
 public final class TicketSubmission
         implements StateMachine<TicketSubmission.Input, TicketSubmission.Action> {
     /** The most reads and writes of the store before the ticket is refused. */
-    static final int MAX_TRIES = 16;
+    static final int MAX_ATTEMPTS = 16;
 
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(20);
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
+    private static final Duration FIRST_BACKOFF = Duration.ofMillis(20);
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(1);
 
     private final ConfigurationFollower follower;
     private final RandomGenerator random;
     private Ticket ticket;
-    private int tries;
-    private boolean freshlyRead;
+    private int attempts;
+    private boolean logJustRead;
     private boolean creating;
     private boolean readFirst;
     private boolean done;
-    private long place;
-    private long uncertainPlace;
+    private long attemptedSequence;
+    private long uncertainSequence;
 
     private TicketSubmission(ConfigurationFollower follower, RandomGenerator random) {
         this.follower = follower;
@@ -117,11 +117,11 @@
                     new ConfigurationFollower.EntriesReceived(
                             read.entries(), read.head(), Optional.empty()),
                     now);
-            freshlyRead = true;
+            logJustRead = true;
             return evaluate();
         }
         if (input instanceof Input.CreateAnswered result) {
-            return result.created() ? accepted(place) : sequenceTaken();
+            return result.created() ? accepted(attemptedSequence) : sequenceTaken();
         }
         if (input instanceof Input.StoreFailed failed) {
             return storeFailed(failed.code());
@@ -135,14 +135,14 @@
         if (own.isPresent()) {
             return accepted(own.get().sequence());
         }
-        Optional<TicketException> complaint = findViolation();
-        if (complaint.isEmpty()) {
+        Optional<TicketException> violation = findViolation();
+        if (violation.isEmpty()) {
             return createEntry();
         }
-        if (!freshlyRead) {
+        if (!logJustRead) {
             return readLog();
         }
-        return refused(complaint.get().code(), complaint.get().getMessage());
+        return refused(violation.get().code(), violation.get().getMessage());
     }
 
     /** Returns the entry of this ticket, if the follower has received it from any source. */
@@ -179,18 +179,18 @@
     }
 
     private List<Action> createEntry() {
-        if (++tries > MAX_TRIES) {
+        if (++attempts > MAX_ATTEMPTS) {
             return refused(
                     Code.BUSY, "too many other tickets were accepted in between; send it again");
         }
         creating = true;
-        freshlyRead = false;
-        place = follower.current().sequence() + 1;
-        return List.of(new Action.CreateEntry(place, ticket.toJson()));
+        logJustRead = false;
+        attemptedSequence = follower.current().sequence() + 1;
+        return List.of(new Action.CreateEntry(attemptedSequence, ticket.toJson()));
     }
 
     private List<Action> readLog() {
-        if (++tries > MAX_TRIES) {
+        if (++attempts > MAX_ATTEMPTS) {
             return refused(
                     Code.BUSY, "too many other tickets were accepted in between; send it again");
         }
@@ -203,24 +203,24 @@
      * submitted through another router, so the outcome is still uncertain.
      */
     private List<Action> sequenceTaken() {
-        uncertainPlace = place;
+        uncertainSequence = attemptedSequence;
         return readLog();
     }
 
     private List<Action> storeFailed(PlatformException.Code code) {
         if (creating && code != PlatformException.Code.UNAVAILABLE) {
-            uncertainPlace = place;
+            uncertainSequence = attemptedSequence;
         }
-        if (tries >= MAX_TRIES) {
+        if (attempts >= MAX_ATTEMPTS) {
             return refused(Code.STORE_UNAVAILABLE, "the store can't be reached");
         }
         return List.of(new Action.Pause(backoff()));
     }
 
     private Duration backoff() {
-        long most = FIRST_PAUSE.toMillis() << Math.min(tries, 10);
-        long bounded = Math.min(most, LONGEST_PAUSE.toMillis());
-        return Duration.ofMillis(bounded / 2 + random.nextLong(bounded / 2 + 1));
+        long uncappedMillis = FIRST_BACKOFF.toMillis() << Math.min(attempts, 10);
+        long cappedMillis = Math.min(uncappedMillis, MAX_BACKOFF.toMillis());
+        return Duration.ofMillis(cappedMillis / 2 + random.nextLong(cappedMillis / 2 + 1));
     }
 
     private List<Action> accepted(long sequence) {
@@ -234,7 +234,7 @@
             return accepted(own.get().sequence());
         }
         done = true;
-        if (uncertainPlace > follower.current().sequence()) {
+        if (uncertainSequence > follower.current().sequence()) {
             return List.of(
                     new Action.ReportRefused(
                             Code.OUTCOME_UNKNOWN,
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketValidator.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketValidator.java
@@ -136,10 +136,11 @@
         }
     }
 
-    private static void require(boolean exists, String who, String what) {
+    private static void require(boolean exists, String referrer, String target) {
         if (!exists) {
             throw new TicketException(
-                    Code.UNKNOWN_OBJECT, who + " refers to " + what + ", which does not exist");
+                    Code.UNKNOWN_OBJECT,
+                    referrer + " refers to " + target + ", which does not exist");
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ConfigurationServiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ConfigurationServiceTest.java
@@ -27,73 +27,73 @@
     private final FakeStore store = new FakeStore();
     private final Timeline timeline =
             Timeline.of("router-1", HybridClock.over(control.clock()), 1_000);
-    private final ConfigurationService here = service();
-    private final ConfigurationService there = service();
+    private final ConfigurationService first = service();
+    private final ConfigurationService second = service();
 
     @Test
-    void anAcceptedTicketIsInForceEverywhereAndOnTheTimeline() {
-        here.start();
-        there.start();
-        assertEquals(1, accepted(here, workspace(7, "a", 10)).sequence());
-        assertEquals(10, there.current().workspaces().get(WorkspaceId.of("a")).rate());
+    void anAcceptedTicketIsAppliedAtEveryRouterAndRecordedOnTheTimeline() {
+        first.start();
+        second.start();
+        assertEquals(1, accepted(first, workspace(7, "a", 10)).sequence());
+        assertEquals(10, second.current().workspaces().get(WorkspaceId.of("a")).rate());
         assertEquals(
                 List.of(EventType.TICKET_ACCEPTED, EventType.IN_FORCE),
                 timeline.events().stream().map(Event::type).distinct().sorted().toList());
     }
 
     @Test
-    void theSameTicketSentAgainIsAcceptedOnceAndItsNumberIsNotGivenToAnother() {
-        here.start();
-        there.start();
-        accepted(here, workspace(7, "a", 10));
-        assertEquals(1, accepted(there, workspace(7, "a", 10)).sequence());
-        assertEquals(Code.NUMBER_REUSED, refused(there, workspace(7, "b", 10)).code());
+    void aRepeatedTicketIsAcceptedOnceAndItsNumberCannotBeReused() {
+        first.start();
+        second.start();
+        accepted(first, workspace(7, "a", 10));
+        assertEquals(1, accepted(second, workspace(7, "a", 10)).sequence());
+        assertEquals(Code.NUMBER_REUSED, refused(second, workspace(7, "b", 10)).code());
     }
 
     @Test
-    void anOlderTicketForTheSameObjectIsRefusedButForAnotherItIsNot() {
-        here.start();
-        accepted(here, workspace(7, "a", 10));
-        assertEquals(Code.OUTDATED, refused(here, workspace(6, "a", 99)).code());
-        assertEquals(2, accepted(here, workspace(5, "b", 10)).sequence());
+    void anOlderTicketIsRefusedForTheSameObjectAndAcceptedForAnother() {
+        first.start();
+        accepted(first, workspace(7, "a", 10));
+        assertEquals(Code.OUTDATED, refused(first, workspace(6, "a", 99)).code());
+        assertEquals(2, accepted(first, workspace(5, "b", 10)).sequence());
     }
 
     @Test
-    void aTicketThatTouchesWhatDoesNotExistIsRefused() {
-        here.start();
-        accepted(here, workspace(1, "a", 10));
-        accepted(here, ticket(keyTicketJson(2, "k", "a", "sk-1", "granted")));
-        accepted(here, model(3, "base", ""));
-        accepted(here, model(4, "adapter", "base"));
+    void aTicketWithAnInvalidReferenceIsRefused() {
+        first.start();
+        accepted(first, workspace(1, "a", 10));
+        accepted(first, ticket(keyTicketJson(2, "k", "a", "sk-1", "granted")));
+        accepted(first, model(3, "base", ""));
+        accepted(first, model(4, "adapter", "base"));
         assertEquals(
                 Code.UNKNOWN_OBJECT,
-                refused(here, ticket(keyTicketJson(9, "l", "nobody", "sk-2", "granted"))).code());
-        assertEquals(Code.UNKNOWN_OBJECT, refused(here, model(9, "x", "none")).code());
-        assertEquals(Code.BAD_VALUE, refused(here, model(9, "x", "adapter")).code());
-        assertEquals(Code.UNKNOWN_OBJECT, refused(here, workspaceRemoval(9, "z")).code());
-        assertEquals(Code.IN_USE, refused(here, workspaceRemoval(9, "a")).code());
+                refused(first, ticket(keyTicketJson(9, "l", "nobody", "sk-2", "granted"))).code());
+        assertEquals(Code.UNKNOWN_OBJECT, refused(first, model(9, "x", "none")).code());
+        assertEquals(Code.BAD_VALUE, refused(first, model(9, "x", "adapter")).code());
+        assertEquals(Code.UNKNOWN_OBJECT, refused(first, workspaceRemoval(9, "z")).code());
+        assertEquals(Code.IN_USE, refused(first, workspaceRemoval(9, "a")).code());
         assertEquals(
                 Code.KEY_TAKEN,
-                refused(here, ticket(keyTicketJson(9, "l", "a", "sk-1", "granted"))).code());
-        assertEquals(4, here.current().sequence());
+                refused(first, ticket(keyTicketJson(9, "l", "a", "sk-1", "granted"))).code());
+        assertEquals(4, first.current().sequence());
     }
 
     /**
      * Guards against a ticket that is written after its validation went stale. The other router's
-     * ticket removes the workspace between the validation and the write here; the write fails, and
-     * the ticket must be validated again and refused.
+     * ticket removes the workspace between the validation and the write; the write fails, and the
+     * ticket must be validated again and refused.
      */
     @Test
-    void theLoserOfARaceIsJudgedAgainstWhatTheWinnerLeft() {
-        here.start();
-        there.start();
-        accepted(here, workspace(1, "a", 10));
+    void theLoserOfARaceIsValidatedAgainstTheWinnersConfiguration() {
+        first.start();
+        second.start();
+        accepted(first, workspace(1, "a", 10));
         store.silenceWatches(true);
-        accepted(there, workspaceRemoval(2, "a"));
+        accepted(second, workspaceRemoval(2, "a"));
         TicketResult.Refused refusal =
-                refused(here, ticket(keyTicketJson(3, "k", "a", "sk", "granted")));
+                refused(first, ticket(keyTicketJson(3, "k", "a", "sk", "granted")));
         assertEquals(Code.UNKNOWN_OBJECT, refusal.code());
-        assertEquals(2, here.current().sequence());
+        assertEquals(2, first.current().sequence());
     }
 
     /**
@@ -102,12 +102,12 @@
      */
     @Test
     void aTicketWhoseAnswerWasLostIsAcceptedOnce() {
-        here.start();
+        first.start();
         store.loseAnswers(1);
-        var result = here.submit(workspace(1, "a", 10)).toCompletableFuture();
+        var result = first.submit(workspace(1, "a", 10)).toCompletableFuture();
         control.advance(Duration.ofSeconds(5));
         assertTrue(result.join() instanceof TicketResult.Accepted, result.join().toString());
-        assertEquals(1, here.current().sequence());
+        assertEquals(1, first.current().sequence());
     }
 
     /**
@@ -115,10 +115,10 @@
      * the start, and the attempts are bounded.
      */
     @Test
-    void inAnOutageATicketIsRefusedAndSurelyNotInForce() {
+    void inAnOutageATicketIsRefusedWithAKnownOutcome() {
         store.down(true);
-        here.start();
-        var result = here.submit(workspace(1, "a", 10)).toCompletableFuture();
+        first.start();
+        var result = first.submit(workspace(1, "a", 10)).toCompletableFuture();
         control.advance(Duration.ofMinutes(1));
         TicketResult.Refused refusal = (TicketResult.Refused) result.join();
         assertEquals(Code.STORE_UNAVAILABLE, refusal.code());
@@ -130,17 +130,17 @@
      * lost, and the store goes down before the log can be read; the ticket is in fact in the log.
      */
     @Test
-    void anAnswerLostBeforeAnOutageIsSaidToBeUnknown() {
-        here.start();
+    void anAnswerLostBeforeAnOutageIsReportedAsUnknownOutcome() {
+        first.start();
         store.silenceWatches(true).loseAnswers(1);
-        var result = here.submit(workspace(1, "a", 10)).toCompletableFuture();
+        var result = first.submit(workspace(1, "a", 10)).toCompletableFuture();
         store.down(true);
         control.advance(Duration.ofMinutes(1));
         TicketResult.Refused refusal = (TicketResult.Refused) result.join();
         assertEquals(Code.OUTCOME_UNKNOWN, refusal.code());
         assertFalse(refusal.outcomeKnown());
         store.down(false);
-        assertEquals(1, accepted(here, workspace(1, "a", 10)).sequence());
+        assertEquals(1, accepted(first, workspace(1, "a", 10)).sequence());
     }
 
     /**
@@ -149,10 +149,10 @@
      * submission did not read it itself.
      */
     @Test
-    void anAnswerLostBeforeAnOutageIsMadeUpForByTheWatch() {
-        here.start();
+    void anAnswerLostBeforeAnOutageIsReplacedByTheWatchedEntry() {
+        first.start();
         store.loseAnswers(1);
-        var result = here.submit(workspace(1, "a", 10)).toCompletableFuture();
+        var result = first.submit(workspace(1, "a", 10)).toCompletableFuture();
         store.down(true);
         control.advance(Duration.ofMinutes(1));
         assertTrue(result.join() instanceof TicketResult.Accepted, result.join().toString());
@@ -160,16 +160,16 @@
 
     @Test
     void afterAnOutageTheLogIsListedAndWatchedAgain() {
-        here.start();
-        there.start();
+        first.start();
+        second.start();
         store.down(true);
         control.advance(Duration.ofMinutes(1));
-        assertFalse(here.isConfirmed(Duration.ofSeconds(30)));
+        assertFalse(first.isConfirmed(Duration.ofSeconds(30)));
         store.down(false);
         control.advance(Duration.ofMinutes(1));
-        assertTrue(here.isConfirmed(Duration.ofSeconds(30)));
-        accepted(there, workspace(1, "a", 10));
-        assertEquals(1, here.current().sequence());
+        assertTrue(first.isConfirmed(Duration.ofSeconds(30)));
+        accepted(second, workspace(1, "a", 10));
+        assertEquals(1, first.current().sequence());
     }
 
     /**
@@ -178,14 +178,14 @@
      * the watch.
      */
     @Test
-    void aSilentWatchDelaysAConfigurationByOnePollAtMost() {
-        here.start();
-        there.start();
+    void aSilentWatchDelaysAConfigurationByAtMostOnePoll() {
+        first.start();
+        second.start();
         store.silenceWatches(true);
-        accepted(there, workspace(1, "a", 10));
-        assertEquals(0, here.current().sequence());
+        accepted(second, workspace(1, "a", 10));
+        assertEquals(0, first.current().sequence());
         control.advance(Duration.ofSeconds(5));
-        assertEquals(1, here.current().sequence());
+        assertEquals(1, first.current().sequence());
         assertEquals(2, store.openWatches());
     }
 
@@ -194,9 +194,9 @@
      * each refusal causes a listing, whose success must not reset the backoff.
      */
     @Test
-    void aStoreThatRefusesWatchesIsAskedLessAndLessOften() {
+    void aStoreThatRefusesWatchesIsReadWithIncreasingBackoff() {
         store.refuseWatches(true);
-        here.start();
+        first.start();
         control.advance(Duration.ofMinutes(2));
         assertTrue(store.calls() < 60, "calls in two minutes: " + store.calls());
         store.refuseWatches(false);
@@ -205,28 +205,28 @@
     }
 
     @Test
-    void aListenerThatThrowsKeepsNobodyElseFromTheNews() {
-        StringBuilder heard = new StringBuilder();
-        here.onChange(
+    void aListenerThatThrowsDoesNotBlockTheOthers() {
+        StringBuilder notified = new StringBuilder();
+        first.onChange(
                         newest -> {
                             throw new IllegalStateException("on purpose");
                         })
-                .onChange(newest -> heard.append(newest.sequence()))
+                .onChange(newest -> notified.append(newest.sequence()))
                 .start();
-        accepted(here, workspace(1, "a", 10));
-        accepted(here, workspace(2, "b", 10));
-        assertEquals("12", heard.toString());
+        accepted(first, workspace(1, "a", 10));
+        accepted(first, workspace(2, "b", 10));
+        assertEquals("12", notified.toString());
     }
 
     @Test
-    void aLateStarterReadsALogOfManyPages() {
-        here.start();
-        for (int number = 1; number <= 3 * ConfigurationLog.PAGE; number++) {
-            accepted(here, workspace(number, "a", number));
+    void aProcessThatStartsLateReadsALogOfManyPages() {
+        first.start();
+        for (int number = 1; number <= 3 * ConfigurationLog.PAGE_ENTRIES; number++) {
+            accepted(first, workspace(number, "a", number));
         }
-        there.start();
-        assertEquals(3 * ConfigurationLog.PAGE, there.current().sequence());
-        assertTrue(there.isConfirmed(Duration.ZERO));
+        second.start();
+        assertEquals(3 * ConfigurationLog.PAGE_ENTRIES, second.current().sequence());
+        assertTrue(second.isConfirmed(Duration.ZERO));
     }
 
     private ConfigurationService service() {
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/SnapshotTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ConfigurationSnapshotTest.java
@@ -20,20 +20,20 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class SnapshotTest {
+class ConfigurationSnapshotTest {
     private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore();
     private final ConfigurationLog log = new ConfigurationLog(store, "/damaskyoke");
-    private final ConfigurationService here = service();
+    private final ConfigurationService service = newService();
 
     @Test
-    void whatWasWrittenIsRead() {
-        here.start();
+    void aDecodedSnapshotEqualsTheEncodedOne() {
+        service.start();
         submit(workspace(1, "a", 10));
         submit(ticket(keyTicketJson(2, "k", "a", "sk-1", "granted")));
         submit(model(3, "base", ""));
         submit(model(4, "adapter", "base"));
-        ConfigurationSnapshot snapshot = here.snapshot();
+        ConfigurationSnapshot snapshot = service.snapshot();
         ConfigurationSnapshot read = ConfigurationSnapshot.decode(snapshot.encode());
         assertEquals(snapshot.configuration(), read.configuration());
         assertEquals(snapshot.history().find(3), read.history().find(3));
@@ -41,21 +41,21 @@
     }
 
     @Test
-    void aLateStarterTakesTheSnapshotAndTheRestOfTheLog() {
+    void aProcessThatStartsLateReadsTheSnapshotAndTheRestOfTheLog() {
         fill();
         assertTrue(log.read(1).toCompletableFuture().join().snapshot().isPresent());
         submit(workspace(5_000, "late", 1));
-        ConfigurationService there = service();
-        there.start();
-        assertEquals(here.current(), there.current());
-        assertTrue(there.isConfirmed(Duration.ZERO));
+        ConfigurationService lateService = newService();
+        lateService.start();
+        assertEquals(service.current(), lateService.current());
+        assertTrue(lateService.isConfirmed(Duration.ZERO));
     }
 
     @Test
-    void theSameTicketIsKnownAlsoWhereItsEntryIsGone() {
+    void aRepeatedTicketIsRecognizedAfterItsEntryWasTruncated() {
         fill();
-        ConfigurationService there = service();
-        TicketResult again = there.submit(workspace(3, "a", 3)).toCompletableFuture().join();
+        ConfigurationService lateService = newService();
+        TicketResult again = lateService.submit(workspace(3, "a", 3)).toCompletableFuture().join();
         assertEquals(3, ((TicketResult.Accepted) again).sequence());
     }
 
@@ -65,28 +65,28 @@
      * requires that the entry is absent, so it succeeds and the ticket is applied nowhere.
      */
     @Test
-    void aPausedProcessCannotCreateAPlaceThatWasGivenOutAndRemoved() {
-        ConfigurationService paused = service();
+    void aPausedProcessCannotReuseATruncatedSequenceNumber() {
+        ConfigurationService paused = newService();
         paused.start();
         for (int number = 1; number <= 10; number++) {
             submit(paused, workspace(number, "a", number));
         }
         paused.stop();
-        here.start();
+        service.start();
         fillFrom(11);
-        String place = "/damaskyoke/config/log/%016d".formatted(11);
+        String removedKey = "/damaskyoke/config/log/%016d".formatted(11);
         assertFalse(log.create(11, new byte[0]).toCompletableFuture().join());
         TicketResult.Accepted accepted =
                 (TicketResult.Accepted)
                         paused.submit(workspace(9_000, "b", 1)).toCompletableFuture().join();
-        assertEquals(here.current().sequence(), accepted.sequence());
-        assertTrue(naiveCreate(place));
+        assertEquals(service.current().sequence(), accepted.sequence());
+        assertTrue(naiveCreate(removedKey));
     }
 
     @Test
-    void aSnapshotHalfWrittenIsNotRead() {
+    void aPartlyWrittenSnapshotIsNotRead() {
         fill();
-        ConfigurationSnapshot newest = here.snapshot();
+        ConfigurationSnapshot newest = service.snapshot();
         store.down(true);
         log.snapshots().write(newest);
         store.down(false);
@@ -105,26 +105,26 @@
     }
 
     private void fill() {
-        here.start();
+        service.start();
         fillFrom(1);
     }
 
     private void fillFrom(int first) {
-        for (int number = first; number <= SnapshotWriter.EVERY + 10; number++) {
+        for (int number = first; number <= SnapshotWriter.INTERVAL_ENTRIES + 10; number++) {
             submit(workspace(number, "a", number));
         }
         control.advance(Duration.ofMinutes(1));
     }
 
     private void submit(Ticket ticket) {
-        submit(here, ticket);
+        submit(service, ticket);
     }
 
     private static void submit(ConfigurationService to, Ticket ticket) {
         assertTrue(to.submit(ticket).toCompletableFuture().join() instanceof TicketResult.Accepted);
     }
 
-    private ConfigurationService service() {
+    private ConfigurationService newService() {
         Timeline timeline = Timeline.of("router-1", HybridClock.over(control.clock()), 1_000);
         return ConfigurationService.builder(control, store, timeline)
                 .random(new SplittableRandom(1))
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
@@ -36,13 +36,13 @@
     private static final int STEPS = 1_500;
 
     @Property(seed = "20261203", tries = 300)
-    void nothingAcceptedBeforeTheMomentConfirmedIsMissing(@ForAll long seed) {
+    void noTicketAcceptedBeforeTheConfirmedTimeIsMissing(@ForAll long seed) {
         assertEquals(List.of(), new World(seed, false).run().faults);
     }
 
     /** Shows that the property can fail, and that the real implementation does confirm. */
     @Test
-    void theNaiveVersionConfirmsPastAWithdrawnKey() {
+    void theNaiveVersionConfirmsWhileAnAcceptedTicketIsMissing() {
         assertTrue(
                 LongStream.range(0, 20).anyMatch(s -> !new World(s, true).run().faults.isEmpty()));
         assertTrue(LongStream.range(0, 20).allMatch(s -> new World(s, false).run().confirmed > 0));
@@ -54,7 +54,7 @@
      * number is known to be taken.
      */
     @Test
-    void aWriteOfUnknownOutcomeIsOpenUntilItsPlaceIsKnown() {
+    void aWriteOfUnknownOutcomeIsUnsettledUntilItsSequenceNumberIsTaken() {
         TestControlThread control = new TestControlThread();
         FakeStore store = new FakeStore();
         ConfigurationService service = service(control, store);
@@ -75,7 +75,7 @@
      * queued tickets.
      */
     @Test
-    void aRouterThatTheListDoesNotNameTakesNoTickets() {
+    void aRouterThatIsNotOnTheListOfVmsAcceptsNoTickets() {
         TestControlThread control = new TestControlThread();
         ConfigurationService service = service(control, new FakeStore());
         service.acceptTickets(false);
@@ -99,9 +99,9 @@
 
     private static final class Router {
         private final VmId vm;
-        private OutageConfirmation machine;
-        private PendingWrites pending;
-        private Incarnation life;
+        private OutageConfirmation confirmation;
+        private PendingWrites pendingWrites;
+        private Incarnation incarnation;
         private Instant listedAt;
         private Instant started;
         private Optional<Instant> confirmed;
@@ -114,15 +114,15 @@
         }
 
         private OutageInput.Word word() {
-            boolean inThisLife = confirmed.filter(at -> !at.isBefore(started)).isPresent();
-            return new OutageInput.Word(head, pending.isSettled(head), inThisLife);
+            boolean confirmedSinceStart = confirmed.filter(at -> !at.isBefore(started)).isPresent();
+            return new OutageInput.Word(head, pendingWrites.isSettled(head), confirmedSinceStart);
         }
     }
 
     /**
      * A message in flight; {@code writer} is set only for a write that has not reached the store.
      */
-    private record Flight(Optional<Router> writer, Runnable arrival) {}
+    private record Message(Optional<Router> writer, Runnable delivery) {}
 
     private static final class World {
         private final SplittableRandom random;
@@ -130,10 +130,10 @@
         private final List<Router> all = new ArrayList<>();
         private final List<Router> listed = new ArrayList<>();
         private final List<Instant> log = new ArrayList<>();
-        private final List<Flight> flying = new ArrayList<>();
+        private final List<Message> inFlight = new ArrayList<>();
         private final List<String> faults = new ArrayList<>();
         private Instant now = Instant.EPOCH;
-        private int lives;
+        private int incarnations;
         private int confirmed;
 
         private World(long seed, boolean naive) {
@@ -152,43 +152,43 @@
             return this;
         }
 
-        private void act(Router one) {
+        private void act(Router router) {
             int dice = random.nextInt(1_000);
             if (dice < 250) {
-                tick(one);
+                tick(router);
             } else if (dice < 750) {
-                arrive();
+                deliver();
             } else if (dice < 850) {
-                one.machine.on(listing(), now);
+                router.confirmation.on(listing(), now);
             } else if (dice < 900) {
-                readStore(one);
+                readStore(router);
             } else if (dice < 940) {
-                follow(one, all.get(random.nextInt(all.size())));
+                follow(router, all.get(random.nextInt(all.size())));
             } else if (dice < 970) {
-                write(one);
+                write(router);
             } else if (dice < 985) {
-                one.reachesStore = random.nextInt(4) == 0;
+                router.reachesStore = random.nextInt(4) == 0;
             } else if (dice < 988) {
-                restart(one);
+                restart(router);
             } else if (dice < 990) {
-                leave(one);
+                leave(router);
             } else if (dice < 992 && all.size() < 6) {
                 join();
             }
         }
 
         private void join() {
-            Router router = new Router(++lives);
-            live(router);
+            Router router = new Router(++incarnations);
+            start(router);
             router.listedAt = now;
             all.add(router);
             listed.add(router);
         }
 
-        private void live(Router router) {
-            router.life = Incarnation.of(router.vm + ":" + ++lives);
-            router.machine = OutageConfirmation.of(router.vm);
-            router.pending = new PendingWrites();
+        private void start(Router router) {
+            router.incarnation = Incarnation.of(router.vm + ":" + ++incarnations);
+            router.confirmation = OutageConfirmation.of(router.vm);
+            router.pendingWrites = new PendingWrites();
             router.started = now;
             router.confirmed = Optional.empty();
             router.head = 0;
@@ -196,24 +196,24 @@
         }
 
         /** No router joins, writes a ticket and leaves within ten seconds: see the design note. */
-        private boolean mayGo(Router router) {
+        private boolean mayLeave(Router router) {
             return now.isAfter(router.listedAt.plusSeconds(11));
         }
 
         private void restart(Router router) {
-            if (!mayGo(router)) {
+            if (!mayLeave(router)) {
                 return;
             }
-            flying.removeIf(flight -> flight.writer().equals(Optional.of(router)));
-            live(router);
+            inFlight.removeIf(message -> message.writer().equals(Optional.of(router)));
+            start(router);
         }
 
         /**
          * A VM leaves for good. Its writes in flight are lost: see the limits in the design note.
          */
         private void leave(Router router) {
-            if (all.size() > 2 && mayGo(router)) {
-                flying.removeIf(flight -> flight.writer().equals(Optional.of(router)));
+            if (all.size() > 2 && mayLeave(router)) {
+                inFlight.removeIf(message -> message.writer().equals(Optional.of(router)));
                 all.remove(router);
                 listed.remove(router);
             }
@@ -232,10 +232,10 @@
         }
 
         /** Applies a relay's answer to its follower. */
-        private void follow(Router one, Router relay) {
-            one.head = Math.max(one.head, relay.head);
-            if (one.head == relay.head) {
-                relay.confirmed.ifPresent(asOf -> confirm(one, asOf));
+        private void follow(Router router, Router relay) {
+            router.head = Math.max(router.head, relay.head);
+            if (router.head == relay.head) {
+                relay.confirmed.ifPresent(asOf -> confirm(router, asOf));
             }
         }
 
@@ -246,20 +246,20 @@
             if (router.confirmed.isEmpty() || router.confirmed.get().isBefore(asOf)) {
                 router.confirmed = Optional.of(asOf);
             }
-            router.machine.on(new OutageInput.Confirmed(router.confirmed.get()), now);
+            router.confirmation.on(new OutageInput.Confirmed(router.confirmed.get()), now);
         }
 
         private void tick(Router router) {
             if (naive) {
-                if (!router.reachesStore && router.machine.needed(now)) {
+                if (!router.reachesStore && router.confirmation.needed(now)) {
                     confirm(router, now);
                 }
                 return;
             }
             for (OutageAction action :
-                    router.machine.on(new OutageInput.Tick(router.word()), now)) {
+                    router.confirmation.on(new OutageInput.Tick(router.word()), now)) {
                 if (action instanceof OutageAction.Ask ask) {
-                    fly(() -> answer(router, ask));
+                    send(() -> answer(router, ask));
                 } else if (action instanceof OutageAction.Confirm it && it.head() <= router.head) {
                     confirmed++;
                     confirm(router, it.asOf());
@@ -268,83 +268,99 @@
         }
 
         private void answer(Router asker, OutageAction.Ask ask) {
-            Incarnation askerLife = asker.life;
+            Incarnation askerIncarnation = asker.incarnation;
             all.stream()
                     .filter(router -> router.vm.equals(ask.router()))
                     .findFirst()
                     .ifPresent(
                             router -> {
                                 OutageInput.Word word = router.word();
-                                Incarnation life = router.life;
-                                fly(() -> take(asker, askerLife, router.vm, life, ask, word));
+                                Incarnation incarnation = router.incarnation;
+                                send(
+                                        () ->
+                                                receive(
+                                                        asker,
+                                                        askerIncarnation,
+                                                        router.vm,
+                                                        incarnation,
+                                                        ask,
+                                                        word));
                             });
         }
 
-        private void take(
+        private void receive(
                 Router asker,
-                Incarnation askerLife,
+                Incarnation askerIncarnation,
                 VmId from,
-                Incarnation life,
+                Incarnation incarnation,
                 OutageAction.Ask ask,
                 OutageInput.Word word) {
-            if (asker.life.equals(askerLife)) {
+            if (asker.incarnation.equals(askerIncarnation)) {
                 asker.head = Math.max(asker.head, word.head());
-                asker.machine.on(new OutageInput.Answered(from, life, ask.number(), word), now);
+                asker.confirmation.on(
+                        new OutageInput.Answered(from, incarnation, ask.number(), word), now);
             }
         }
 
         private void write(Router router) {
             if (router.reachesStore && !router.writing) {
-                long place = router.head + 1;
+                long sequence = router.head + 1;
                 router.writing = true;
-                router.pending.writeStarted(place);
-                Incarnation life = router.life;
+                router.pendingWrites.writeStarted(sequence);
+                Incarnation incarnation = router.incarnation;
                 boolean answerLost = random.nextInt(3) == 0;
-                flying.add(
-                        new Flight(
+                inFlight.add(
+                        new Message(
                                 Optional.of(router),
                                 () -> {
-                                    boolean created = log.size() == place - 1;
+                                    boolean created = log.size() == sequence - 1;
                                     if (created) {
                                         log.add(now);
                                     }
                                     if (!answerLost) {
-                                        fly(() -> written(router, life, place, created));
+                                        send(
+                                                () ->
+                                                        answerArrived(
+                                                                router,
+                                                                incarnation,
+                                                                sequence,
+                                                                created));
                                     }
                                 }));
                 if (answerLost) {
-                    fly(() -> unanswered(router, life));
+                    send(() -> answerMissing(router, incarnation));
                 }
             }
         }
 
-        private void written(Router router, Incarnation life, long place, boolean created) {
-            if (router.life.equals(life)) {
+        private void answerArrived(
+                Router router, Incarnation incarnation, long sequence, boolean created) {
+            if (router.incarnation.equals(incarnation)) {
                 router.writing = false;
-                router.pending.writeAnswered();
-                router.head = created ? Math.max(router.head, place) : router.head;
+                router.pendingWrites.writeAnswered();
+                router.head = created ? Math.max(router.head, sequence) : router.head;
             }
         }
 
-        private void unanswered(Router router, Incarnation life) {
-            if (router.life.equals(life)) {
+        private void answerMissing(Router router, Incarnation incarnation) {
+            if (router.incarnation.equals(incarnation)) {
                 router.writing = false;
-                router.pending.writeFailed(Code.OUTCOME_UNKNOWN);
+                router.pendingWrites.writeFailed(Code.OUTCOME_UNKNOWN);
             }
         }
 
-        private void fly(Runnable arrival) {
-            flying.add(new Flight(Optional.empty(), arrival));
+        private void send(Runnable delivery) {
+            inFlight.add(new Message(Optional.empty(), delivery));
         }
 
         /**
          * Delivers a random message in flight; answers may be lost, but no write takes partial
          * effect.
          */
-        private void arrive() {
-            if (!flying.isEmpty()) {
-                Flight flight = flying.remove(random.nextInt(flying.size()));
-                flight.arrival().run();
+        private void deliver() {
+            if (!inFlight.isEmpty()) {
+                Message message = inFlight.remove(random.nextInt(inFlight.size()));
+                message.delivery().run();
             }
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ServiceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/ServiceTest.java
@@ -18,7 +18,7 @@
                     Set.of());
 
     @Test
-    void aMarkedCallCoversItsPathAndWhatIsBelow() {
+    void anIdempotentCallCoversItsPathAndItsSubpaths() {
         assertTrue(leases.isIdempotent("POST", "/lookup"));
         assertTrue(leases.isIdempotent("POST", "/lookup?bed=7"));
         assertTrue(leases.isIdempotent("POST", "/lookup/north"));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aMarkedCallDoesNotCoverAPathThatMerelyBeginsLikeIt() {
+    void anIdempotentCallDoesNotCoverAPathThatOnlySharesATextPrefix() {
         // Guards against a text prefix match: the idempotent call POST /lookup would cover a
         // payment at /lookupandpay, which would then be run again when its agent crashes.
         assertFalse(leases.isIdempotent("POST", "/lookupandpay"));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void safeMethodsMayBeRepeatedUnmarked() {
+    void safeMethodsAreAlwaysIdempotent() {
         assertTrue(leases.isIdempotent("GET", "/pay"));
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketParserTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketParserTest.java
@@ -47,7 +47,7 @@
                 "DUPLICATE_OBJECT | {'number':1,'models':[{'name':'m','removed':true},"
                         + "{'name':'m','removed':true}]} | model/m"
             })
-    void refusesWhatIsNoTicketAndNamesTheField(
+    void refusesAnInvalidTicketAndNamesTheField(
             TicketException.Code code, String json, String named) {
         TicketException refusal =
                 assertThrows(TicketException.class, () -> parse(json.replace('\'', '"')), json);
@@ -56,27 +56,27 @@
     }
 
     @Test
-    void aTicketAboveTheLimitIsRefusedBeforeItIsRead() {
+    void aTicketAboveTheLimitIsRefusedBeforeItIsParsed() {
         byte[] large = new byte[TicketParser.MAX_BYTES + 1];
         TicketException refusal = assertThrows(TicketException.class, () -> parser.parse(large));
         assertEquals(TicketException.Code.TOO_LARGE, refusal.code());
     }
 
     @Test
-    void callerKeysAreKeptByTheirHashAlone() {
+    void callerKeysAreStoredOnlyAsHashes() {
         Ticket ticket = parse(SampleTickets.keyTicketJson(1, "k", "a", "sk-secret", "granted"));
         assertFalse(ticket.toString().contains("sk-secret"), ticket.toString());
     }
 
     @Test
-    void aComplaintAboutBrokenJsonDoesNotQuoteTheCallerKeyInIt() {
+    void theErrorForInvalidJsonDoesNotQuoteTheCallerKey() {
         TicketException refusal =
                 assertThrows(TicketException.class, () -> parse("{\"key\": sk-secret }"));
         assertFalse(refusal.getMessage().contains("secret"), refusal.getMessage());
     }
 
     @Test
-    void theStoredFormReadsBackAsTheSameTicket() {
+    void theStoredFormParsesToTheSameTicket() {
         Ticket ticket =
                 parse(
                         """
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void theDigestDoesNotHangOnTheOrderOfObjects() {
+    void theDigestDoesNotDependOnTheOrderOfObjects() {
         Ticket one =
                 parse(
                         "{\"number\":1,\"models\":[{\"name\":\"m\",\"removed\":true},"
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketRaceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketRaceTest.java
@@ -31,13 +31,13 @@
     private static final int OPERATORS = 4;
 
     @Property(seed = "20261201", tries = 500)
-    void everyAcceptedTicketStandsInTheLogOnceAndNoneIsLost(@ForAll long seed) {
+    void everyAcceptedTicketIsInTheLogExactlyOnce(@ForAll long seed) {
         Race race = new Race(seed, true).run();
         assertEquals(List.of(), race.faults());
     }
 
     @Property(seed = "20261202", tries = 500)
-    void aFollowerNeverGoesBackWhateverItIsOffered(@ForAll long seed) {
+    void aFollowerNeverGoesBackWhateverEntriesItReceives(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ConfigurationFollower follower = new ConfigurationFollower();
         Configuration naive = Configuration.EMPTY;
@@ -45,9 +45,10 @@
         for (int step = 0; step < 60; step++) {
             int from = random.nextInt(log.size());
             int to = from + random.nextInt(log.size() - from) + 1;
-            List<LogEntry> some = new ArrayList<>(log.subList(from, to));
-            Collections.shuffle(some, new Random(random.nextLong()));
-            follower.on(new ConfigurationFollower.EntriesReceived(some, to, Optional.empty()), NOW);
+            List<LogEntry> offered = new ArrayList<>(log.subList(from, to));
+            Collections.shuffle(offered, new Random(random.nextLong()));
+            follower.on(
+                    new ConfigurationFollower.EntriesReceived(offered, to, Optional.empty()), NOW);
             if (from <= naive.sequence() && to > naive.sequence()) {
                 naive = replay(log.subList(0, to));
             }
@@ -67,7 +68,7 @@
     }
 
     @Test
-    void aGapIsAskedForAndNothingAfterItIsApplied() {
+    void aGapIsFetchedAndNoEntryAfterItIsApplied() {
         ConfigurationFollower follower = new ConfigurationFollower();
         var actions =
                 follower.on(
@@ -80,9 +81,9 @@
 
     private static List<LogEntry> log(int length) {
         List<LogEntry> log = new ArrayList<>();
-        for (int place = 1; place <= length; place++) {
-            byte[] value = SampleTickets.workspace(place, "w" + place % 3, place).toJson();
-            log.add(new LogEntry(place, value));
+        for (int sequence = 1; sequence <= length; sequence++) {
+            byte[] value = SampleTickets.workspace(sequence, "w" + sequence % 3, sequence).toJson();
+            log.add(new LogEntry(sequence, value));
         }
         return log;
     }
@@ -127,23 +128,23 @@
         /** Returns the contradictions between the log and the outcomes reported to operators. */
         List<String> faults() {
             List<String> faults = new ArrayList<>();
-            Map<Long, Long> places =
+            Map<Long, Long> countByNumber =
                     log.values().stream()
                             .map(TicketParser.forStoredTickets()::parse)
                             .collect(Collectors.groupingBy(Ticket::number, Collectors.counting()));
-            places.forEach(
+            countByNumber.forEach(
                     (number, count) -> {
                         if (count > 1) {
-                            faults.add("ticket " + number + " stands in the log twice");
+                            faults.add("ticket " + number + " is in the log twice");
                         }
                     });
             outcomes.forEach(
                     (number, outcome) -> {
-                        boolean there = places.containsKey(number);
-                        if (outcome.equals("accepted") && !there) {
+                        boolean inLog = countByNumber.containsKey(number);
+                        if (outcome.equals("accepted") && !inLog) {
                             faults.add("accepted ticket " + number + " is not in the log");
                         }
-                        if (outcome.equals("refused") && there) {
+                        if (outcome.equals("refused") && inLog) {
                             faults.add("refused ticket " + number + " is in the log");
                         }
                     });
@@ -152,31 +153,32 @@
 
         private void begin(Ticket ticket) {
             ConfigurationFollower follower = new ConfigurationFollower();
-            TicketSubmission machine = TicketSubmission.validatingFirst(follower, random.split());
+            TicketSubmission submission =
+                    TicketSubmission.validatingFirst(follower, random.split());
             steps.add(
                     () ->
                             feed(
                                     ticket,
-                                    machine,
+                                    submission,
                                     new TicketSubmission.Input.TicketSubmitted(ticket)));
         }
 
         private void feed(Ticket ticket, TicketSubmission to, TicketSubmission.Input input) {
             for (TicketSubmission.Action action : to.on(input, NOW)) {
-                steps.add(() -> carryOut(ticket, to, action));
+                steps.add(() -> execute(ticket, to, action));
             }
         }
 
-        private void carryOut(Ticket ticket, TicketSubmission from, TicketSubmission.Action act) {
-            if (act instanceof TicketSubmission.Action.ReadLog read) {
-                feed(ticket, from, random.nextInt(5) == 0 ? lost() : read(read.from()));
-            } else if (act instanceof TicketSubmission.Action.CreateEntry create) {
+        private void execute(Ticket ticket, TicketSubmission from, TicketSubmission.Action action) {
+            if (action instanceof TicketSubmission.Action.ReadLog read) {
+                feed(ticket, from, random.nextInt(5) == 0 ? answerLost() : read(read.from()));
+            } else if (action instanceof TicketSubmission.Action.CreateEntry create) {
                 create(ticket, from, create);
-            } else if (act instanceof TicketSubmission.Action.Pause) {
+            } else if (action instanceof TicketSubmission.Action.Pause) {
                 feed(ticket, from, new TicketSubmission.Input.PauseElapsed());
-            } else if (act instanceof TicketSubmission.Action.ReportAccepted) {
+            } else if (action instanceof TicketSubmission.Action.ReportAccepted) {
                 outcomes.put(ticket.number(), "accepted");
-            } else if (act instanceof TicketSubmission.Action.ReportRefused refused) {
+            } else if (action instanceof TicketSubmission.Action.ReportRefused refused) {
                 outcomes.putIfAbsent(
                         ticket.number(), refused.outcomeKnown() ? "refused" : "unknown");
             }
@@ -191,11 +193,11 @@
             switch (random.nextInt(4)) {
                 case 0 -> {
                     put(create);
-                    feed(ticket, from, lost());
+                    feed(ticket, from, answerLost());
                 }
                 case 1 -> {
                     steps.add(() -> put(create));
-                    feed(ticket, from, lost());
+                    feed(ticket, from, answerLost());
                 }
                 default ->
                         feed(ticket, from, new TicketSubmission.Input.CreateAnswered(put(create)));
@@ -219,7 +221,7 @@
             return new TicketSubmission.Input.LogRead(entries, head);
         }
 
-        private static TicketSubmission.Input lost() {
+        private static TicketSubmission.Input answerLost() {
             return new TicketSubmission.Input.StoreFailed(Code.OUTCOME_UNKNOWN);
         }
     }
