--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationDraft.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationDraft.java
@@ -9,79 +9,79 @@
 import java.util.function.Consumer;
 
 /**
- * A configuration while tickets are put into it.
+ * A mutable copy of a configuration to which tickets are applied.
  *
- * <p>Opening and closing a draft copies every entry, so the cost of a batch is one copy of the
- * whole plus one step for each change, however many tickets it has.
+ * <p>Creating a draft and building the result each copy every entry, so the cost of a batch is two
+ * copies of the configuration plus one step for each change, however many tickets the batch has.
  */
 final class ConfigurationDraft {
     final Map<WorkspaceId, Workspace> workspaces;
     final Map<String, CallerKey> keys;
     final Map<ModelName, Model> models;
     final Map<ServiceName, Service> services;
-    private final Map<KeyId, String> hashes = new HashMap<>();
+    private final Map<KeyId, String> hashById = new HashMap<>();
     private final Map<String, Long> lastTicket;
     private long sequence;
 
-    private ConfigurationDraft(Configuration from) {
-        workspaces = new HashMap<>(from.workspaces());
-        keys = new HashMap<>(from.keys());
-        models = new HashMap<>(from.models());
-        services = new HashMap<>(from.services());
-        lastTicket = new HashMap<>(from.lastTicket());
-        sequence = from.sequence();
-        keys.forEach((hash, key) -> hashes.put(key.id(), hash));
+    private ConfigurationDraft(Configuration base) {
+        workspaces = new HashMap<>(base.workspaces());
+        keys = new HashMap<>(base.keys());
+        models = new HashMap<>(base.models());
+        services = new HashMap<>(base.services());
+        lastTicket = new HashMap<>(base.lastTicket());
+        sequence = base.sequence();
+        keys.forEach((hash, key) -> hashById.put(key.id(), hash));
     }
 
-    static ConfigurationDraft of(Configuration from) {
-        return new ConfigurationDraft(from);
+    static ConfigurationDraft of(Configuration base) {
+        return new ConfigurationDraft(base);
     }
 
-    void put(Ticket ticket, long atSequence) {
-        for (Change change : ticket.changes()) {
-            put(change);
-            lastTicket.put(change.object(), ticket.number());
+    void apply(Ticket ticket, long atSequence) {
+        for (ConfigurationChange change : ticket.changes()) {
+            apply(change);
+            lastTicket.put(change.objectId(), ticket.number());
         }
         sequence = atSequence;
     }
 
-    /** Lets a snapshot say which ticket last set each object. */
-    void lastTickets(Consumer<Map<String, Long>> change) {
+    /** Lets the decoder of a snapshot replace the map of each object to its last ticket. */
+    void updateLastTickets(Consumer<Map<String, Long>> change) {
         change.accept(lastTicket);
     }
 
-    /** Closes it as of this entry, also if nothing was put into it. */
-    Configuration close(long atSequence) {
+    /** Returns the configuration as of this sequence number, even if no ticket was applied. */
+    Configuration build(long atSequence) {
         sequence = atSequence;
-        return close();
+        return build();
     }
 
-    Configuration close() {
+    Configuration build() {
         return new Configuration(sequence, workspaces, keys, models, services, lastTicket);
     }
 
-    private void put(Change change) {
-        if (change instanceof Change.SetWorkspace set) {
+    private void apply(ConfigurationChange change) {
+        if (change instanceof ConfigurationChange.SetWorkspace set) {
             workspaces.put(set.workspace().id(), set.workspace());
-        } else if (change instanceof Change.RemoveWorkspace remove) {
+        } else if (change instanceof ConfigurationChange.RemoveWorkspace remove) {
             workspaces.remove(remove.id());
-        } else if (change instanceof Change.SetKey set) {
+        } else if (change instanceof ConfigurationChange.SetKey set) {
             put(set.key());
-        } else if (change instanceof Change.SetModel set) {
+        } else if (change instanceof ConfigurationChange.SetModel set) {
             models.put(set.model().name(), set.model());
-        } else if (change instanceof Change.RemoveModel remove) {
+        } else if (change instanceof ConfigurationChange.RemoveModel remove) {
             models.remove(remove.name());
-        } else if (change instanceof Change.SetService set) {
+        } else if (change instanceof ConfigurationChange.SetService set) {
             services.put(set.service().name(), set.service());
-        } else if (change instanceof Change.RemoveService remove) {
+        } else if (change instanceof ConfigurationChange.RemoveService remove) {
             services.remove(remove.name());
         }
     }
 
     private void put(CallerKey key) {
-        String before = hashes.put(key.id(), key.hash());
-        if (before != null && keys.get(before).id().equals(key.id())) {
-            keys.remove(before);
+        String previousHash = hashById.put(key.id(), key.hash());
+        if (previousHash != null && keys.get(previousHash).id().equals(key.id())) {
+            keys.remove(previousHash);
         }
         keys.put(key.hash(), key);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationFollower.java
@@ -9,12 +9,14 @@
 import java.util.Optional;
 
 /**
- * Follows the log: takes entries in whatever order and from whomever they come, and applies them in
- * order, without gaps, never back.
+ * A state machine that follows the configuration log: it accepts entries in any order and from any
+ * source, and applies them in sequence order without gaps. It never returns to an older
+ * configuration.
  */
 public final class ConfigurationFollower
-        implements StateMachine<ConfigurationFollower.Offer, ConfigurationFollower.Action> {
-    private static final TicketParser STORED = TicketParser.stored();
+        implements StateMachine<
+                ConfigurationFollower.EntriesReceived, ConfigurationFollower.Action> {
+    private static final TicketParser STORED_TICKET_PARSER = TicketParser.forStoredTickets();
 
     private final LogTail tail = new LogTail();
     private TicketHistory history = new TicketHistory();
@@ -22,78 +24,86 @@
     private Optional<Instant> confirmedAt = Optional.empty();
 
     /**
-     * Entries that came from a watch, a listing or a peer.
+     * Entries received from a watch, a listing or a peer.
      *
-     * @param entries in any order, perhaps known already
+     * @param entries the entries in any order; entries that are already applied are ignored
      * @param head the highest sequence number that the sender knows of
-     * @param confirmedAsOf when it was known for sure that the log ends at {@code head}: the start
-     *     of a linearizable read of the store, or what a confirmed peer said; empty if it was not
+     * @param confirmedAsOf the last time at which the log is proved to end at {@code head}: the
+     *     start of a linearizable read of the store, or the time reported by a confirmed peer;
+     *     empty if it is not proved
      */
-    public record Offer(List<LogEntry> entries, long head, Optional<Instant> confirmedAsOf) {}
+    public record EntriesReceived(
+            List<LogEntry> entries, long head, Optional<Instant> confirmedAsOf) {}
 
-    /** What to do after an offer. */
+    /** What is to be done after entries were received. */
     public sealed interface Action {
-        /** Puts a newer configuration in force. */
-        record Apply(Configuration configuration) implements Action {}
+        /** Makes a newer configuration the current one. */
+        record ApplyConfiguration(Configuration configuration) implements Action {}
 
-        /** Asks for the entries from this number on: there is a gap before those offered. */
-        record Fetch(long from) implements Action {}
+        /** Fetches the entries from this sequence number on, because some are missing. */
+        record FetchEntries(long from) implements Action {}
 
-        /** Reports an entry that can't be read; nothing after it is applied. */
-        record Unreadable(long sequence, String reason) implements Action {}
+        /** Reports an entry that cannot be parsed; no entry after it is applied. */
+        record ReportUnreadableEntry(long sequence, String reason) implements Action {}
     }
 
     @Override
-    public List<Action> on(Offer offer, Instant now) {
+    public List<Action> on(EntriesReceived received, Instant now) {
         List<Action> actions = new ArrayList<>();
         long before = current.sequence();
-        apply(offer.entries(), actions);
+        apply(received.entries(), actions);
         if (current.sequence() > before) {
-            actions.add(new Action.Apply(current));
+            actions.add(new Action.ApplyConfiguration(current));
         }
-        boolean unreadable = actions.stream().anyMatch(Action.Unreadable.class::isInstance);
-        if (current.sequence() < offer.head() && !unreadable) {
-            actions.add(new Action.Fetch(current.sequence() + 1));
+        boolean unreadable =
+                actions.stream().anyMatch(Action.ReportUnreadableEntry.class::isInstance);
+        if (current.sequence() < received.head() && !unreadable) {
+            actions.add(new Action.FetchEntries(current.sequence() + 1));
         }
-        if (current.sequence() >= offer.head()) {
-            offer.confirmedAsOf().ifPresent(this::confirm);
+        if (current.sequence() >= received.head()) {
+            received.confirmedAsOf().ifPresent(this::updateConfirmedAt);
         }
         return actions;
     }
 
-    /** Jumps to a snapshot, unless what is applied is as new. */
-    public List<Action> restore(Snapshot snapshot) {
+    /**
+     * Replaces the configuration by that of the snapshot, unless the current one is at least as
+     * new.
+     */
+    public List<Action> restore(ConfigurationSnapshot snapshot) {
         if (snapshot.sequence() <= current.sequence()) {
             return List.of();
         }
         current = snapshot.configuration();
         history = snapshot.history();
         tail.clear();
-        return List.of(new Action.Apply(current));
+        return List.of(new Action.ApplyConfiguration(current));
     }
 
-    /** What has been applied, for others to start from. */
-    public Snapshot snapshot() {
-        return new Snapshot(current, history.copy());
+    /** Returns a snapshot of all applied entries, from which another process can start. */
+    public ConfigurationSnapshot snapshot() {
+        return new ConfigurationSnapshot(current, history.copy());
     }
 
-    /** The newest entries applied, as many as are kept. */
+    /** Returns the most recently applied entries. */
     LogTail tail() {
         return tail;
     }
 
-    /** The newest configuration applied. */
+    /** Returns the current configuration. */
     public Configuration current() {
         return current;
     }
 
-    /** When it was last known for sure that nothing newer existed. */
+    /** Returns the last time at which the current configuration was proved to be the newest. */
     public Optional<Instant> confirmedAt() {
         return confirmedAt;
     }
 
-    /** True if that was known within the limit. */
-    public boolean confirmed(Instant now, Duration limit) {
+    /**
+     * Returns true if the configuration was proved to be the newest within this limit before now.
+     */
+    public boolean isConfirmed(Instant now, Duration limit) {
         return confirmedAt.filter(at -> !now.isAfter(at.plus(limit))).isPresent();
     }
 
@@ -117,30 +127,30 @@
                 break;
             }
             if (entry.sequence() == next) {
-                if (!put(draft, entry, actions)) {
+                if (!applyEntry(draft, entry, actions)) {
                     break;
                 }
                 next++;
             }
         }
-        current = draft.close();
+        current = draft.build();
     }
 
-    private boolean put(ConfigurationDraft draft, LogEntry entry, List<Action> actions) {
+    private boolean applyEntry(ConfigurationDraft draft, LogEntry entry, List<Action> actions) {
         try {
-            Ticket ticket = STORED.parse(entry.value());
-            draft.put(ticket, entry.sequence());
+            Ticket ticket = STORED_TICKET_PARSER.parse(entry.value());
+            draft.apply(ticket, entry.sequence());
             tail.add(entry);
             history.add(
                     new TicketHistory.Accepted(ticket.number(), entry.sequence(), ticket.digest()));
             return true;
         } catch (TicketException e) {
-            actions.add(new Action.Unreadable(entry.sequence(), e.getMessage()));
+            actions.add(new Action.ReportUnreadableEntry(entry.sequence(), e.getMessage()));
             return false;
         }
     }
 
-    private void confirm(Instant asOf) {
+    private void updateConfirmedAt(Instant asOf) {
         if (confirmedAt.isEmpty() || confirmedAt.get().isBefore(asOf)) {
             confirmedAt = Optional.of(asOf);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationLog.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationLog.java
@@ -7,10 +7,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** The log of tickets in the platform's store: one key for each sequence number. */
+/**
+ * Reads and appends the log of tickets in the platform's store, which has one key for each sequence
+ * number.
+ */
 final class ConfigurationLog {
-    /** Entries asked for at once; small ones in practice, half a megabyte each at worst. */
-    static final int PAGE = 64;
+    /** Entries read at once. They are small in practice, and half a megabyte each at worst. */
+    static final int PAGE_ENTRIES = 64;
 
     private final WatchedStore store;
     private final String prefix;
@@ -25,45 +28,54 @@
     }
 
     /**
-     * Some entries in order, where the store stood then, and whether more may follow; and the
-     * newest snapshot, if the log no longer reaches back to the entry asked for.
+     * One page of the log: some entries in order, the revision of the store at the time of the
+     * read, and whether this is the last page. It has the newest snapshot if the log no longer
+     * reaches back to the requested entry.
      */
-    record Page(Optional<Snapshot> snapshot, List<LogEntry> entries, long revision, boolean last) {}
+    record Page(
+            Optional<ConfigurationSnapshot> snapshot,
+            List<LogEntry> entries,
+            long revision,
+            boolean last) {}
 
     CompletionStage<Page> read(long from) {
-        return store.range(key(from), key(Long.MAX_VALUE), PAGE)
-                .thenCompose(listing -> whole(page(listing), from));
+        return store.range(entryKey(from), entryKey(Long.MAX_VALUE), PAGE_ENTRIES)
+                .thenCompose(listing -> withSnapshotIfTruncated(toPage(listing), from));
     }
 
     SnapshotStore snapshots() {
         return snapshots;
     }
 
-    /** Removes the entries up to this one, a page at a time; the newest must be above it. */
-    CompletionStage<Void> shorten(long upTo) {
-        return store.range(folder, key(Math.max(0, upTo) + 1), PAGE)
+    /**
+     * Removes the entries up to this sequence number, a page at a time. The newest entry must be
+     * above it.
+     */
+    CompletionStage<Void> truncate(long upTo) {
+        return store.range(folder, entryKey(Math.max(0, upTo) + 1), PAGE_ENTRIES)
                 .thenCompose(
                         old -> {
                             if (old.entries().isEmpty()) {
                                 return CompletableFuture.completedFuture(null);
                             }
                             return store.commit(List.of(), SnapshotStore.deletions(old))
-                                    .thenCompose(done -> shorten(upTo));
+                                    .thenCompose(done -> truncate(upTo));
                         });
     }
 
     /**
-     * Creates an entry if it is absent and the one before it is there.
+     * Creates an entry if it is absent and its predecessor is present.
      *
-     * <p>Without the second condition a process that was paused while the log was shortened could
-     * create a place anew that was given out and removed: a ticket accepted and never in force.
+     * <p>Without the second condition, a process that was paused while the log was truncated could
+     * reuse a sequence number whose entry was removed: the ticket would be accepted and never
+     * applied.
      */
     CompletionStage<Boolean> create(long sequence, byte[] value) {
-        String key = key(sequence);
+        String key = entryKey(sequence);
         WatchedStore.Condition reachable =
                 sequence == 1
-                        ? snapshots.none()
-                        : new WatchedStore.Condition.Present(key(sequence - 1));
+                        ? snapshots.noSnapshotWritten()
+                        : new WatchedStore.Condition.Present(entryKey(sequence - 1));
         return store.commit(
                         List.of(new WatchedStore.Condition.Absent(key), reachable),
                         List.of(new WatchedStore.Write.Put(key, value, 0)))
@@ -74,12 +86,15 @@
         return store.watch(folder, fromRevision, listener);
     }
 
-    /** The entries among these changes; a removal is none, since the log only grows. */
+    /**
+     * Returns the log entries among these changes. Removals are ignored, since they only truncate
+     * old entries.
+     */
     List<LogEntry> entries(List<WatchedStore.Change> changes) {
-        return entriesOf(changes.stream().flatMap(change -> change.entry().stream()).toList());
+        return toLogEntries(changes.stream().flatMap(change -> change.entry().stream()).toList());
     }
 
-    private CompletionStage<Page> whole(Page page, long from) {
+    private CompletionStage<Page> withSnapshotIfTruncated(Page page, long from) {
         if (page.entries().isEmpty() || page.entries().get(0).sequence() <= from) {
             return CompletableFuture.completedFuture(page);
         }
@@ -90,22 +105,22 @@
                                 new Page(snapshot, page.entries(), page.revision(), page.last()));
     }
 
-    private Page page(WatchedStore.Listing listing) {
+    private Page toPage(WatchedStore.Listing listing) {
         return new Page(
                 Optional.empty(),
-                entriesOf(listing.entries()),
+                toLogEntries(listing.entries()),
                 listing.revision(),
-                listing.entries().size() < PAGE);
+                listing.entries().size() < PAGE_ENTRIES);
     }
 
-    private List<LogEntry> entriesOf(List<WatchedStore.Entry> found) {
+    private List<LogEntry> toLogEntries(List<WatchedStore.Entry> found) {
         return found.stream()
-                .filter(entry -> sequence(entry.key()).isPresent())
-                .map(entry -> new LogEntry(sequence(entry.key()).getAsLong(), entry.value()))
+                .filter(entry -> parseSequence(entry.key()).isPresent())
+                .map(entry -> new LogEntry(parseSequence(entry.key()).getAsLong(), entry.value()))
                 .toList();
     }
 
-    private OptionalLong sequence(String key) {
+    private OptionalLong parseSequence(String key) {
         try {
             return OptionalLong.of(Long.parseLong(key.substring(folder.length())));
         } catch (NumberFormatException e) {
@@ -113,7 +128,7 @@
         }
     }
 
-    private String key(long sequence) {
+    private String entryKey(long sequence) {
         return LogKeys.entry(prefix, sequence);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationService.java
@@ -22,7 +22,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps the configuration in force in this process, and takes tickets.
+ * Holds the current configuration of this process, keeps it up to date with the log, and appends
+ * tickets that operators submit.
  *
  * <pre>{@code
  * ConfigurationService configuration =
@@ -32,11 +33,11 @@
  * }</pre>
  */
 public final class ConfigurationService {
-    /** How long a ticket waits for this process to be on the list of VMs. */
-    static final Duration LISTING = Duration.ofSeconds(10);
+    /** How long a ticket waits until this process is on the list of VMs. */
+    static final Duration LISTING_TIMEOUT = Duration.ofSeconds(10);
 
-    /** Tickets that may wait here; one at a time is brought into the log. */
-    static final int MAX_WAITING = 64;
+    /** The most tickets that may be queued; they are submitted to the log one at a time. */
+    static final int MAX_QUEUED_TICKETS = 64;
 
     private static final Logger LOG = LogManager.getLogger(ConfigurationService.class);
 
@@ -47,17 +48,17 @@
     private final LogReader reader;
     private final SnapshotWriter snapshotWriter;
     private final ConfigurationFollower follower = new ConfigurationFollower();
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-    private final PendingWrites pending = new PendingWrites();
+    private final ArrayDeque<QueuedTicket> queue = new ArrayDeque<>();
+    private final PendingWrites pendingWrites = new PendingWrites();
     private final Instant startedAt;
     private final List<Consumer<Configuration>> listeners = new CopyOnWriteArrayList<>();
-    private boolean takesTickets = true;
+    private boolean acceptingTickets = true;
     private boolean submitting;
-    private boolean broken;
+    private boolean unreadableReported;
     private volatile Configuration current = Configuration.EMPTY;
     private volatile Optional<Instant> confirmedAt = Optional.empty();
 
-    private record Waiting(Ticket ticket, CompletableFuture<TicketResult> result) {}
+    private record QueuedTicket(Ticket ticket, CompletableFuture<TicketResult> result) {}
 
     private ConfigurationService(Builder builder) {
         control = builder.control;
@@ -70,145 +71,167 @@
                         control,
                         log,
                         () -> follower.current().sequence(),
-                        this::take,
+                        this::applyEntries,
                         this::restore,
                         builder.pollPeriod,
                         random);
-        reader.follow(builder.direct);
+        reader.setFollowing(builder.followStore);
         snapshotWriter =
                 new SnapshotWriter(
                         control,
                         log.snapshots(),
                         log,
                         follower::snapshot,
-                        reader::following,
+                        reader::isFollowing,
                         random);
     }
 
-    /** Begins a service on this control thread and store. */
+    /** Returns a builder for a service that runs on this control thread and uses this store. */
     public static Builder builder(ControlThread control, WatchedStore store, Timeline timeline) {
         return new Builder(control, store, timeline);
     }
 
-    /** Hears of every newer configuration, on the control thread, soon after it came into force. */
+    /**
+     * Adds a listener that is called on the control thread with every newer configuration after it
+     * became the current one.
+     */
     public ConfigurationService onChange(Consumer<Configuration> listener) {
         listeners.add(Objects.requireNonNull(listener, "listener"));
         return this;
     }
 
-    /** Begins to follow the log; safe from any thread. */
+    /** Starts following the log. Safe to call from any thread. */
     public ConfigurationService start() {
         control.run(reader::read);
         return this;
     }
 
-    /** Stops following the log; what is in force stays. */
+    /** Stops following the log; the current configuration stays. Safe to call from any thread. */
     public void stop() {
         control.run(reader::stop);
     }
 
     /**
-     * Whether to keep a watch on the store and read it once a period, as relays do, or to read it
-     * only on {@link #refresh()}. For the control thread.
+     * Sets whether to watch the store and to read it once a period, as relays do, or to read it
+     * only on {@link #refresh()}. Must be called on the control thread.
      */
-    public void direct(boolean value) {
-        reader.follow(value);
+    public void followStore(boolean value) {
+        reader.setFollowing(value);
     }
 
-    /** Reads the store once, from the next entry on. For the control thread. */
+    /** Reads the store once, from the next entry on. Must be called on the control thread. */
     public void refresh() {
         reader.read();
     }
 
     /**
-     * Whether to bring tickets into the log; else they wait for a while. A router that the list of
-     * VMs doesn't name must not: in an outage the others couldn't ask it. For the control thread.
+     * Sets whether tickets are written to the log; if not, they are queued for a limited time. A
+     * router that is not on the list of VMs must not write: in an outage the other routers could
+     * not ask it for unconfirmed writes. Must be called on the control thread.
      */
-    public void takeTickets(boolean value) {
-        takesTickets = value;
+    public void acceptTickets(boolean value) {
+        acceptingTickets = value;
         submitNext();
     }
 
-    /** The entries from this number on, if all are still held. For the control thread. */
+    /**
+     * Returns the entries from this sequence number on, or empty if some of them are no longer
+     * held. Must be called on the control thread.
+     */
     public Optional<List<LogEntry>> entries(long from) {
         if (from > current.sequence()) {
             return Optional.of(List.of());
         }
-        return follower.tail().reaches(from)
-                ? Optional.of(follower.tail().from(from))
+        return follower.tail().covers(from)
+                ? Optional.of(follower.tail().entriesFrom(from))
                 : Optional.empty();
     }
 
-    /** All that is in force, for a process that starts. For the control thread. */
-    public Snapshot snapshot() {
+    /**
+     * Returns a snapshot of the current configuration, for a process that starts. Must be called on
+     * the control thread.
+     */
+    public ConfigurationSnapshot snapshot() {
         return follower.snapshot();
     }
 
-    /** Takes a snapshot from a peer, unless what is in force is as new. */
-    public void offer(Snapshot snapshot) {
+    /**
+     * Applies a snapshot from a peer, unless the current configuration is at least as new. Safe to
+     * call from any thread.
+     */
+    public void offer(ConfigurationSnapshot snapshot) {
         control.run(() -> restore(snapshot));
     }
 
-    /** What is in force here; safe from any thread. */
+    /** Returns the current configuration. Safe to call from any thread. */
     public Configuration current() {
         return current;
     }
 
-    /** When it was last known for sure that nothing newer existed. */
+    /** Returns the last time at which the current configuration was proved to be the newest. */
     public Optional<Instant> confirmedAt() {
         return confirmedAt;
     }
 
-    /** True if that was since this process started; before, a former life may have known more. */
-    public boolean confirmedInThisLife() {
+    /**
+     * Returns true if the configuration was confirmed since this process started. A confirmation
+     * from before may come from an earlier incarnation that knew more entries.
+     */
+    public boolean confirmedSinceStart() {
         return confirmedAt.filter(at -> !at.isBefore(startedAt)).isPresent();
     }
 
     /**
-     * True if no ticket taken here can stand in the log beyond what is in force here: none is being
-     * written, and none has an unknown outcome. For the control thread.
+     * Returns true if no ticket submitted here can be in the log beyond the current configuration:
+     * none is being written, and none has an unknown outcome. Must be called on the control thread.
      */
-    public boolean settled() {
-        return pending.settled(current.sequence());
+    public boolean isSettled() {
+        return pendingWrites.isSettled(current.sequence());
     }
 
-    /** True if that was known within the limit; safe from any thread. */
-    public boolean confirmed(Duration limit) {
+    /**
+     * Returns true if the configuration was proved to be the newest within this limit before now.
+     * Safe to call from any thread.
+     */
+    public boolean isConfirmed(Duration limit) {
         Instant now = control.clock().instant();
         return confirmedAt.filter(at -> !now.isAfter(at.plus(limit))).isPresent();
     }
 
     /**
-     * Takes entries from anywhere: a relay, a peer, a snapshot.
+     * Accepts entries from any source, such as a relay or a peer. Safe to call from any thread.
      *
-     * @param entries in any order, perhaps known already
+     * @param entries the entries in any order; entries that are already applied are ignored
      * @param head the highest sequence number that the sender knows of
-     * @param confirmed whether the sender knows, as of now, that the log ends there
+     * @param confirmed whether the sender knows that, as of now, the log ends at {@code head}
      */
     public void offer(List<LogEntry> entries, long head, boolean confirmed) {
         Optional<Instant> asOf =
                 confirmed ? Optional.of(control.clock().instant()) : Optional.empty();
-        offer(new ConfigurationFollower.Offer(entries, head, asOf));
+        offer(new ConfigurationFollower.EntriesReceived(entries, head, asOf));
     }
 
-    /** The same, from a sender whose confirmation has an age. */
-    public void offer(ConfigurationFollower.Offer offer) {
-        control.run(() -> take(offer));
+    /** Accepts entries whose confirmation carries its own time. Safe to call from any thread. */
+    public void offer(ConfigurationFollower.EntriesReceived received) {
+        control.run(() -> applyEntries(received));
     }
 
     /**
-     * Brings a ticket into the log. The stage always ends with a result, accepted or refused; in
-     * what time depends on the store's time limit.
+     * Submits a ticket to the log. The stage always completes with a result, accepted or refused;
+     * how soon depends on the timeout of the store's client. Safe to call from any thread.
      */
     public CompletionStage<TicketResult> submit(Ticket ticket) {
         Objects.requireNonNull(ticket, "ticket");
         CompletableFuture<TicketResult> result = new CompletableFuture<>();
-        control.run(() -> enqueue(new Waiting(ticket, result)));
+        control.run(() -> enqueue(new QueuedTicket(ticket, result)));
         return result;
     }
 
-    /** The accepted ticket with this number, among the last sixteen thousand numbers. */
-    public CompletionStage<Optional<TicketResult.Accepted>> ticket(long number) {
+    /**
+     * Returns the accepted ticket with this number, if it is among the highest 16,384 accepted
+     * numbers. Safe to call from any thread.
+     */
+    public CompletionStage<Optional<TicketResult.Accepted>> findTicket(long number) {
         return control.call(
                 () ->
                         follower.history()
@@ -221,64 +244,67 @@
                                                         ticket.digest())));
     }
 
-    private void enqueue(Waiting next) {
-        if (waiting.size() >= MAX_WAITING) {
-            finish(
+    private void enqueue(QueuedTicket next) {
+        if (queue.size() >= MAX_QUEUED_TICKETS) {
+            completeTicket(
                     next,
                     new TicketResult.Refused(
                             next.ticket().number(),
                             Code.BUSY,
-                            "too many tickets are waiting at this process",
+                            "too many tickets are queued at this process, at most "
+                                    + MAX_QUEUED_TICKETS
+                                    + " may be; send it again later",
                             true));
             return;
         }
-        waiting.add(next);
-        if (!takesTickets) {
-            control.after(LISTING, () -> giveUp(next));
+        queue.add(next);
+        if (!acceptingTickets) {
+            control.after(LISTING_TIMEOUT, () -> refuseUnlisted(next));
         }
         submitNext();
     }
 
-    private void giveUp(Waiting unlisted) {
-        if (!takesTickets && waiting.remove(unlisted)) {
-            finish(
+    private void refuseUnlisted(QueuedTicket unlisted) {
+        if (!acceptingTickets && queue.remove(unlisted)) {
+            completeTicket(
                     unlisted,
                     new TicketResult.Refused(
                             unlisted.ticket().number(),
                             Code.BUSY,
-                            "this router isn't on the platform's list of VMs; ask another",
+                            "this router is not on the platform's list of VMs; send the ticket to"
+                                    + " another router",
                             true));
         }
     }
 
     private void submitNext() {
-        if (submitting || !takesTickets || waiting.isEmpty()) {
+        if (submitting || !acceptingTickets || queue.isEmpty()) {
             return;
         }
         submitting = true;
-        Waiting next = waiting.remove();
-        TicketSubmission machine = TicketSubmission.readingFirst(follower, random);
-        new SubmissionRun(control, log, machine, next.ticket(), pending, this::restore)
+        QueuedTicket next = queue.remove();
+        TicketSubmission submission = TicketSubmission.readingFirst(follower, random);
+        new SubmissionRunner(control, log, submission, next.ticket(), pendingWrites, this::restore)
                 .start()
                 .thenAccept(result -> control.run(() -> submitted(next, result)));
     }
 
-    private void submitted(Waiting done, TicketResult result) {
+    private void submitted(QueuedTicket completed, TicketResult result) {
         submitting = false;
         if (result instanceof TicketResult.Accepted accepted) {
-            byte[] value = done.ticket().toJson();
-            take(
-                    new ConfigurationFollower.Offer(
+            byte[] value = completed.ticket().toJson();
+            applyEntries(
+                    new ConfigurationFollower.EntriesReceived(
                             List.of(new LogEntry(accepted.sequence(), value)),
                             accepted.sequence(),
                             Optional.empty()));
         }
-        finish(done, result);
+        completeTicket(completed, result);
         publish();
         submitNext();
     }
 
-    private void finish(Waiting done, TicketResult result) {
+    private void completeTicket(QueuedTicket completed, TicketResult result) {
         String subject = Long.toString(result.number());
         if (result instanceof TicketResult.Accepted accepted) {
             timeline.add(
@@ -291,65 +317,76 @@
                     subject,
                     Map.of("code", refused.code().name(), "message", refused.message()));
         }
-        done.result().complete(result);
+        completed.result().complete(result);
     }
 
-    private void restore(Snapshot snapshot) {
+    private void restore(ConfigurationSnapshot snapshot) {
         follower.restore(snapshot);
         publish();
     }
 
-    private void take(ConfigurationFollower.Offer offer) {
-        for (ConfigurationFollower.Action action : follower.on(offer, control.clock().instant())) {
-            if (action instanceof ConfigurationFollower.Action.Fetch) {
+    private void applyEntries(ConfigurationFollower.EntriesReceived received) {
+        for (ConfigurationFollower.Action action :
+                follower.on(received, control.clock().instant())) {
+            if (action instanceof ConfigurationFollower.Action.FetchEntries) {
                 reader.read();
-            } else if (action instanceof ConfigurationFollower.Action.Unreadable unreadable) {
-                report(unreadable);
+            } else if (action
+                    instanceof ConfigurationFollower.Action.ReportUnreadableEntry unreadable) {
+                reportUnreadable(unreadable);
             }
         }
         publish();
     }
 
-    /** Whatever moved the follower, a submission's reading included, comes into force here. */
+    /**
+     * Publishes the follower's newest configuration, whether a read, a peer or a submission
+     * advanced it.
+     */
     private void publish() {
         confirmedAt = follower.confirmedAt();
         Configuration newest = follower.current();
         if (newest.sequence() > current.sequence()) {
             current = newest;
             timeline.add(EventType.IN_FORCE, Long.toString(newest.sequence()));
-            listeners.forEach(listener -> tell(listener, newest));
-            snapshotWriter.reached(newest.sequence());
+            listeners.forEach(listener -> notifyListener(listener, newest));
+            snapshotWriter.logGrewTo(newest.sequence());
         }
     }
 
-    /** A listener that throws must not keep the others, or waiting tickets, from going on. */
-    private static void tell(Consumer<Configuration> listener, Configuration newest) {
+    /**
+     * Calls one listener. If it throws, the other listeners and the queued tickets must still be
+     * served.
+     */
+    private static void notifyListener(Consumer<Configuration> listener, Configuration newest) {
         try {
             listener.accept(newest);
         } catch (RuntimeException e) {
-            LOG.error("configuration {} was not taken in by a part", newest.sequence(), e);
+            LOG.error(
+                    "a listener failed on configuration {}; the other listeners are still called",
+                    newest.sequence(),
+                    e);
         }
     }
 
-    private void report(ConfigurationFollower.Action.Unreadable unreadable) {
-        if (!broken) {
-            broken = true;
+    private void reportUnreadable(ConfigurationFollower.Action.ReportUnreadableEntry unreadable) {
+        if (!unreadableReported) {
+            unreadableReported = true;
             LOG.error(
-                    "entry {} of the configuration log can't be read, the configuration stays"
-                            + " where it is: {}",
+                    "entry {} of the configuration log can't be parsed, no entry from it on is"
+                            + " applied: {}",
                     unreadable.sequence(),
                     unreadable.reason());
         }
     }
 
-    /** Puts a {@link ConfigurationService} together. */
+    /** Builds a {@link ConfigurationService}. */
     public static final class Builder {
         private final ControlThread control;
         private final WatchedStore store;
         private final Timeline timeline;
         private String prefix = "/damaskyoke";
         private Duration pollPeriod = Duration.ofSeconds(5);
-        private boolean direct = true;
+        private boolean followStore = true;
         private RandomGenerator random = new SplittableRandom();
 
         private Builder(ControlThread control, WatchedStore store, Timeline timeline) {
@@ -358,13 +395,13 @@
             this.timeline = Objects.requireNonNull(timeline, "timeline");
         }
 
-        /** What all keys of the deployment begin with; {@code /damaskyoke} if not set. */
+        /** Sets the prefix of all store keys of the deployment; {@code /damaskyoke} by default. */
         public Builder prefix(String value) {
             prefix = Objects.requireNonNull(value, "prefix");
             return this;
         }
 
-        /** How often the configuration is confirmed with the store; 5 s if not set. */
+        /** Sets how often the configuration is confirmed with the store; 5 s by default. */
         public Builder pollPeriod(Duration value) {
             if (value.isNegative() || value.isZero()) {
                 throw new IllegalArgumentException("pollPeriod must be positive: " + value);
@@ -373,19 +410,22 @@
             return this;
         }
 
-        /** Whether to follow the store from the start; see {@link #direct}. True if not set. */
-        public Builder direct(boolean value) {
-            direct = value;
+        /**
+         * Sets whether to follow the store from the start, see {@link
+         * ConfigurationService#followStore}; true by default.
+         */
+        public Builder followStore(boolean value) {
+            followStore = value;
             return this;
         }
 
-        /** Where jitter comes from; seeded in tests. */
+        /** Sets the source of jitter; tests pass a seeded one. */
         public Builder random(RandomGenerator value) {
             random = Objects.requireNonNull(value, "random");
             return this;
         }
 
-        /** The service, not yet started. */
+        /** Returns the service, not yet started. */
         public ConfigurationService build() {
             return new ConfigurationService(this);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/LogReader.java
@@ -15,25 +15,25 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Reads the log from the store: lists it, watches it, and lists again after the watch has ended and
- * once a period. Lives on the control thread.
+ * Reads the log from the store: lists it, watches it, and lists it again once a period and after
+ * the watch has ended. Runs on the control thread.
  *
- * <p>The periodic listing confirms the configuration and makes up for a watch that is silent
- * without having ended, as behind a switch that drops packets: its symptom would be a configuration
- * that stands still while the store goes on. What such a watch can hide is bounded by the period,
- * and a listing that finds what the watch missed has the watch opened anew.
+ * <p>The periodic listing confirms the configuration and makes up for a watch that stays open but
+ * delivers nothing, for example behind a switch that drops packets. Without it the configuration
+ * would become stale unnoticed; with it the staleness is bounded by the period. A listing that
+ * finds entries the watch missed reopens the watch.
  */
 final class LogReader {
     private static final Logger LOG = LogManager.getLogger(LogReader.class);
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(200);
-    private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(10);
-    private static final int MOST_DOUBLINGS = 6;
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(10);
+    private static final int MAX_DOUBLINGS = 6;
 
     private final ControlThread control;
     private final ConfigurationLog log;
-    private final LongSupplier sequence;
-    private final Consumer<ConfigurationFollower.Offer> offers;
-    private final Consumer<Snapshot> snapshots;
+    private final LongSupplier currentSequence;
+    private final Consumer<ConfigurationFollower.EntriesReceived> onEntries;
+    private final Consumer<ConfigurationSnapshot> onSnapshot;
     private final Duration period;
     private final RandomGenerator random;
     private Optional<WatchedStore.Watch> watch = Optional.empty();
@@ -47,29 +47,29 @@
     LogReader(
             ControlThread control,
             ConfigurationLog log,
-            LongSupplier sequence,
-            Consumer<ConfigurationFollower.Offer> offers,
-            Consumer<Snapshot> snapshots,
+            LongSupplier currentSequence,
+            Consumer<ConfigurationFollower.EntriesReceived> onEntries,
+            Consumer<ConfigurationSnapshot> onSnapshot,
             Duration period,
             RandomGenerator random) {
         this.control = control;
         this.log = log;
-        this.sequence = sequence;
-        this.offers = offers;
-        this.snapshots = snapshots;
+        this.currentSequence = currentSequence;
+        this.onEntries = onEntries;
+        this.onSnapshot = onSnapshot;
         this.period = period;
         this.random = random;
     }
 
-    /** Lists from the next entry on, unless a listing is under way. */
+    /** Lists the log from the next entry on, unless a listing is in progress. */
     void read() {
         if (stopped || reading) {
             return;
         }
         reading = true;
         timer.ifPresent(ControlThread.Cancellable::cancel);
-        Instant begun = control.clock().instant();
-        long from = sequence.getAsLong() + 1;
+        Instant startedAt = control.clock().instant();
+        long from = currentSequence.getAsLong() + 1;
         log.read(from)
                 .whenComplete(
                         (page, error) ->
@@ -77,20 +77,21 @@
                                         () -> {
                                             reading = false;
                                             if (error == null) {
-                                                took(page, from, begun);
+                                                handlePage(page, from, startedAt);
                                             } else {
-                                                failed();
+                                                retryAfterBackoff();
                                             }
                                         }));
     }
 
     /**
-     * Whether to keep a watch and read once a period, or only when asked to.
+     * Sets whether to keep a watch and read once a period, or to read only when {@link #read} is
+     * called.
      *
-     * <p>Thirty processes of a fleet follow by themselves; if all did, each entry would come out of
-     * the store as many times as there are processes, and each waiting watch counts as a call.
+     * <p>Only thirty processes of a fleet follow the store themselves. If all did, the store would
+     * deliver each entry once for each process, and each open watch counts as a call.
      */
-    void follow(boolean value) {
+    void setFollowing(boolean value) {
         if (following == value) {
             return;
         }
@@ -103,7 +104,7 @@
         closeWatch();
     }
 
-    boolean following() {
+    boolean isFollowing() {
         return following;
     }
 
@@ -113,24 +114,26 @@
         closeWatch();
     }
 
-    private void took(ConfigurationLog.Page page, long from, Instant begun) {
+    private void handlePage(ConfigurationLog.Page page, long from, Instant startedAt) {
         if (stopped) {
             return;
         }
         if (watch.isPresent()) {
             failures = 0;
         }
-        page.snapshot().ifPresent(snapshots);
-        if (gap(page)) {
-            failed();
+        page.snapshot().ifPresent(onSnapshot);
+        if (hasGap(page)) {
+            retryAfterBackoff();
             return;
         }
-        long head = head(page.entries(), from - 1);
-        boolean missed = sequence.getAsLong() < head;
-        offers.accept(
-                new ConfigurationFollower.Offer(
-                        page.entries(), head, page.last() ? Optional.of(begun) : Optional.empty()));
-        if (!page.last() && sequence.getAsLong() >= from) {
+        long head = lastSequence(page.entries(), from - 1);
+        boolean missed = currentSequence.getAsLong() < head;
+        onEntries.accept(
+                new ConfigurationFollower.EntriesReceived(
+                        page.entries(),
+                        head,
+                        page.last() ? Optional.of(startedAt) : Optional.empty()));
+        if (!page.last() && currentSequence.getAsLong() >= from) {
             read();
             return;
         }
@@ -140,15 +143,15 @@
         if (missed || watch.isEmpty()) {
             openWatch(page.revision() + 1);
         }
-        next(jittered(period));
+        scheduleRead(jittered(period));
     }
 
-    private void failed() {
-        Duration backoff = FIRST_BACKOFF.multipliedBy(1L << Math.min(failures++, MOST_DOUBLINGS));
-        next(jittered(backoff.compareTo(LONGEST_BACKOFF) < 0 ? backoff : LONGEST_BACKOFF));
+    private void retryAfterBackoff() {
+        Duration backoff = FIRST_BACKOFF.multipliedBy(1L << Math.min(failures++, MAX_DOUBLINGS));
+        scheduleRead(jittered(backoff.compareTo(MAX_BACKOFF) < 0 ? backoff : MAX_BACKOFF));
     }
 
-    private void next(Duration delay) {
+    private void scheduleRead(Duration delay) {
         if (!stopped && following) {
             timer.ifPresent(ControlThread.Cancellable::cancel);
             timer = Optional.of(control.after(delay, this::read));
@@ -167,11 +170,14 @@
         watch = Optional.empty();
     }
 
-    private void ended(long number, PlatformException cause) {
+    private void watchEnded(long number, PlatformException cause) {
         if (number == watchNumber && !stopped) {
-            LOG.info("watch of the configuration log ended, listing again: {}", cause.getMessage());
+            LOG.info(
+                    "the watch of the configuration log ended, listing the log again after a"
+                            + " backoff: {}",
+                    cause.getMessage());
             closeWatch();
-            failed();
+            retryAfterBackoff();
         }
     }
 
@@ -180,17 +186,20 @@
         return Duration.ofMillis(half + random.nextLong(half + 1));
     }
 
-    /** True if entries are missing before those read: the snapshot that has them comes later. */
-    private boolean gap(ConfigurationLog.Page page) {
+    /**
+     * Returns true if entries are missing before those read; a later read finds the snapshot that
+     * holds them.
+     */
+    private boolean hasGap(ConfigurationLog.Page page) {
         return !page.entries().isEmpty()
-                && page.entries().get(0).sequence() > sequence.getAsLong() + 1;
+                && page.entries().get(0).sequence() > currentSequence.getAsLong() + 1;
     }
 
-    private static long head(List<LogEntry> entries, long otherwise) {
+    private static long lastSequence(List<LogEntry> entries, long otherwise) {
         return entries.isEmpty() ? otherwise : entries.get(entries.size() - 1).sequence();
     }
 
-    /** Hands what a watch says to the control thread. */
+    /** Passes the events of one watch to the control thread. */
     private final class Listener implements WatchedStore.WatchListener {
         private final long number;
 
@@ -204,14 +213,14 @@
             long head = entries.stream().mapToLong(LogEntry::sequence).max().orElse(0);
             control.run(
                     () ->
-                            offers.accept(
-                                    new ConfigurationFollower.Offer(
+                            onEntries.accept(
+                                    new ConfigurationFollower.EntriesReceived(
                                             entries, head, Optional.empty())));
         }
 
         @Override
         public void ended(PlatformException cause) {
-            control.run(() -> LogReader.this.ended(number, cause));
+            control.run(() -> LogReader.this.watchEnded(number, cause));
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/SnapshotStore.java
@@ -17,16 +17,16 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * Snapshots in the platform's store, in parts below its greatest value, and one key that names the
- * newest whole one.
+ * Reads and writes snapshots in the platform's store, in parts below its limit for a value, with
+ * one key that names the newest complete snapshot.
  *
- * <p>Parts are written before they are named and created only if absent, so that a writer that dies
- * half-way, or two at once, can't leave a snapshot that reads as whole and isn't. The parts of the
- * one named before stay, for readers under way.
+ * <p>All parts are written before the snapshot is named, and each is created only if absent. So a
+ * writer that crashes half-way, or two concurrent writers, can't leave an incomplete snapshot that
+ * reads as complete. The parts of the previous snapshot stay, for reads in progress.
  */
 final class SnapshotStore {
-    /** Bytes in a part; the store takes a megabyte, in base64 and with the key around it. */
-    static final int PART = 512 * 1024;
+    /** Bytes in a part. The store takes a megabyte for a part in base64 together with its key. */
+    static final int PART_BYTES = 512 * 1024;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -40,82 +40,100 @@
         this.newestKey = prefix + "/config/snapshot-newest";
     }
 
-    /** Which snapshot is the newest, and how many parts it and the one before have. */
-    record Newest(
+    /**
+     * Names the newest snapshot.
+     *
+     * @param sequence the sequence number of the newest snapshot
+     * @param parts the number of its parts
+     * @param before the sequence number of the previous snapshot; 0 if there is none
+     */
+    record NewestSnapshot(
             @JsonProperty("sequence") long sequence,
             @JsonProperty("parts") int parts,
             @JsonProperty("before") long before) {}
 
-    /** The condition that no snapshot was ever written. */
-    Condition none() {
+    /** Returns the condition that no snapshot was ever written. */
+    Condition noSnapshotWritten() {
         return new Condition.Absent(newestKey);
     }
 
-    CompletionStage<Optional<Newest>> newest() {
-        return store.read(newestKey).thenApply(found -> found.map(SnapshotStore::parse));
+    CompletionStage<Optional<NewestSnapshot>> readNewest() {
+        return store.read(newestKey).thenApply(found -> found.map(SnapshotStore::parseNewest));
     }
 
-    /** The newest whole snapshot; empty if there is none. */
-    CompletionStage<Optional<Snapshot>> read() {
-        return newest().thenCompose(
+    /** Returns the newest complete snapshot; empty if there is none. */
+    CompletionStage<Optional<ConfigurationSnapshot>> read() {
+        return readNewest()
+                .thenCompose(
                         found ->
-                                found.map(this::parts)
+                                found.map(this::readParts)
                                         .orElse(CompletableFuture.completedFuture(null))
                                         .thenApply(
                                                 bytes ->
                                                         Optional.ofNullable(bytes)
-                                                                .map(Snapshot::decode)));
+                                                                .map(
+                                                                        ConfigurationSnapshot
+                                                                                ::decode)));
     }
 
-    /** Writes it and names it the newest; false if another writer was as far already. */
-    CompletionStage<Boolean> write(Snapshot snapshot) {
+    /**
+     * Writes a snapshot and names it the newest. Returns false if another writer has named one
+     * first.
+     */
+    CompletionStage<Boolean> write(ConfigurationSnapshot snapshot) {
         byte[] bytes = snapshot.encode();
-        int parts = (bytes.length + PART - 1) / PART;
+        int parts = (bytes.length + PART_BYTES - 1) / PART_BYTES;
         return store.read(newestKey)
                 .thenCompose(
                         found -> {
                             long before =
-                                    found.map(SnapshotStore::parse)
-                                            .map(Newest::sequence)
+                                    found.map(SnapshotStore::parseNewest)
+                                            .map(NewestSnapshot::sequence)
                                             .orElse(0L);
                             if (before >= snapshot.sequence()) {
                                 return CompletableFuture.completedFuture(false);
                             }
-                            Newest next = new Newest(snapshot.sequence(), parts, before);
-                            return create(bytes, next, 0)
-                                    .thenCompose(done -> name(next, found))
-                                    .thenCompose(named -> named ? sweep(next) : done(false));
+                            NewestSnapshot next =
+                                    new NewestSnapshot(snapshot.sequence(), parts, before);
+                            return createParts(bytes, next, 0)
+                                    .thenCompose(done -> publish(next, found))
+                                    .thenCompose(
+                                            named ->
+                                                    named
+                                                            ? deleteOldParts(next)
+                                                            : completed(false));
                         });
     }
 
-    private CompletionStage<Void> create(byte[] bytes, Newest next, int part) {
+    private CompletionStage<Void> createParts(byte[] bytes, NewestSnapshot next, int part) {
         if (part == next.parts()) {
             return CompletableFuture.completedFuture(null);
         }
         byte[] slice =
-                Arrays.copyOfRange(bytes, part * PART, Math.min(bytes.length, (part + 1) * PART));
-        String key = key(next.sequence(), part);
+                Arrays.copyOfRange(
+                        bytes, part * PART_BYTES, Math.min(bytes.length, (part + 1) * PART_BYTES));
+        String key = partKey(next.sequence(), part);
         return store.commit(
                         List.of(new Condition.Absent(key)), List.of(new Write.Put(key, slice, 0)))
-                .thenCompose(result -> create(bytes, next, part + 1));
+                .thenCompose(result -> createParts(bytes, next, part + 1));
     }
 
-    private CompletionStage<Boolean> name(Newest next, Optional<Entry> found) {
+    private CompletionStage<Boolean> publish(NewestSnapshot next, Optional<Entry> found) {
         Condition unchanged =
                 found.<Condition>map(
                                 entry -> new Condition.Unchanged(newestKey, entry.modRevision()))
-                        .orElse(none());
+                        .orElse(noSnapshotWritten());
         return store.commit(List.of(unchanged), List.of(new Write.Put(newestKey, write(next), 0)))
                 .thenApply(KeyValueStore.TxnResult::committed);
     }
 
-    /** Removes the parts of snapshots older than the one before. */
-    private CompletionStage<Boolean> sweep(Newest next) {
-        return store.range(folder, key(next.before(), 0), ConfigurationLog.PAGE)
+    /** Removes the parts of all snapshots older than the previous one. */
+    private CompletionStage<Boolean> deleteOldParts(NewestSnapshot next) {
+        return store.range(folder, partKey(next.before(), 0), ConfigurationLog.PAGE_ENTRIES)
                 .thenCompose(
                         old ->
                                 old.entries().isEmpty()
-                                        ? done(true)
+                                        ? completed(true)
                                         : store.commit(List.of(), deletions(old))
                                                 .thenApply(result -> true));
     }
@@ -124,15 +142,22 @@
         return listing.entries().stream().<Write>map(it -> new Write.Delete(it.key())).toList();
     }
 
-    private CompletionStage<byte[]> parts(Newest newest) {
+    private CompletionStage<byte[]> readParts(NewestSnapshot newest) {
         return store.range(
-                        key(newest.sequence(), 0),
-                        key(newest.sequence(), newest.parts()),
+                        partKey(newest.sequence(), 0),
+                        partKey(newest.sequence(), newest.parts()),
                         newest.parts())
                 .thenApply(
                         found -> {
                             if (found.entries().size() != newest.parts()) {
-                                throw bad("parts of a snapshot are missing", null);
+                                throw badAnswer(
+                                        "snapshot "
+                                                + newest.sequence()
+                                                + " must have "
+                                                + newest.parts()
+                                                + " parts, found "
+                                                + found.entries().size(),
+                                        null);
                             }
                             ByteArrayOutputStream all = new ByteArrayOutputStream();
                             found.entries().forEach(part -> all.writeBytes(part.value()));
@@ -140,31 +165,34 @@
                         });
     }
 
-    private String key(long sequence, int part) {
+    private String partKey(long sequence, int part) {
         return folder + String.format(Locale.ROOT, "%016d/%04d", sequence, part);
     }
 
-    private static CompletionStage<Boolean> done(boolean value) {
+    private static CompletionStage<Boolean> completed(boolean value) {
         return CompletableFuture.completedFuture(value);
     }
 
-    private static Newest parse(Entry entry) {
+    private static NewestSnapshot parseNewest(Entry entry) {
         try {
-            return JSON.readValue(entry.value(), Newest.class);
+            return JSON.readValue(entry.value(), NewestSnapshot.class);
         } catch (IOException e) {
-            throw bad("can't read which snapshot is the newest", e);
+            throw badAnswer(
+                    "can't parse the value of " + entry.key() + ", which names the newest snapshot",
+                    e);
         }
     }
 
-    private static byte[] write(Newest newest) {
+    private static byte[] write(NewestSnapshot newest) {
         try {
             return JSON.writeValueAsBytes(newest);
         } catch (IOException e) {
-            throw bad("can't write which snapshot is the newest", e);
+            throw badAnswer(
+                    "can't encode the name of the newest snapshot, " + newest.sequence(), e);
         }
     }
 
-    private static PlatformException bad(String message, Throwable cause) {
+    private static PlatformException badAnswer(String message, Throwable cause) {
         return new PlatformException(PlatformException.Code.BAD_ANSWER, message, cause);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketFields.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketFields.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** One JSON object of a ticket, read strictly; every complaint names the field by its path. */
+/** Reads one JSON object of a ticket strictly; every error message names the field by its path. */
 final class TicketFields {
     private final JsonNode node;
     private final String path;
@@ -42,47 +42,50 @@
         try {
             return type.apply(text);
         } catch (IllegalArgumentException e) {
-            throw bad(name, e.getMessage());
+            throw badValue(name, e.getMessage());
         }
     }
 
     String text(String name) {
         JsonNode value = node.path(name);
         if (!value.isTextual() || value.textValue().isBlank()) {
-            throw bad(name, "must be a string that is not empty");
+            throw badValue(name, "must be a non-blank string");
         }
         return value.textValue();
     }
 
-    /** Only {@code true} says that an object is removed; anything else would be a slip. */
-    boolean removed() {
+    /**
+     * Returns true if the object is to be removed. The field must be {@code true} or absent; any
+     * other value is an error.
+     */
+    boolean isRemoved() {
         if (!has("removed")) {
             return false;
         }
         if (!node.path("removed").isBoolean() || !node.path("removed").booleanValue()) {
-            throw bad("removed", "must be true or absent");
+            throw badValue("removed", "must be true or absent");
         }
         if (node.size() > 2) {
-            throw bad("removed", "goes with the name alone");
+            throw badValue("removed", "must be the only field beside the id or name");
         }
         return true;
     }
 
-    long whole(String name, long least, long most) {
+    long integer(String name, long min, long max) {
         JsonNode value = node.path(name);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
-            throw bad(name, "must be a whole number from " + least + " to " + most);
+            throw badValue(name, "must be a whole number from " + min + " to " + max);
         }
-        if (value.longValue() < least || value.longValue() > most) {
-            throw bad(name, "must be from " + least + " to " + most + ": " + value);
+        if (value.longValue() < min || value.longValue() > max) {
+            throw badValue(name, "must be from " + min + " to " + max + ": " + value);
         }
         return value.longValue();
     }
 
-    double number(String name, double least, double most) {
+    double number(String name, double min, double max) {
         JsonNode value = node.path(name);
-        if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-            throw bad(name, "must be a number from " + least + " to " + most);
+        if (!value.isNumber() || !(value.doubleValue() >= min && value.doubleValue() <= max)) {
+            throw badValue(name, "must be a number from " + min + " to " + max);
         }
         return value.doubleValue();
     }
@@ -91,12 +94,12 @@
         List<T> values = new ArrayList<>();
         for (JsonNode item : array(name)) {
             if (!item.isTextual()) {
-                throw bad(name, "must be a list of strings");
+                throw badValue(name, "must be a list of strings");
             }
             try {
                 values.add(type.apply(item.textValue()));
             } catch (IllegalArgumentException e) {
-                throw bad(name, e.getMessage());
+                throw badValue(name, e.getMessage());
             }
         }
         return values;
@@ -110,14 +113,14 @@
         return objects;
     }
 
-    TicketException bad(String name, String complaint) {
-        return new TicketException(Code.BAD_VALUE, path + "." + name + ": " + complaint);
+    TicketException badValue(String name, String problem) {
+        return new TicketException(Code.BAD_VALUE, path + "." + name + ": " + problem);
     }
 
     private Iterable<JsonNode> array(String name) {
         JsonNode value = node.path(name);
         if (!value.isMissingNode() && !value.isArray()) {
-            throw bad(name, "must be a list");
+            throw badValue(name, "must be a list");
         }
         return value;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketSubmission.java
@@ -10,82 +10,91 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Brings one ticket into the log, or refuses it.
+ * A state machine that appends one ticket to the log or refuses it.
  *
- * <p>A ticket is accepted by creating the next entry of the log if it is absent, so of two racing
- * operators one wins, and the loser judges its ticket anew against what the winner left. After a
- * lost answer the ticket may stand at the tried place, now or later: a request can still be on its
- * way. Therefore the same place is tried again until it is known to be taken, by this ticket or by
- * another; only then is a next place tried, and the ticket can never stand in the log twice.
+ * <p>A ticket is accepted by creating the next entry of the log if it is absent. So of two
+ * concurrent submissions one succeeds, and the other validates its ticket again against the new
+ * configuration. After a lost answer the ticket may be at the attempted sequence number, now or
+ * later, because the request can still be in flight. Therefore the same sequence number is
+ * attempted until it is known to be taken, by this ticket or by another; only then the next one is
+ * attempted, so the ticket can never be in the log twice.
  */
 public final class TicketSubmission
         implements StateMachine<TicketSubmission.Input, TicketSubmission.Action> {
-    /** How often the store is asked before the ticket is refused. */
-    static final int MAX_TRIES = 16;
+    /** The most reads and writes of the store before the ticket is refused. */
+    static final int MAX_ATTEMPTS = 16;
 
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(20);
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
+    private static final Duration FIRST_BACKOFF = Duration.ofMillis(20);
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(1);
 
     private final ConfigurationFollower follower;
     private final RandomGenerator random;
     private Ticket ticket;
-    private int tries;
-    private boolean freshlyRead;
+    private int attempts;
+    private boolean logJustRead;
     private boolean creating;
     private boolean readFirst;
     private boolean done;
-    private long place;
-    private long uncertainPlace;
+    private long attemptedSequence;
+    private long uncertainSequence;
 
     private TicketSubmission(ConfigurationFollower follower, RandomGenerator random) {
         this.follower = follower;
         this.random = random;
     }
 
-    /** What the machine hears. */
+    /** What has happened. */
     public sealed interface Input {
-        /** Begins, with the ticket. */
-        record Submit(Ticket ticket) implements Input {}
+        /** A ticket was submitted. */
+        record TicketSubmitted(Ticket ticket) implements Input {}
 
-        /** The log's entries from the place asked for to its head. */
+        /** The log was read from the requested sequence number to its head. */
         record LogRead(List<LogEntry> entries, long head) implements Input {}
 
-        /** Whether the entry was created; if not, another stands there. */
-        record CommitResult(boolean created) implements Input {}
+        /**
+         * The store answered whether it created the entry; if not, another entry has the sequence
+         * number.
+         */
+        record CreateAnswered(boolean created) implements Input {}
 
-        /** The store didn't do the last action. */
+        /** The store failed to carry out the last action. */
         record StoreFailed(PlatformException.Code code) implements Input {}
 
-        /** The pause is over. */
-        record Tick() implements Input {}
+        /** The pause has elapsed. */
+        record PauseElapsed() implements Input {}
     }
 
     /** What is to be done next. */
     public sealed interface Action {
-        /** Reads the log from this place to its head. */
+        /** Reads the log from this sequence number to its head. */
         record ReadLog(long from) implements Action {}
 
-        /** Creates this entry if it is absent. */
-        record Create(long sequence, byte[] value) implements Action {}
+        /** Creates the entry if it is absent. */
+        record CreateEntry(long sequence, byte[] value) implements Action {}
 
-        /** Waits, then sends a tick. */
+        /** Waits for this time, then sends {@link Input.PauseElapsed}. */
         record Pause(Duration duration) implements Action {}
 
-        /** The ticket is in the log. */
-        record Accepted(long sequence) implements Action {}
+        /** Reports that the ticket is in the log. */
+        record ReportAccepted(long sequence) implements Action {}
 
-        /** The ticket is refused; see {@link TicketResult.Refused}. */
-        record Refused(Code code, String message, boolean outcomeKnown) implements Action {}
+        /** Reports that the ticket is refused, see {@link TicketResult.Refused}. */
+        record ReportRefused(Code code, String message, boolean outcomeKnown) implements Action {}
     }
 
-    /** A submission on top of what the follower knows; what it reads goes to the follower too. */
-    public static TicketSubmission on(ConfigurationFollower follower, RandomGenerator random) {
+    /**
+     * Returns a submission that first validates against the current configuration of the follower.
+     * Entries that it reads are applied to the follower.
+     */
+    public static TicketSubmission validatingFirst(
+            ConfigurationFollower follower, RandomGenerator random) {
         return new TicketSubmission(follower, random);
     }
 
     /**
-     * The same, which reads the log before it writes. In an outage that read fails, and so the
-     * ticket is refused with nothing written whose outcome all routers would have to wait for.
+     * Returns a submission that reads the log before its first write. In an outage that read fails,
+     * so the ticket is refused before a write whose unknown outcome all routers would have to wait
+     * for.
      */
     public static TicketSubmission readingFirst(
             ConfigurationFollower follower, RandomGenerator random) {
@@ -99,132 +108,139 @@
         if (done) {
             return List.of();
         }
-        if (input instanceof Input.Submit submit) {
+        if (input instanceof Input.TicketSubmitted submit) {
             ticket = submit.ticket();
-            return readFirst ? read() : judge();
+            return readFirst ? readLog() : evaluate();
         }
         if (input instanceof Input.LogRead read) {
             follower.on(
-                    new ConfigurationFollower.Offer(read.entries(), read.head(), Optional.empty()),
+                    new ConfigurationFollower.EntriesReceived(
+                            read.entries(), read.head(), Optional.empty()),
                     now);
-            freshlyRead = true;
-            return judge();
+            logJustRead = true;
+            return evaluate();
         }
-        if (input instanceof Input.CommitResult result) {
-            return result.created() ? accepted(place) : lost();
+        if (input instanceof Input.CreateAnswered result) {
+            return result.created() ? accepted(attemptedSequence) : sequenceTaken();
         }
         if (input instanceof Input.StoreFailed failed) {
             return storeFailed(failed.code());
         }
-        return read();
+        return readLog();
     }
 
-    /** Decides on the follower's present state. */
-    private List<Action> judge() {
-        Optional<TicketHistory.Accepted> own = own();
+    /** Decides what to do from the follower's current state. */
+    private List<Action> evaluate() {
+        Optional<TicketHistory.Accepted> own = findOwnEntry();
         if (own.isPresent()) {
             return accepted(own.get().sequence());
         }
-        Optional<TicketException> complaint = complaint();
-        if (complaint.isEmpty()) {
-            return create();
+        Optional<TicketException> violation = findViolation();
+        if (violation.isEmpty()) {
+            return createEntry();
         }
-        if (!freshlyRead) {
-            return read();
+        if (!logJustRead) {
+            return readLog();
         }
-        return refused(complaint.get().code(), complaint.get().getMessage());
+        return refused(violation.get().code(), violation.get().getMessage());
     }
 
-    /** This very ticket, if the follower has met it in the log, perhaps by a watch or a peer. */
-    private Optional<TicketHistory.Accepted> own() {
+    /** Returns the entry of this ticket, if the follower has received it from any source. */
+    private Optional<TicketHistory.Accepted> findOwnEntry() {
         return follower.history()
                 .find(ticket.number())
                 .filter(known -> known.digest().equals(ticket.digest()));
     }
 
-    private Optional<TicketException> complaint() {
+    private Optional<TicketException> findViolation() {
         if (follower.history().find(ticket.number()).isPresent()) {
             return Optional.of(
                     new TicketException(
                             Code.NUMBER_REUSED,
-                            "number " + ticket.number() + " was accepted with other content"));
+                            "number "
+                                    + ticket.number()
+                                    + " was already accepted with other content"));
         }
-        if (follower.history().forgotten(ticket.number())) {
+        if (follower.history().isForgotten(ticket.number())) {
             return Optional.of(
                     new TicketException(
                             Code.OUTDATED,
                             "number "
                                     + ticket.number()
-                                    + " is too old to be told from a used one"));
+                                    + " is too low: whether it was used before is no longer"
+                                    + " known"));
         }
         try {
-            ConfigurationRules.check(follower.current(), ticket);
+            TicketValidator.check(follower.current(), ticket);
             return Optional.empty();
         } catch (TicketException e) {
             return Optional.of(e);
         }
     }
 
-    private List<Action> create() {
-        if (++tries > MAX_TRIES) {
-            return refused(Code.BUSY, "too many other tickets came in between; send it again");
+    private List<Action> createEntry() {
+        if (++attempts > MAX_ATTEMPTS) {
+            return refused(
+                    Code.BUSY, "too many other tickets were accepted in between; send it again");
         }
         creating = true;
-        freshlyRead = false;
-        place = follower.current().sequence() + 1;
-        return List.of(new Action.Create(place, ticket.toJson()));
+        logJustRead = false;
+        attemptedSequence = follower.current().sequence() + 1;
+        return List.of(new Action.CreateEntry(attemptedSequence, ticket.toJson()));
     }
 
-    private List<Action> read() {
-        if (++tries > MAX_TRIES) {
-            return refused(Code.BUSY, "too many other tickets came in between; send it again");
+    private List<Action> readLog() {
+        if (++attempts > MAX_ATTEMPTS) {
+            return refused(
+                    Code.BUSY, "too many other tickets were accepted in between; send it again");
         }
         creating = false;
         return List.of(new Action.ReadLog(follower.current().sequence() + 1));
     }
 
     /**
-     * Whoever won may have brought in this very ticket, by another router; so nothing is sure yet.
+     * Handles that another entry has the sequence number. That entry may be this same ticket,
+     * submitted through another router, so the outcome is still uncertain.
      */
-    private List<Action> lost() {
-        uncertainPlace = place;
-        return read();
+    private List<Action> sequenceTaken() {
+        uncertainSequence = attemptedSequence;
+        return readLog();
     }
 
     private List<Action> storeFailed(PlatformException.Code code) {
         if (creating && code != PlatformException.Code.UNAVAILABLE) {
-            uncertainPlace = place;
+            uncertainSequence = attemptedSequence;
         }
-        if (tries >= MAX_TRIES) {
+        if (attempts >= MAX_ATTEMPTS) {
             return refused(Code.STORE_UNAVAILABLE, "the store can't be reached");
         }
-        return List.of(new Action.Pause(pause()));
+        return List.of(new Action.Pause(backoff()));
     }
 
-    private Duration pause() {
-        long most = FIRST_PAUSE.toMillis() << Math.min(tries, 10);
-        long bounded = Math.min(most, LONGEST_PAUSE.toMillis());
-        return Duration.ofMillis(bounded / 2 + random.nextLong(bounded / 2 + 1));
+    private Duration backoff() {
+        long uncappedMillis = FIRST_BACKOFF.toMillis() << Math.min(attempts, 10);
+        long cappedMillis = Math.min(uncappedMillis, MAX_BACKOFF.toMillis());
+        return Duration.ofMillis(cappedMillis / 2 + random.nextLong(cappedMillis / 2 + 1));
     }
 
     private List<Action> accepted(long sequence) {
         done = true;
-        return List.of(new Action.Accepted(sequence));
+        return List.of(new Action.ReportAccepted(sequence));
     }
 
     private List<Action> refused(Code code, String message) {
-        Optional<TicketHistory.Accepted> own = own();
+        Optional<TicketHistory.Accepted> own = findOwnEntry();
         if (own.isPresent()) {
             return accepted(own.get().sequence());
         }
         done = true;
-        if (uncertainPlace > follower.current().sequence()) {
+        if (uncertainSequence > follower.current().sequence()) {
             return List.of(
-                    new Action.Refused(
+                    new Action.ReportRefused(
                             Code.OUTCOME_UNKNOWN,
                             "the ticket may have been accepted; send the same one again",
                             false));
         }
-        return List.of(new Action.Refused(code, message, true));
+        return List.of(new Action.ReportRefused(code, message, true));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/configuration/ConfigurationRules.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/configuration/TicketValidator.java
@@ -8,36 +8,36 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a ticket must keep to against the configuration that it changes. */
-final class ConfigurationRules {
+/** Validates a ticket against the configuration it is to change. */
+final class TicketValidator {
     private final Configuration before;
     private final Ticket ticket;
     private final ConfigurationDraft after;
 
-    private ConfigurationRules(Configuration before, Ticket ticket) {
+    private TicketValidator(Configuration before, Ticket ticket) {
         this.before = before;
         this.ticket = ticket;
         this.after = ConfigurationDraft.of(before);
     }
 
-    /** Throws a {@link TicketException} if the ticket can't follow this configuration. */
+    /** Throws a {@link TicketException} if the ticket is not valid on top of this configuration. */
     static void check(Configuration before, Ticket ticket) {
-        new ConfigurationRules(before, ticket).check();
+        new TicketValidator(before, ticket).check();
     }
 
     private void check() {
         ticket.changes().forEach(this::checkNewest);
         checkKeysDiffer();
-        after.put(ticket, before.sequence() + 1);
+        after.apply(ticket, before.sequence() + 1);
         ticket.changes().forEach(this::checkReferences);
     }
 
-    private void checkNewest(Change change) {
-        long last = before.lastTicket().getOrDefault(change.object(), 0L);
+    private void checkNewest(ConfigurationChange change) {
+        long last = before.lastTicket().getOrDefault(change.objectId(), 0L);
         if (last >= ticket.number()) {
             throw new TicketException(
                     Code.OUTDATED,
-                    change.object()
+                    change.objectId()
                             + " was set by ticket "
                             + last
                             + ", which is not older than "
@@ -46,48 +46,51 @@
     }
 
     /**
-     * Two ids with the same caller key would overwrite each other: withdrawing one would leave the
-     * caller in through the other.
+     * Checks that no two ids have the same caller key. They would overwrite each other, and after
+     * one was withdrawn the caller would still have access through the other.
      */
     private void checkKeysDiffer() {
         Set<String> seen = new HashSet<>();
-        for (Change change : ticket.changes()) {
-            if (change instanceof Change.SetKey set) {
+        for (ConfigurationChange change : ticket.changes()) {
+            if (change instanceof ConfigurationChange.SetKey set) {
                 CallerKey key = set.key();
                 boolean taken =
-                        before.key(key.hash()).filter(k -> !k.id().equals(key.id())).isPresent();
+                        before.findKey(key.hash())
+                                .filter(k -> !k.id().equals(key.id()))
+                                .isPresent();
                 if (taken || !seen.add(key.hash())) {
                     throw new TicketException(
-                            Code.KEY_TAKEN, change.object() + " has the caller key of another id");
+                            Code.KEY_TAKEN,
+                            change.objectId() + " has the caller key of another id");
                 }
             }
         }
     }
 
-    private void checkReferences(Change change) {
-        String object = change.object();
-        if (change instanceof Change.SetKey set) {
+    private void checkReferences(ConfigurationChange change) {
+        String object = change.objectId();
+        if (change instanceof ConfigurationChange.SetKey set) {
             require(
                     after.workspaces.containsKey(set.key().workspace()),
                     object,
                     "workspace/" + set.key().workspace());
-        } else if (change instanceof Change.SetModel set) {
+        } else if (change instanceof ConfigurationChange.SetModel set) {
             checkModel(object, set.model());
-        } else if (change instanceof Change.SetService set) {
+        } else if (change instanceof ConfigurationChange.SetService set) {
             checkWorkspaces(object, set.service().workspaces());
-        } else if (change instanceof Change.RemoveWorkspace remove) {
+        } else if (change instanceof ConfigurationChange.RemoveWorkspace remove) {
             require(
                     before.workspaces().containsKey(remove.id()),
                     "ticket " + ticket.number(),
                     object);
             checkUnused(object, remove.id());
-        } else if (change instanceof Change.RemoveModel remove) {
+        } else if (change instanceof ConfigurationChange.RemoveModel remove) {
             require(
                     before.models().containsKey(remove.name()),
                     "ticket " + ticket.number(),
                     object);
             checkNoAdapters(object, remove.name());
-        } else if (change instanceof Change.RemoveService remove) {
+        } else if (change instanceof ConfigurationChange.RemoveService remove) {
             require(
                     before.services().containsKey(remove.name()),
                     "ticket " + ticket.number(),
@@ -133,10 +136,11 @@
         }
     }
 
-    private static void require(boolean exists, String who, String what) {
+    private static void require(boolean exists, String referrer, String target) {
         if (!exists) {
             throw new TicketException(
-                    Code.UNKNOWN_OBJECT, who + " refers to " + what + ", which does not exist");
+                    Code.UNKNOWN_OBJECT,
+                    referrer + " refers to " + target + ", which does not exist");
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
@@ -27,68 +27,71 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Routers lose and find the store and each other, take tickets whose answers are lost, freeze
- * (their messages wait), restart, come and go. Whatever is confirmed as of a moment must know all
- * that was accepted before it; else a withdrawn key goes on working. The naive version takes an
- * outage for "nothing changes".
+ * Guards against a withdrawn key that keeps working: a configuration confirmed as of some time must
+ * include every ticket accepted before it. The simulated routers lose and regain the store and each
+ * other, lose answers to writes, freeze (their messages wait), restart, join and leave. The naive
+ * version assumes that nothing changes during an outage.
  */
 class OutageConfirmationTest {
     private static final int STEPS = 1_500;
 
     @Property(seed = "20261203", tries = 300)
-    void nothingAcceptedBeforeTheMomentConfirmedIsMissing(@ForAll long seed) {
+    void noTicketAcceptedBeforeTheConfirmedTimeIsMissing(@ForAll long seed) {
         assertEquals(List.of(), new World(seed, false).run().faults);
     }
 
-    /** Shows that the test can fail, and that the true version confirms at all. */
+    /** Shows that the property can fail, and that the real implementation does confirm. */
     @Test
-    void theNaiveVersionConfirmsPastAWithdrawnKey() {
+    void theNaiveVersionConfirmsWhileAnAcceptedTicketIsMissing() {
         assertTrue(
                 LongStream.range(0, 20).anyMatch(s -> !new World(s, true).run().faults.isEmpty()));
         assertTrue(LongStream.range(0, 20).allMatch(s -> new World(s, false).run().confirmed > 0));
     }
 
     /**
-     * Peers must not count on a router whose write may have reached the store. The answer is lost
-     * and the store is gone, so the outcome stays unknown after the operator was told so; once the
-     * store is back and the place is known to be taken, the router's word counts again.
+     * Guards against peers relying on a router whose write may have reached the store. The answer
+     * is lost in an outage, so the write stays unconfirmed until the store is back and the sequence
+     * number is known to be taken.
      */
     @Test
-    void aWriteOfUnknownOutcomeIsOpenUntilItsPlaceIsKnown() {
+    void aWriteOfUnknownOutcomeIsUnsettledUntilItsSequenceNumberIsTaken() {
         TestControlThread control = new TestControlThread();
         FakeStore store = new FakeStore();
         ConfigurationService service = service(control, store);
-        assertTrue(service.settled());
+        assertTrue(service.isSettled());
         store.loseAnswerAndGoDown();
         service.submit(SampleTickets.workspace(1, "a", 10));
-        assertFalse(service.settled());
+        assertFalse(service.isSettled());
         control.advance(Duration.ofMinutes(1));
-        assertFalse(service.settled());
+        assertFalse(service.isSettled());
         store.down(false);
         service.refresh();
         assertEquals(1, service.current().sequence());
-        assertTrue(service.settled());
+        assertTrue(service.isSettled());
     }
 
-    /** The others couldn't ask it in an outage; once listed, it brings in what waits. */
+    /**
+     * In an outage the other routers could not ask an unlisted router; once listed, it submits its
+     * queued tickets.
+     */
     @Test
-    void aRouterThatTheListDoesNotNameTakesNoTickets() {
+    void aRouterThatIsNotOnTheListOfVmsAcceptsNoTickets() {
         TestControlThread control = new TestControlThread();
         ConfigurationService service = service(control, new FakeStore());
-        service.takeTickets(false);
+        service.acceptTickets(false);
         var late = service.submit(SampleTickets.workspace(1, "a", 10)).toCompletableFuture();
         control.advance(Duration.ofSeconds(11));
         assertTrue(late.join() instanceof TicketResult.Refused, late.toString());
         service.submit(SampleTickets.workspace(2, "b", 10));
         assertEquals(0, service.current().sequence());
-        service.takeTickets(true);
+        service.acceptTickets(true);
         assertEquals(1, service.current().sequence());
     }
 
     private static ConfigurationService service(TestControlThread control, FakeStore store) {
         Timeline timeline = Timeline.of("r", HybridClock.over(control.clock()), 100);
         return ConfigurationService.builder(control, store, timeline)
-                .direct(false)
+                .followStore(false)
                 .random(new SplittableRandom(1))
                 .build()
                 .start();
@@ -96,9 +99,9 @@
 
     private static final class Router {
         private final VmId vm;
-        private OutageConfirmation machine;
-        private PendingWrites pending;
-        private Incarnation life;
+        private OutageConfirmation confirmation;
+        private PendingWrites pendingWrites;
+        private Incarnation incarnation;
         private Instant listedAt;
         private Instant started;
         private Optional<Instant> confirmed;
@@ -111,13 +114,15 @@
         }
 
         private OutageInput.RouterState word() {
-            boolean inThisLife = confirmed.filter(at -> !at.isBefore(started)).isPresent();
-            return new OutageInput.RouterState(head, pending.settled(head), inThisLife);
+            boolean confirmedSinceStart = confirmed.filter(at -> !at.isBefore(started)).isPresent();
+            return new OutageInput.RouterState(head, pendingWrites.isSettled(head), confirmedSinceStart);
         }
     }
 
-    /** Something on its way; {@code writer} only if it is a write that the store hasn't met. */
-    private record Flight(Optional<Router> writer, Runnable arrival) {}
+    /**
+     * A message in flight; {@code writer} is set only for a write that has not reached the store.
+     */
+    private record Message(Optional<Router> writer, Runnable delivery) {}
 
     private static final class World {
         private final SplittableRandom random;
@@ -125,10 +130,10 @@
         private final List<Router> all = new ArrayList<>();
         private final List<Router> listed = new ArrayList<>();
         private final List<Instant> log = new ArrayList<>();
-        private final List<Flight> flying = new ArrayList<>();
+        private final List<Message> inFlight = new ArrayList<>();
         private final List<String> faults = new ArrayList<>();
         private Instant now = Instant.EPOCH;
-        private int lives;
+        private int incarnations;
         private int confirmed;
 
         private World(long seed, boolean naive) {
@@ -147,66 +152,68 @@
             return this;
         }
 
-        private void act(Router one) {
+        private void act(Router router) {
             int dice = random.nextInt(1_000);
             if (dice < 250) {
-                tick(one);
+                tick(router);
             } else if (dice < 750) {
-                arrive();
+                deliver();
             } else if (dice < 850) {
-                one.machine.on(listing(), now);
+                router.confirmation.on(listing(), now);
             } else if (dice < 900) {
-                readStore(one);
+                readStore(router);
             } else if (dice < 940) {
-                follow(one, all.get(random.nextInt(all.size())));
+                follow(router, all.get(random.nextInt(all.size())));
             } else if (dice < 970) {
-                write(one);
+                write(router);
             } else if (dice < 985) {
-                one.reachesStore = random.nextInt(4) == 0;
+                router.reachesStore = random.nextInt(4) == 0;
             } else if (dice < 988) {
-                restart(one);
+                restart(router);
             } else if (dice < 990) {
-                leave(one);
+                leave(router);
             } else if (dice < 992 && all.size() < 6) {
                 join();
             }
         }
 
         private void join() {
-            Router router = new Router(++lives);
-            live(router);
+            Router router = new Router(++incarnations);
+            start(router);
             router.listedAt = now;
             all.add(router);
             listed.add(router);
         }
 
-        private void live(Router router) {
-            router.life = Incarnation.of(router.vm + ":" + ++lives);
-            router.machine = OutageConfirmation.of(router.vm);
-            router.pending = new PendingWrites();
+        private void start(Router router) {
+            router.incarnation = Incarnation.of(router.vm + ":" + ++incarnations);
+            router.confirmation = OutageConfirmation.of(router.vm);
+            router.pendingWrites = new PendingWrites();
             router.started = now;
             router.confirmed = Optional.empty();
             router.head = 0;
             router.writing = false;
         }
 
-        /** Nobody comes, takes a ticket and goes within ten seconds: see the design note. */
-        private boolean mayGo(Router router) {
+        /** No router joins, writes a ticket and leaves within ten seconds: see the design note. */
+        private boolean mayLeave(Router router) {
             return now.isAfter(router.listedAt.plusSeconds(11));
         }
 
         private void restart(Router router) {
-            if (!mayGo(router)) {
+            if (!mayLeave(router)) {
                 return;
             }
-            flying.removeIf(flight -> flight.writer().equals(Optional.of(router)));
-            live(router);
+            inFlight.removeIf(message -> message.writer().equals(Optional.of(router)));
+            start(router);
         }
 
-        /** A VM goes for good. Its open writes go with it: see the limits in the design note. */
+        /**
+         * A VM leaves for good. Its writes in flight are lost: see the limits in the design note.
+         */
         private void leave(Router router) {
-            if (all.size() > 2 && mayGo(router)) {
-                flying.removeIf(flight -> flight.writer().equals(Optional.of(router)));
+            if (all.size() > 2 && mayLeave(router)) {
+                inFlight.removeIf(message -> message.writer().equals(Optional.of(router)));
                 all.remove(router);
                 listed.remove(router);
             }
@@ -224,11 +231,11 @@
             }
         }
 
-        /** What a relay's answer gives its follower. */
-        private void follow(Router one, Router relay) {
-            one.head = Math.max(one.head, relay.head);
-            if (one.head == relay.head) {
-                relay.confirmed.ifPresent(asOf -> confirm(one, asOf));
+        /** Applies a relay's answer to its follower. */
+        private void follow(Router router, Router relay) {
+            router.head = Math.max(router.head, relay.head);
+            if (router.head == relay.head) {
+                relay.confirmed.ifPresent(asOf -> confirm(router, asOf));
             }
         }
 
@@ -239,20 +246,20 @@
             if (router.confirmed.isEmpty() || router.confirmed.get().isBefore(asOf)) {
                 router.confirmed = Optional.of(asOf);
             }
-            router.machine.on(new OutageInput.Confirmed(router.confirmed.get()), now);
+            router.confirmation.on(new OutageInput.Confirmed(router.confirmed.get()), now);
         }
 
         private void tick(Router router) {
             if (naive) {
-                if (!router.reachesStore && router.machine.isNeeded(now)) {
+                if (!router.reachesStore && router.confirmation.isNeeded(now)) {
                     confirm(router, now);
                 }
                 return;
             }
             for (OutageAction action :
-                    router.machine.on(new OutageInput.Tick(router.word()), now)) {
+                    router.confirmation.on(new OutageInput.Tick(router.word()), now)) {
                 if (action instanceof OutageAction.AskRouter ask) {
-                    fly(() -> answer(router, ask));
+                    send(() -> answer(router, ask));
                 } else if (action instanceof OutageAction.Confirm it && it.head() <= router.head) {
                     confirmed++;
                     confirm(router, it.asOf());
@@ -261,81 +268,99 @@
         }
 
         private void answer(Router asker, OutageAction.AskRouter ask) {
-            Incarnation askerLife = asker.life;
+            Incarnation askerIncarnation = asker.incarnation;
             all.stream()
                     .filter(router -> router.vm.equals(ask.router()))
                     .findFirst()
                     .ifPresent(
                             router -> {
                                 OutageInput.RouterState word = router.word();
-                                Incarnation life = router.life;
-                                fly(() -> take(asker, askerLife, router.vm, life, ask, word));
+                                Incarnation incarnation = router.incarnation;
+                                send(
+                                        () ->
+                                                receive(
+                                                        asker,
+                                                        askerIncarnation,
+                                                        router.vm,
+                                                        incarnation,
+                                                        ask,
+                                                        word));
                             });
         }
 
-        private void take(
+        private void receive(
                 Router asker,
-                Incarnation askerLife,
+                Incarnation askerIncarnation,
                 VmId from,
-                Incarnation life,
+                Incarnation incarnation,
                 OutageAction.AskRouter ask,
                 OutageInput.RouterState word) {
-            if (asker.life.equals(askerLife)) {
+            if (asker.incarnation.equals(askerIncarnation)) {
                 asker.head = Math.max(asker.head, word.head());
-                asker.machine.on(
-                        new OutageInput.RouterAnswered(from, life, ask.number(), word), now);
+                asker.confirmation.on(
+                        new OutageInput.RouterAnswered(from, incarnation, ask.number(), word), now);
             }
         }
 
         private void write(Router router) {
             if (router.reachesStore && !router.writing) {
-                long place = router.head + 1;
+                long sequence = router.head + 1;
                 router.writing = true;
-                router.pending.begun(place);
-                Incarnation life = router.life;
+                router.pendingWrites.writeStarted(sequence);
+                Incarnation incarnation = router.incarnation;
                 boolean answerLost = random.nextInt(3) == 0;
-                flying.add(
-                        new Flight(
+                inFlight.add(
+                        new Message(
                                 Optional.of(router),
                                 () -> {
-                                    boolean created = log.size() == place - 1;
+                                    boolean created = log.size() == sequence - 1;
                                     if (created) {
                                         log.add(now);
                                     }
                                     if (!answerLost) {
-                                        fly(() -> written(router, life, place, created));
+                                        send(
+                                                () ->
+                                                        answerArrived(
+                                                                router,
+                                                                incarnation,
+                                                                sequence,
+                                                                created));
                                     }
                                 }));
                 if (answerLost) {
-                    fly(() -> unanswered(router, life));
+                    send(() -> answerMissing(router, incarnation));
                 }
             }
         }
 
-        private void written(Router router, Incarnation life, long place, boolean created) {
-            if (router.life.equals(life)) {
+        private void answerArrived(
+                Router router, Incarnation incarnation, long sequence, boolean created) {
+            if (router.incarnation.equals(incarnation)) {
                 router.writing = false;
-                router.pending.answered();
-                router.head = created ? Math.max(router.head, place) : router.head;
+                router.pendingWrites.writeAnswered();
+                router.head = created ? Math.max(router.head, sequence) : router.head;
             }
         }
 
-        private void unanswered(Router router, Incarnation life) {
-            if (router.life.equals(life)) {
+        private void answerMissing(Router router, Incarnation incarnation) {
+            if (router.incarnation.equals(incarnation)) {
                 router.writing = false;
-                router.pending.failed(Code.OUTCOME_UNKNOWN);
+                router.pendingWrites.writeFailed(Code.OUTCOME_UNKNOWN);
             }
         }
 
-        private void fly(Runnable arrival) {
-            flying.add(new Flight(Optional.empty(), arrival));
+        private void send(Runnable delivery) {
+            inFlight.add(new Message(Optional.empty(), delivery));
         }
 
-        /** One of what is on its way, in any order; some is lost, but no write half-known. */
-        private void arrive() {
-            if (!flying.isEmpty()) {
-                Flight flight = flying.remove(random.nextInt(flying.size()));
-                flight.arrival().run();
+        /**
+         * Delivers a random message in flight; answers may be lost, but no write takes partial
+         * effect.
+         */
+        private void deliver() {
+            if (!inFlight.isEmpty()) {
+                Message message = inFlight.remove(random.nextInt(inFlight.size()));
+                message.delivery().run();
             }
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketRaceTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/TicketRaceTest.java
@@ -22,21 +22,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Operators race each other at several routers over one log, in random order, with writes that take
- * effect late or whose answers are lost. The naive version reads the log's head and puts.
+ * Guards against tickets that are lost or stored twice when operators submit concurrently through
+ * several routers, in random order, with writes that take effect late or whose answers are lost.
+ * The naive version reads the log's head and overwrites the next entry.
  */
 class TicketRaceTest {
     private static final Instant NOW = Instant.parse("2026-12-01T00:00:00Z");
     private static final int OPERATORS = 4;
 
     @Property(seed = "20261201", tries = 500)
-    void everyAcceptedTicketStandsInTheLogOnceAndNoneIsLost(@ForAll long seed) {
+    void everyAcceptedTicketIsInTheLogExactlyOnce(@ForAll long seed) {
         Race race = new Race(seed, true).run();
         assertEquals(List.of(), race.faults());
     }
 
     @Property(seed = "20261202", tries = 500)
-    void aFollowerNeverGoesBackWhateverItIsOffered(@ForAll long seed) {
+    void aFollowerNeverGoesBackWhateverEntriesItReceives(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ConfigurationFollower follower = new ConfigurationFollower();
         Configuration naive = Configuration.EMPTY;
@@ -44,9 +45,10 @@
         for (int step = 0; step < 60; step++) {
             int from = random.nextInt(log.size());
             int to = from + random.nextInt(log.size() - from) + 1;
-            List<LogEntry> some = new ArrayList<>(log.subList(from, to));
-            Collections.shuffle(some, new Random(random.nextLong()));
-            follower.on(new ConfigurationFollower.Offer(some, to, Optional.empty()), NOW);
+            List<LogEntry> offered = new ArrayList<>(log.subList(from, to));
+            Collections.shuffle(offered, new Random(random.nextLong()));
+            follower.on(
+                    new ConfigurationFollower.EntriesReceived(offered, to, Optional.empty()), NOW);
             if (from <= naive.sequence() && to > naive.sequence()) {
                 naive = replay(log.subList(0, to));
             }
@@ -54,7 +56,7 @@
         }
     }
 
-    /** Shows that the race test can fail: on the same schedules the naive version loses tickets. */
+    /** Shows that the property can fail: on some schedules the naive version loses tickets. */
     @Test
     void theNaiveVersionLosesAcceptedTickets() {
         long faulty =
@@ -66,21 +68,22 @@
     }
 
     @Test
-    void aGapIsAskedForAndNothingAfterItIsApplied() {
+    void aGapIsFetchedAndNoEntryAfterItIsApplied() {
         ConfigurationFollower follower = new ConfigurationFollower();
         var actions =
                 follower.on(
-                        new ConfigurationFollower.Offer(log(3).subList(1, 3), 3, Optional.of(NOW)),
+                        new ConfigurationFollower.EntriesReceived(
+                                log(3).subList(1, 3), 3, Optional.of(NOW)),
                         NOW);
-        assertEquals(List.of(new ConfigurationFollower.Action.Fetch(1)), actions);
-        assertFalse(follower.confirmed(NOW, Duration.ofHours(1)));
+        assertEquals(List.of(new ConfigurationFollower.Action.FetchEntries(1)), actions);
+        assertFalse(follower.isConfirmed(NOW, Duration.ofHours(1)));
     }
 
     private static List<LogEntry> log(int length) {
         List<LogEntry> log = new ArrayList<>();
-        for (int place = 1; place <= length; place++) {
-            byte[] value = SampleTickets.workspace(place, "w" + place % 3, place).toJson();
-            log.add(new LogEntry(place, value));
+        for (int sequence = 1; sequence <= length; sequence++) {
+            byte[] value = SampleTickets.workspace(sequence, "w" + sequence % 3, sequence).toJson();
+            log.add(new LogEntry(sequence, value));
         }
         return log;
     }
@@ -88,11 +91,14 @@
     private static Configuration replay(List<LogEntry> log) {
         ConfigurationDraft draft = ConfigurationDraft.of(Configuration.EMPTY);
         log.forEach(
-                entry -> draft.put(TicketParser.stored().parse(entry.value()), entry.sequence()));
-        return draft.close();
+                entry ->
+                        draft.apply(
+                                TicketParser.forStoredTickets().parse(entry.value()),
+                                entry.sequence()));
+        return draft.build();
     }
 
-    /** One random schedule over a log that other operators write to as well. */
+    /** One random schedule of concurrent submissions to one log. */
     private static final class Race {
         private final SplittableRandom random;
         private final boolean createIfAbsent;
@@ -119,26 +125,26 @@
             return this;
         }
 
-        /** What is wrong with the log, given what operators were told. */
+        /** Returns the contradictions between the log and the outcomes reported to operators. */
         List<String> faults() {
             List<String> faults = new ArrayList<>();
-            Map<Long, Long> places =
+            Map<Long, Long> countByNumber =
                     log.values().stream()
-                            .map(TicketParser.stored()::parse)
+                            .map(TicketParser.forStoredTickets()::parse)
                             .collect(Collectors.groupingBy(Ticket::number, Collectors.counting()));
-            places.forEach(
+            countByNumber.forEach(
                     (number, count) -> {
                         if (count > 1) {
-                            faults.add("ticket " + number + " stands in the log twice");
+                            faults.add("ticket " + number + " is in the log twice");
                         }
                     });
             outcomes.forEach(
                     (number, outcome) -> {
-                        boolean there = places.containsKey(number);
-                        if (outcome.equals("accepted") && !there) {
+                        boolean inLog = countByNumber.containsKey(number);
+                        if (outcome.equals("accepted") && !inLog) {
                             faults.add("accepted ticket " + number + " is not in the log");
                         }
-                        if (outcome.equals("refused") && there) {
+                        if (outcome.equals("refused") && inLog) {
                             faults.add("refused ticket " + number + " is in the log");
                         }
                     });
@@ -147,48 +153,58 @@
 
         private void begin(Ticket ticket) {
             ConfigurationFollower follower = new ConfigurationFollower();
-            TicketSubmission machine = TicketSubmission.on(follower, random.split());
-            steps.add(() -> feed(ticket, machine, new TicketSubmission.Input.Submit(ticket)));
+            TicketSubmission submission =
+                    TicketSubmission.validatingFirst(follower, random.split());
+            steps.add(
+                    () ->
+                            feed(
+                                    ticket,
+                                    submission,
+                                    new TicketSubmission.Input.TicketSubmitted(ticket)));
         }
 
         private void feed(Ticket ticket, TicketSubmission to, TicketSubmission.Input input) {
             for (TicketSubmission.Action action : to.on(input, NOW)) {
-                steps.add(() -> carryOut(ticket, to, action));
+                steps.add(() -> execute(ticket, to, action));
             }
         }
 
-        private void carryOut(Ticket ticket, TicketSubmission from, TicketSubmission.Action act) {
-            if (act instanceof TicketSubmission.Action.ReadLog read) {
-                feed(ticket, from, random.nextInt(5) == 0 ? lost() : read(read.from()));
-            } else if (act instanceof TicketSubmission.Action.Create create) {
+        private void execute(Ticket ticket, TicketSubmission from, TicketSubmission.Action action) {
+            if (action instanceof TicketSubmission.Action.ReadLog read) {
+                feed(ticket, from, random.nextInt(5) == 0 ? answerLost() : read(read.from()));
+            } else if (action instanceof TicketSubmission.Action.CreateEntry create) {
                 create(ticket, from, create);
-            } else if (act instanceof TicketSubmission.Action.Pause) {
-                feed(ticket, from, new TicketSubmission.Input.Tick());
-            } else if (act instanceof TicketSubmission.Action.Accepted) {
+            } else if (action instanceof TicketSubmission.Action.Pause) {
+                feed(ticket, from, new TicketSubmission.Input.PauseElapsed());
+            } else if (action instanceof TicketSubmission.Action.ReportAccepted) {
                 outcomes.put(ticket.number(), "accepted");
-            } else if (act instanceof TicketSubmission.Action.Refused refused) {
+            } else if (action instanceof TicketSubmission.Action.ReportRefused refused) {
                 outcomes.putIfAbsent(
                         ticket.number(), refused.outcomeKnown() ? "refused" : "unknown");
             }
         }
 
-        /** The answer comes, is lost after the write, or is lost long before the write lands. */
+        /**
+         * The answer arrives, is lost after the write, or is lost long before the write takes
+         * effect.
+         */
         private void create(
-                Ticket ticket, TicketSubmission from, TicketSubmission.Action.Create create) {
+                Ticket ticket, TicketSubmission from, TicketSubmission.Action.CreateEntry create) {
             switch (random.nextInt(4)) {
                 case 0 -> {
                     put(create);
-                    feed(ticket, from, lost());
+                    feed(ticket, from, answerLost());
                 }
                 case 1 -> {
                     steps.add(() -> put(create));
-                    feed(ticket, from, lost());
+                    feed(ticket, from, answerLost());
                 }
-                default -> feed(ticket, from, new TicketSubmission.Input.CommitResult(put(create)));
+                default ->
+                        feed(ticket, from, new TicketSubmission.Input.CreateAnswered(put(create)));
             }
         }
 
-        private boolean put(TicketSubmission.Action.Create create) {
+        private boolean put(TicketSubmission.Action.CreateEntry create) {
             if (createIfAbsent) {
                 return log.putIfAbsent(create.sequence(), create.value()) == null;
             }
@@ -205,7 +221,7 @@
             return new TicketSubmission.Input.LogRead(entries, head);
         }
 
-        private static TicketSubmission.Input lost() {
+        private static TicketSubmission.Input answerLost() {
             return new TicketSubmission.Input.StoreFailed(Code.OUTCOME_UNKNOWN);
         }
     }
