--- a/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/configuration/OutageConfirmationTest.java
@@ -115,7 +115,8 @@
 
         private OutageInput.RouterState word() {
             boolean confirmedSinceStart = confirmed.filter(at -> !at.isBefore(started)).isPresent();
-            return new OutageInput.RouterState(head, pendingWrites.isSettled(head), confirmedSinceStart);
+            return new OutageInput.RouterState(
+                    head, pendingWrites.isSettled(head), confirmedSinceStart);
         }
     }
 
