--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ConfigurationHolder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ConfigurationHolder.java
@@ -8,7 +8,10 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** The configuration in force here; it only moves on. Control thread only. */
+/**
+ * Holds the configuration in force at this router, and replaces it only by a newer one. Control
+ * thread only.
+ */
 final class ConfigurationHolder {
     private static final Logger LOG = LogManager.getLogger(ConfigurationHolder.class);
 
@@ -31,17 +34,22 @@
         return routes;
     }
 
-    /** Where the one in force stands in the store; 0 if there is none yet. */
+    /** Returns the store revision of the configuration in force; 0 if there is none yet. */
     long revision() {
         return current == null ? 0 : current.revision();
     }
 
-    /** The one in force, as it was stored. */
+    /** Returns the configuration in force as the store holds it; empty if there is none yet. */
     byte[] value() {
         return value;
     }
 
-    /** Puts a newer one in force; an older or unreadable one changes nothing. */
+    /**
+     * Puts a configuration in force if its store revision is newer; an older or unreadable one
+     * changes nothing.
+     *
+     * @param source where it was read, for the log: the store or a peer router
+     */
     void offer(byte[] given, long revision, String source) {
         if (revision <= revision()) {
             return;
@@ -49,7 +57,9 @@
         try {
             DirectConfiguration next = dialect.configuration(given, revision);
             if (current != null && next.version() < current.version()) {
-                LOG.warn("version {} is older than the one in force", next.version());
+                LOG.warn(
+                        "ignoring configuration version={}: it is older than the one in force",
+                        next.version());
                 return;
             }
             current = next;
@@ -63,7 +73,7 @@
                     next.routes().size());
             changed.accept(next);
         } catch (DirectException e) {
-            LOG.error("the configuration at revision {} is left out: {}", revision, e.getMessage());
+            LOG.error("ignoring the configuration at revision {}: {}", revision, e.getMessage());
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
@@ -11,76 +11,89 @@
 import java.util.Optional;
 
 /**
- * How a deployment calls things: the one place where names on the wire and in the store become
- * types. It decides nothing and keeps nothing.
+ * Translates between a deployment's names on the wire and in the store and the types of the router.
+ * It is the only place that knows these names; it decides nothing and keeps no state.
  */
 public interface Dialect {
-    /** What all of the store's keys that operators set begin with. */
+    /** Returns the prefix of all store keys that operators write. */
     String operatorPrefix();
 
-    /** The store's key of what operators have set. */
+    /** Returns the store key of the operators' configuration. */
     String configurationKey();
 
     /**
-     * The availability zone that this key drains for as long as it is there; empty if it is a key
-     * for something else.
+     * Returns the availability zone that is drained while this store key exists; empty if the key
+     * is not one that drains a zone.
      */
     Optional<String> drainedZone(String key);
 
-    /** Checks what stands under a key that drains; throws a {@link DirectException} MALFORMED. */
+    /**
+     * Checks the value of a store key that drains a zone.
+     *
+     * @throws DirectException with the code MALFORMED if the value is not valid
+     */
     void checkDrain(byte[] value);
 
-    /** What the store's keys of upstreams begin with. */
+    /** Returns the prefix of the store keys of upstreams. */
     String upstreamPrefix();
 
-    /** Reads what operators have set; throws a {@link DirectException} MALFORMED. */
+    /**
+     * Parses the operators' configuration.
+     *
+     * @param revision the store revision of the value
+     * @throws DirectException with the code MALFORMED if the value is not valid
+     */
     DirectConfiguration configuration(byte[] value, long revision);
 
-    /** Reads an upstream's entry, or gives nothing if it names no upstream to use. */
+    /** Parses the store entry of an upstream; empty if it names no usable upstream. */
     Optional<UpstreamFacts> upstream(String key, byte[] value, long revision);
 
-    /** Reads a caller's headers. */
+    /** Parses the headers of a caller's request. */
     CallerRequest request(HttpHeaders headers);
 
-    /** The headers that go to the upstream, of those that came from the caller. */
+    /** Returns the headers to send to the upstream for a request with these caller headers. */
     HttpHeaders toUpstream(HttpHeaders fromCaller, Forwarding forwarding);
 
-    /** True if an answer with these headers is one to that try of a caller. */
+    /** Returns true if an answer with these headers belongs to this attempt of a request. */
     boolean answers(String attempt, HttpHeaders fromUpstream);
 
-    /** Reads the head of an upstream's answer. */
+    /** Parses the status and headers of an upstream's answer. */
     UpstreamAnswer answer(int status, HttpHeaders fromUpstream, UpstreamId expected);
 
-    /** The headers that go to the caller, of those that came from the upstream. */
+    /** Returns the headers to send to the caller for an answer with these upstream headers. */
     HttpHeaders toCaller(HttpHeaders fromUpstream);
 
-    /** The headers of an answer of our own. */
+    /** Returns the headers of an answer that the router itself gives to this attempt. */
     HttpHeaders ownAnswer(String attempt);
 
-    /** The path that orders go to. */
+    /** Returns the path of an upstream to which orders are posted. */
     String orderPath();
 
-    /** The body of an order. */
+    /** Returns the body of an order. */
     byte[] order(Order order);
 
-    /** What an answer to an order means. */
+    /** Returns the outcome that the HTTP status of an answer to an order stands for. */
     OrderOutcome outcome(int status);
 
-    /** The headers of a call to an upstream that is meant for just this one. */
+    /** Returns the headers of a call that only this upstream may answer. */
     HttpHeaders callHeaders(UpstreamId to);
 
-    /** The path of an upstream's report. */
+    /** Returns the path of an upstream's load report. */
     String reportPath();
 
-    /** Reads a report; throws a {@link DirectException} MALFORMED. */
+    /**
+     * Parses an upstream's load report.
+     *
+     * @throws DirectException with the code MALFORMED if the body is not valid
+     */
     LoadInput.UpstreamReported report(UpstreamId from, byte[] body);
 
     /**
-     * An order to an upstream.
+     * An order of the leader to an upstream to load or unload a model.
      *
-     * @param holder who gives it
-     * @param fencing grows with each change of the holder
-     * @param sequence how many orders the upstream must have accepted before
+     * @param holder the router that holds the leader's lease
+     * @param fencing the fencing token, which grows with each change of the holder
+     * @param sequence the number of orders that the upstream must have accepted before this one
      */
     record Order(OrderOperation verb, ModelRef model, String holder, long fencing, long sequence) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectException.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectException.java
@@ -2,26 +2,26 @@
 
 import io.damaskyoke.DamaskyokeException;
 
-/** Says why a direct router can't do what it was asked. */
+/** Reports why a direct router cannot start, read its input or answer; the code names the case. */
 public final class DirectException extends DamaskyokeException {
     private static final long serialVersionUID = 1L;
 
-    /** The reasons. */
+    /** Names the kinds of failure. */
     public enum Code {
-        /** The router can't listen, or was stopped while it started. */
+        /** The router cannot listen on its address, or was stopped while it started. */
         START_FAILED,
-        /** A stored value or a message doesn't have the form that it should. */
+        /** A stored value or a message cannot be parsed or is not valid. */
         MALFORMED,
-        /** The store can't be followed now, so the list of routers may be out of date. */
+        /** The store cannot be read now, so the list of routers may be out of date. */
         LIST_OUT_OF_DATE
     }
 
-    /** With no cause below. */
+    /** Creates an exception without a cause. */
     public DirectException(Code code, String message) {
         super(code, message, null);
     }
 
-    /** With the error of the layer below. */
+    /** Creates an exception with the error of the layer below as its cause. */
     public DirectException(Code code, String message, Throwable cause) {
         super(code, message, cause);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -50,16 +50,16 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * A router that reaches upstreams itself: {@code DirectRouter.start(settings, dialect, stores,
- * socket)}.
+ * A router that connects to upstreams itself, without an agent beside them: {@code
+ * DirectRouter.start(settings, dialect, stores, socket)}.
  *
- * <p>You get it once it listens; it says that it is ready once it knows the configuration and the
- * upstreams. {@link #stop()} ends it without cutting anything off.
+ * <p>{@code start} returns once it listens; it reports that it is ready once it has read the
+ * configuration and the upstreams. {@link #stop()} finishes open requests before it closes.
  */
 public final class DirectRouter {
     private static final Logger LOG = LogManager.getLogger(DirectRouter.class);
 
-    /** Upstreams are a millisecond away; one that takes longer is dark or drops packets. */
+    /** Upstreams are about 1 ms away; one that takes this long is down or drops packets. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
     private static final Duration CHECK = Duration.ofMillis(50);
@@ -69,7 +69,11 @@
     private static final Duration SWEEP = Duration.ofMillis(500);
     private static final Duration LIST_PERIOD = Duration.ofMillis(500);
 
-    /** A leader has more to do than the others; only one this many times as quick would gain. */
+    /**
+     * How many times less late than this router's event loop another's must be before this router
+     * resigns as leader. A leader has more work than the others, so a smaller difference would
+     * vanish with the change.
+     */
     private static final int MUCH_QUICKER = 4;
 
     private static final int TIMELINE_EVENTS = 500;
@@ -118,7 +122,7 @@
         this.settings = settings;
         this.dialect = dialect;
         this.self = VmId.of(settings.vm());
-        // Need only differ from this VM's other lives; a secure source would hold the start up.
+        // Must only differ from the VM's other incarnations; a secure source would delay the start.
         String life = Long.toHexString(ThreadLocalRandom.current().nextLong());
         this.incarnation = Incarnation.of(settings.vm() + ":" + life);
         this.upstreams = new UpstreamTable(new DrainedZones(settings.zones().drainLimit()));
@@ -162,19 +166,19 @@
         }
     }
 
-    /** Opens the platform's store over the router's own client. */
+    /** Opens the platform's store over the router's own HTTP client. */
     @FunctionalInterface
     public interface StoreFactory {
-        /** The store; all its answers come on the router's one thread. */
+        /** Opens the store; it must deliver all answers on the router's event loop. */
         PolledStore open(
                 DirectSettings settings, HttpClient client, ControlThread control, Metrics metrics);
     }
 
     /**
-     * Starts a router and returns once it listens: on the socket for callers that the process has
-     * {@code open} already, or on one of its own.
+     * Starts a router and returns once it listens for callers.
      *
-     * @throws io.damaskyoke.http.HttpException if an address is taken
+     * @param open the socket for callers that the process has opened already; empty to open one
+     * @throws io.damaskyoke.http.HttpException if an address is in use
      */
     public static DirectRouter start(
             DirectSettings settings,
@@ -186,19 +190,20 @@
         return router;
     }
 
-    /** Shows how many lines of log the process has left out, beside the router's own counts. */
+    /** Adds a gauge for the number of log lines that the process has dropped. */
     public void logLinesLeftOut(Supplier<Long> count) {
         metrics.gauge("log_lines_left_out", count);
     }
 
-    /** True if callers should be sent here. */
+    /** Returns true if the load balancer should send callers here. */
     public boolean ready() {
         return !stopping && configuration.current().isPresent() && upstreamFollower.everRead();
     }
 
     /**
-     * Stops: says that it is not ready, serves what is open and what still comes, tells callers
-     * that their connection ends, and returns when nothing is left or the grace is nearly over.
+     * Stops the router: it reports that it is not ready, serves open and new requests, announces to
+     * callers that their connections close, and returns when no request is left or the grace period
+     * is nearly over.
      */
     public synchronized void stop() {
         if (stopped) {
@@ -208,8 +213,8 @@
         stopping = true;
         LOG.info("stopping, {} requests open", flows.size());
         new Shutdown(control, callers, settings.grace(), flows).run(lease::close);
-        // Last, since a router that is off the list may not spend its share, and would refuse what
-        // still comes while the balancer notices.
+        // Last, since a router that is not listed may not spend its share of the rate limits, and
+        // would refuse requests that still arrive until the balancer notices.
         control.run(members::leave);
         network.close();
         store.close();
@@ -276,7 +281,7 @@
                                         .orElse(UpstreamEnds.Sign.NONE)));
     }
 
-    // One router that all agree on, unless the list is new to one of them.
+    // True at the first watcher of the plan: all routers that have read the same list agree on it.
     private boolean first() {
         return members.plan().watchers().stream().findFirst().filter(self::equals).isPresent();
     }
@@ -393,7 +398,7 @@
                 loop, new InetSocketAddress(host, port), HttpLimits.usual(), handler);
     }
 
-    // The store is asked before callers are served: their requests need its answers first of all.
+    // Starts reading the store before it serves callers, since their requests need what is read.
     private void begin(ServerSocketChannel socket) {
         dispatch.onStarved(reports::soon);
         operatorFollower.start();
@@ -417,7 +422,7 @@
         control.every(SWEEP, client::sweep);
     }
 
-    // Nobody else has spent this VM's shares since its process took its first step.
+    // No other process has spent this VM's shares of the rate limits since this one started.
     private Instant processBegan() {
         return clock.instant()
                 .minus(Duration.ofNanos(System.nanoTime() - EarlySocket.loadedNanos()));
@@ -434,7 +439,7 @@
         flows.check();
     }
 
-    // Where all are slow, a change of leader would only cost the orders that it interrupts.
+    // If all routers are slow, a change of leader would only interrupt orders and gain nothing.
     private boolean othersAreQuicker() {
         Duration much = lag.average().dividedBy(MUCH_QUICKER);
         return neighbours.leastLate().filter(least -> least.compareTo(much) < 0).isPresent();
@@ -465,7 +470,7 @@
         dispatch.tick();
     }
 
-    /** Tells those that send or order what zones are drained, after the table has it. */
+    /** Applies changes of drained zones to dispatch and leader, after the table has them. */
     private final class DrainListener implements ZoneDrains.Listener {
         @Override
         public void drained(String zone) {
@@ -477,7 +482,7 @@
             changed(zone);
         }
 
-        // A zone's upstreams may be cold when operators drain it, and when they take that back.
+        // The upstreams of a zone may be cold when operators drain it and when they restore it.
         private void changed(String zone) {
             upstreams.markPossiblyCold(zone, clock.instant());
             leader.zonesDrained(upstreams.zones().all().keySet());
@@ -485,7 +490,7 @@
         }
     }
 
-    /** Listens to what becomes of upstreams, after the table has it. */
+    /** Applies changes of upstreams to the other parts, after the table has them. */
     private final class UpstreamListener implements UpstreamFollower.Listener {
         @Override
         public void listed(UpstreamFacts facts) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DrainProgress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DrainProgress.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * How far drained zones are left, as this router sees it: who drains a zone looks here whether it
- * is empty. Belongs to the traffic thread.
+ * Measures what is left in drained zones, as this router sees it, so that operators can tell from
+ * the metrics when a zone is empty. Traffic thread only.
  */
 final class DrainProgress {
     private final UpstreamTable upstreams;
@@ -17,14 +17,14 @@
         this.upstreams = upstreams;
     }
 
-    /** Shows the figures with the others; they are worked out when somebody asks. */
+    /** Registers the gauges; their values are computed when they are read. */
     void show(Metrics metrics) {
         metrics.gauge("zones_drained", () -> (long) upstreams.zones().all().size());
         metrics.gauge("requests_in_drained_zones", this::requestsThere);
         metrics.gauge("models_only_in_drained_zones", this::modelsOnlyThere);
     }
 
-    /** This router's requests that still run in drained zones. */
+    /** Returns the number of this router's requests that still run in drained zones. */
     long requestsThere() {
         return upstreams.all().stream()
                 .filter(Upstream::isZoneDrained)
@@ -32,7 +32,7 @@
                 .sum();
     }
 
-    /** Models that no upstream outside drained zones holds. */
+    /** Returns the number of models held only by upstreams that drain or are in drained zones. */
     long modelsOnlyThere() {
         Set<String> there = new HashSet<>();
         Set<String> elsewhere = new HashSet<>();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LoopControl.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LoopControl.java
@@ -13,8 +13,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The control thread and the traffic thread as one event loop, for VMs with a part of one core: a
- * step from the one to the other would cost a wake-up for each request and each event.
+ * A control thread that shares one event loop with the traffic, for VMs with a fraction of a core:
+ * handing over between two threads would cost a wake-up for each request and each event.
  */
 final class LoopControl implements ControlThread {
     private static final Logger LOG = LogManager.getLogger(LoopControl.class);
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Steps that are repeated run on common beats, since each of a dozen timers of its own would
-     * wake up the VM as often as all of them together need.
+     * Runs a step periodically, aligned to ticks that all periodic steps share. A dozen unaligned
+     * timers would each wake up the VM as often as all of them need together.
      */
     @Override
     public Cancellable every(Duration period, Runnable step) {
@@ -63,7 +63,7 @@
         return repeated;
     }
 
-    /** A step that runs again and again. */
+    /** A step that runs periodically until it is cancelled. */
     private final class Repeated implements Cancellable {
         private final Duration period;
         private final Runnable step;
@@ -92,7 +92,7 @@
         }
     }
 
-    /** From now to the beat that comes closest to a whole period. */
+    /** Returns the nanoseconds from now to the tick nearest to one period from now. */
     static long toBeat(long nowNanos, long periodNanos) {
         long beat = Math.min(BEAT.toNanos(), periodNanos);
         long due = nowNanos + periodNanos;
@@ -106,13 +106,13 @@
         return clock;
     }
 
-    // A step that throws would end its timer, and with it a duty of this router, without a word.
+    // A step that throws would silently end its timer, and with it a task of this router.
     private void safely(Runnable step) {
         long began = System.nanoTime();
         try {
             step.run();
         } catch (RuntimeException e) {
-            LOG.error("a step failed", e);
+            LOG.error("a step of the control thread failed", e);
         }
         holds.held(step, System.nanoTime() - began);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LoopHolds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LoopHolds.java
@@ -8,16 +8,16 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * How long steps of each kind have held the one thread, for the metrics and the log: {@code
- * holds.held(step, nanos)}. A step's kind is the class that it belongs to.
+ * Records the longest time for which steps of each class have blocked the event loop, for the
+ * metrics and the log: {@code holds.held(step, nanos)}.
  */
 final class LoopHolds {
     private static final Logger LOG = LogManager.getLogger(LoopHolds.class);
 
-    /** Shorter ones delay no caller that anybody would notice. */
+    /** Shorter steps delay no caller noticeably and are not recorded. */
     private static final Duration WORTH_KEEPING = Duration.ofMillis(5);
 
-    /** From here on a line is written. */
+    /** Steps of at least this length are logged. */
     private static final Duration LONG = Duration.ofMillis(100);
 
     private static final double NANOS_PER_MILLI = 1e6;
@@ -29,7 +29,7 @@
         this.metrics = metrics;
     }
 
-    /** Notes that a step has run for so many nanoseconds. */
+    /** Records that a step has run for this many nanoseconds. */
     void held(Runnable step, long nanos) {
         if (nanos < WORTH_KEEPING.toNanos()) {
             return;
@@ -41,11 +41,11 @@
                     "loop_longest_hold_ms", "by", kind, () -> longest.get(kind) / NANOS_PER_MILLI);
         }
         if (nanos >= LONG.toNanos()) {
-            LOG.info("the loop was held for {} ms by {}", nanos / 1_000_000, kind);
+            LOG.info("the event loop was blocked for {} ms by {}", nanos / 1_000_000, kind);
         }
     }
 
-    // A lambda's class is named after the class that holds it.
+    // The name of a lambda's class begins with that of the class that declares it.
     private static String kind(Runnable step) {
         String name = step.getClass().getName();
         int end = name.indexOf('$');
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LoopLag.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LoopLag.java
@@ -4,19 +4,19 @@
 import java.time.Instant;
 
 /**
- * How late this process's one thread does what is due: {@code lag.ticked(now)} at every tick.
+ * Measures how late the event loop runs its periodic tick: {@code lag.ticked(now)} at every tick.
  *
- * <p>A VM whose processor is taken away answers late and gives orders late. The first can't be
- * helped here; the second can, as another router gives them as well.
+ * <p>A VM that loses its processor to others serves requests late and, as the leader, gives orders
+ * late. The latter can be avoided, since another router can lead.
  */
 final class LoopLag {
-    /** A tick this late on the average means that each order takes that much longer. */
+    /** If ticks are this late on average, each order takes that much longer. */
     private static final Duration SLOW = Duration.ofMillis(60);
 
-    /** Weight of the newest tick: about the last second counts. */
+    /** Weight of the newest tick; at 50 ms a tick the average covers about the last second. */
     private static final double NEWEST = 0.05;
 
-    /** A process that has just started runs slow code for a while; that passes by itself. */
+    /** Ticks that are ignored after the start, while code is not yet compiled and runs slowly. */
     private static final int TICKS_TO_WARM_UP = 100;
 
     private final Duration period;
@@ -28,6 +28,7 @@
         this.period = period;
     }
 
+    /** Records that the tick ran, and expects the next one a period later. */
     void ticked(Instant now) {
         ticks++;
         if (due != null && ticks > TICKS_TO_WARM_UP) {
@@ -37,11 +38,12 @@
         due = now.plus(period);
     }
 
+    /** Returns true if ticks have recently been too late on average for a leader. */
     boolean slow() {
         return lateMillis > SLOW.toMillis();
     }
 
-    /** How late it is on average, of late. */
+    /** Returns how late ticks have recently been on average. */
     Duration average() {
         return Duration.ofMillis((long) lateMillis);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorFollower.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps what operators have set up with the store: the configuration in force, and the zones that
- * are drained. One call to the store follows both. Control thread only.
+ * Keeps the operators' settings up to date with the store: the configuration in force and the
+ * drained zones. One watch of the store covers both. Control thread only.
  */
 final class OperatorFollower implements ChangeListener {
     private final Dialect dialect;
@@ -54,19 +54,22 @@
         follower.start();
     }
 
-    /** What follows the operators' keys, for others that follow them through this router. */
+    /** Returns the follower of the operators' keys, for routers that use this one as a relay. */
     Follower follower() {
         return follower;
     }
 
-    /** How long ago the configuration in force was surely the newest; empty if it never was. */
+    /**
+     * Returns how long ago the configuration in force was last confirmed to be the newest; empty if
+     * it never was.
+     */
     Optional<Duration> age() {
         return follower.age();
     }
 
     /**
-     * Tells, once, when the configuration in force is the newest as of the moment, or {@code false}
-     * if that can't be known within the limit.
+     * Calls back once: with {@code true} when the configuration in force is confirmed to be the
+     * newest as of the moment, or with {@code false} if that is not confirmed within the limit.
      */
     void whenKnown(Instant moment, Duration limit, Consumer<Boolean> told) {
         follower.whenKnown(moment, limit, told);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Paces.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Paces.java
@@ -3,15 +3,15 @@
 import io.damaskyoke.follow.Pace;
 import java.time.Duration;
 
-/** How often a router asks the store for what. */
+/** Sets how often a direct router polls the store for each kind of key. */
 final class Paces {
-    /** The operators' configuration, which may take two seconds to be in force. */
+    /** The operators' configuration, which must be in force within 2 s. */
     static final Pace CONFIGURATION = new Pace(Duration.ofMillis(1_200), Duration.ofMillis(400));
 
-    /** The entries of a dozen upstreams change ten times a second, and each call has a price. */
+    /** Entries of upstreams: a dozen of them change ten times a second, and each call costs. */
     static final Pace UPSTREAMS = new Pace(Duration.ofMillis(600), Duration.ofMillis(800));
 
-    /** Who is a router, and who gives the orders. */
+    /** The list of routers, and the lease of the leader. */
     static final Pace ROUTERS = new Pace(Duration.ofMillis(2_500), Duration.ofMillis(800));
 
     private Paces() {}
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Pages.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Pages.java
@@ -10,7 +10,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** What a router says of itself: whether it is ready, and its counters. */
+/** Serves the readiness and metrics pages of a router, and logs its counters. */
 final class Pages {
     private static final Logger LOG = LogManager.getLogger(Pages.class);
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Shutdown.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Shutdown.java
@@ -7,25 +7,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a router in steps: callers are sent elsewhere, what is open is finished, then all is closed.
+ * Shuts a router down gracefully: waits until the load balancer sends callers elsewhere, finishes
+ * open requests, and then closes the connections.
  *
- * <p>The balancer notices within two or three seconds that a router isn't ready, and sends new
- * connections until then. Closed at once, those would be lost, and so would requests that cross the
- * close of a kept connection.
+ * <p>The balancer notices within two or three seconds that a router is not ready, and sends it new
+ * connections until then. Closing at once would lose these, and also requests that arrive while a
+ * kept-alive connection is being closed.
  */
 final class Shutdown {
-    /** The balancer asks once a second and believes the second no. */
+    /** The balancer probes once a second and needs two failed probes. */
     private static final Duration BALANCER = Duration.ofMillis(2_600);
 
-    /** What is left for closing when the platform's patience ends. */
+    /** Time kept for closing before the platform kills the process. */
     private static final Duration RESERVE = Duration.ofMillis(700);
 
-    /** A connection idle for so long has no request crossing our close, as a rule. */
+    /** A connection that was idle for this long rarely has a request on its way. */
     private static final Duration IDLE = Duration.ofMillis(400);
 
     /**
-     * A request that still waits for a model when so little is left is refused. Closed with the
-     * process, its caller would not know that it has not run, nor come back at once.
+     * Requests that still wait for a model when only this much time is left are refused. If their
+     * connection were closed with the process instead, callers would not know that the request has
+     * not run, and would not retry at once.
      */
     private static final Duration WAITING = Duration.ofMillis(1_500);
 
@@ -43,7 +45,11 @@
         this.flows = flows;
     }
 
-    /** Runs all steps, the duties' end first; blocks until nothing is left or time is short. */
+    /**
+     * Runs all steps; blocks until no request or connection is left, or time runs out.
+     *
+     * @param endDuties run first, on the control thread
+     */
     void run(Runnable endDuties) {
         long began = System.nanoTime();
         long last = began + grace.minus(RESERVE).toNanos();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StoreRelays.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StoreRelays.java
@@ -16,14 +16,15 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the routers that follow the store for its changes, one at a time. One that says nothing or
- * can't tell is left alone for a while; with none left the store is asked. Control thread only.
+ * Reads the store's changes through relays, the routers that watch the store, one relay at a time.
+ * A relay that does not answer or has no answer is skipped for a while; if none is left, the router
+ * asks the store itself. Control thread only.
  */
 final class StoreRelays implements Relay {
-    /** On top of the wait: a frame's way there and back, and a thread that is a little late. */
+    /** Added to the wait, for the round trip of the frames and a relay's thread that runs late. */
     private static final Duration ANSWER = Duration.ofMillis(300);
 
-    /** A relay that is killed is off the list by then, and one that was frozen may be back. */
+    /** By then a killed relay is no longer listed, and a frozen one may have recovered. */
     private static final Duration LEFT_ALONE = Duration.ofSeconds(2);
 
     private final ControlThread control;
@@ -35,7 +36,7 @@
 
     private record Asked(VmId relay, CompletableFuture<Changes> answer) {}
 
-    /** Sends an ask to a router; false if there is no link to it now. */
+    /** Sends a request for changes to a router; returns false if there is no link to it now. */
     @FunctionalInterface
     interface Wire {
         boolean ask(VmId relay, long number, String prefix, long after, Duration wait);
@@ -61,20 +62,26 @@
             relay = next();
         }
         if (relay.isEmpty()) {
-            answer.completeExceptionally(unavailable("no relay can be reached"));
+            answer.completeExceptionally(unavailable("no relay is reachable"));
             return answer;
         }
         long asked = ++number;
         open.put(asked, new Asked(relay.get(), answer));
-        control.after(wait.plus(ANSWER), () -> give(asked, Optional.empty(), "says nothing"));
+        control.after(
+                wait.plus(ANSWER), () -> give(asked, Optional.empty(), "did not answer in time"));
         return answer;
     }
 
-    /** A relay has answered; nothing means that it can't tell. */
+    /**
+     * Takes the answer of a relay.
+     *
+     * @param to the number of the request that it answers
+     * @param changes empty if the relay cannot tell what has changed
+     */
     void answered(VmId from, long to, Optional<Changes> changes) {
         Asked asked = open.get(to);
         if (asked != null && asked.relay().equals(from)) {
-            give(to, changes, "can't tell");
+            give(to, changes, "cannot tell what has changed");
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/WatchPlan.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/WatchPlan.java
@@ -14,22 +14,23 @@
 import java.util.TreeMap;
 
 /**
- * Which routers follow the store for all: {@code WatchPlan.of(routers).watchers()}.
+ * Chooses the routers that watch the store on behalf of all: {@code
+ * WatchPlan.of(routers).watchers()}.
  *
- * <p>The pattern: dozens to hundreds of routers need the same few keys. Asked by each of them, the
- * store answers as many calls as there are routers, and each has its price. A few follow it, spread
- * over the zones by the {@link RelayPlan} of each, and pass on what they hear. Who reads the same
- * list makes the same plan; with another list a router asks one that does not follow, is turned
- * away, and asks the store.
+ * <p>Dozens to hundreds of routers need the same few keys. If each of them watched the store, its
+ * calls would grow with the number of routers, and each call costs. Instead a few watchers, spread
+ * over the zones by the {@link RelayPlan} of each, pass changes on to the others. Routers that have
+ * read the same list make the same plan; a router with another list may ask one that is not a
+ * watcher, which rejects it, and then asks the store.
  */
 final class WatchPlan {
-    /** As many routers as this follow the store each by itself. */
+    /** Up to this many routers, each watches the store itself. */
     private static final int ALL_UP_TO = 8;
 
-    /** Two may be killed and another turned away by the store, and one is left. */
+    /** One is left if two are killed and the store rejects a third. */
     private static final int LEAST = 4;
 
-    /** Each of them then passes on to some thirty others of the largest fleet to design for. */
+    /** In the largest fleet designed for, each then passes changes on to about 30 others. */
     private static final int MOST = 12;
 
     private final List<Vm> watchers;
@@ -40,7 +41,7 @@
         this.all = all;
     }
 
-    /** The plan for these routers. */
+    /** Returns the plan for these routers. */
     static WatchPlan of(Collection<Vm> routers) {
         if (routers.size() <= ALL_UP_TO) {
             return new WatchPlan(List.copyOf(routers), true);
@@ -51,7 +52,7 @@
         return new WatchPlan(List.copyOf(ranked.subList(0, Math.min(count, ranked.size()))), false);
     }
 
-    // The first relay of each zone, then the second of each.
+    // Orders candidates: the first relay of each zone, then the second of each, and so on.
     private static List<Vm> ranked(Collection<Vm> routers) {
         Map<AvailabilityZone, List<Vm>> byZone =
                 new TreeMap<>(Comparator.comparing(AvailabilityZone::value));
@@ -69,22 +70,25 @@
         return new ArrayList<>(ranked);
     }
 
-    /** True if every router follows the store by itself. */
+    /** Returns true if every router watches the store itself. */
     boolean all() {
         return all;
     }
 
-    /** Those that follow the store. */
+    /** Returns the routers that watch the store. */
     List<VmId> watchers() {
         return watchers.stream().map(Vm::id).toList();
     }
 
-    /** True if this router follows the store. */
+    /** Returns true if this router watches the store. */
     boolean watches(VmId router) {
         return all || watchers().contains(router);
     }
 
-    /** Whom this router asks, those of its own zone first; empty if it follows the store. */
+    /**
+     * Returns the watchers that this router asks, in this order, those of its own zone first; empty
+     * if it watches the store itself.
+     */
     List<VmId> sources(VmId router, AvailabilityZone zone) {
         if (watches(router)) {
             return List.of();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
@@ -6,7 +6,10 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Takes in which zones operators drain, as the store tells it. Control thread only. */
+/**
+ * Applies the operators' zone drains, read from the store or received from peer routers, to the
+ * table of drained zones. Changes older than the applied revision are ignored. Control thread only.
+ */
 final class ZoneDrains {
     private static final Logger LOG = LogManager.getLogger(ZoneDrains.class);
 
@@ -16,16 +19,20 @@
     private final Listener listener;
     private long revision;
 
-    /** Hears which zones are drained, after the table of zones has it. */
+    /** Is notified of drained and restored zones, after the table has them. */
     interface Listener {
-        /** The zone is drained from now on. */
+        /** Called when a zone is drained. */
         void drained(String zone);
 
-        /** The zone's drain is taken back. */
+        /** Called when a zone's drain is revoked. */
         void restored(String zone);
     }
 
-    /** Only zones that are known can be drained; with none given, all of them. */
+    /**
+     * Creates an instance that applies nothing yet.
+     *
+     * @param known the zones that can be drained; if empty, any zone can
+     */
     ZoneDrains(Dialect dialect, DrainedZones zones, Set<String> known, Listener listener) {
         this.dialect = dialect;
         this.zones = zones;
@@ -33,19 +40,24 @@
         this.listener = listener;
     }
 
-    /** Operators drain the zone, which they had not done yet at {@code notBefore}. */
+    /**
+     * Drains a zone if its store entry is valid and newer than the applied revision.
+     *
+     * @param at the store revision of the entry
+     * @param notBefore an instant at which the zone was not drained yet
+     */
     void accepted(String zone, byte[] value, long at, Instant notBefore) {
         if (at <= revision) {
             return;
         }
         if (!known.isEmpty() && !known.contains(zone)) {
-            LOG.warn("the drain of zone {} is left out: there is no such zone", zone);
+            LOG.warn("ignoring the drain of zone {}: there is no such zone", zone);
             return;
         }
         try {
             dialect.checkDrain(value);
         } catch (DirectException e) {
-            LOG.warn("the drain of zone {} is left out: {}", zone, e.getMessage());
+            LOG.warn("ignoring the drain of zone {}: {}", zone, e.getMessage());
             return;
         }
         drain(zone, notBefore);
@@ -53,12 +65,16 @@
 
     private void drain(String zone, Instant notBefore) {
         if (zones.drain(zone, notBefore)) {
-            LOG.info("zone {} is drained, asked for after {}", zone, notBefore);
+            LOG.info("zone {} is drained, requested after {}", zone, notBefore);
             listener.drained(zone);
         }
     }
 
-    /** The drain is taken back. */
+    /**
+     * Revokes the drain of a zone if the change is newer than the applied revision.
+     *
+     * @param at the store revision of the change
+     */
     void takenBack(String zone, long at) {
         if (at > revision) {
             takeBack(zone);
@@ -67,19 +83,19 @@
 
     private void takeBack(String zone) {
         if (zones.restore(zone)) {
-            LOG.info("the drain of zone {} is taken back", zone);
+            LOG.info("the drain of zone {} is revoked", zone);
             listener.restored(zone);
         } else {
-            LOG.info("the drain of zone {}, which was not in force, is taken back", zone);
+            LOG.info("the drain of zone {} is revoked; it was not in force", zone);
         }
     }
 
-    /** All that was told up to this revision is taken in; what is older is out of date. */
+    /** Marks all changes up to this store revision as applied; older ones are ignored from then. */
     void knownUpTo(long at) {
         revision = Math.max(revision, at);
     }
 
-    /** No other zones are drained than these, as of the revision. */
+    /** Revokes all drains except those of these zones, the drained ones as of the revision. */
     void onlyThese(Set<String> drained, long at) {
         if (at <= revision) {
             return;
@@ -91,12 +107,12 @@
         }
     }
 
-    /** What this router knows, for others that the store doesn't tell. */
+    /** Returns the drains known here, for peer routers that cannot reach the store. */
     RouterStanding.Drains known() {
         return new RouterStanding.Drains(revision, zones.all());
     }
 
-    /** Another router says which zones are drained, and may know it better. */
+    /** Applies the drains that a peer router knows, if its revision is newer. */
     void told(RouterStanding.Drains theirs) {
         if (theirs.revision() <= revision) {
             return;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/package-info.java
@@ -1,8 +1,9 @@
 /**
- * A router that reaches upstreams itself, with no agent beside them: callers come in, are checked
- * against what operators have set, wait if they must, and go to the upstream that answers first.
+ * A router that connects to upstreams itself, with no agent beside them. It checks requests against
+ * the operators' configuration, queues them if they must wait, and sends each to the upstream
+ * expected to answer first.
  *
- * <p>How things are called on the wire and in the store is a {@link Dialect}'s business, which the
- * deployment brings along.
+ * <p>The names on the wire and in the store are known only to a {@link Dialect}, which the
+ * deployment provides.
  */
 package io.damaskyoke.direct;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -20,7 +20,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The part of a router that follows the store, on a VM and a path that fail. */
+/** The part of a router that follows the store, on a VM and a path to the store that can fail. */
 final class FollowingRouter {
     private final String name;
     private final ControlThread world;
@@ -40,7 +40,7 @@
         this(name, world, store, pace, List.of());
     }
 
-    /** One that asks these others before the store. */
+    /** Creates a router that asks these relays before it asks the store. */
     FollowingRouter(
             String name,
             ControlThread world,
@@ -74,12 +74,12 @@
         return name;
     }
 
-    /** The version in force; 0 if there is none. */
+    /** Returns the version of the configuration in force; 0 if there is none. */
     long version() {
         return configuration.current().map(each -> each.version()).orElse(0L);
     }
 
-    /** True if the router would send requests to the upstream. */
+    /** Returns true if the router would send requests to the upstream. */
     boolean uses(String upstream) {
         return upstreams
                 .find(UpstreamId.of(upstream))
@@ -87,7 +87,9 @@
                 .isPresent();
     }
 
-    /** Hears a report of another router, and asks it for what that calls for. */
+    /**
+     * Receives a report of another router, and fetches from it what the report shows to be newer.
+     */
     void hears(FollowingRouter other) {
         if (control.frozen() || other.control.frozen()) {
             return;
@@ -102,12 +104,14 @@
         }
     }
 
-    /** Another router asks what has changed; the answer goes to the sink, on this thread. */
+    /**
+     * Answers another router's request for changes; the consumer is called on this router's thread.
+     */
     void asked(String prefix, long after, Duration wait, Consumer<Optional<Changes>> told) {
         control.run(() -> followed.get(prefix).tell(after, wait, told));
     }
 
-    /** How often this router has asked the store. */
+    /** Returns the number of calls of this router to the store. */
     long storeCalls() {
         return path.calls();
     }
@@ -138,7 +142,7 @@
         }
     }
 
-    /** Notes that something else than path or VM has just got over. */
+    /** Records that a fault that is neither in the path nor in the VM has just ended. */
     void calmed() {
         calmSince = world.clock().instant();
     }
@@ -147,17 +151,17 @@
         return troubles.isEmpty() && otherTroubles == 0;
     }
 
-    /** True if nothing but its way to the store is wrong. */
+    /** Returns true if its path to the store has a fault, and nothing else has. */
     boolean cutOffOnly() {
         return !troubles.isEmpty() && otherTroubles == 0;
     }
 
-    /** Since when nothing is wrong with the way to the store, or was until it went wrong. */
+    /** Returns the instant at which the last fault that is over ended. */
     Instant calmSince() {
         return calmSince;
     }
 
-    /** Needs no telling of drains. */
+    /** Ignores drains. */
     private static final class NoDrains implements ZoneDrains.Listener {
         @Override
         public void drained(String zone) {}
@@ -166,7 +170,7 @@
         public void restored(String zone) {}
     }
 
-    /** Needs no telling. */
+    /** Ignores changes of upstreams. */
     private static final class Nobody implements UpstreamFollower.Listener {
         @Override
         public void listed(UpstreamFacts facts) {}
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FreezingControl.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FreezingControl.java
@@ -11,8 +11,8 @@
 import java.util.function.Supplier;
 
 /**
- * A router's control thread on a VM that can stand still: what comes meanwhile waits, and timers go
- * on where they stood, as those of a virtual machine do.
+ * A control thread on a VM that can be frozen: steps wait meanwhile, and timers continue with the
+ * time that they had left, as they do on a real VM.
  */
 final class FreezingControl implements ControlThread {
     private final ControlThread world;
@@ -99,7 +99,7 @@
         }
     }
 
-    // The time of a clock that stands still with the VM.
+    // The time on a clock that stops while the VM is frozen.
     private Instant running() {
         Instant now = frozen() ? frozenAt : world.clock().instant();
         return now.minus(lost);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of waiting requests while a router's thread is held. */
+/** Tests what happens to waiting requests whose caller leaves while the event loop is blocked. */
 class HeldThreadTest {
     private static final String SERVICE = "service";
     private static final Duration LIMIT = Duration.ofSeconds(10);
@@ -86,8 +86,8 @@
         upstreamLoop.close();
     }
 
-    // Guards against a request that is sent on in the midst of reading: an answer frees a place for
-    // it, and the end of its own caller is read only after that.
+    // Guards against a request that is sent in the middle of a read pass: an answer frees a slot
+    // for it, and only afterwards is it read that its own caller has disconnected.
     @Test
     void aPlaceThatComesFreeIsNotGivenToACallerThatHasLeft() throws Exception {
         list(upstream.port());
@@ -109,13 +109,12 @@
         }
     }
 
-    // Guards against a request that is written when its connection opens, though its caller has
-    // left
-    // while the connection was being opened.
+    // Guards against a request that is written when its upstream connection opens, although its
+    // caller disconnected while the connection was being opened.
     @Test
     void aConnectionThatOpensForACallerThatHasLeftCarriesNothing() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // Two connections wait to be accepted; the router's attempt is not answered meanwhile.
+            // These two connections fill the backlog, so that the router's attempt has to wait.
             Socket one = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
             Socket two = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
             list(full.getLocalPort());
@@ -136,9 +135,8 @@
         }
     }
 
-    // Guards against a request that is written when its connection opens, though the zone was
-    // closed
-    // while the connection was being opened.
+    // Guards against a request that is written when its upstream connection opens, although its
+    // zone was closed while the connection was being opened.
     @Test
     void aConnectionThatOpensIntoAClosedZoneCarriesNothing() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -166,7 +164,7 @@
         }
     }
 
-    // An upstream with one slot gets two requests at once; others wait in the router.
+    // An upstream with one slot gets two requests at once; further ones wait in the router.
     private void list(int port) {
         UpstreamFacts facts =
                 new UpstreamFacts(
@@ -267,7 +265,7 @@
         public void passLimitOn(LimitedUpstreams.News word) {}
     }
 
-    /** No other router is there to be told. */
+    /** Sends no announcements, since there is no other router. */
     private static final class SilentWire implements LostUpstreams.Wire {
         @Override
         public void tellLost(UpstreamId upstream, long startedAt) {}
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A store for tests whose leases run out by its own clock, for all routers that reach it. */
+/** A store for tests whose leases expire by the simulated clock, for all routers that use it. */
 final class LeasedStore {
     private static final Duration SWEEP = Duration.ofMillis(20);
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LoopControlTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LoopControlTest.java
@@ -8,7 +8,7 @@
 class LoopControlTest {
     private static final long MILLI = 1_000_000;
 
-    // Guards against a dozen timers that each wake up a VM on a tenth of a core.
+    // Guards against a dozen timers that each wake up a VM with a tenth of a core.
     @Test
     void stepsOfUnlikePeriodsRunOnCommonBeats() {
         TreeSet<Long> wakes = new TreeSet<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RouterStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RouterStore.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Supplier;
 
-/** One router's way to a {@link LeasedStore}; while it is cut, every call fails. */
+/** One router's connection to a {@link LeasedStore}; while it is cut, every call fails. */
 final class RouterStore extends OnlyFollowed {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's store with time by hand: what it holds, its history, and who waits at it. Routers
- * reach it over a {@link SimulatedPath}, which is what fails.
+ * The platform's store in simulated time: its entries, the history of changes, and the watch calls
+ * that wait. Routers reach it over a {@link SimulatedPath}, which is the part that fails.
  */
 final class SimulatedStore {
     private final ControlThread control;
@@ -33,7 +33,7 @@
         this.control = control;
     }
 
-    /** Writes a key, acknowledged at this moment. */
+    /** Writes a key; the write is acknowledged at once. */
     void put(String key, byte[] value) {
         revision++;
         Entry entry = new Entry(key, value, revision, 1, 0);
@@ -41,7 +41,7 @@
         tell(new Change(key, revision, Optional.of(entry)));
     }
 
-    /** Removes a key, acknowledged at this moment. */
+    /** Removes a key; the removal is acknowledged at once. */
     void remove(String key) {
         if (entries.remove(key) != null) {
             revision++;
@@ -53,13 +53,13 @@
         return entries.containsKey(key);
     }
 
-    /** Those that ask for changes hear of no new ones, until the history is dropped. */
+    /** Withholds new changes from watch calls until the history is dropped. */
     void mute() {
         mutedAt = told();
         mute = true;
     }
 
-    /** Forgets all changes, and cuts off those that wait for one. */
+    /** Compacts the whole history, and fails the watch calls that wait. */
     void dropHistory() {
         mute = false;
         kept = revision;
@@ -67,7 +67,7 @@
         cutWaiting();
     }
 
-    /** Ends the calls that wait, without an answer. */
+    /** Fails the watch calls that wait. */
     void cutWaiting() {
         List<Waiting> cut = List.copyOf(waiting);
         waiting.clear();
@@ -119,7 +119,7 @@
         waiting.removeIf(this::answered);
     }
 
-    // Up to where those that ask for changes hear of them.
+    // The newest revision that watch calls are answered with.
     private long told() {
         return mute ? mutedAt : revision;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class StorePromisesTest {
-    /** Others by hand: -Dstore.first=1000 -Dstore.count=20000. */
+    /** Other seeds: {@code -Dstore.first=1000 -Dstore.count=20000}. */
     private static final long FIRST = Long.getLong("store.first", 1);
 
     private static final int SEEDS = Integer.getInteger("store.count", 200);
@@ -20,7 +20,7 @@
     private static final int PHASES = 45;
     private static final int SHOWN = 4;
 
-    // Guards against a call that nobody will answer, and that hides what the store says later.
+    // Guards against a watch call that is never answered and hides later changes from the router.
     @Test
     void aConfigurationIsInForceInTimeAfterTheStoreFellSilent() {
         List<String> broken = new ArrayList<>();
@@ -38,7 +38,7 @@
         assertNone(broken);
     }
 
-    // Guards against a world that would find no fault: this pace is the one that broke the promise.
+    // Guards against a simulation that detects nothing: with this pace, versions were late.
     @Test
     void aCallThatIsWaitedForTooLongIsFoundOut() {
         Pace naive = new Pace(Duration.ofMillis(2_500), Duration.ofMillis(800));
@@ -55,7 +55,7 @@
         assertTrue(late > 0, "no version was late");
     }
 
-    // Guards against taking a departure that comes after an outage for an entry that lapsed in it.
+    // Guards against taking a departure after an outage for an entry that expired during it.
     @Test
     void anUpstreamThatLeavesSomeTimeAfterAnOutageGetsNothingMore() {
         List<String> broken = new ArrayList<>();
@@ -71,7 +71,7 @@
         assertNone(broken);
     }
 
-    // Guards against a reading anew, which drops an upstream that is waited for after an outage.
+    // Guards against a full read that drops an upstream whose return is awaited after an outage.
     @Test
     void anUpstreamThatLapsedIsWaitedForThoughTheHistoryIsDropped() {
         StoreWorld world = new StoreWorld();
@@ -85,7 +85,7 @@
         assertNone(world.broken());
     }
 
-    // Guards against a change that comes late or is taken back, and a living upstream dropped.
+    // Guards against a change that is applied late or reverted, and a live upstream dropped.
     @Test
     void anyMixOfTroublesKeepsThePromises() {
         List<String> broken = new ArrayList<>();
@@ -95,8 +95,8 @@
         assertNone(broken);
     }
 
-    // Guards against a relay that is frozen, cut off, turned away or cut one way and hides what the
-    // store says from those behind it.
+    // Guards against a relay that is frozen, cut off in one or both directions or rejected by the
+    // store, and hides changes from the routers behind it.
     @Test
     void anyMixOfTroublesKeepsThePromisesBehindRelays() {
         List<String> broken = new ArrayList<>();
@@ -106,9 +106,8 @@
         assertNone(broken);
     }
 
-    // Guards against a drained zone that still gets requests: a drain heard of late, after a
-    // history
-    // dropped, from a relay that failed, or taken back and asked for again within a moment.
+    // Guards against a drained zone that still gets requests: after a drain that is read late,
+    // after a dropped history, through a failed relay, or revoked and requested again at once.
     @Test
     void anyMixOfTroublesKeepsDrainedZonesClosed() {
         List<String> broken = new ArrayList<>();
@@ -119,7 +118,7 @@
         assertNone(broken);
     }
 
-    // Guards against a drain that two calls to the store would have to be made for.
+    // Guards against drains that need calls to the store of their own.
     @Test
     void aDrainCostsNoCallOfItsOwn() {
         StoreWorld drained = new StoreWorld();
@@ -132,7 +131,7 @@
         assertTrue(drained.storeCalls() - calm.storeCalls() - before <= routers);
     }
 
-    // Guards against a relay that stands still while its followers wait for it.
+    // Guards against routers that keep waiting for a frozen relay.
     @Test
     void aFrozenRelayHidesNothingForLong() {
         List<String> broken = new ArrayList<>();
@@ -148,7 +147,7 @@
         assertNone(broken);
     }
 
-    // Guards against a departure that those behind a relay take for a lapse, or a lapse for one.
+    // Guards against routers behind a relay that take a departure for an expiry, or the reverse.
     @Test
     void entriesThatLapseInAnOutageAreWaitedForBehindRelays() {
         List<String> broken = new ArrayList<>();
@@ -165,7 +164,7 @@
         assertNone(broken);
     }
 
-    // Guards against calls to the store that grow with the routers that follow it.
+    // Guards against calls to the store that grow with the routers behind relays.
     @ParameterizedTest
     @CsvSource({"2, 4", "5, 28", "12, 88", "12, 288"})
     void theStoreIsAskedByThoseThatFollowItAndByNobodyElse(int watchers, int behind) {
@@ -177,17 +176,17 @@
         assertEquals(before, world.storeCalls() - alone.storeCalls());
     }
 
-    // Guards against what each of these mixes has shown.
+    // Guards against the faults that these seeds have shown once; the cause stands beside each.
     @ParameterizedTest
     @CsvSource({
-        "100171, a reading anew dropped what was waited for",
-        "101488, changes told late hid an entry that was back",
-        "100320, a second outage did not begin the wait anew",
-        "100049, a pause outlasted a freeze and a departure was taken for a lapse",
+        "100171, a full read dropped an upstream whose return was awaited",
+        "101488, changes announced late hid an entry that was back",
+        "100320, a second outage did not restart the wait",
+        "100049, a pause outlasted a freeze and a departure was taken for an expiry",
         "210922, a shorter freeze in a pause did the same",
-        "164, a router that was cut off was not told of one that it waited for",
-        "400064, nor was it when it could not ask whether that one is back",
-        "400534, one departure told hid an older one",
+        "164, a router that was cut off was not told of a departure that it awaited",
+        "400064, nor was it when it could not ask whether that upstream is back",
+        "400534, one announced departure hid an older one",
         "106297, a freeze and an outage in a row were taken for a longer one"
     })
     void aMixThatFailedOnceKeepsThePromises(long seed, String cause) {
@@ -214,7 +213,7 @@
                 : List.of("seed " + seed + ": " + String.join("\n", world.story()) + '\n');
     }
 
-    // A seed that fails breaks many promises; the first few say enough.
+    // One failing seed violates many guarantees; the first few are enough to find the cause.
     private static void assertNone(List<String> broken) {
         String first = String.join("; ", broken.subList(0, Math.min(SHOWN, broken.size())));
         assertEquals("", first, broken.size() + " in all");
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreRelaysTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreRelaysTest.java
@@ -39,7 +39,7 @@
         assertEquals(List.of(ONE), asked);
     }
 
-    // Guards against a relay that is killed or frozen and goes on being asked.
+    // Guards against asking a relay again that was killed or is frozen.
     @Test
     void oneThatSaysNothingIsLeftAloneForAWhile() {
         CompletionStage<Changes> answer = relays.changes("k", 5, WAIT);
@@ -51,7 +51,7 @@
         assertEquals(List.of(ONE, TWO, ONE), asked);
     }
 
-    // Guards against a relay that the store turns away, and that hides what the store says.
+    // Guards against a relay that the store rejects, and that hides changes from this router.
     @Test
     void whereNoneCanTellTheStoreIsAsked() {
         relays.changes("k", 5, WAIT);
@@ -70,7 +70,7 @@
         assertEquals(List.of(TWO), asked);
     }
 
-    // Guards against an answer of another router under the same number.
+    // Guards against accepting another router's answer under the same number.
     @Test
     void onlyTheOneThatWasAskedCanAnswer() {
         CompletionStage<Changes> answer = relays.changes("k", 5, WAIT);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreTroubles.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreTroubles.java
@@ -6,18 +6,18 @@
 import java.util.Random;
 
 /**
- * A minute of troubles between routers and the store, drawn by a seed, with changes before, during
- * and after each.
+ * Plays about a minute of random faults between routers and the store, reproducible by a seed, with
+ * changes during and after each fault.
  */
 final class StoreTroubles {
     private static final int TROUBLES = 8;
     private static final int LONGEST_MILLIS = 9_000;
     private static final int SHORTEST_MILLIS = 200;
 
-    /** Entries lapse after three heartbeats of silence. */
+    /** Entries expire after three missed heartbeats. */
     private static final Duration LAPSES_AFTER = Duration.ofSeconds(3);
 
-    /** Those that lapsed are back by then, if their upstreams live. */
+    /** Live upstreams write expired entries again within this time after an outage. */
     private static final int BACK_MILLIS = 1_900;
 
     private static final int LEAST_UPSTREAMS = 3;
@@ -33,7 +33,7 @@
         this.drains = new Random(~seed);
     }
 
-    /** Operators also drain zones, and take that back. */
+    /** Makes operators also drain and restore zones. */
     StoreTroubles withDrains() {
         drainsToo = true;
         return this;
@@ -47,7 +47,7 @@
             if (drainsToo) {
                 drains(length);
             }
-            // Often the next one comes while things still settle.
+            // The next fault often begins before all is settled again.
             world.pass(length.plusMillis(random.nextInt(5_000)));
         }
         world.pass(Duration.ofSeconds(8));
@@ -91,7 +91,7 @@
     private void changes(Duration length) {
         int count = 1 + random.nextInt(6);
         for (int each = 0; each < count; each++) {
-            // Most come in the seconds after the trouble's end, where knowledge is oldest.
+            // Most changes come in the seconds after the fault, when routers' data is oldest.
             Duration at =
                     random.nextInt(3) == 0
                             ? millis(0, (int) length.toMillis() + 1)
@@ -103,7 +103,7 @@
     private void drains(Duration length) {
         String zone = drains.nextBoolean() ? "a" : "b";
         int at = drains.nextInt((int) length.toMillis() + 3_000);
-        // Some are taken back at once, some are set again within a moment.
+        // Some drains are revoked at once, and some are then requested again at once.
         int lasts = drains.nextInt(3) == 0 ? 400 : 12_000;
         world.after(Duration.ofMillis(at), () -> world.drainZone(zone));
         int back = at + 50 + drains.nextInt(lasts);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -17,22 +17,24 @@
 import java.util.stream.Stream;
 
 /**
- * Some routers that follow one store, with time by hand, and the promises that they make: what is
- * acknowledged is in force everywhere within two seconds, counted from the end of trouble where
- * there was some; a drained zone gets nothing from the limit of its drain on; nothing goes back; an
- * upstream that lives and returns in time stays in use.
+ * Simulates routers that follow one store, and checks what they guarantee: an acknowledged change
+ * is in force at every router within two seconds, counted from the end of a fault if there was one;
+ * a drained zone gets no requests once the limit of its drain has passed; no configuration is
+ * replaced by an older one; a live upstream whose entry returns in time stays in use.
  */
 final class StoreWorld {
-    /** What operators are promised of a configuration, and upstreams that leave. */
+    /**
+     * The time within which a configuration, and the departure of an upstream, must be in force.
+     */
     static final Duration BOUND = Duration.ofSeconds(2);
 
     /**
-     * An entry that vanished about the time of an outage may be one that lapsed, and is waited for.
-     * The store counts as settled after this long.
+     * The time after an outage at which routers take a missing entry for a departure; until then it
+     * may have expired, and its return is awaited.
      */
     static final Duration SETTLED = Duration.ofSeconds(3);
 
-    /** Routers tell each other that often what they know. */
+    /** The period at which routers report to each other. */
     private static final Duration GOSSIP = Duration.ofSeconds(1);
 
     private static final TestDialect DIALECT = new TestDialect();
@@ -64,12 +66,12 @@
         this(Paces.CONFIGURATION);
     }
 
-    /** A world whose routers follow the configuration at this pace. */
+    /** Creates a world whose routers follow the configuration at this pace. */
     StoreWorld(Pace pace) {
         this(pace, ROUTERS, 0);
     }
 
-    /** A world in which so many routers follow the store, and others ask these. */
+    /** Creates a world of routers that watch the store, and of routers that use them as relays. */
     StoreWorld(Pace pace, int watchers, int behindThem) {
         change();
         for (int each = 0; each < UPSTREAMS; each++) {
@@ -93,12 +95,12 @@
         }
     }
 
-    /** What was promised and not kept, one line each; a promise is named once for a router. */
+    /** Returns the violated guarantees, one line each; each is listed once for a router. */
     List<String> broken() {
         return broken;
     }
 
-    /** What happened, with the milliseconds since the beginning. */
+    /** Returns the log of events, each with the milliseconds since the start. */
     List<String> story() {
         return story;
     }
@@ -107,17 +109,17 @@
         return routers;
     }
 
-    /** How often all routers together have asked the store. */
+    /** Returns the number of calls of all routers to the store. */
     long storeCalls() {
         return routers.stream().mapToLong(FollowingRouter::storeCalls).sum();
     }
 
-    /** The upstreams that are there to stay. */
+    /** Returns the upstreams that neither drain nor have left. */
     List<String> alive() {
         return List.copyOf(alive);
     }
 
-    /** Lets time pass, and holds the promises against the truth all the while. */
+    /** Lets time pass, and checks every router's guarantees at each step. */
     void pass(Duration duration) {
         Instant end = world.clock().instant().plus(duration);
         while (world.clock().instant().isBefore(end)) {
@@ -130,7 +132,7 @@
         world.after(delay, step);
     }
 
-    /** Operators change the configuration; while the store is out, as soon as it is back. */
+    /** Lets operators change the configuration; during an outage, as soon as it is over. */
     void change() {
         write(
                 () -> {
@@ -141,7 +143,7 @@
                 });
     }
 
-    /** A new upstream comes. */
+    /** Adds a new upstream. */
     void join() {
         String id = "i-" + ++upstreams;
         write(
@@ -149,11 +151,11 @@
                     store.put("up/" + id, bytes("ready"));
                     alive.add(id);
                     joined.put(id, world.clock().instant());
-                    tell(id + " comes");
+                    tell(id + " joins");
                 });
     }
 
-    /** An upstream says that it leaves. */
+    /** Lets an upstream announce in its entry that it drains. */
     void drain(String id) {
         alive.remove(id);
         write(
@@ -164,7 +166,7 @@
                 });
     }
 
-    /** Operators drain a zone. */
+    /** Lets operators drain a zone. */
     void drainZone(String zone) {
         write(
                 () -> {
@@ -175,18 +177,18 @@
                 });
     }
 
-    /** Operators take the drain of a zone back. */
+    /** Lets operators revoke the drain of a zone. */
     void restoreZone(String zone) {
         write(
                 () -> {
                     store.remove(DIALECT.operatorPrefix() + "drained/" + zone);
                     zonesDrained.remove(zone);
                     zonesRestored.put(zone, world.clock().instant());
-                    tell("the drain of zone " + zone + " is taken back");
+                    tell("the drain of zone " + zone + " is revoked");
                 });
     }
 
-    /** An upstream leaves without a word: its entry is removed. */
+    /** Lets an upstream leave without draining first: its entry is removed. */
     void leave(String id) {
         alive.remove(id);
         write(
@@ -197,9 +199,9 @@
                 });
     }
 
-    /** An upstream's entry lapses while the store is out; the upstream writes it anew. */
+    /** Lets an upstream's entry expire during an outage; the upstream writes it again later. */
     void lapse(String id, Duration untilBack) {
-        tell(id + " lapses, back in " + untilBack.toMillis());
+        tell(id + " expires, back in " + untilBack.toMillis());
         store.remove("up/" + id);
         world.after(
                 untilBack,
@@ -211,7 +213,7 @@
                 });
     }
 
-    /** The store is out for all: routers, operators, upstreams. */
+    /** Cuts off the store from routers, operators and upstreams. */
     void outage(SimulatedPath.State how, Duration length) {
         tell("store " + how + " for " + length.toMillis());
         outages++;
@@ -230,21 +232,21 @@
                 });
     }
 
-    /** One router loses the store, and operators don't. */
+    /** Cuts off the store from one router only. */
     void cut(FollowingRouter router, SimulatedPath.State how, Duration length) {
         tell(router.name() + ' ' + how + " for " + length.toMillis());
         router.pathFails(how);
         world.after(length, () -> router.pathReturns(how));
     }
 
-    /** One router's VM stands still. */
+    /** Freezes the VM of one router. */
     void freeze(FollowingRouter router, Duration length) {
-        tell(router.name() + " stands still for " + length.toMillis());
+        tell(router.name() + " is frozen for " + length.toMillis());
         router.freeze();
         world.after(length, router::thaw);
     }
 
-    /** Those that wait hear nothing for a while; then the history is dropped. */
+    /** Withholds changes from watch calls for a while, and then drops the history. */
     void dropHistory(Duration after) {
         tell("history will be dropped in " + after.toMillis());
         store.mute();
@@ -267,14 +269,14 @@
     private void check(FollowingRouter router) {
         long seen = router.version();
         if (seen < highest.getOrDefault(router, 0L)) {
-            report(router, "went back", seen);
+            report(router, "went back to version", seen);
         }
         highest.merge(router, seen, Math::max);
         checkAlive(router, world.clock().instant());
         if (router.calm()) {
             checkLate(router, router.calmSince(), Duration.ZERO);
         } else if (router.cutOffOnly()) {
-            // Its neighbours know, if one of them is calm.
+            // A peer router without a fault passes on what it knows.
             routers.stream()
                     .filter(FollowingRouter::calm)
                     .map(FollowingRouter::calmSince)
@@ -290,13 +292,13 @@
         versions.forEach(
                 (number, at) -> {
                     if (seen < number && overdue(at, calm, now)) {
-                        report(router, "has not in force version", number);
+                        report(router, "does not yet apply version", number);
                     }
                 });
         drained.forEach(
                 (id, at) -> {
                     if (router.uses(id) && overdue(at, calm, now)) {
-                        report(router, "still uses, though it drains,", id);
+                        report(router, "still uses, although it drains,", id);
                     }
                 });
         zonesDrained.forEach(
@@ -312,7 +314,7 @@
                 (id, at) -> {
                     Instant due = later(at.plus(BOUND), calm.plus(SETTLED));
                     if (router.uses(id) && !now.isBefore(due)) {
-                        report(router, "still uses, though it left,", id);
+                        report(router, "still uses, although it left,", id);
                     }
                 });
     }
@@ -324,14 +326,14 @@
             if (zonesDrained.containsKey(TestDialect.zone(id))) {
                 known.remove(id);
             } else if (router.uses(id)) {
-                // It may not have heard of a drain yet that is taken back by now.
+                // It may not have read a drain yet that has been revoked since.
                 if (restored == null || mustKnow(router, restored, now)) {
                     known.add(id);
                 }
             } else if (known.contains(id)) {
-                report(router, "dropped, though it lives,", id);
+                report(router, "does not use any more, although it is alive,", id);
             } else if (mustKnow(router, latest(joined.get(id), restored), now)) {
-                report(router, "does not use, though it came,", id);
+                report(router, "does not use yet, although it joined,", id);
             }
         }
     }
@@ -360,7 +362,7 @@
         String line = router.name() + ' ' + what + ' ' + which;
         if (!broken.contains(line)) {
             broken.add(line);
-            tell("BROKEN: " + line);
+            tell("VIOLATED: " + line);
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
@@ -38,7 +38,7 @@
         assertEquals(List.of(), told);
     }
 
-    // Guards against an old change that is told after newer ones, and would open the zone again.
+    // Guards against an old change that arrives after newer ones and would open the zone again.
     @Test
     void whatIsOlderThanWhatIsKnownIsLeftOut() {
         drains.told(new RouterStanding.Drains(9, Map.of("a", NOW)));
@@ -58,7 +58,7 @@
         assertEquals(List.of("drained a", "restored a", "drained b"), told);
     }
 
-    /** Notes what is told. */
+    /** Records the notifications. */
     private final class Told implements ZoneDrains.Listener {
         @Override
         public void drained(String zone) {
