--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
@@ -61,7 +61,7 @@
                         flow.call().target(),
                         new DefaultHttpHeaders(),
                         flow.body(),
-                        got -> flows.dialect().answers(attempt, got),
+                        got -> flows.dialect().belongsToAttempt(attempt, got),
                         flow.route().isRepeatable() ? KEPT : FRESH);
         call = flows.client().send(upstream.facts().endpoint(), request, this);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ConfigurationHolder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ConfigurationHolder.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns the configuration in force as the store holds it; empty if there is none yet. */
-    byte[] value() {
+    byte[] storedBytes() {
         return value;
     }
 
@@ -50,7 +50,7 @@
      *
      * @param source where it was read, for the log: the store or a peer router
      */
-    void offer(byte[] given, long revision, String source) {
+    void replaceIfNewer(byte[] given, long revision, String source) {
         if (revision <= revision()) {
             return;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
@@ -48,7 +48,7 @@
             ConfigurationHolder configuration,
             ZoneDrains drains,
             UpstreamTable upstreams,
-            LoopLag lag) {}
+            EventLoopLag lag) {}
 
     DemandReports(VmId self, Parts parts) {
         this.self = self;
@@ -134,7 +134,7 @@
                 new RouterStanding(
                         parts.configuration().revision(),
                         parts.upstreams().revision(),
-                        parts.drains().known(),
+                        parts.drains().current(),
                         parts.store().up(),
                         parts.lag().average());
         parts.neighbours().report(to, demanded, standing);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Denials.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Denials.java
@@ -22,12 +22,12 @@
     /** What a small VM can hold; the rest is told at once to come back. */
     private static final int MOST = 512;
 
-    private final OperatorFollower followed;
+    private final OperatorSettingsFollower followed;
     private final InstantSource clock;
     private final Metrics metrics;
     private int waiting;
 
-    Denials(OperatorFollower followed, InstantSource clock, Metrics metrics) {
+    Denials(OperatorSettingsFollower followed, InstantSource clock, Metrics metrics) {
         this.followed = followed;
         this.clock = clock;
         this.metrics = metrics;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
@@ -55,7 +55,7 @@
     HttpHeaders toUpstream(HttpHeaders fromCaller, Forwarding forwarding);
 
     /** Returns true if an answer with these headers belongs to this attempt of a request. */
-    boolean answers(String attempt, HttpHeaders fromUpstream);
+    boolean belongsToAttempt(String attempt, HttpHeaders fromUpstream);
 
     /** Parses the status and headers of an upstream's answer. */
     UpstreamAnswer answer(int status, HttpHeaders fromUpstream, UpstreamId expected);
@@ -64,13 +64,13 @@
     HttpHeaders toCaller(HttpHeaders fromUpstream);
 
     /** Returns the headers of an answer that the router itself gives to this attempt. */
-    HttpHeaders ownAnswer(String attempt);
+    HttpHeaders localAnswerHeaders(String attempt);
 
     /** Returns the path of an upstream to which orders are posted. */
     String orderPath();
 
     /** Returns the body of an order. */
-    byte[] order(Order order);
+    byte[] orderBody(Order order);
 
     /** Returns the outcome that the HTTP status of an answer to an order stands for. */
     OrderOutcome outcome(int status);
@@ -95,5 +95,6 @@
      * @param fencing the fencing token, which grows with each change of the holder
      * @param sequence the number of orders that the upstream must have accepted before this one
      */
-    record Order(OrderOperation verb, ModelRef model, String holder, long fencing, long sequence) {}
+    record Order(
+            OrderOperation operation, ModelRef model, String holder, long fencing, long sequence) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -85,7 +85,7 @@
     private final HttpLoop loop = HttpLoop.start();
     private final InstantSource clock = SuspendAwareClock.start();
     private final Metrics metrics = new Metrics();
-    private final LoopControl control;
+    private final EventLoopControlThread control;
     private final HttpClient client;
     private final PolledStore store;
     private final UpstreamTable upstreams;
@@ -99,7 +99,7 @@
     private final DemandReports reports;
     private final UpstreamFollower upstreamFollower;
     private final ZoneDrains drains;
-    private final OperatorFollower operatorFollower;
+    private final OperatorSettingsFollower operatorFollower;
     private final Dispatch dispatch;
     private final CrashWatch crashes;
     private final LostUpstreams lost;
@@ -110,7 +110,7 @@
     private final Ingress ingress;
     private final PeerNetwork network;
     private volatile HttpServer callers;
-    private final LoopLag lag = new LoopLag(CHECK);
+    private final EventLoopLag lag = new EventLoopLag(CHECK);
     private volatile boolean stopping;
     private boolean stopped;
 
@@ -126,7 +126,8 @@
         String life = Long.toHexString(ThreadLocalRandom.current().nextLong());
         this.incarnation = Incarnation.of(settings.vm() + ":" + life);
         this.upstreams = new UpstreamTable(new DrainedZones(settings.zones().drainLimit()));
-        this.control = new LoopControl(loop.events(), clock, new LoopHolds(metrics));
+        this.control =
+                new EventLoopControlThread(loop.events(), clock, new EventLoopHoldTimes(metrics));
         this.client = new HttpClient(loop, CONNECT_TIMEOUT, metrics);
         this.store = stores.open(settings, client, control, metrics);
         this.relays = new StoreRelays(control, this::relaySources, this::askRelay);
@@ -158,7 +159,7 @@
         ServerSocketChannel socket =
                 open.orElseGet(() -> EarlySocket.listen(settings.callers().socket()));
         control.run(() -> begin(socket));
-        Pages pages = new Pages(metrics, this::ready);
+        StatusPages pages = new StatusPages(metrics, this::ready);
         control.run(() -> control.every(COUNTERS, pages::logCounters));
         serve(settings.ready().host(), settings.ready().port(), pages::ready);
         if (settings.metricsPort() != 0) {
@@ -191,7 +192,7 @@
     }
 
     /** Adds a gauge for the number of log lines that the process has dropped. */
-    public void logLinesLeftOut(Supplier<Long> count) {
+    public void registerDroppedLogLines(Supplier<Long> count) {
         metrics.gauge("log_lines_left_out", count);
     }
 
@@ -212,7 +213,7 @@
         stopped = true;
         stopping = true;
         LOG.info("stopping, {} requests open", flows.size());
-        new Shutdown(control, callers, settings.grace(), flows).run(lease::close);
+        new GracefulShutdown(control, callers, settings.grace(), flows).run(lease::close);
         // Last, since a router that is not listed may not spend its share of the rate limits, and
         // would refuse requests that still arrive until the balancer notices.
         control.run(members::leave);
@@ -312,12 +313,18 @@
 
     private Membership membership() {
         return new Membership(
-                control, store, settings.storePrefix(), entry(), Paces.ROUTERS, relays, metrics);
+                control,
+                store,
+                settings.storePrefix(),
+                entry(),
+                StorePaces.ROUTERS,
+                relays,
+                metrics);
     }
 
     private UpstreamFollower upstreamFollower() {
         return new UpstreamFollower(
-                control, store, dialect, upstreams, Paces.UPSTREAMS, relays, metrics);
+                control, store, dialect, upstreams, StorePaces.UPSTREAMS, relays, metrics);
     }
 
     private ZoneDrains zoneDrains() {
@@ -328,14 +335,14 @@
                 new DrainListener());
     }
 
-    private OperatorFollower operatorFollower() {
-        return new OperatorFollower(
+    private OperatorSettingsFollower operatorFollower() {
+        return new OperatorSettingsFollower(
                 control,
                 store,
                 dialect,
                 configuration,
                 drains,
-                Paces.CONFIGURATION,
+                StorePaces.CONFIGURATION,
                 relays,
                 metrics);
     }
@@ -408,7 +415,7 @@
         callers = HttpServer.adopt(loop, socket, HttpLimits.usual(), ingress);
         metrics.gauge("direct_left_before_served", callers::leftUnserved);
         crashes.show();
-        new DrainProgress(upstreams).show(metrics);
+        new DrainProgress(upstreams).registerGauges(metrics);
         limits.show(metrics);
         leader.show(metrics);
         metrics.gauge("models_unserved", flows.unserved()::many);
@@ -429,8 +436,8 @@
     }
 
     private void check() {
-        lag.ticked(clock.instant());
-        if (lag.slow() && othersAreQuicker()) {
+        lag.recordTick(clock.instant());
+        if (lag.isSlow() && othersAreQuicker()) {
             lease.resign("this VM is slow");
         }
         handOver.check();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DrainProgress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DrainProgress.java
@@ -18,14 +18,14 @@
     }
 
     /** Registers the gauges; their values are computed when they are read. */
-    void show(Metrics metrics) {
+    void registerGauges(Metrics metrics) {
         metrics.gauge("zones_drained", () -> (long) upstreams.zones().all().size());
-        metrics.gauge("requests_in_drained_zones", this::requestsThere);
-        metrics.gauge("models_only_in_drained_zones", this::modelsOnlyThere);
+        metrics.gauge("requests_in_drained_zones", this::requestsInDrainedZones);
+        metrics.gauge("models_only_in_drained_zones", this::modelsOnlyInDrainedZones);
     }
 
     /** Returns the number of this router's requests that still run in drained zones. */
-    long requestsThere() {
+    long requestsInDrainedZones() {
         return upstreams.all().stream()
                 .filter(Upstream::isZoneDrained)
                 .mapToLong(Upstream::inFlight)
@@ -33,7 +33,7 @@
     }
 
     /** Returns the number of models held only by upstreams that drain or are in drained zones. */
-    long modelsOnlyThere() {
+    long modelsOnlyInDrainedZones() {
         Set<String> there = new HashSet<>();
         Set<String> elsewhere = new HashSet<>();
         for (Upstream upstream : upstreams.all()) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LoopControl.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EventLoopControlThread.java
@@ -16,16 +16,16 @@
  * A control thread that shares one event loop with the traffic, for VMs with a fraction of a core:
  * handing over between two threads would cost a wake-up for each request and each event.
  */
-final class LoopControl implements ControlThread {
-    private static final Logger LOG = LogManager.getLogger(LoopControl.class);
+final class EventLoopControlThread implements ControlThread {
+    private static final Logger LOG = LogManager.getLogger(EventLoopControlThread.class);
 
     private static final Duration BEAT = Duration.ofMillis(50);
 
     private final EventLoop loop;
     private final InstantSource clock;
-    private final LoopHolds holds;
+    private final EventLoopHoldTimes holds;
 
-    LoopControl(EventLoop loop, InstantSource clock, LoopHolds holds) {
+    EventLoopControlThread(EventLoop loop, InstantSource clock, EventLoopHoldTimes holds) {
         this.loop = loop;
         this.clock = clock;
         this.holds = holds;
@@ -75,7 +75,7 @@
         }
 
         void plan() {
-            long pause = toBeat(System.nanoTime(), period.toNanos());
+            long pause = nanosToTick(System.nanoTime(), period.toNanos());
             loop.schedule(this::run, pause, TimeUnit.NANOSECONDS);
         }
 
@@ -93,7 +93,7 @@
     }
 
     /** Returns the nanoseconds from now to the tick nearest to one period from now. */
-    static long toBeat(long nowNanos, long periodNanos) {
+    static long nanosToTick(long nowNanos, long periodNanos) {
         long beat = Math.min(BEAT.toNanos(), periodNanos);
         long due = nowNanos + periodNanos;
         long past = Math.floorMod(due, beat);
@@ -114,6 +114,6 @@
         } catch (RuntimeException e) {
             LOG.error("a step of the control thread failed", e);
         }
-        holds.held(step, System.nanoTime() - began);
+        holds.record(step, System.nanoTime() - began);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LoopHolds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EventLoopHoldTimes.java
@@ -9,10 +9,10 @@
 
 /**
  * Records the longest time for which steps of each class have blocked the event loop, for the
- * metrics and the log: {@code holds.held(step, nanos)}.
+ * metrics and the log: {@code holds.record(step, nanos)}.
  */
-final class LoopHolds {
-    private static final Logger LOG = LogManager.getLogger(LoopHolds.class);
+final class EventLoopHoldTimes {
+    private static final Logger LOG = LogManager.getLogger(EventLoopHoldTimes.class);
 
     /** Shorter steps delay no caller noticeably and are not recorded. */
     private static final Duration WORTH_KEEPING = Duration.ofMillis(5);
@@ -25,12 +25,12 @@
     private final Map<String, Long> longest = new ConcurrentHashMap<>();
     private final Metrics metrics;
 
-    LoopHolds(Metrics metrics) {
+    EventLoopHoldTimes(Metrics metrics) {
         this.metrics = metrics;
     }
 
     /** Records that a step has run for this many nanoseconds. */
-    void held(Runnable step, long nanos) {
+    void record(Runnable step, long nanos) {
         if (nanos < WORTH_KEEPING.toNanos()) {
             return;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LoopLag.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EventLoopLag.java
@@ -4,12 +4,13 @@
 import java.time.Instant;
 
 /**
- * Measures how late the event loop runs its periodic tick: {@code lag.ticked(now)} at every tick.
+ * Measures how late the event loop runs its periodic tick: {@code lag.recordTick(now)} at every
+ * tick.
  *
  * <p>A VM that loses its processor to others serves requests late and, as the leader, gives orders
  * late. The latter can be avoided, since another router can lead.
  */
-final class LoopLag {
+final class EventLoopLag {
     /** If ticks are this late on average, each order takes that much longer. */
     private static final Duration SLOW = Duration.ofMillis(60);
 
@@ -24,12 +25,12 @@
     private double lateMillis;
     private int ticks;
 
-    LoopLag(Duration period) {
+    EventLoopLag(Duration period) {
         this.period = period;
     }
 
     /** Records that the tick ran, and expects the next one a period later. */
-    void ticked(Instant now) {
+    void recordTick(Instant now) {
         ticks++;
         if (due != null && ticks > TICKS_TO_WARM_UP) {
             double late = Math.max(0, Duration.between(due, now).toMillis());
@@ -39,7 +40,7 @@
     }
 
     /** Returns true if ticks have recently been too late on average for a leader. */
-    boolean slow() {
+    boolean isSlow() {
         return lateMillis > SLOW.toMillis();
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
@@ -456,7 +456,7 @@
         if (refusal.notRun()) {
             admitted.giveBack().run();
         }
-        HttpHeaders headers = flows.dialect().ownAnswer(request.attempt());
+        HttpHeaders headers = flows.dialect().localAnswerHeaders(request.attempt());
         Refusals.send(call, headers, refusal);
         finish("refused " + Refusals.status(refusal) + " " + refusal.message());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Shutdown.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/GracefulShutdown.java
@@ -14,7 +14,7 @@
  * connections until then. Closing at once would lose these, and also requests that arrive while a
  * kept-alive connection is being closed.
  */
-final class Shutdown {
+final class GracefulShutdown {
     /** The balancer probes once a second and needs two failed probes. */
     private static final Duration BALANCER = Duration.ofMillis(2_600);
 
@@ -38,7 +38,7 @@
     private final Duration grace;
     private final Flows flows;
 
-    Shutdown(ControlThread control, HttpServer callers, Duration grace, Flows flows) {
+    GracefulShutdown(ControlThread control, HttpServer callers, Duration grace, Flows flows) {
         this.control = control;
         this.callers = callers;
         this.grace = grace;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
@@ -30,7 +30,7 @@
 
     private final Dialect dialect;
     private final ConfigurationHolder configuration;
-    private final OperatorFollower followed;
+    private final OperatorSettingsFollower followed;
     private final Denials denials;
     private final RateAdmission rates;
     private final Flows flows;
@@ -44,7 +44,7 @@
     Ingress(
             Dialect dialect,
             ConfigurationHolder configuration,
-            OperatorFollower followed,
+            OperatorSettingsFollower followed,
             RateAdmission rates,
             Flows flows,
             Incarnation self,
@@ -243,7 +243,7 @@
     private void refuse(HttpCall call, CallerRequest request, Refusal refusal, String inputs) {
         metrics.count("direct_refused", "code", refusal.code().wireName());
         flows.log().refused(request, refusal, inputs);
-        Refusals.send(call, dialect.ownAnswer(request.attempt()), refusal);
+        Refusals.send(call, dialect.localAnswerHeaders(request.attempt()), refusal);
     }
 
     /** Where a request goes and for whom, or why it is not let in. */
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
@@ -51,7 +51,7 @@
     @Override
     public void reported(LoadInput.DemandReported demanded, RouterStanding standing) {
         parts.leader().demanded(demanded);
-        parts.drains().told(standing.drains());
+        parts.drains().merge(standing.drains());
         if (standing.configuration() > parts.configuration().revision()) {
             parts.neighbours().ask(demanded.router(), parts.configuration().revision());
         }
@@ -179,12 +179,14 @@
         if (parts.configuration().revision() > newerThan) {
             parts.neighbours()
                     .sendConfiguration(
-                            from, parts.configuration().revision(), parts.configuration().value());
+                            from,
+                            parts.configuration().revision(),
+                            parts.configuration().storedBytes());
         }
     }
 
     @Override
     public void configuration(long revision, byte[] value) {
-        parts.configuration().offer(value, revision, "another router");
+        parts.configuration().replaceIfNewer(value, revision, "another router");
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorSettingsFollower.java
@@ -21,13 +21,13 @@
  * Keeps the operators' settings up to date with the store: the configuration in force and the
  * drained zones. One watch of the store covers both. Control thread only.
  */
-final class OperatorFollower implements ChangeListener {
+final class OperatorSettingsFollower implements ChangeListener {
     private final Dialect dialect;
     private final ConfigurationHolder holder;
     private final ZoneDrains drains;
     private final Follower follower;
 
-    OperatorFollower(
+    OperatorSettingsFollower(
             ControlThread control,
             PolledStore store,
             Dialect dialect,
@@ -81,9 +81,9 @@
         for (Entry entry : entries) {
             dialect.drainedZone(entry.key()).ifPresent(drained::add);
         }
-        drains.onlyThese(drained, revision);
+        drains.restoreAllExcept(drained, revision);
         entries.forEach(this::offer);
-        drains.knownUpTo(revision);
+        drains.markAppliedUpTo(revision);
     }
 
     @Override
@@ -93,18 +93,18 @@
                 offer(change.entry().get());
             } else {
                 dialect.drainedZone(change.key())
-                        .ifPresent(zone -> drains.takenBack(zone, change.revision()));
+                        .ifPresent(zone -> drains.applyRestore(zone, change.revision()));
             }
         }
-        drains.knownUpTo(revision);
+        drains.markAppliedUpTo(revision);
     }
 
     private void offer(Entry entry) {
         Optional<String> zone = dialect.drainedZone(entry.key());
         if (zone.isPresent()) {
-            drains.accepted(zone.get(), entry.value(), entry.modRevision(), follower.newsSince());
+            drains.applyDrain(zone.get(), entry.value(), entry.modRevision(), follower.newsSince());
         } else if (entry.key().equals(dialect.configurationKey())) {
-            holder.offer(entry.value(), entry.modRevision(), "store");
+            holder.replaceIfNewer(entry.value(), entry.modRevision(), "store");
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLease.java
@@ -46,7 +46,7 @@
     private final KeyValueStore store;
     private final Membership members;
     private final VmId self;
-    private final LoopLag lag;
+    private final EventLoopLag lag;
     private final LeaseMachine machine = new LeaseMachine(TERM);
     private Listener listener;
     private long fencing;
@@ -69,7 +69,7 @@
             KeyValueStore store,
             Membership members,
             VmId self,
-            LoopLag lag) {
+            EventLoopLag lag) {
         this.control = control;
         this.store = store;
         this.members = members;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Pages.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StatusPages.java
@@ -11,13 +11,13 @@
 import org.apache.logging.log4j.Logger;
 
 /** Serves the readiness and metrics pages of a router, and logs its counters. */
-final class Pages {
-    private static final Logger LOG = LogManager.getLogger(Pages.class);
+final class StatusPages {
+    private static final Logger LOG = LogManager.getLogger(StatusPages.class);
 
     private final Metrics metrics;
     private final BooleanSupplier isReady;
 
-    Pages(Metrics metrics, BooleanSupplier isReady) {
+    StatusPages(Metrics metrics, BooleanSupplier isReady) {
         this.metrics = metrics;
         this.isReady = isReady;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Paces.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StorePaces.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 
 /** Sets how often a direct router polls the store for each kind of key. */
-final class Paces {
+final class StorePaces {
     /** The operators' configuration, which must be in force within 2 s. */
     static final Pace CONFIGURATION = new Pace(Duration.ofMillis(1_200), Duration.ofMillis(400));
 
@@ -14,5 +14,5 @@
     /** The list of routers, and the lease of the leader. */
     static final Pace ROUTERS = new Pace(Duration.ofMillis(2_500), Duration.ofMillis(800));
 
-    private Paces() {}
+    private StorePaces() {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StoreRelays.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StoreRelays.java
@@ -39,7 +39,7 @@
     /** Sends a request for changes to a router; returns false if there is no link to it now. */
     @FunctionalInterface
     interface Wire {
-        boolean ask(VmId relay, long number, String prefix, long after, Duration wait);
+        boolean requestChanges(VmId relay, long number, String prefix, long after, Duration wait);
     }
 
     StoreRelays(ControlThread control, Supplier<List<VmId>> sources, Wire wire) {
@@ -57,7 +57,8 @@
     public CompletionStage<Changes> changes(String prefix, long after, Duration wait) {
         CompletableFuture<Changes> answer = new CompletableFuture<>();
         Optional<VmId> relay = next();
-        while (relay.isPresent() && !wire.ask(relay.get(), number + 1, prefix, after, wait)) {
+        while (relay.isPresent()
+                && !wire.requestChanges(relay.get(), number + 1, prefix, after, wait)) {
             leaveAlone(relay.get());
             relay = next();
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
@@ -52,7 +52,7 @@
                 HttpMethod.POST,
                 dialect.orderPath(),
                 headers,
-                dialect.order(order),
+                dialect.orderBody(order),
                 ORDER_LIMIT,
                 answer ->
                         then.accept(
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/WatchPlan.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/WatchPlan.java
@@ -71,7 +71,7 @@
     }
 
     /** Returns true if every router watches the store itself. */
-    boolean all() {
+    boolean allWatch() {
         return all;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
@@ -46,7 +46,7 @@
      * @param at the store revision of the entry
      * @param notBefore an instant at which the zone was not drained yet
      */
-    void accepted(String zone, byte[] value, long at, Instant notBefore) {
+    void applyDrain(String zone, byte[] value, long at, Instant notBefore) {
         if (at <= revision) {
             return;
         }
@@ -75,7 +75,7 @@
      *
      * @param at the store revision of the change
      */
-    void takenBack(String zone, long at) {
+    void applyRestore(String zone, long at) {
         if (at > revision) {
             takeBack(zone);
         }
@@ -91,12 +91,12 @@
     }
 
     /** Marks all changes up to this store revision as applied; older ones are ignored from then. */
-    void knownUpTo(long at) {
+    void markAppliedUpTo(long at) {
         revision = Math.max(revision, at);
     }
 
     /** Revokes all drains except those of these zones, the drained ones as of the revision. */
-    void onlyThese(Set<String> drained, long at) {
+    void restoreAllExcept(Set<String> drained, long at) {
         if (at <= revision) {
             return;
         }
@@ -108,17 +108,17 @@
     }
 
     /** Returns the drains known here, for peer routers that cannot reach the store. */
-    RouterStanding.Drains known() {
+    RouterStanding.Drains current() {
         return new RouterStanding.Drains(revision, zones.all());
     }
 
     /** Applies the drains that a peer router knows, if its revision is newer. */
-    void told(RouterStanding.Drains theirs) {
+    void merge(RouterStanding.Drains theirs) {
         if (theirs.revision() <= revision) {
             return;
         }
-        onlyThese(theirs.notBefore().keySet(), theirs.revision());
+        restoreAllExcept(theirs.notBefore().keySet(), theirs.revision());
         theirs.notBefore().forEach(this::drain);
-        knownUpTo(theirs.revision());
+        markAppliedUpTo(theirs.revision());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
@@ -41,7 +41,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests what happens to waiting requests whose caller leaves while the event loop is blocked. */
-class HeldThreadTest {
+class BlockedEventLoopTest {
     private static final String SERVICE = "service";
     private static final Duration LIMIT = Duration.ofSeconds(10);
 
@@ -66,10 +66,10 @@
                     new Flows.RetryBounds(Duration.ofSeconds(10), 0.2, 10),
                     () -> 1,
                     new CrashWatch(
-                            new LoopControl(
+                            new EventLoopControlThread(
                                     loop.events(),
                                     InstantSource.system(),
-                                    new LoopHolds(new Metrics())),
+                                    new EventLoopHoldTimes(new Metrics())),
                             new SilentCrashNews(),
                             (upstream, vouch, then) -> then.accept(UpstreamEnds.Sign.NONE),
                             () -> true,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RouterStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DisconnectableStore.java
@@ -10,14 +10,14 @@
 import java.util.function.Supplier;
 
 /** One router's connection to a {@link LeasedStore}; while it is cut, every call fails. */
-final class RouterStore extends OnlyFollowed {
+final class DisconnectableStore extends OnlyFollowed {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
 
     private final ControlThread world;
     private final LeasedStore leased;
     private boolean cut;
 
-    RouterStore(ControlThread world, LeasedStore leased) {
+    DisconnectableStore(ControlThread world, LeasedStore leased) {
         this.world = world;
         this.leased = leased;
     }
@@ -49,7 +49,7 @@
                                 .grantLease(ttl)
                                 .thenApply(
                                         lease -> {
-                                            leased.granted(lease, ttl);
+                                            leased.recordGrant(lease, ttl);
                                             return lease;
                                         }));
     }
@@ -58,7 +58,7 @@
     public CompletionStage<Boolean> keepAlive(long lease) {
         return call(
                 () -> {
-                    leased.kept(lease);
+                    leased.recordKeepAlive(lease);
                     return leased.store().keepAlive(lease);
                 });
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
@@ -28,11 +28,11 @@
         upstreams
                 .find(UpstreamId.of("one"))
                 .ifPresent(each -> each.requestAssigned(ModelRef.parse("m"), NOW));
-        assertEquals(0, progress.requestsThere());
-        assertEquals(0, progress.modelsOnlyThere());
+        assertEquals(0, progress.requestsInDrainedZones());
+        assertEquals(0, progress.modelsOnlyInDrainedZones());
         upstreams.zones().drain("a", NOW);
-        assertEquals(1, progress.requestsThere());
-        assertEquals(1, progress.modelsOnlyThere());
+        assertEquals(1, progress.requestsInDrainedZones());
+        assertEquals(1, progress.modelsOnlyInDrainedZones());
     }
 
     private void list(String id, String zone, String... models) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LoopControlTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/EventLoopControlThreadTest.java
@@ -5,7 +5,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-class LoopControlTest {
+class EventLoopControlThreadTest {
     private static final long MILLI = 1_000_000;
 
     // Guards against a dozen timers that each wake up a VM with a tenth of a core.
@@ -15,7 +15,7 @@
         for (long period : new long[] {50, 100, 150, 250, 500, 1_000}) {
             long now = 17 * MILLI + period;
             while (now < 1_000 * MILLI) {
-                now += LoopControl.toBeat(now, period * MILLI);
+                now += EventLoopControlThread.nanosToTick(now, period * MILLI);
                 wakes.add(now / MILLI);
             }
         }
@@ -25,13 +25,13 @@
     @Test
     void aStepComesAtMostHalfABeatEarlyOrLate() {
         for (long now = 0; now < 200; now++) {
-            long pause = LoopControl.toBeat(now * MILLI, 150 * MILLI) / MILLI;
+            long pause = EventLoopControlThread.nanosToTick(now * MILLI, 150 * MILLI) / MILLI;
             assertEquals(150, pause, 25);
         }
     }
 
     @Test
     void quickStepsAreNotHeldUpByTheBeat() {
-        assertEquals(20, LoopControl.toBeat(40 * MILLI, 20 * MILLI) / MILLI, 10);
+        assertEquals(20, EventLoopControlThread.nanosToTick(40 * MILLI, 20 * MILLI) / MILLI, 10);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -24,7 +24,7 @@
 final class FollowingRouter {
     private final String name;
     private final ControlThread world;
-    private final FreezingControl control;
+    private final FreezableControlThread control;
     private final SimulatedPath path;
     private final UpstreamTable upstreams = new UpstreamTable();
     private final ConfigurationHolder configuration;
@@ -49,7 +49,7 @@
             List<FollowingRouter> relays) {
         this.name = name;
         this.world = world;
-        this.control = new FreezingControl(world);
+        this.control = new FreezableControlThread(world);
         this.path = new SimulatedPath(control, world, store);
         TestDialect dialect = new TestDialect();
         Metrics metrics = new Metrics();
@@ -58,14 +58,14 @@
         this.drains = new ZoneDrains(dialect, upstreams.zones(), Set.of(), new NoDrains());
         this.links = new SimulatedLinks(world, control, relays);
         Relay relay = relays.isEmpty() ? Relay.none() : links.relay();
-        OperatorFollower versions =
-                new OperatorFollower(
+        OperatorSettingsFollower versions =
+                new OperatorSettingsFollower(
                         control, path, dialect, configuration, drains, pace, relay, metrics);
         followed.put(versions.follower().prefix(), versions.follower());
         versions.start();
         this.follower =
                 new UpstreamFollower(
-                        control, path, dialect, upstreams, Paces.UPSTREAMS, relay, metrics);
+                        control, path, dialect, upstreams, StorePaces.UPSTREAMS, relay, metrics);
         followed.put(follower.follower().prefix(), follower.follower());
         follower.start(new Nobody());
     }
@@ -90,15 +90,15 @@
     /**
      * Receives a report of another router, and fetches from it what the report shows to be newer.
      */
-    void hears(FollowingRouter other) {
+    void receiveReport(FollowingRouter other) {
         if (control.frozen() || other.control.frozen()) {
             return;
         }
         if (other.configuration.revision() > configuration.revision()) {
-            configuration.offer(
-                    other.configuration.value(), other.configuration.revision(), other.name);
+            configuration.replaceIfNewer(
+                    other.configuration.storedBytes(), other.configuration.revision(), other.name);
         }
-        drains.told(other.drains.known());
+        drains.merge(other.drains.current());
         if (follower.needsTelling(other.upstreams.revision())) {
             follower.told(other.upstreams.departures(follower.knownUpTo()));
         }
@@ -107,7 +107,7 @@
     /**
      * Answers another router's request for changes; the consumer is called on this router's thread.
      */
-    void asked(String prefix, long after, Duration wait, Consumer<Optional<Changes>> told) {
+    void answerChanges(String prefix, long after, Duration wait, Consumer<Optional<Changes>> told) {
         control.run(() -> followed.get(prefix).tell(after, wait, told));
     }
 
@@ -116,15 +116,15 @@
         return path.calls();
     }
 
-    void pathFails(SimulatedPath.State how) {
+    void startPathFault(SimulatedPath.State how) {
         troubles.add(how);
         path.set(how);
     }
 
-    void pathReturns(SimulatedPath.State how) {
+    void endPathFault(SimulatedPath.State how) {
         troubles.remove(how);
         path.set(troubles.isEmpty() ? SimulatedPath.State.OPEN : troubles.get(0));
-        calmed();
+        recordRecovery();
     }
 
     void freeze() {
@@ -134,30 +134,30 @@
         }
     }
 
-    void thaw() {
+    void unfreeze() {
         otherTroubles--;
         if (otherTroubles == 0) {
-            control.thaw();
-            calmed();
+            control.unfreeze();
+            recordRecovery();
         }
     }
 
     /** Records that a fault that is neither in the path nor in the VM has just ended. */
-    void calmed() {
+    void recordRecovery() {
         calmSince = world.clock().instant();
     }
 
-    boolean calm() {
+    boolean hasNoFault() {
         return troubles.isEmpty() && otherTroubles == 0;
     }
 
     /** Returns true if its path to the store has a fault, and nothing else has. */
-    boolean cutOffOnly() {
+    boolean hasOnlyPathFault() {
         return !troubles.isEmpty() && otherTroubles == 0;
     }
 
     /** Returns the instant at which the last fault that is over ended. */
-    Instant calmSince() {
+    Instant recoveredAt() {
         return calmSince;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FreezingControl.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FreezableControlThread.java
@@ -14,13 +14,13 @@
  * A control thread on a VM that can be frozen: steps wait meanwhile, and timers continue with the
  * time that they had left, as they do on a real VM.
  */
-final class FreezingControl implements ControlThread {
+final class FreezableControlThread implements ControlThread {
     private final ControlThread world;
     private final List<Runnable> parked = new ArrayList<>();
     private Duration lost = Duration.ZERO;
     private Instant frozenAt;
 
-    FreezingControl(ControlThread world) {
+    FreezableControlThread(ControlThread world) {
         this.world = world;
     }
 
@@ -32,7 +32,7 @@
         frozenAt = world.clock().instant();
     }
 
-    void thaw() {
+    void unfreeze() {
         lost = lost.plus(Duration.between(frozenAt, world.clock().instant()));
         frozenAt = null;
         List<Runnable> waited = List.copyOf(parked);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
@@ -27,14 +27,14 @@
         return store;
     }
 
-    void granted(long lease, Duration term) {
+    void recordGrant(long lease, Duration term) {
         terms.put(lease, new Term(term, world.clock().instant().plus(term)));
     }
 
-    void kept(long lease) {
+    void recordKeepAlive(long lease) {
         Term known = terms.get(lease);
         if (known != null) {
-            granted(lease, known.length());
+            recordGrant(lease, known.length());
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderLeaseTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderLeaseTest.java
@@ -159,7 +159,8 @@
                         new Metrics());
         members.start(() -> {});
         OrderLease lease =
-                new OrderLease(control, store, members, vm, new LoopLag(Duration.ofMillis(50)));
+                new OrderLease(
+                        control, store, members, vm, new EventLoopLag(Duration.ofMillis(50)));
         lease.start(
                 new OrderLease.Listener() {
                     @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
@@ -19,17 +19,17 @@
     private static final Duration TICK = Duration.ofMillis(50);
 
     private final VmId vm;
-    private final FreezingControl control;
-    private final RouterStore store;
+    private final FreezableControlThread control;
+    private final DisconnectableStore store;
     private final UpstreamTable upstreams = new UpstreamTable();
     private final OrderLease lease;
     private final OrderLeader leader;
 
     OrderingRouter(String name, ControlThread world, LeasedStore leased, OrderWorld engines) {
         this.vm = VmId.of(name);
-        this.control = new FreezingControl(world);
-        this.store = new RouterStore(world, leased);
-        LoopLag lag = new LoopLag(TICK);
+        this.control = new FreezableControlThread(world);
+        this.store = new DisconnectableStore(world, leased);
+        EventLoopLag lag = new EventLoopLag(TICK);
         Membership members =
                 new Membership(
                         control,
@@ -102,7 +102,7 @@
 
     void thaw() {
         if (control.frozen()) {
-            control.thaw();
+            control.unfreeze();
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
@@ -120,7 +120,7 @@
         if (busy || (checksCounts && order.sequence() != sequence)) {
             return Optional.of(OrderOutcome.CONFLICT);
         }
-        boolean load = order.verb() == OrderOperation.LOAD;
+        boolean load = order.operation() == OrderOperation.LOAD;
         if (load == has(order.model())) {
             return Optional.of(OrderOutcome.DONE);
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedLinks.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedLinks.java
@@ -34,7 +34,9 @@
         FollowingRouter other = others.get(relay);
         world.after(
                 ONE_WAY,
-                () -> other.asked(prefix, after, wait, told -> answer(relay, number, told)));
+                () ->
+                        other.answerChanges(
+                                prefix, after, wait, told -> answer(relay, number, told)));
         return true;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
@@ -54,7 +54,7 @@
     }
 
     /** Withholds new changes from watch calls until the history is dropped. */
-    void mute() {
+    void withholdChanges() {
         mutedAt = told();
         mute = true;
     }
@@ -64,11 +64,11 @@
         mute = false;
         kept = revision;
         history.clear();
-        cutWaiting();
+        failWaitingCalls();
     }
 
     /** Fails the watch calls that wait. */
-    void cutWaiting() {
+    void failWaitingCalls() {
         List<Waiting> cut = List.copyOf(waiting);
         waiting.clear();
         cut.forEach(each -> each.answer.completeExceptionally(unavailable("cut")));
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
@@ -27,12 +27,12 @@
         for (int phase = 0; phase < PHASES; phase++) {
             for (Duration length : List.of(Duration.ofMillis(400), Duration.ofSeconds(9))) {
                 StoreWorld world = new StoreWorld();
-                world.pass(PHASE.multipliedBy(phase));
-                world.outage(SimulatedPath.State.SILENT, length);
-                world.pass(length.plusMillis(100));
-                world.change();
-                world.pass(Duration.ofSeconds(6));
-                broken.addAll(world.broken());
+                world.advance(PHASE.multipliedBy(phase));
+                world.cutAll(SimulatedPath.State.SILENT, length);
+                world.advance(length.plusMillis(100));
+                world.changeConfiguration();
+                world.advance(Duration.ofSeconds(6));
+                broken.addAll(world.violations());
             }
         }
         assertNone(broken);
@@ -45,12 +45,12 @@
         int late = 0;
         for (int phase = 0; phase < PHASES; phase++) {
             StoreWorld world = new StoreWorld(naive);
-            world.pass(PHASE.multipliedBy(phase));
-            world.outage(SimulatedPath.State.SILENT, Duration.ofMillis(400));
-            world.pass(Duration.ofMillis(500));
-            world.change();
-            world.pass(Duration.ofSeconds(6));
-            late += world.broken().isEmpty() ? 0 : 1;
+            world.advance(PHASE.multipliedBy(phase));
+            world.cutAll(SimulatedPath.State.SILENT, Duration.ofMillis(400));
+            world.advance(Duration.ofMillis(500));
+            world.changeConfiguration();
+            world.advance(Duration.ofSeconds(6));
+            late += world.violations().isEmpty() ? 0 : 1;
         }
         assertTrue(late > 0, "no version was late");
     }
@@ -61,12 +61,12 @@
         List<String> broken = new ArrayList<>();
         for (int phase = 0; phase < PHASES; phase++) {
             StoreWorld world = new StoreWorld();
-            world.pass(PHASE.multipliedBy(phase));
-            world.outage(SimulatedPath.State.SILENT, Duration.ofSeconds(6));
-            world.pass(Duration.ofSeconds(6).plus(StoreWorld.SETTLED));
-            world.leave(world.alive().get(0));
-            world.pass(Duration.ofSeconds(4));
-            broken.addAll(world.broken());
+            world.advance(PHASE.multipliedBy(phase));
+            world.cutAll(SimulatedPath.State.SILENT, Duration.ofSeconds(6));
+            world.advance(Duration.ofSeconds(6).plus(StoreWorld.SETTLED));
+            world.removeUpstream(world.liveUpstreams().get(0));
+            world.advance(Duration.ofSeconds(4));
+            broken.addAll(world.violations());
         }
         assertNone(broken);
     }
@@ -75,14 +75,15 @@
     @Test
     void anUpstreamThatLapsedIsWaitedForThoughTheHistoryIsDropped() {
         StoreWorld world = new StoreWorld();
-        String lapsed = world.alive().get(0);
-        world.outage(SimulatedPath.State.SILENT, Duration.ofSeconds(5));
-        world.after(Duration.ofSeconds(4), () -> world.lapse(lapsed, Duration.ofMillis(2_800)));
-        world.pass(Duration.ofMillis(5_600));
+        String lapsed = world.liveUpstreams().get(0);
+        world.cutAll(SimulatedPath.State.SILENT, Duration.ofSeconds(5));
+        world.after(
+                Duration.ofSeconds(4), () -> world.expireEntry(lapsed, Duration.ofMillis(2_800)));
+        world.advance(Duration.ofMillis(5_600));
         world.dropHistory(Duration.ofMillis(500));
-        world.change();
-        world.pass(Duration.ofSeconds(5));
-        assertNone(world.broken());
+        world.changeConfiguration();
+        world.advance(Duration.ofSeconds(5));
+        assertNone(world.violations());
     }
 
     // Guards against a change that is applied late or reverted, and a live upstream dropped.
@@ -125,8 +126,8 @@
         StoreWorld calm = new StoreWorld();
         long before = drained.storeCalls() - calm.storeCalls();
         drained.drainZone("a");
-        drained.pass(Duration.ofSeconds(20));
-        calm.pass(Duration.ofSeconds(20));
+        drained.advance(Duration.ofSeconds(20));
+        calm.advance(Duration.ofSeconds(20));
         long routers = drained.routers().size();
         assertTrue(drained.storeCalls() - calm.storeCalls() - before <= routers);
     }
@@ -136,13 +137,13 @@
     void aFrozenRelayHidesNothingForLong() {
         List<String> broken = new ArrayList<>();
         for (int phase = 0; phase < PHASES; phase++) {
-            StoreWorld world = new StoreWorld(Paces.CONFIGURATION, 2, 3);
-            world.pass(PHASE.multipliedBy(phase));
+            StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
+            world.advance(PHASE.multipliedBy(phase));
             world.freeze(world.routers().get(0), Duration.ofSeconds(5));
-            world.change();
-            world.drain(world.alive().get(0));
-            world.pass(Duration.ofSeconds(8));
-            broken.addAll(world.broken());
+            world.changeConfiguration();
+            world.drainUpstream(world.liveUpstreams().get(0));
+            world.advance(Duration.ofSeconds(8));
+            broken.addAll(world.violations());
         }
         assertNone(broken);
     }
@@ -152,14 +153,15 @@
     void entriesThatLapseInAnOutageAreWaitedForBehindRelays() {
         List<String> broken = new ArrayList<>();
         for (int phase = 0; phase < PHASES; phase++) {
-            StoreWorld world = new StoreWorld(Paces.CONFIGURATION, 2, 3);
-            String lapsed = world.alive().get(0);
-            world.pass(PHASE.multipliedBy(phase));
-            world.outage(SimulatedPath.State.SILENT, Duration.ofMillis(2_600));
+            StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
+            String lapsed = world.liveUpstreams().get(0);
+            world.advance(PHASE.multipliedBy(phase));
+            world.cutAll(SimulatedPath.State.SILENT, Duration.ofMillis(2_600));
             world.after(
-                    Duration.ofMillis(2_500), () -> world.lapse(lapsed, Duration.ofMillis(1_600)));
-            world.pass(Duration.ofSeconds(9));
-            broken.addAll(world.broken());
+                    Duration.ofMillis(2_500),
+                    () -> world.expireEntry(lapsed, Duration.ofMillis(1_600)));
+            world.advance(Duration.ofSeconds(9));
+            broken.addAll(world.violations());
         }
         assertNone(broken);
     }
@@ -168,11 +170,11 @@
     @ParameterizedTest
     @CsvSource({"2, 4", "5, 28", "12, 88", "12, 288"})
     void theStoreIsAskedByThoseThatFollowItAndByNobodyElse(int watchers, int behind) {
-        StoreWorld world = new StoreWorld(Paces.CONFIGURATION, watchers, behind);
-        StoreWorld alone = new StoreWorld(Paces.CONFIGURATION, watchers, 0);
+        StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, watchers, behind);
+        StoreWorld alone = new StoreWorld(StorePaces.CONFIGURATION, watchers, 0);
         long before = world.storeCalls() - alone.storeCalls();
-        world.pass(Duration.ofSeconds(20));
-        alone.pass(Duration.ofSeconds(20));
+        world.advance(Duration.ofSeconds(20));
+        alone.advance(Duration.ofSeconds(20));
         assertEquals(before, world.storeCalls() - alone.storeCalls());
     }
 
@@ -202,15 +204,15 @@
     }
 
     private static StoreWorld behindRelays() {
-        return new StoreWorld(Paces.CONFIGURATION, 2, 3);
+        return new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
     }
 
     private static List<String> played(StoreWorld world, long seed, boolean drains) {
         StoreTroubles troubles = new StoreTroubles(world, seed);
         (drains ? troubles.withDrains() : troubles).play();
-        return world.broken().isEmpty()
+        return world.violations().isEmpty()
                 ? List.of()
-                : List.of("seed " + seed + ": " + String.join("\n", world.story()) + '\n');
+                : List.of("seed " + seed + ": " + String.join("\n", world.eventLog()) + '\n');
     }
 
     // One failing seed violates many guarantees; the first few are enough to find the cause.
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreTroubles.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreTroubles.java
@@ -48,9 +48,9 @@
                 drains(length);
             }
             // The next fault often begins before all is settled again.
-            world.pass(length.plusMillis(random.nextInt(5_000)));
+            world.advance(length.plusMillis(random.nextInt(5_000)));
         }
-        world.pass(Duration.ofSeconds(8));
+        world.advance(Duration.ofSeconds(8));
     }
 
     private int shortOrLong() {
@@ -62,7 +62,7 @@
         switch (random.nextInt(8)) {
             case 0, 1 -> outage(State.SILENT, length);
             case 2 -> outage(State.REFUSING, length);
-            case 3 -> world.outage(State.SLOW, length);
+            case 3 -> world.cutAll(State.SLOW, length);
             case 4 -> world.cut(one, State.SILENT, length);
             case 5 -> world.cut(one, State.ONE_WAY, length);
             case 6 -> world.freeze(one, length);
@@ -71,7 +71,7 @@
     }
 
     private void outage(State how, Duration length) {
-        world.outage(how, length);
+        world.cutAll(how, length);
         if (length.compareTo(LAPSES_AFTER) > 0 && random.nextBoolean()) {
             Duration at = LAPSES_AFTER.plusMillis(random.nextInt(200));
             if (at.compareTo(length) < 0) {
@@ -81,9 +81,10 @@
     }
 
     private void lapseSome(Duration untilReturn) {
-        for (String id : world.alive()) {
+        for (String id : world.liveUpstreams()) {
             if (random.nextBoolean()) {
-                world.lapse(id, untilReturn.plusMillis(100 + random.nextInt(BACK_MILLIS - 100)));
+                world.expireEntry(
+                        id, untilReturn.plusMillis(100 + random.nextInt(BACK_MILLIS - 100)));
             }
         }
     }
@@ -115,20 +116,20 @@
     }
 
     private void change() {
-        List<String> alive = world.alive();
+        List<String> alive = world.liveUpstreams();
         switch (random.nextInt(6)) {
-            case 0 -> world.join();
+            case 0 -> world.addUpstream();
             case 1 -> {
                 if (alive.size() > LEAST_UPSTREAMS) {
-                    world.drain(alive.get(random.nextInt(alive.size())));
+                    world.drainUpstream(alive.get(random.nextInt(alive.size())));
                 }
             }
             case 2 -> {
                 if (alive.size() > LEAST_UPSTREAMS) {
-                    world.leave(alive.get(random.nextInt(alive.size())));
+                    world.removeUpstream(alive.get(random.nextInt(alive.size())));
                 }
             }
-            default -> world.change();
+            default -> world.changeConfiguration();
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -63,7 +63,7 @@
     private int upstreams;
 
     StoreWorld() {
-        this(Paces.CONFIGURATION);
+        this(StorePaces.CONFIGURATION);
     }
 
     /** Creates a world whose routers follow the configuration at this pace. */
@@ -73,9 +73,9 @@
 
     /** Creates a world of routers that watch the store, and of routers that use them as relays. */
     StoreWorld(Pace pace, int watchers, int behindThem) {
-        change();
+        changeConfiguration();
         for (int each = 0; each < UPSTREAMS; each++) {
-            join();
+            addUpstream();
         }
         for (int each = 0; each < watchers; each++) {
             routers.add(new FollowingRouter("router-" + each, world, store, pace));
@@ -86,22 +86,22 @@
             routers.add(new FollowingRouter(name, world, store, pace, relays));
         }
         world.every(GOSSIP, this::gossip);
-        pass(BOUND);
+        advance(BOUND);
     }
 
     private void gossip() {
         for (FollowingRouter hearing : routers) {
-            routers.stream().filter(each -> each != hearing).forEach(hearing::hears);
+            routers.stream().filter(each -> each != hearing).forEach(hearing::receiveReport);
         }
     }
 
     /** Returns the violated guarantees, one line each; each is listed once for a router. */
-    List<String> broken() {
+    List<String> violations() {
         return broken;
     }
 
     /** Returns the log of events, each with the milliseconds since the start. */
-    List<String> story() {
+    List<String> eventLog() {
         return story;
     }
 
@@ -115,12 +115,12 @@
     }
 
     /** Returns the upstreams that neither drain nor have left. */
-    List<String> alive() {
+    List<String> liveUpstreams() {
         return List.copyOf(alive);
     }
 
     /** Lets time pass, and checks every router's guarantees at each step. */
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         Instant end = world.clock().instant().plus(duration);
         while (world.clock().instant().isBefore(end)) {
             world.advance(STEP);
@@ -133,7 +133,7 @@
     }
 
     /** Lets operators change the configuration; during an outage, as soon as it is over. */
-    void change() {
+    void changeConfiguration() {
         write(
                 () -> {
                     version++;
@@ -144,7 +144,7 @@
     }
 
     /** Adds a new upstream. */
-    void join() {
+    void addUpstream() {
         String id = "i-" + ++upstreams;
         write(
                 () -> {
@@ -156,7 +156,7 @@
     }
 
     /** Lets an upstream announce in its entry that it drains. */
-    void drain(String id) {
+    void drainUpstream(String id) {
         alive.remove(id);
         write(
                 () -> {
@@ -189,7 +189,7 @@
     }
 
     /** Lets an upstream leave without draining first: its entry is removed. */
-    void leave(String id) {
+    void removeUpstream(String id) {
         alive.remove(id);
         write(
                 () -> {
@@ -200,7 +200,7 @@
     }
 
     /** Lets an upstream's entry expire during an outage; the upstream writes it again later. */
-    void lapse(String id, Duration untilBack) {
+    void expireEntry(String id, Duration untilBack) {
         tell(id + " expires, back in " + untilBack.toMillis());
         store.remove("up/" + id);
         world.after(
@@ -214,16 +214,16 @@
     }
 
     /** Cuts off the store from routers, operators and upstreams. */
-    void outage(SimulatedPath.State how, Duration length) {
+    void cutAll(SimulatedPath.State how, Duration length) {
         tell("store " + how + " for " + length.toMillis());
         outages++;
-        routers.forEach(each -> each.pathFails(how));
+        routers.forEach(each -> each.startPathFault(how));
         world.after(
                 length,
                 () -> {
                     tell("store no longer " + how);
                     outages--;
-                    routers.forEach(each -> each.pathReturns(how));
+                    routers.forEach(each -> each.endPathFault(how));
                     if (outages == 0) {
                         List<Runnable> waited = List.copyOf(postponed);
                         postponed.clear();
@@ -235,26 +235,26 @@
     /** Cuts off the store from one router only. */
     void cut(FollowingRouter router, SimulatedPath.State how, Duration length) {
         tell(router.name() + ' ' + how + " for " + length.toMillis());
-        router.pathFails(how);
-        world.after(length, () -> router.pathReturns(how));
+        router.startPathFault(how);
+        world.after(length, () -> router.endPathFault(how));
     }
 
     /** Freezes the VM of one router. */
     void freeze(FollowingRouter router, Duration length) {
         tell(router.name() + " is frozen for " + length.toMillis());
         router.freeze();
-        world.after(length, router::thaw);
+        world.after(length, router::unfreeze);
     }
 
     /** Withholds changes from watch calls for a while, and then drops the history. */
     void dropHistory(Duration after) {
         tell("history will be dropped in " + after.toMillis());
-        store.mute();
+        store.withholdChanges();
         world.after(
                 after,
                 () -> {
                     store.dropHistory();
-                    routers.forEach(FollowingRouter::calmed);
+                    routers.forEach(FollowingRouter::recordRecovery);
                 });
     }
 
@@ -273,15 +273,15 @@
         }
         highest.merge(router, seen, Math::max);
         checkAlive(router, world.clock().instant());
-        if (router.calm()) {
-            checkLate(router, router.calmSince(), Duration.ZERO);
-        } else if (router.cutOffOnly()) {
+        if (router.hasNoFault()) {
+            checkLate(router, router.recoveredAt(), Duration.ZERO);
+        } else if (router.hasOnlyPathFault()) {
             // A peer router without a fault passes on what it knows.
             routers.stream()
-                    .filter(FollowingRouter::calm)
-                    .map(FollowingRouter::calmSince)
+                    .filter(FollowingRouter::hasNoFault)
+                    .map(FollowingRouter::recoveredAt)
                     .min(Instant::compareTo)
-                    .map(calm -> later(calm, router.calmSince()))
+                    .map(calm -> later(calm, router.recoveredAt()))
                     .ifPresent(calm -> checkLate(router, calm, GOSSIP));
         }
     }
@@ -339,7 +339,7 @@
     }
 
     private static boolean mustKnow(FollowingRouter router, Instant at, Instant now) {
-        return router.calm() && overdue(at, router.calmSince(), now);
+        return router.hasNoFault() && overdue(at, router.recoveredAt(), now);
     }
 
     private static Instant latest(Instant joined, Instant restored) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
@@ -106,7 +106,7 @@
     }
 
     @Override
-    public boolean answers(String attempt, HttpHeaders fromUpstream) {
+    public boolean belongsToAttempt(String attempt, HttpHeaders fromUpstream) {
         return true;
     }
 
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public HttpHeaders ownAnswer(String attempt) {
+    public HttpHeaders localAnswerHeaders(String attempt) {
         return new DefaultHttpHeaders();
     }
 
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public byte[] order(Order order) {
+    public byte[] orderBody(Order order) {
         throw new UnsupportedOperationException();
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/WatchPlanTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/WatchPlanTest.java
@@ -20,7 +20,7 @@
     @Test
     void aFewRoutersFollowTheStoreEachByItself() {
         WatchPlan plan = WatchPlan.of(routers(6, 2));
-        assertTrue(plan.all());
+        assertTrue(plan.allWatch());
         assertEquals(List.of(), plan.sources(VmId.of("r-1"), AvailabilityZone.of("zone-1")));
     }
 
@@ -64,7 +64,7 @@
         List<Vm> other = new ArrayList<>(routers(33, 5));
         java.util.Collections.reverse(other);
         assertEquals(WatchPlan.of(routers(33, 5)).watchers(), WatchPlan.of(other).watchers());
-        assertFalse(WatchPlan.of(other).all());
+        assertFalse(WatchPlan.of(other).allWatch());
     }
 
     private static int number(VmId router) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
@@ -22,18 +22,18 @@
 
     @Test
     void aDrainIsToldOnce() {
-        drains.accepted("a", NOTHING, 3, NOW);
-        drains.accepted("a", NOTHING, 4, NOW);
-        drains.takenBack("a", 5);
+        drains.applyDrain("a", NOTHING, 3, NOW);
+        drains.applyDrain("a", NOTHING, 4, NOW);
+        drains.applyRestore("a", 5);
         assertEquals(List.of("drained a", "restored a"), told);
     }
 
     @Test
     void anUnknownZoneAnUnreadableValueAndAnEndOfNoDrainChangeNothing() {
-        drains.accepted("nowhere", NOTHING, 3, NOW);
-        drains.accepted("a", new byte[] {7}, 4, NOW);
-        drains.takenBack("b", 5);
-        drains.takenBack("nowhere", 6);
+        drains.applyDrain("nowhere", NOTHING, 3, NOW);
+        drains.applyDrain("a", new byte[] {7}, 4, NOW);
+        drains.applyRestore("b", 5);
+        drains.applyRestore("nowhere", 6);
         assertEquals(Map.of(), zones.all());
         assertEquals(List.of(), told);
     }
@@ -41,19 +41,19 @@
     // Guards against an old change that arrives after newer ones and would open the zone again.
     @Test
     void whatIsOlderThanWhatIsKnownIsLeftOut() {
-        drains.told(new RouterStanding.Drains(9, Map.of("a", NOW)));
-        drains.accepted("b", NOTHING, 7, NOW);
-        drains.takenBack("a", 8);
-        drains.onlyThese(Set.of(), 9);
+        drains.merge(new RouterStanding.Drains(9, Map.of("a", NOW)));
+        drains.applyDrain("b", NOTHING, 7, NOW);
+        drains.applyRestore("a", 8);
+        drains.restoreAllExcept(Set.of(), 9);
         assertEquals(Set.of("a"), zones.all().keySet());
-        drains.told(new RouterStanding.Drains(8, Map.of()));
+        drains.merge(new RouterStanding.Drains(8, Map.of()));
         assertEquals(Set.of("a"), zones.all().keySet());
     }
 
     @Test
     void anotherRouterThatKnowsMoreIsBelieved() {
-        drains.accepted("a", NOTHING, 3, NOW);
-        drains.told(new RouterStanding.Drains(5, Map.of("b", NOW)));
+        drains.applyDrain("a", NOTHING, 3, NOW);
+        drains.merge(new RouterStanding.Drains(5, Map.of("b", NOW)));
         assertEquals(Set.of("b"), zones.all().keySet());
         assertEquals(List.of("drained a", "restored a", "drained b"), told);
     }
