--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ConfigurationHolder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ConfigurationHolder.java
@@ -16,14 +16,14 @@
     private static final Logger LOG = LogManager.getLogger(ConfigurationHolder.class);
 
     private final Dialect dialect;
-    private final Consumer<DirectConfiguration> changed;
+    private final Consumer<DirectConfiguration> onChange;
     private DirectConfiguration current;
     private RouteTable routes = new RouteTable(List.of());
-    private byte[] value = new byte[0];
+    private byte[] storedBytes = new byte[0];
 
-    ConfigurationHolder(Dialect dialect, Consumer<DirectConfiguration> changed) {
+    ConfigurationHolder(Dialect dialect, Consumer<DirectConfiguration> onChange) {
         this.dialect = dialect;
-        this.changed = changed;
+        this.onChange = onChange;
     }
 
     Optional<DirectConfiguration> current() {
@@ -41,7 +41,7 @@
 
     /** Returns the configuration in force as the store holds it; empty if there is none yet. */
     byte[] storedBytes() {
-        return value;
+        return storedBytes;
     }
 
     /**
@@ -50,12 +50,12 @@
      *
      * @param source where it was read, for the log: the store or a peer router
      */
-    void replaceIfNewer(byte[] given, long revision, String source) {
+    void replaceIfNewer(byte[] bytes, long revision, String source) {
         if (revision <= revision()) {
             return;
         }
         try {
-            DirectConfiguration next = dialect.configuration(given, revision);
+            DirectConfiguration next = dialect.configuration(bytes, revision);
             if (current != null && next.version() < current.version()) {
                 LOG.warn(
                         "ignoring configuration version={}: it is older than the one in force",
@@ -63,7 +63,7 @@
                 return;
             }
             current = next;
-            value = given;
+            storedBytes = bytes;
             routes = new RouteTable(next.routes());
             LOG.info(
                     "configuration version={} revision={} from={} routes={} in force",
@@ -71,7 +71,7 @@
                     revision,
                     source,
                     next.routes().size());
-            changed.accept(next);
+            onChange.accept(next);
         } catch (DirectException e) {
             LOG.error("ignoring the configuration at revision {}: {}", revision, e.getMessage());
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -62,11 +62,11 @@
     /** Upstreams are about 1 ms away; one that takes this long is down or drops packets. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
-    private static final Duration CHECK = Duration.ofMillis(50);
-    private static final Duration REPORT = Duration.ofMillis(150);
-    private static final Duration GOSSIP = Duration.ofSeconds(1);
-    private static final Duration COUNTERS = Duration.ofSeconds(10);
-    private static final Duration SWEEP = Duration.ofMillis(500);
+    private static final Duration CHECK_PERIOD = Duration.ofMillis(50);
+    private static final Duration REPORT_PERIOD = Duration.ofMillis(150);
+    private static final Duration GOSSIP_PERIOD = Duration.ofSeconds(1);
+    private static final Duration COUNTER_LOG_PERIOD = Duration.ofSeconds(10);
+    private static final Duration SWEEP_PERIOD = Duration.ofMillis(500);
     private static final Duration LIST_PERIOD = Duration.ofMillis(500);
 
     /**
@@ -74,7 +74,7 @@
      * resigns as leader. A leader has more work than the others, so a smaller difference would
      * vanish with the change.
      */
-    private static final int MUCH_QUICKER = 4;
+    private static final int RESIGN_LAG_RATIO = 4;
 
     private static final int TIMELINE_EVENTS = 500;
 
@@ -110,7 +110,7 @@
     private final Ingress ingress;
     private final PeerNetwork network;
     private volatile HttpServer callers;
-    private final EventLoopLag lag = new EventLoopLag(CHECK);
+    private final EventLoopLag lag = new EventLoopLag(CHECK_PERIOD);
     private volatile boolean stopping;
     private boolean stopped;
 
@@ -123,21 +123,21 @@
         this.dialect = dialect;
         this.self = VmId.of(settings.vm());
         // Must only differ from the VM's other incarnations; a secure source would delay the start.
-        String life = Long.toHexString(ThreadLocalRandom.current().nextLong());
-        this.incarnation = Incarnation.of(settings.vm() + ":" + life);
+        String suffix = Long.toHexString(ThreadLocalRandom.current().nextLong());
+        this.incarnation = Incarnation.of(settings.vm() + ":" + suffix);
         this.upstreams = new UpstreamTable(new DrainedZones(settings.zones().drainLimit()));
         this.control =
                 new EventLoopControlThread(loop.events(), clock, new EventLoopHoldTimes(metrics));
         this.client = new HttpClient(loop, CONNECT_TIMEOUT, metrics);
         this.store = stores.open(settings, client, control, metrics);
-        this.relays = new StoreRelays(control, this::relaySources, this::askRelay);
+        this.relays = new StoreRelays(control, this::relaySources, this::requestChanges);
         this.members = membership();
         this.neighbours = new Neighbours(control, members);
         this.lease = new OrderLease(control, store, members, self, lag);
         this.handOver = new OrderHandOver(control, store, lease, neighbours, members);
         UpstreamCalls calls = new UpstreamCalls(client, dialect, control);
         this.leader = new OrderLeader(control, upstreams, lease, calls, self, neighbours);
-        this.configuration = new ConfigurationHolder(dialect, this::configured);
+        this.configuration = new ConfigurationHolder(dialect, this::applyConfiguration);
         this.upstreamFollower = upstreamFollower();
         this.drains = zoneDrains();
         this.operatorFollower = operatorFollower();
@@ -145,7 +145,12 @@
         this.reports = reports();
         this.crashes =
                 new CrashWatch(
-                        control, crashNews(), this::look, members::watches, this::first, metrics);
+                        control,
+                        crashNews(),
+                        this::probe,
+                        members::watches,
+                        this::isFirstWatcher,
+                        metrics);
         this.lost = new LostUpstreams(clock, upstreams, neighbours);
         this.limits = new LimitedUpstreams(clock, upstreams, neighbours);
         this.flows = flows();
@@ -158,9 +163,9 @@
         neighbours.start(network, new NeighbourNews(newsParts(), this::replicasChanged));
         ServerSocketChannel socket =
                 open.orElseGet(() -> EarlySocket.listen(settings.callers().socket()));
-        control.run(() -> begin(socket));
+        control.run(() -> startServing(socket));
         StatusPages pages = new StatusPages(metrics, this::ready);
-        control.run(() -> control.every(COUNTERS, pages::logCounters));
+        control.run(() -> control.every(COUNTER_LOG_PERIOD, pages::logCounters));
         serve(settings.ready().host(), settings.ready().port(), pages::ready);
         if (settings.metricsPort() != 0) {
             serve(settings.peer().host(), settings.metricsPort(), pages::metrics);
@@ -264,9 +269,10 @@
                 new QuarantineStore(control, store, members.keptOutPrefix()));
     }
 
-    private void look(Upstream upstream, boolean vouch, Consumer<UpstreamEnds.Sign> then) {
+    private void probe(
+            Upstream upstream, boolean trustOpenConnection, Consumer<UpstreamEnds.Sign> then) {
         Endpoint endpoint = upstream.facts().endpoint();
-        if (vouch && client.keeps(endpoint)) {
+        if (trustOpenConnection && client.keeps(endpoint)) {
             then.accept(UpstreamEnds.Sign.ALIVE);
             return;
         }
@@ -283,7 +289,7 @@
     }
 
     // True at the first watcher of the plan: all routers that have read the same list agree on it.
-    private boolean first() {
+    private boolean isFirstWatcher() {
         return members.plan().watchers().stream().findFirst().filter(self::equals).isPresent();
     }
 
@@ -359,7 +365,7 @@
         return members.sources();
     }
 
-    private boolean askRelay(VmId to, long number, String prefix, long after, Duration wait) {
+    private boolean requestChanges(VmId to, long number, String prefix, long after, Duration wait) {
         return neighbours.askChanges(to, number, prefix, after, wait);
     }
 
@@ -406,7 +412,7 @@
     }
 
     // Starts reading the store before it serves callers, since their requests need what is read.
-    private void begin(ServerSocketChannel socket) {
+    private void startServing(ServerSocketChannel socket) {
         dispatch.onStarved(reports::soon);
         operatorFollower.start();
         upstreamFollower.start(new UpstreamListener());
@@ -420,24 +426,24 @@
         leader.show(metrics);
         metrics.gauge("models_unserved", flows.unserved()::many);
         String address = settings.peer().host() + ':' + settings.peer().port();
-        rates.start(ratePeers, address, Map.of(), LIST_PERIOD, processBegan());
+        rates.start(ratePeers, address, Map.of(), LIST_PERIOD, processStart());
         leader.start(this::replicasChanged);
-        control.every(CHECK, this::check);
-        control.every(REPORT, reports::report);
-        control.every(GOSSIP, reports::gossip);
-        control.every(GOSSIP, limits::tellAgain);
-        control.every(SWEEP, client::sweep);
+        control.every(CHECK_PERIOD, this::check);
+        control.every(REPORT_PERIOD, reports::report);
+        control.every(GOSSIP_PERIOD, reports::gossip);
+        control.every(GOSSIP_PERIOD, limits::tellAgain);
+        control.every(SWEEP_PERIOD, client::sweep);
     }
 
     // No other process has spent this VM's shares of the rate limits since this one started.
-    private Instant processBegan() {
+    private Instant processStart() {
         return clock.instant()
                 .minus(Duration.ofNanos(System.nanoTime() - EarlySocket.loadedNanos()));
     }
 
     private void check() {
         lag.recordTick(clock.instant());
-        if (lag.isSlow() && othersAreQuicker()) {
+        if (lag.isSlow() && anotherRouterIsFaster()) {
             lease.resign("this VM is slow");
         }
         handOver.check();
@@ -447,12 +453,12 @@
     }
 
     // If all routers are slow, a change of leader would only interrupt orders and gain nothing.
-    private boolean othersAreQuicker() {
-        Duration much = lag.average().dividedBy(MUCH_QUICKER);
-        return neighbours.leastLate().filter(least -> least.compareTo(much) < 0).isPresent();
+    private boolean anotherRouterIsFaster() {
+        Duration limit = lag.average().dividedBy(RESIGN_LAG_RATIO);
+        return neighbours.leastLate().filter(least -> least.compareTo(limit) < 0).isPresent();
     }
 
-    private void configured(DirectConfiguration now) {
+    private void applyConfiguration(DirectConfiguration now) {
         callers.limits(now.limits());
         dispatch.configured(now.modelServices());
         upstreams.setColdLimits(ColdLimits.of(now, settings.cold()));
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DrainProgress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DrainProgress.java
@@ -34,13 +34,13 @@
 
     /** Returns the number of models held only by upstreams that drain or are in drained zones. */
     long modelsOnlyInDrainedZones() {
-        Set<String> there = new HashSet<>();
+        Set<String> inDrainedZones = new HashSet<>();
         Set<String> elsewhere = new HashSet<>();
         for (Upstream upstream : upstreams.all()) {
-            boolean leaves = upstream.isZoneDrained() || upstream.facts().draining();
-            (leaves ? there : elsewhere).addAll(upstream.held().adapters().keySet());
+            boolean drains = upstream.isZoneDrained() || upstream.facts().draining();
+            (drains ? inDrainedZones : elsewhere).addAll(upstream.held().adapters().keySet());
         }
-        there.removeAll(elsewhere);
-        return there.size();
+        inDrainedZones.removeAll(elsewhere);
+        return inDrainedZones.size();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/EventLoopControlThread.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EventLoopControlThread.java
@@ -19,24 +19,24 @@
 final class EventLoopControlThread implements ControlThread {
     private static final Logger LOG = LogManager.getLogger(EventLoopControlThread.class);
 
-    private static final Duration BEAT = Duration.ofMillis(50);
+    private static final Duration TICK = Duration.ofMillis(50);
 
     private final EventLoop loop;
     private final InstantSource clock;
-    private final EventLoopHoldTimes holds;
+    private final EventLoopHoldTimes holdTimes;
 
-    EventLoopControlThread(EventLoop loop, InstantSource clock, EventLoopHoldTimes holds) {
+    EventLoopControlThread(EventLoop loop, InstantSource clock, EventLoopHoldTimes holdTimes) {
         this.loop = loop;
         this.clock = clock;
-        this.holds = holds;
+        this.holdTimes = holdTimes;
     }
 
     @Override
     public void run(Runnable step) {
         if (loop.inEventLoop()) {
-            safely(step);
+            runAndLogFailure(step);
         } else {
-            loop.execute(() -> safely(step));
+            loop.execute(() -> runAndLogFailure(step));
         }
     }
 
@@ -48,7 +48,7 @@
     @Override
     public Cancellable after(Duration delay, Runnable step) {
         ScheduledFuture<?> timer =
-                loop.schedule(() -> safely(step), delay.toNanos(), TimeUnit.NANOSECONDS);
+                loop.schedule(() -> runAndLogFailure(step), delay.toNanos(), TimeUnit.NANOSECONDS);
         return () -> timer.cancel(false);
     }
 
@@ -58,31 +58,31 @@
      */
     @Override
     public Cancellable every(Duration period, Runnable step) {
-        Repeated repeated = new Repeated(period, step);
-        repeated.plan();
-        return repeated;
+        PeriodicStep periodic = new PeriodicStep(period, step);
+        periodic.schedule();
+        return periodic;
     }
 
     /** A step that runs periodically until it is cancelled. */
-    private final class Repeated implements Cancellable {
+    private final class PeriodicStep implements Cancellable {
         private final Duration period;
         private final Runnable step;
         private volatile boolean cancelled;
 
-        Repeated(Duration period, Runnable step) {
+        PeriodicStep(Duration period, Runnable step) {
             this.period = period;
             this.step = step;
         }
 
-        void plan() {
+        void schedule() {
             long pause = nanosToTick(System.nanoTime(), period.toNanos());
             loop.schedule(this::run, pause, TimeUnit.NANOSECONDS);
         }
 
         private void run() {
             if (!cancelled) {
-                safely(step);
-                plan();
+                runAndLogFailure(step);
+                schedule();
             }
         }
 
@@ -94,10 +94,10 @@
 
     /** Returns the nanoseconds from now to the tick nearest to one period from now. */
     static long nanosToTick(long nowNanos, long periodNanos) {
-        long beat = Math.min(BEAT.toNanos(), periodNanos);
+        long tick = Math.min(TICK.toNanos(), periodNanos);
         long due = nowNanos + periodNanos;
-        long past = Math.floorMod(due, beat);
-        long aligned = past < beat / 2 ? due - past : due - past + beat;
+        long sinceTick = Math.floorMod(due, tick);
+        long aligned = sinceTick < tick / 2 ? due - sinceTick : due - sinceTick + tick;
         return aligned - nowNanos;
     }
 
@@ -107,13 +107,13 @@
     }
 
     // A step that throws would silently end its timer, and with it a task of this router.
-    private void safely(Runnable step) {
-        long began = System.nanoTime();
+    private void runAndLogFailure(Runnable step) {
+        long start = System.nanoTime();
         try {
             step.run();
         } catch (RuntimeException e) {
             LOG.error("a step of the control thread failed", e);
         }
-        holds.record(step, System.nanoTime() - began);
+        holdTimes.record(step, System.nanoTime() - start);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/EventLoopHoldTimes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EventLoopHoldTimes.java
@@ -15,10 +15,10 @@
     private static final Logger LOG = LogManager.getLogger(EventLoopHoldTimes.class);
 
     /** Shorter steps delay no caller noticeably and are not recorded. */
-    private static final Duration WORTH_KEEPING = Duration.ofMillis(5);
+    private static final Duration MIN_RECORDED = Duration.ofMillis(5);
 
     /** Steps of at least this length are logged. */
-    private static final Duration LONG = Duration.ofMillis(100);
+    private static final Duration LOG_THRESHOLD = Duration.ofMillis(100);
 
     private static final double NANOS_PER_MILLI = 1e6;
 
@@ -31,22 +31,27 @@
 
     /** Records that a step has run for this many nanoseconds. */
     void record(Runnable step, long nanos) {
-        if (nanos < WORTH_KEEPING.toNanos()) {
+        if (nanos < MIN_RECORDED.toNanos()) {
             return;
         }
-        String kind = kind(step);
-        boolean first = longest.put(kind, Math.max(nanos, longest.getOrDefault(kind, 0L))) == null;
+        String className = className(step);
+        boolean first =
+                longest.put(className, Math.max(nanos, longest.getOrDefault(className, 0L)))
+                        == null;
         if (first) {
             metrics.gauge(
-                    "loop_longest_hold_ms", "by", kind, () -> longest.get(kind) / NANOS_PER_MILLI);
+                    "loop_longest_hold_ms",
+                    "by",
+                    className,
+                    () -> longest.get(className) / NANOS_PER_MILLI);
         }
-        if (nanos >= LONG.toNanos()) {
-            LOG.info("the event loop was blocked for {} ms by {}", nanos / 1_000_000, kind);
+        if (nanos >= LOG_THRESHOLD.toNanos()) {
+            LOG.info("the event loop was blocked for {} ms by {}", nanos / 1_000_000, className);
         }
     }
 
     // The name of a lambda's class begins with that of the class that declares it.
-    private static String kind(Runnable step) {
+    private static String className(Runnable step) {
         String name = step.getClass().getName();
         int end = name.indexOf('$');
         String outer = end < 0 ? name : name.substring(0, end);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/GracefulShutdown.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/GracefulShutdown.java
@@ -16,22 +16,22 @@
  */
 final class GracefulShutdown {
     /** The balancer probes once a second and needs two failed probes. */
-    private static final Duration BALANCER = Duration.ofMillis(2_600);
+    private static final Duration BALANCER_NOTICE_TIME = Duration.ofMillis(2_600);
 
     /** Time kept for closing before the platform kills the process. */
-    private static final Duration RESERVE = Duration.ofMillis(700);
+    private static final Duration CLOSE_RESERVE = Duration.ofMillis(700);
 
     /** A connection that was idle for this long rarely has a request on its way. */
-    private static final Duration IDLE = Duration.ofMillis(400);
+    private static final Duration IDLE_BEFORE_CLOSE = Duration.ofMillis(400);
 
     /**
      * Requests that still wait for a model when only this much time is left are refused. If their
      * connection were closed with the process instead, callers would not know that the request has
      * not run, and would not retry at once.
      */
-    private static final Duration WAITING = Duration.ofMillis(1_500);
+    private static final Duration WAITING_REFUSAL_TIME = Duration.ofMillis(1_500);
 
-    private static final long STEP_MILLIS = 50;
+    private static final long POLL_MILLIS = 50;
 
     private final ControlThread control;
     private final HttpServer callers;
@@ -48,44 +48,44 @@
     /**
      * Runs all steps; blocks until no request or connection is left, or time runs out.
      *
-     * @param endDuties run first, on the control thread
+     * @param resign gives up the leader's lease; run first, on the control thread
      */
-    void run(Runnable endDuties) {
-        long began = System.nanoTime();
-        long last = began + grace.minus(RESERVE).toNanos();
-        onControl(
+    void run(Runnable resign) {
+        long start = System.nanoTime();
+        long deadline = start + grace.minus(CLOSE_RESERVE).toNanos();
+        runOnControl(
                 () -> {
-                    endDuties.run();
+                    resign.run();
                     callers.drain();
                 });
-        sleepUntil(Math.min(last, began + BALANCER.toNanos()));
-        onControl(callers::stopListening);
-        while (System.nanoTime() < last) {
-            onControl(() -> callers.closeIdle(IDLE));
-            if (System.nanoTime() > last - WAITING.toNanos()) {
-                onControl(() -> flows.stop(false));
+        sleepUntil(Math.min(deadline, start + BALANCER_NOTICE_TIME.toNanos()));
+        runOnControl(callers::stopListening);
+        while (System.nanoTime() < deadline) {
+            runOnControl(() -> callers.closeIdle(IDLE_BEFORE_CLOSE));
+            if (System.nanoTime() > deadline - WAITING_REFUSAL_TIME.toNanos()) {
+                runOnControl(() -> flows.stop(false));
             }
-            boolean done = ask(() -> flows.size() == 0 && callers.connections() == 0);
+            boolean done = callOnControl(() -> flows.size() == 0 && callers.connections() == 0);
             if (done) {
                 return;
             }
-            sleepUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STEP_MILLIS));
+            sleepUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(POLL_MILLIS));
         }
-        onControl(() -> flows.stop(true));
-        sleepUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STEP_MILLIS));
+        runOnControl(() -> flows.stop(true));
+        sleepUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(POLL_MILLIS));
     }
 
-    private void onControl(Runnable step) {
-        ask(
+    private void runOnControl(Runnable step) {
+        callOnControl(
                 () -> {
                     step.run();
                     return true;
                 });
     }
 
-    private boolean ask(java.util.function.Supplier<Boolean> question) {
+    private boolean callOnControl(java.util.function.Supplier<Boolean> step) {
         try {
-            return control.call(question).toCompletableFuture().join();
+            return control.call(step).toCompletableFuture().join();
         } catch (CompletionException e) {
             return true;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorSettingsFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorSettingsFollower.java
@@ -23,7 +23,7 @@
  */
 final class OperatorSettingsFollower implements ChangeListener {
     private final Dialect dialect;
-    private final ConfigurationHolder holder;
+    private final ConfigurationHolder configuration;
     private final ZoneDrains drains;
     private final Follower follower;
 
@@ -31,13 +31,13 @@
             ControlThread control,
             PolledStore store,
             Dialect dialect,
-            ConfigurationHolder holder,
+            ConfigurationHolder configuration,
             ZoneDrains drains,
             Pace pace,
             Relay relay,
             Metrics metrics) {
         this.dialect = dialect;
-        this.holder = holder;
+        this.configuration = configuration;
         this.drains = drains;
         this.follower =
                 Follower.of("configuration")
@@ -71,8 +71,8 @@
      * Calls back once: with {@code true} when the configuration in force is confirmed to be the
      * newest as of the moment, or with {@code false} if that is not confirmed within the limit.
      */
-    void whenKnown(Instant moment, Duration limit, Consumer<Boolean> told) {
-        follower.whenKnown(moment, limit, told);
+    void whenKnown(Instant moment, Duration limit, Consumer<Boolean> callback) {
+        follower.whenKnown(moment, limit, callback);
     }
 
     @Override
@@ -82,7 +82,7 @@
             dialect.drainedZone(entry.key()).ifPresent(drained::add);
         }
         drains.restoreAllExcept(drained, revision);
-        entries.forEach(this::offer);
+        entries.forEach(this::apply);
         drains.markAppliedUpTo(revision);
     }
 
@@ -90,7 +90,7 @@
     public void changed(List<Change> changes, long revision, Duration silence) {
         for (Change change : changes) {
             if (change.entry().isPresent()) {
-                offer(change.entry().get());
+                apply(change.entry().get());
             } else {
                 dialect.drainedZone(change.key())
                         .ifPresent(zone -> drains.applyRestore(zone, change.revision()));
@@ -99,12 +99,12 @@
         drains.markAppliedUpTo(revision);
     }
 
-    private void offer(Entry entry) {
+    private void apply(Entry entry) {
         Optional<String> zone = dialect.drainedZone(entry.key());
         if (zone.isPresent()) {
             drains.applyDrain(zone.get(), entry.value(), entry.modRevision(), follower.newsSince());
         } else if (entry.key().equals(dialect.configurationKey())) {
-            holder.replaceIfNewer(entry.value(), entry.modRevision(), "store");
+            configuration.replaceIfNewer(entry.value(), entry.modRevision(), "store");
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StoreRelays.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StoreRelays.java
@@ -22,19 +22,19 @@
  */
 final class StoreRelays implements Relay {
     /** Added to the wait, for the round trip of the frames and a relay's thread that runs late. */
-    private static final Duration ANSWER = Duration.ofMillis(300);
+    private static final Duration ANSWER_ALLOWANCE = Duration.ofMillis(300);
 
     /** By then a killed relay is no longer listed, and a frozen one may have recovered. */
-    private static final Duration LEFT_ALONE = Duration.ofSeconds(2);
+    private static final Duration SKIP_TIME = Duration.ofSeconds(2);
 
     private final ControlThread control;
     private final Supplier<List<VmId>> sources;
     private final Wire wire;
-    private final Map<Long, Asked> open = new HashMap<>();
-    private final Map<VmId, Instant> leftAlone = new HashMap<>();
-    private long number;
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
+    private final Map<VmId, Instant> skippedUntil = new HashMap<>();
+    private long lastNumber;
 
-    private record Asked(VmId relay, CompletableFuture<Changes> answer) {}
+    private record PendingRequest(VmId relay, CompletableFuture<Changes> answer) {}
 
     /** Sends a request for changes to a router; returns false if there is no link to it now. */
     @FunctionalInterface
@@ -58,55 +58,56 @@
         CompletableFuture<Changes> answer = new CompletableFuture<>();
         Optional<VmId> relay = next();
         while (relay.isPresent()
-                && !wire.requestChanges(relay.get(), number + 1, prefix, after, wait)) {
-            leaveAlone(relay.get());
+                && !wire.requestChanges(relay.get(), lastNumber + 1, prefix, after, wait)) {
+            skip(relay.get());
             relay = next();
         }
         if (relay.isEmpty()) {
             answer.completeExceptionally(unavailable("no relay is reachable"));
             return answer;
         }
-        long asked = ++number;
-        open.put(asked, new Asked(relay.get(), answer));
+        long number = ++lastNumber;
+        pending.put(number, new PendingRequest(relay.get(), answer));
         control.after(
-                wait.plus(ANSWER), () -> give(asked, Optional.empty(), "did not answer in time"));
+                wait.plus(ANSWER_ALLOWANCE),
+                () -> complete(number, Optional.empty(), "did not answer in time"));
         return answer;
     }
 
     /**
      * Takes the answer of a relay.
      *
-     * @param to the number of the request that it answers
+     * @param number the number of the request that it answers
      * @param changes empty if the relay cannot tell what has changed
      */
-    void answered(VmId from, long to, Optional<Changes> changes) {
-        Asked asked = open.get(to);
-        if (asked != null && asked.relay().equals(from)) {
-            give(to, changes, "cannot tell what has changed");
+    void answered(VmId from, long number, Optional<Changes> changes) {
+        PendingRequest request = pending.get(number);
+        if (request != null && request.relay().equals(from)) {
+            complete(number, changes, "cannot tell what has changed");
         }
     }
 
-    private void give(long asked, Optional<Changes> changes, String why) {
-        Asked one = open.remove(asked);
-        if (one == null) {
+    private void complete(long number, Optional<Changes> changes, String why) {
+        PendingRequest request = pending.remove(number);
+        if (request == null) {
             return;
         }
         if (changes.isPresent()) {
-            one.answer().complete(changes.get());
+            request.answer().complete(changes.get());
         } else {
-            leaveAlone(one.relay());
-            one.answer().completeExceptionally(unavailable(one.relay() + " " + why));
+            skip(request.relay());
+            request.answer().completeExceptionally(unavailable(request.relay() + " " + why));
         }
     }
 
-    private void leaveAlone(VmId relay) {
-        leftAlone.put(relay, control.clock().instant().plus(LEFT_ALONE));
+    private void skip(VmId relay) {
+        skippedUntil.put(relay, control.clock().instant().plus(SKIP_TIME));
     }
 
     private Optional<VmId> next() {
         Instant now = control.clock().instant();
         return sources.get().stream()
-                .filter(vm -> !now.isBefore(leftAlone.getOrDefault(vm, Instant.MIN)))
+                .filter(vm -> !now.isBefore(skippedUntil.getOrDefault(vm, Instant.MIN)))
                 .findFirst();
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/WatchPlan.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/WatchPlan.java
@@ -25,30 +25,30 @@
  */
 final class WatchPlan {
     /** Up to this many routers, each watches the store itself. */
-    private static final int ALL_UP_TO = 8;
+    private static final int MAX_ALL_WATCHING = 8;
 
     /** One is left if two are killed and the store rejects a third. */
-    private static final int LEAST = 4;
+    private static final int MIN_WATCHERS = 4;
 
     /** In the largest fleet designed for, each then passes changes on to about 30 others. */
-    private static final int MOST = 12;
+    private static final int MAX_WATCHERS = 12;
 
     private final List<Vm> watchers;
-    private final boolean all;
+    private final boolean allWatch;
 
-    private WatchPlan(List<Vm> watchers, boolean all) {
+    private WatchPlan(List<Vm> watchers, boolean allWatch) {
         this.watchers = watchers;
-        this.all = all;
+        this.allWatch = allWatch;
     }
 
     /** Returns the plan for these routers. */
     static WatchPlan of(Collection<Vm> routers) {
-        if (routers.size() <= ALL_UP_TO) {
+        if (routers.size() <= MAX_ALL_WATCHING) {
             return new WatchPlan(List.copyOf(routers), true);
         }
         List<Vm> ranked = ranked(routers);
         int zones = (int) routers.stream().map(Vm::zone).distinct().count();
-        int count = Math.min(MOST, Math.max(LEAST, zones));
+        int count = Math.min(MAX_WATCHERS, Math.max(MIN_WATCHERS, zones));
         return new WatchPlan(List.copyOf(ranked.subList(0, Math.min(count, ranked.size()))), false);
     }
 
@@ -72,7 +72,7 @@
 
     /** Returns true if every router watches the store itself. */
     boolean allWatch() {
-        return all;
+        return allWatch;
     }
 
     /** Returns the routers that watch the store. */
@@ -82,7 +82,7 @@
 
     /** Returns true if this router watches the store. */
     boolean watches(VmId router) {
-        return all || watchers().contains(router);
+        return allWatch || watchers().contains(router);
     }
 
     /**
@@ -93,9 +93,9 @@
         if (watches(router)) {
             return List.of();
         }
-        int turn = Math.floorMod(router.value().hashCode(), Math.max(1, watchers.size()));
-        List<Vm> order = new ArrayList<>(watchers.subList(turn, watchers.size()));
-        order.addAll(watchers.subList(0, turn));
+        int offset = Math.floorMod(router.value().hashCode(), Math.max(1, watchers.size()));
+        List<Vm> order = new ArrayList<>(watchers.subList(offset, watchers.size()));
+        order.addAll(watchers.subList(0, offset));
         order.sort(Comparator.comparing(vm -> !vm.zone().equals(zone)));
         return order.stream().map(Vm::id).toList();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
@@ -15,9 +15,9 @@
 
     private final Dialect dialect;
     private final DrainedZones zones;
-    private final Set<String> known;
+    private final Set<String> knownZones;
     private final Listener listener;
-    private long revision;
+    private long appliedRevision;
 
     /** Is notified of drained and restored zones, after the table has them. */
     interface Listener {
@@ -31,26 +31,26 @@
     /**
      * Creates an instance that applies nothing yet.
      *
-     * @param known the zones that can be drained; if empty, any zone can
+     * @param knownZones the zones that can be drained; if empty, any zone can
      */
-    ZoneDrains(Dialect dialect, DrainedZones zones, Set<String> known, Listener listener) {
+    ZoneDrains(Dialect dialect, DrainedZones zones, Set<String> knownZones, Listener listener) {
         this.dialect = dialect;
         this.zones = zones;
-        this.known = Set.copyOf(known);
+        this.knownZones = Set.copyOf(knownZones);
         this.listener = listener;
     }
 
     /**
      * Drains a zone if its store entry is valid and newer than the applied revision.
      *
-     * @param at the store revision of the entry
+     * @param revision the store revision of the entry
      * @param notBefore an instant at which the zone was not drained yet
      */
-    void applyDrain(String zone, byte[] value, long at, Instant notBefore) {
-        if (at <= revision) {
+    void applyDrain(String zone, byte[] value, long revision, Instant notBefore) {
+        if (revision <= appliedRevision) {
             return;
         }
-        if (!known.isEmpty() && !known.contains(zone)) {
+        if (!knownZones.isEmpty() && !knownZones.contains(zone)) {
             LOG.warn("ignoring the drain of zone {}: there is no such zone", zone);
             return;
         }
@@ -73,15 +73,15 @@
     /**
      * Revokes the drain of a zone if the change is newer than the applied revision.
      *
-     * @param at the store revision of the change
+     * @param revision the store revision of the change
      */
-    void applyRestore(String zone, long at) {
-        if (at > revision) {
-            takeBack(zone);
+    void applyRestore(String zone, long revision) {
+        if (revision > appliedRevision) {
+            restore(zone);
         }
     }
 
-    private void takeBack(String zone) {
+    private void restore(String zone) {
         if (zones.restore(zone)) {
             LOG.info("the drain of zone {} is revoked", zone);
             listener.restored(zone);
@@ -91,30 +91,30 @@
     }
 
     /** Marks all changes up to this store revision as applied; older ones are ignored from then. */
-    void markAppliedUpTo(long at) {
-        revision = Math.max(revision, at);
+    void markAppliedUpTo(long revision) {
+        appliedRevision = Math.max(appliedRevision, revision);
     }
 
     /** Revokes all drains except those of these zones, the drained ones as of the revision. */
-    void restoreAllExcept(Set<String> drained, long at) {
-        if (at <= revision) {
+    void restoreAllExcept(Set<String> drained, long revision) {
+        if (revision <= appliedRevision) {
             return;
         }
         for (String zone : zones.all().keySet()) {
             if (!drained.contains(zone)) {
-                takeBack(zone);
+                restore(zone);
             }
         }
     }
 
     /** Returns the drains known here, for peer routers that cannot reach the store. */
     RouterStanding.Drains current() {
-        return new RouterStanding.Drains(revision, zones.all());
+        return new RouterStanding.Drains(appliedRevision, zones.all());
     }
 
     /** Applies the drains that a peer router knows, if its revision is newer. */
     void merge(RouterStanding.Drains theirs) {
-        if (theirs.revision() <= revision) {
+        if (theirs.revision() <= appliedRevision) {
             return;
         }
         restoreAllExcept(theirs.notBefore().keySet(), theirs.revision());
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
@@ -77,8 +77,8 @@
                             new Metrics()),
                     new LostUpstreams(Instant::now, upstreams, new SilentWire()),
                     new LimitedUpstreams(Instant::now, upstreams, new SilentLimits()));
-    private final HttpServer upstream = server(upstreamLoop, this::run);
-    private final HttpServer router = server(loop, this::begin);
+    private final HttpServer upstream = server(upstreamLoop, this::recordCall);
+    private final HttpServer router = server(loop, this::startFlow);
 
     @AfterEach
     void stop() {
@@ -89,17 +89,17 @@
     // Guards against a request that is sent in the middle of a read pass: an answer frees a slot
     // for it, and only afterwards is it read that its own caller has disconnected.
     @Test
-    void aPlaceThatComesFreeIsNotGivenToACallerThatHasLeft() throws Exception {
-        list(upstream.port());
+    void aFreedSlotIsNotGivenToACallerThatHasDisconnected() throws Exception {
+        putUpstream(upstream.port());
         Socket first = send("/first");
         Socket second = send("/second");
         Socket third = send("/third");
-        await().atMost(LIMIT).until(() -> reached.size() == 2 && open() == 3);
+        await().atMost(LIMIT).until(() -> reached.size() == 2 && openRequests() == 3);
 
-        CountDownLatch hold = hold();
+        CountDownLatch release = blockEventLoop();
         answer("/first");
         third.close();
-        hold.countDown();
+        release.countDown();
 
         Socket fourth = send("/fourth");
         await().atMost(LIMIT).until(() -> reached.contains("/fourth"));
@@ -112,21 +112,21 @@
     // Guards against a request that is written when its upstream connection opens, although its
     // caller disconnected while the connection was being opened.
     @Test
-    void aConnectionThatOpensForACallerThatHasLeftCarriesNothing() throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    void nothingIsWrittenWhenAConnectionOpensAfterTheCallerDisconnected() throws Exception {
+        try (ServerSocket fullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             // These two connections fill the backlog, so that the router's attempt has to wait.
-            Socket one = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
-            Socket two = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
-            list(full.getLocalPort());
+            Socket one = new Socket(InetAddress.getLoopbackAddress(), fullBacklog.getLocalPort());
+            Socket two = new Socket(InetAddress.getLoopbackAddress(), fullBacklog.getLocalPort());
+            putUpstream(fullBacklog.getLocalPort());
             Socket caller = send("/first");
-            await().atMost(LIMIT).until(() -> open() == 1);
+            await().atMost(LIMIT).until(() -> openRequests() == 1);
 
-            CountDownLatch hold = hold();
-            full.accept().close();
-            full.accept().close();
-            Socket router = full.accept();
+            CountDownLatch release = blockEventLoop();
+            fullBacklog.accept().close();
+            fullBacklog.accept().close();
+            Socket router = fullBacklog.accept();
             caller.close();
-            hold.countDown();
+            release.countDown();
 
             router.setSoTimeout((int) LIMIT.toMillis());
             assertEquals(-1, router.getInputStream().read(), "bytes reached the upstream");
@@ -138,20 +138,20 @@
     // Guards against a request that is written when its upstream connection opens, although its
     // zone was closed while the connection was being opened.
     @Test
-    void aConnectionThatOpensIntoAClosedZoneCarriesNothing() throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Socket one = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
-            Socket two = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
-            list(full.getLocalPort());
+    void nothingIsWrittenWhenAConnectionOpensAfterTheZoneWasClosed() throws Exception {
+        try (ServerSocket fullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Socket one = new Socket(InetAddress.getLoopbackAddress(), fullBacklog.getLocalPort());
+            Socket two = new Socket(InetAddress.getLoopbackAddress(), fullBacklog.getLocalPort());
+            putUpstream(fullBacklog.getLocalPort());
             Socket caller = send("/first");
-            await().atMost(LIMIT).until(() -> open() == 1);
+            await().atMost(LIMIT).until(() -> openRequests() == 1);
 
-            CountDownLatch hold = hold();
+            CountDownLatch release = blockEventLoop();
             loop.events().execute(() -> upstreams.zones().drain("a", Instant.MIN));
-            full.accept().close();
-            full.accept().close();
-            Socket router = full.accept();
-            hold.countDown();
+            fullBacklog.accept().close();
+            fullBacklog.accept().close();
+            Socket router = fullBacklog.accept();
+            release.countDown();
 
             router.setSoTimeout((int) LIMIT.toMillis());
             assertEquals(-1, router.getInputStream().read(), "bytes reached the upstream");
@@ -165,7 +165,7 @@
     }
 
     // An upstream with one slot gets two requests at once; further ones wait in the router.
-    private void list(int port) {
+    private void putUpstream(int port) {
         UpstreamFacts facts =
                 new UpstreamFacts(
                         UpstreamId.of("i-1"),
@@ -182,7 +182,7 @@
         loop.events().submit(() -> upstreams.put(facts, Instant.now())).syncUninterruptibly();
     }
 
-    private void begin(HttpCall call) {
+    private void startFlow(HttpCall call) {
         Route route =
                 new Route(
                         "route",
@@ -211,7 +211,7 @@
                 new Flow(flows, call, dialect.request(call.headers()), route, SERVICE, admitted));
     }
 
-    private void run(HttpCall call) {
+    private void recordCall(HttpCall call) {
         reached.add(call.target());
         running.put(call.target(), call);
     }
@@ -229,25 +229,25 @@
                 .syncUninterruptibly();
     }
 
-    private int open() {
+    private int openRequests() {
         return loop.events().submit(flows::size).syncUninterruptibly().getNow();
     }
 
-    private CountDownLatch hold() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch hold = new CountDownLatch(1);
+    private CountDownLatch blockEventLoop() throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         loop.events()
                 .execute(
                         () -> {
-                            held.countDown();
+                            blocked.countDown();
                             try {
-                                hold.await(LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+                                release.await(LIMIT.toMillis(), TimeUnit.MILLISECONDS);
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
-        held.await();
-        return hold;
+        blocked.await();
+        return release;
     }
 
     private Socket send(String path) throws IOException {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DisconnectableStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DisconnectableStore.java
@@ -73,17 +73,17 @@
         return !cut;
     }
 
-    private <T> CompletionStage<T> call(Supplier<CompletionStage<T>> carriedOut) {
+    private <T> CompletionStage<T> call(Supplier<CompletionStage<T>> operation) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         if (cut) {
             world.after(ONE_WAY, () -> fail(answer));
             return answer;
         }
-        world.after(ONE_WAY, () -> carriedOut.get().whenComplete((v, f) -> back(answer, v, f)));
+        world.after(ONE_WAY, () -> operation.get().whenComplete((v, f) -> reply(answer, v, f)));
         return answer;
     }
 
-    private <T> void back(CompletableFuture<T> answer, T value, Throwable failure) {
+    private <T> void reply(CompletableFuture<T> answer, T value, Throwable failure) {
         world.after(
                 ONE_WAY,
                 () -> {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
@@ -22,9 +22,9 @@
     private final DrainProgress progress = new DrainProgress(upstreams);
 
     @Test
-    void whatIsLeftInADrainedZoneIsCounted() {
-        list("one", "a", "m", "n");
-        list("two", "b", "n");
+    void requestsAndModelsLeftInDrainedZonesAreCounted() {
+        putUpstream("one", "a", "m", "n");
+        putUpstream("two", "b", "n");
         upstreams
                 .find(UpstreamId.of("one"))
                 .ifPresent(each -> each.requestAssigned(ModelRef.parse("m"), NOW));
@@ -35,7 +35,7 @@
         assertEquals(1, progress.modelsOnlyInDrainedZones());
     }
 
-    private void list(String id, String zone, String... models) {
+    private void putUpstream(String id, String zone, String... models) {
         Map<String, Set<String>> held = new HashMap<>();
         for (String model : models) {
             held.put(model, Set.of());
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -32,9 +32,9 @@
     private final ZoneDrains drains;
     private final Map<String, Follower> followed = new HashMap<>();
     private final SimulatedLinks links;
-    private final List<SimulatedPath.State> troubles = new ArrayList<>();
-    private int otherTroubles;
-    private Instant calmSince;
+    private final List<SimulatedPath.State> pathFaults = new ArrayList<>();
+    private int otherFaults;
+    private Instant recoveredAt;
 
     FollowingRouter(String name, ControlThread world, SimulatedStore store, Pace pace) {
         this(name, world, store, pace, List.of());
@@ -54,20 +54,20 @@
         TestDialect dialect = new TestDialect();
         Metrics metrics = new Metrics();
         this.configuration = new ConfigurationHolder(dialect, any -> {});
-        this.calmSince = world.clock().instant();
-        this.drains = new ZoneDrains(dialect, upstreams.zones(), Set.of(), new NoDrains());
+        this.recoveredAt = world.clock().instant();
+        this.drains = new ZoneDrains(dialect, upstreams.zones(), Set.of(), new IgnoredDrains());
         this.links = new SimulatedLinks(world, control, relays);
         Relay relay = relays.isEmpty() ? Relay.none() : links.relay();
-        OperatorSettingsFollower versions =
+        OperatorSettingsFollower settings =
                 new OperatorSettingsFollower(
                         control, path, dialect, configuration, drains, pace, relay, metrics);
-        followed.put(versions.follower().prefix(), versions.follower());
-        versions.start();
+        followed.put(settings.follower().prefix(), settings.follower());
+        settings.start();
         this.follower =
                 new UpstreamFollower(
                         control, path, dialect, upstreams, StorePaces.UPSTREAMS, relay, metrics);
         followed.put(follower.follower().prefix(), follower.follower());
-        follower.start(new Nobody());
+        follower.start(new IgnoredUpstreams());
     }
 
     String name() {
@@ -107,8 +107,9 @@
     /**
      * Answers another router's request for changes; the consumer is called on this router's thread.
      */
-    void answerChanges(String prefix, long after, Duration wait, Consumer<Optional<Changes>> told) {
-        control.run(() -> followed.get(prefix).tell(after, wait, told));
+    void answerChanges(
+            String prefix, long after, Duration wait, Consumer<Optional<Changes>> callback) {
+        control.run(() -> followed.get(prefix).tell(after, wait, callback));
     }
 
     /** Returns the number of calls of this router to the store. */
@@ -117,26 +118,26 @@
     }
 
     void startPathFault(SimulatedPath.State how) {
-        troubles.add(how);
+        pathFaults.add(how);
         path.set(how);
     }
 
     void endPathFault(SimulatedPath.State how) {
-        troubles.remove(how);
-        path.set(troubles.isEmpty() ? SimulatedPath.State.OPEN : troubles.get(0));
+        pathFaults.remove(how);
+        path.set(pathFaults.isEmpty() ? SimulatedPath.State.OPEN : pathFaults.get(0));
         recordRecovery();
     }
 
     void freeze() {
-        otherTroubles++;
+        otherFaults++;
         if (!control.frozen()) {
             control.freeze();
         }
     }
 
     void unfreeze() {
-        otherTroubles--;
-        if (otherTroubles == 0) {
+        otherFaults--;
+        if (otherFaults == 0) {
             control.unfreeze();
             recordRecovery();
         }
@@ -144,25 +145,25 @@
 
     /** Records that a fault that is neither in the path nor in the VM has just ended. */
     void recordRecovery() {
-        calmSince = world.clock().instant();
+        recoveredAt = world.clock().instant();
     }
 
     boolean hasNoFault() {
-        return troubles.isEmpty() && otherTroubles == 0;
+        return pathFaults.isEmpty() && otherFaults == 0;
     }
 
     /** Returns true if its path to the store has a fault, and nothing else has. */
     boolean hasOnlyPathFault() {
-        return !troubles.isEmpty() && otherTroubles == 0;
+        return !pathFaults.isEmpty() && otherFaults == 0;
     }
 
     /** Returns the instant at which the last fault that is over ended. */
     Instant recoveredAt() {
-        return calmSince;
+        return recoveredAt;
     }
 
     /** Ignores drains. */
-    private static final class NoDrains implements ZoneDrains.Listener {
+    private static final class IgnoredDrains implements ZoneDrains.Listener {
         @Override
         public void drained(String zone) {}
 
@@ -171,7 +172,7 @@
     }
 
     /** Ignores changes of upstreams. */
-    private static final class Nobody implements UpstreamFollower.Listener {
+    private static final class IgnoredUpstreams implements UpstreamFollower.Listener {
         @Override
         public void listed(UpstreamFacts facts) {}
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FreezableControlThread.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FreezableControlThread.java
@@ -16,8 +16,8 @@
  */
 final class FreezableControlThread implements ControlThread {
     private final ControlThread world;
-    private final List<Runnable> parked = new ArrayList<>();
-    private Duration lost = Duration.ZERO;
+    private final List<Runnable> pendingSteps = new ArrayList<>();
+    private Duration frozenTime = Duration.ZERO;
     private Instant frozenAt;
 
     FreezableControlThread(ControlThread world) {
@@ -33,17 +33,17 @@
     }
 
     void unfreeze() {
-        lost = lost.plus(Duration.between(frozenAt, world.clock().instant()));
+        frozenTime = frozenTime.plus(Duration.between(frozenAt, world.clock().instant()));
         frozenAt = null;
-        List<Runnable> waited = List.copyOf(parked);
-        parked.clear();
-        waited.forEach(this::run);
+        List<Runnable> steps = List.copyOf(pendingSteps);
+        pendingSteps.clear();
+        steps.forEach(this::run);
     }
 
     @Override
     public void run(Runnable step) {
         if (frozen()) {
-            parked.add(step);
+            pendingSteps.add(step);
         } else {
             world.run(step);
         }
@@ -58,16 +58,16 @@
 
     @Override
     public Cancellable after(Duration delay, Runnable step) {
-        boolean[] off = new boolean[1];
-        arm(running().plus(delay), step, off);
-        return () -> off[0] = true;
+        boolean[] cancelled = new boolean[1];
+        schedule(vmTime().plus(delay), step, cancelled);
+        return () -> cancelled[0] = true;
     }
 
     @Override
     public Cancellable every(Duration period, Runnable step) {
-        boolean[] off = new boolean[1];
-        again(period, step, off);
-        return () -> off[0] = true;
+        boolean[] cancelled = new boolean[1];
+        scheduleNext(period, step, cancelled);
+        return () -> cancelled[0] = true;
     }
 
     @Override
@@ -75,33 +75,34 @@
         return world.clock();
     }
 
-    private void again(Duration period, Runnable step, boolean[] off) {
-        Runnable turn =
+    private void scheduleNext(Duration period, Runnable step, boolean[] cancelled) {
+        Runnable repeated =
                 () -> {
                     step.run();
-                    again(period, step, off);
+                    scheduleNext(period, step, cancelled);
                 };
-        arm(running().plus(period), turn, off);
+        schedule(vmTime().plus(period), repeated, cancelled);
     }
 
-    private void arm(Instant due, Runnable step, boolean[] off) {
-        world.after(Duration.between(running(), due), () -> run(() -> fire(due, step, off)));
+    private void schedule(Instant due, Runnable step, boolean[] cancelled) {
+        world.after(
+                Duration.between(vmTime(), due), () -> run(() -> runIfDue(due, step, cancelled)));
     }
 
-    private void fire(Instant due, Runnable step, boolean[] off) {
-        if (off[0]) {
+    private void runIfDue(Instant due, Runnable step, boolean[] cancelled) {
+        if (cancelled[0]) {
             return;
         }
-        if (running().isBefore(due)) {
-            arm(due, step, off);
+        if (vmTime().isBefore(due)) {
+            schedule(due, step, cancelled);
         } else {
             step.run();
         }
     }
 
     // The time on a clock that stops while the VM is frozen.
-    private Instant running() {
+    private Instant vmTime() {
         Instant now = frozen() ? frozenAt : world.clock().instant();
-        return now.minus(lost);
+        return now.minus(frozenTime);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
@@ -9,40 +9,40 @@
 
 /** A store for tests whose leases expire by the simulated clock, for all routers that use it. */
 final class LeasedStore {
-    private static final Duration SWEEP = Duration.ofMillis(20);
+    private static final Duration SWEEP_PERIOD = Duration.ofMillis(20);
 
     private final ControlThread world;
     private final FakeStore store;
-    private final Map<Long, Term> terms = new HashMap<>();
+    private final Map<Long, Lease> leases = new HashMap<>();
 
-    private record Term(Duration length, Instant end) {}
+    private record Lease(Duration duration, Instant expiry) {}
 
     LeasedStore(ControlThread world) {
         this.world = world;
         this.store = new FakeStore(world);
-        world.every(SWEEP, this::sweep);
+        world.every(SWEEP_PERIOD, this::sweep);
     }
 
     FakeStore store() {
         return store;
     }
 
-    void recordGrant(long lease, Duration term) {
-        terms.put(lease, new Term(term, world.clock().instant().plus(term)));
+    void recordGrant(long lease, Duration duration) {
+        leases.put(lease, new Lease(duration, world.clock().instant().plus(duration)));
     }
 
     void recordKeepAlive(long lease) {
-        Term known = terms.get(lease);
+        Lease known = leases.get(lease);
         if (known != null) {
-            recordGrant(lease, known.length());
+            recordGrant(lease, known.duration());
         }
     }
 
     private void sweep() {
         Instant now = world.clock().instant();
-        for (Long lease : Map.copyOf(terms).keySet()) {
-            if (now.isAfter(terms.get(lease).end())) {
-                terms.remove(lease);
+        for (Long lease : Map.copyOf(leases).keySet()) {
+            if (now.isAfter(leases.get(lease).expiry())) {
+                leases.remove(lease);
                 store.expire(lease);
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
@@ -21,13 +21,13 @@
     private final ControlThread control;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final List<Change> history = new ArrayList<>();
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<WaitingCall> waitingCalls = new ArrayList<>();
     private long revision = 1;
-    private long kept = 1;
-    private boolean mute;
-    private long mutedAt;
+    private long compactedRevision = 1;
+    private boolean withholds;
+    private long withheldSince;
 
-    private record Waiting(String prefix, long after, CompletableFuture<Changes> answer) {}
+    private record WaitingCall(String prefix, long after, CompletableFuture<Changes> answer) {}
 
     SimulatedStore(ControlThread control) {
         this.control = control;
@@ -38,14 +38,14 @@
         revision++;
         Entry entry = new Entry(key, value, revision, 1, 0);
         entries.put(key, entry);
-        tell(new Change(key, revision, Optional.of(entry)));
+        publish(new Change(key, revision, Optional.of(entry)));
     }
 
     /** Removes a key; the removal is acknowledged at once. */
     void remove(String key) {
         if (entries.remove(key) != null) {
             revision++;
-            tell(new Change(key, revision, Optional.empty()));
+            publish(new Change(key, revision, Optional.empty()));
         }
     }
 
@@ -55,22 +55,22 @@
 
     /** Withholds new changes from watch calls until the history is dropped. */
     void withholdChanges() {
-        mutedAt = told();
-        mute = true;
+        withheldSince = visibleRevision();
+        withholds = true;
     }
 
     /** Compacts the whole history, and fails the watch calls that wait. */
     void dropHistory() {
-        mute = false;
-        kept = revision;
+        withholds = false;
+        compactedRevision = revision;
         history.clear();
         failWaitingCalls();
     }
 
     /** Fails the watch calls that wait. */
     void failWaitingCalls() {
-        List<Waiting> cut = List.copyOf(waiting);
-        waiting.clear();
+        List<WaitingCall> cut = List.copyOf(waitingCalls);
+        waitingCalls.clear();
         cut.forEach(each -> each.answer.completeExceptionally(unavailable("cut")));
     }
 
@@ -83,45 +83,45 @@
     }
 
     CompletableFuture<Changes> changes(String prefix, long after, Duration wait) {
-        if (after < kept) {
+        if (after < compactedRevision) {
             return CompletableFuture.failedFuture(
                     new PlatformException(Code.COMPACTED, "history is gone"));
         }
-        Waiting call = new Waiting(prefix, after, new CompletableFuture<>());
-        if (!answered(call)) {
-            waiting.add(call);
+        WaitingCall call = new WaitingCall(prefix, after, new CompletableFuture<>());
+        if (!tryAnswer(call)) {
+            waitingCalls.add(call);
             control.after(wait, () -> expire(call));
         }
         return call.answer;
     }
 
-    private void expire(Waiting call) {
-        if (waiting.remove(call)) {
-            call.answer.complete(new Changes(List.of(), told()));
+    private void expire(WaitingCall call) {
+        if (waitingCalls.remove(call)) {
+            call.answer.complete(new Changes(List.of(), visibleRevision()));
         }
     }
 
-    private boolean answered(Waiting call) {
+    private boolean tryAnswer(WaitingCall call) {
         List<Change> found =
                 history.stream()
                         .filter(change -> change.revision() > call.after)
-                        .filter(change -> change.revision() <= told())
+                        .filter(change -> change.revision() <= visibleRevision())
                         .filter(change -> change.key().startsWith(call.prefix))
                         .toList();
         if (!found.isEmpty()) {
-            call.answer.complete(new Changes(found, told()));
+            call.answer.complete(new Changes(found, visibleRevision()));
         }
         return !found.isEmpty();
     }
 
-    private void tell(Change change) {
+    private void publish(Change change) {
         history.add(change);
-        waiting.removeIf(this::answered);
+        waitingCalls.removeIf(this::tryAnswer);
     }
 
     // The newest revision that watch calls are answered with.
-    private long told() {
-        return mute ? mutedAt : revision;
+    private long visibleRevision() {
+        return withholds ? withheldSince : revision;
     }
 
     static PlatformException unavailable(String why) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
@@ -13,39 +13,39 @@
 
 class StorePromisesTest {
     /** Other seeds: {@code -Dstore.first=1000 -Dstore.count=20000}. */
-    private static final long FIRST = Long.getLong("store.first", 1);
+    private static final long FIRST_SEED = Long.getLong("store.first", 1);
 
-    private static final int SEEDS = Integer.getInteger("store.count", 200);
-    private static final Duration PHASE = Duration.ofMillis(100);
-    private static final int PHASES = 45;
-    private static final int SHOWN = 4;
+    private static final int SEED_COUNT = Integer.getInteger("store.count", 200);
+    private static final Duration PHASE_LENGTH = Duration.ofMillis(100);
+    private static final int PHASE_COUNT = 45;
+    private static final int VIOLATIONS_SHOWN = 4;
 
     // Guards against a watch call that is never answered and hides later changes from the router.
     @Test
     void aConfigurationIsInForceInTimeAfterTheStoreFellSilent() {
-        List<String> broken = new ArrayList<>();
-        for (int phase = 0; phase < PHASES; phase++) {
+        List<String> violations = new ArrayList<>();
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
             for (Duration length : List.of(Duration.ofMillis(400), Duration.ofSeconds(9))) {
                 StoreWorld world = new StoreWorld();
-                world.advance(PHASE.multipliedBy(phase));
+                world.advance(PHASE_LENGTH.multipliedBy(phase));
                 world.cutAll(SimulatedPath.State.SILENT, length);
                 world.advance(length.plusMillis(100));
                 world.changeConfiguration();
                 world.advance(Duration.ofSeconds(6));
-                broken.addAll(world.violations());
+                violations.addAll(world.violations());
             }
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
     // Guards against a simulation that detects nothing: with this pace, versions were late.
     @Test
-    void aCallThatIsWaitedForTooLongIsFoundOut() {
+    void theSimulationDetectsAPaceThatWaitsTooLongForACall() {
         Pace naive = new Pace(Duration.ofMillis(2_500), Duration.ofMillis(800));
         int late = 0;
-        for (int phase = 0; phase < PHASES; phase++) {
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
             StoreWorld world = new StoreWorld(naive);
-            world.advance(PHASE.multipliedBy(phase));
+            world.advance(PHASE_LENGTH.multipliedBy(phase));
             world.cutAll(SimulatedPath.State.SILENT, Duration.ofMillis(400));
             world.advance(Duration.ofMillis(500));
             world.changeConfiguration();
@@ -57,28 +57,28 @@
 
     // Guards against taking a departure after an outage for an entry that expired during it.
     @Test
-    void anUpstreamThatLeavesSomeTimeAfterAnOutageGetsNothingMore() {
-        List<String> broken = new ArrayList<>();
-        for (int phase = 0; phase < PHASES; phase++) {
+    void anUpstreamThatLeavesSomeTimeAfterAnOutageGetsNoMoreRequests() {
+        List<String> violations = new ArrayList<>();
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
             StoreWorld world = new StoreWorld();
-            world.advance(PHASE.multipliedBy(phase));
+            world.advance(PHASE_LENGTH.multipliedBy(phase));
             world.cutAll(SimulatedPath.State.SILENT, Duration.ofSeconds(6));
             world.advance(Duration.ofSeconds(6).plus(StoreWorld.SETTLED));
             world.removeUpstream(world.liveUpstreams().get(0));
             world.advance(Duration.ofSeconds(4));
-            broken.addAll(world.violations());
+            violations.addAll(world.violations());
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
     // Guards against a full read that drops an upstream whose return is awaited after an outage.
     @Test
-    void anUpstreamThatLapsedIsWaitedForThoughTheHistoryIsDropped() {
+    void anUpstreamWhoseEntryExpiredIsAwaitedAfterTheHistoryIsDropped() {
         StoreWorld world = new StoreWorld();
-        String lapsed = world.liveUpstreams().get(0);
+        String expired = world.liveUpstreams().get(0);
         world.cutAll(SimulatedPath.State.SILENT, Duration.ofSeconds(5));
         world.after(
-                Duration.ofSeconds(4), () -> world.expireEntry(lapsed, Duration.ofMillis(2_800)));
+                Duration.ofSeconds(4), () -> world.expireEntry(expired, Duration.ofMillis(2_800)));
         world.advance(Duration.ofMillis(5_600));
         world.dropHistory(Duration.ofMillis(500));
         world.changeConfiguration();
@@ -88,88 +88,88 @@
 
     // Guards against a change that is applied late or reverted, and a live upstream dropped.
     @Test
-    void anyMixOfTroublesKeepsThePromises() {
-        List<String> broken = new ArrayList<>();
-        for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken.addAll(played(seed));
+    void anyMixOfFaultsKeepsTheGuarantees() {
+        List<String> violations = new ArrayList<>();
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            violations.addAll(violationsOf(seed));
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
     // Guards against a relay that is frozen, cut off in one or both directions or rejected by the
     // store, and hides changes from the routers behind it.
     @Test
-    void anyMixOfTroublesKeepsThePromisesBehindRelays() {
-        List<String> broken = new ArrayList<>();
-        for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken.addAll(playedBehindRelays(seed));
+    void anyMixOfFaultsKeepsTheGuaranteesBehindRelays() {
+        List<String> violations = new ArrayList<>();
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            violations.addAll(violationsBehindRelays(seed));
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
     // Guards against a drained zone that still gets requests: after a drain that is read late,
     // after a dropped history, through a failed relay, or revoked and requested again at once.
     @Test
-    void anyMixOfTroublesKeepsDrainedZonesClosed() {
-        List<String> broken = new ArrayList<>();
-        for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken.addAll(played(new StoreWorld(), seed, true));
-            broken.addAll(played(behindRelays(), seed, true));
+    void anyMixOfFaultsKeepsDrainedZonesClosed() {
+        List<String> violations = new ArrayList<>();
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            violations.addAll(violationsOf(new StoreWorld(), seed, true));
+            violations.addAll(violationsOf(behindRelays(), seed, true));
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
     // Guards against drains that need calls to the store of their own.
     @Test
-    void aDrainCostsNoCallOfItsOwn() {
+    void aDrainNeedsNoStoreCallOfItsOwn() {
         StoreWorld drained = new StoreWorld();
-        StoreWorld calm = new StoreWorld();
-        long before = drained.storeCalls() - calm.storeCalls();
+        StoreWorld undrained = new StoreWorld();
+        long before = drained.storeCalls() - undrained.storeCalls();
         drained.drainZone("a");
         drained.advance(Duration.ofSeconds(20));
-        calm.advance(Duration.ofSeconds(20));
+        undrained.advance(Duration.ofSeconds(20));
         long routers = drained.routers().size();
-        assertTrue(drained.storeCalls() - calm.storeCalls() - before <= routers);
+        assertTrue(drained.storeCalls() - undrained.storeCalls() - before <= routers);
     }
 
     // Guards against routers that keep waiting for a frozen relay.
     @Test
-    void aFrozenRelayHidesNothingForLong() {
-        List<String> broken = new ArrayList<>();
-        for (int phase = 0; phase < PHASES; phase++) {
+    void aFrozenRelayDelaysChangesOnlyBriefly() {
+        List<String> violations = new ArrayList<>();
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
             StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
-            world.advance(PHASE.multipliedBy(phase));
+            world.advance(PHASE_LENGTH.multipliedBy(phase));
             world.freeze(world.routers().get(0), Duration.ofSeconds(5));
             world.changeConfiguration();
             world.drainUpstream(world.liveUpstreams().get(0));
             world.advance(Duration.ofSeconds(8));
-            broken.addAll(world.violations());
+            violations.addAll(world.violations());
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
     // Guards against routers behind a relay that take a departure for an expiry, or the reverse.
     @Test
-    void entriesThatLapseInAnOutageAreWaitedForBehindRelays() {
-        List<String> broken = new ArrayList<>();
-        for (int phase = 0; phase < PHASES; phase++) {
+    void entriesThatExpireInAnOutageAreAwaitedBehindRelays() {
+        List<String> violations = new ArrayList<>();
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
             StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
-            String lapsed = world.liveUpstreams().get(0);
-            world.advance(PHASE.multipliedBy(phase));
+            String expired = world.liveUpstreams().get(0);
+            world.advance(PHASE_LENGTH.multipliedBy(phase));
             world.cutAll(SimulatedPath.State.SILENT, Duration.ofMillis(2_600));
             world.after(
                     Duration.ofMillis(2_500),
-                    () -> world.expireEntry(lapsed, Duration.ofMillis(1_600)));
+                    () -> world.expireEntry(expired, Duration.ofMillis(1_600)));
             world.advance(Duration.ofSeconds(9));
-            broken.addAll(world.violations());
+            violations.addAll(world.violations());
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
     // Guards against calls to the store that grow with the routers behind relays.
     @ParameterizedTest
     @CsvSource({"2, 4", "5, 28", "12, 88", "12, 288"})
-    void theStoreIsAskedByThoseThatFollowItAndByNobodyElse(int watchers, int behind) {
+    void onlyWatchersCallTheStore(int watchers, int behind) {
         StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, watchers, behind);
         StoreWorld alone = new StoreWorld(StorePaces.CONFIGURATION, watchers, 0);
         long before = world.storeCalls() - alone.storeCalls();
@@ -191,33 +191,35 @@
         "400534, one announced departure hid an older one",
         "106297, a freeze and an outage in a row were taken for a longer one"
     })
-    void aMixThatFailedOnceKeepsThePromises(long seed, String cause) {
-        assertEquals(List.of(), played(seed), cause);
+    void aSeedThatFailedOnceKeepsTheGuarantees(long seed, String cause) {
+        assertEquals(List.of(), violationsOf(seed), cause);
     }
 
-    private static List<String> played(long seed) {
-        return played(new StoreWorld(), seed, false);
+    private static List<String> violationsOf(long seed) {
+        return violationsOf(new StoreWorld(), seed, false);
     }
 
-    private static List<String> playedBehindRelays(long seed) {
-        return played(behindRelays(), seed, false);
+    private static List<String> violationsBehindRelays(long seed) {
+        return violationsOf(behindRelays(), seed, false);
     }
 
     private static StoreWorld behindRelays() {
         return new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
     }
 
-    private static List<String> played(StoreWorld world, long seed, boolean drains) {
-        StoreTroubles troubles = new StoreTroubles(world, seed);
-        (drains ? troubles.withDrains() : troubles).play();
+    private static List<String> violationsOf(StoreWorld world, long seed, boolean drains) {
+        StoreTroubles faults = new StoreTroubles(world, seed);
+        (drains ? faults.withDrains() : faults).play();
         return world.violations().isEmpty()
                 ? List.of()
                 : List.of("seed " + seed + ": " + String.join("\n", world.eventLog()) + '\n');
     }
 
     // One failing seed violates many guarantees; the first few are enough to find the cause.
-    private static void assertNone(List<String> broken) {
-        String first = String.join("; ", broken.subList(0, Math.min(SHOWN, broken.size())));
-        assertEquals("", first, broken.size() + " in all");
+    private static void assertNone(List<String> violations) {
+        String first =
+                String.join(
+                        "; ", violations.subList(0, Math.min(VIOLATIONS_SHOWN, violations.size())));
+        assertEquals("", first, violations.size() + " in all");
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreRelaysTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreRelaysTest.java
@@ -32,7 +32,7 @@
                             !unreachable.contains(relay) && asked.add(relay));
 
     @Test
-    void theFirstIsAskedAndItsAnswerIsPassedOn() {
+    void theFirstRelayIsAskedAndItsAnswerIsReturned() {
         CompletionStage<Changes> answer = relays.changes("k", 5, WAIT);
         relays.answered(ONE, 1, Optional.of(new Changes(List.of(), 7, Duration.ofMillis(40))));
         assertEquals(7, answer.toCompletableFuture().join().revision());
@@ -41,7 +41,7 @@
 
     // Guards against asking a relay again that was killed or is frozen.
     @Test
-    void oneThatSaysNothingIsLeftAloneForAWhile() {
+    void aRelayThatDoesNotAnswerIsSkippedForAWhile() {
         CompletionStage<Changes> answer = relays.changes("k", 5, WAIT);
         control.advance(Duration.ofSeconds(1));
         assertTrue(answer.toCompletableFuture().isCompletedExceptionally());
@@ -53,7 +53,7 @@
 
     // Guards against a relay that the store rejects, and that hides changes from this router.
     @Test
-    void whereNoneCanTellTheStoreIsAsked() {
+    void noRelayIsAvailableForAWhileIfNoneCanAnswer() {
         relays.changes("k", 5, WAIT);
         relays.answered(ONE, 1, Optional.empty());
         relays.changes("k", 5, WAIT);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void oneWithoutALinkIsPassedOverAtOnce() {
+    void aRelayWithoutALinkIsSkippedAtOnce() {
         unreachable.add(ONE);
         relays.changes("k", 5, WAIT);
         assertEquals(List.of(TWO), asked);
@@ -72,7 +72,7 @@
 
     // Guards against accepting another router's answer under the same number.
     @Test
-    void onlyTheOneThatWasAskedCanAnswer() {
+    void onlyTheRelayThatWasAskedCanAnswer() {
         CompletionStage<Changes> answer = relays.changes("k", 5, WAIT);
         relays.answered(TWO, 1, Optional.of(new Changes(List.of(), 7)));
         assertFalse(answer.toCompletableFuture().isDone());
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreTroubles.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreTroubles.java
@@ -10,42 +10,42 @@
  * changes during and after each fault.
  */
 final class StoreTroubles {
-    private static final int TROUBLES = 8;
-    private static final int LONGEST_MILLIS = 9_000;
-    private static final int SHORTEST_MILLIS = 200;
+    private static final int FAULTS = 8;
+    private static final int MAX_FAULT_MILLIS = 9_000;
+    private static final int MIN_FAULT_MILLIS = 200;
 
     /** Entries expire after three missed heartbeats. */
-    private static final Duration LAPSES_AFTER = Duration.ofSeconds(3);
+    private static final Duration EXPIRES_AFTER = Duration.ofSeconds(3);
 
     /** Live upstreams write expired entries again within this time after an outage. */
-    private static final int BACK_MILLIS = 1_900;
+    private static final int RETURN_MILLIS = 1_900;
 
-    private static final int LEAST_UPSTREAMS = 3;
+    private static final int MIN_UPSTREAMS = 3;
 
     private final StoreWorld world;
     private final Random random;
-    private final Random drains;
-    private boolean drainsToo;
+    private final Random drainRandom;
+    private boolean playsDrains;
 
     StoreTroubles(StoreWorld world, long seed) {
         this.world = world;
         this.random = new Random(seed);
-        this.drains = new Random(~seed);
+        this.drainRandom = new Random(~seed);
     }
 
     /** Makes operators also drain and restore zones. */
     StoreTroubles withDrains() {
-        drainsToo = true;
+        playsDrains = true;
         return this;
     }
 
     void play() {
-        for (int each = 0; each < TROUBLES; each++) {
-            Duration length = millis(SHORTEST_MILLIS, shortOrLong());
-            trouble(length);
-            changes(length);
-            if (drainsToo) {
-                drains(length);
+        for (int each = 0; each < FAULTS; each++) {
+            Duration length = millis(MIN_FAULT_MILLIS, maxFaultMillis());
+            startFault(length);
+            scheduleChanges(length);
+            if (playsDrains) {
+                scheduleDrains(length);
             }
             // The next fault often begins before all is settled again.
             world.advance(length.plusMillis(random.nextInt(5_000)));
@@ -53,11 +53,11 @@
         world.advance(Duration.ofSeconds(8));
     }
 
-    private int shortOrLong() {
-        return random.nextBoolean() ? LONGEST_MILLIS : 1_500;
+    private int maxFaultMillis() {
+        return random.nextBoolean() ? MAX_FAULT_MILLIS : 1_500;
     }
 
-    private void trouble(Duration length) {
+    private void startFault(Duration length) {
         FollowingRouter one = world.routers().get(random.nextInt(world.routers().size()));
         switch (random.nextInt(8)) {
             case 0, 1 -> outage(State.SILENT, length);
@@ -72,24 +72,24 @@
 
     private void outage(State how, Duration length) {
         world.cutAll(how, length);
-        if (length.compareTo(LAPSES_AFTER) > 0 && random.nextBoolean()) {
-            Duration at = LAPSES_AFTER.plusMillis(random.nextInt(200));
+        if (length.compareTo(EXPIRES_AFTER) > 0 && random.nextBoolean()) {
+            Duration at = EXPIRES_AFTER.plusMillis(random.nextInt(200));
             if (at.compareTo(length) < 0) {
-                world.after(at, () -> lapseSome(length.minus(at)));
+                world.after(at, () -> expireSomeEntries(length.minus(at)));
             }
         }
     }
 
-    private void lapseSome(Duration untilReturn) {
+    private void expireSomeEntries(Duration untilReturn) {
         for (String id : world.liveUpstreams()) {
             if (random.nextBoolean()) {
                 world.expireEntry(
-                        id, untilReturn.plusMillis(100 + random.nextInt(BACK_MILLIS - 100)));
+                        id, untilReturn.plusMillis(100 + random.nextInt(RETURN_MILLIS - 100)));
             }
         }
     }
 
-    private void changes(Duration length) {
+    private void scheduleChanges(Duration length) {
         int count = 1 + random.nextInt(6);
         for (int each = 0; each < count; each++) {
             // Most changes come in the seconds after the fault, when routers' data is oldest.
@@ -101,16 +101,16 @@
         }
     }
 
-    private void drains(Duration length) {
-        String zone = drains.nextBoolean() ? "a" : "b";
-        int at = drains.nextInt((int) length.toMillis() + 3_000);
+    private void scheduleDrains(Duration length) {
+        String zone = drainRandom.nextBoolean() ? "a" : "b";
+        int at = drainRandom.nextInt((int) length.toMillis() + 3_000);
         // Some drains are revoked at once, and some are then requested again at once.
-        int lasts = drains.nextInt(3) == 0 ? 400 : 12_000;
+        int lasts = drainRandom.nextInt(3) == 0 ? 400 : 12_000;
         world.after(Duration.ofMillis(at), () -> world.drainZone(zone));
-        int back = at + 50 + drains.nextInt(lasts);
+        int back = at + 50 + drainRandom.nextInt(lasts);
         world.after(Duration.ofMillis(back), () -> world.restoreZone(zone));
-        if (drains.nextInt(3) == 0) {
-            int again = back + 20 + drains.nextInt(900);
+        if (drainRandom.nextInt(3) == 0) {
+            int again = back + 20 + drainRandom.nextInt(900);
             world.after(Duration.ofMillis(again), () -> world.drainZone(zone));
         }
     }
@@ -120,12 +120,12 @@
         switch (random.nextInt(6)) {
             case 0 -> world.addUpstream();
             case 1 -> {
-                if (alive.size() > LEAST_UPSTREAMS) {
+                if (alive.size() > MIN_UPSTREAMS) {
                     world.drainUpstream(alive.get(random.nextInt(alive.size())));
                 }
             }
             case 2 -> {
-                if (alive.size() > LEAST_UPSTREAMS) {
+                if (alive.size() > MIN_UPSTREAMS) {
                     world.removeUpstream(alive.get(random.nextInt(alive.size())));
                 }
             }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -45,22 +45,22 @@
     private final TestControlThread world = new TestControlThread();
     private final SimulatedStore store = new SimulatedStore(world);
     private final List<FollowingRouter> routers = new ArrayList<>();
-    private final TreeMap<Long, Instant> versions = new TreeMap<>();
-    private final Map<String, Instant> left = new HashMap<>();
-    private final Map<String, Instant> drained = new HashMap<>();
-    private final Map<String, Instant> joined = new HashMap<>();
-    private final Map<String, Instant> zonesDrained = new HashMap<>();
-    private final Map<String, Instant> zonesRestored = new HashMap<>();
-    private final TreeSet<String> alive = new TreeSet<>();
-    private final Map<FollowingRouter, Set<String>> used = new HashMap<>();
-    private final Map<FollowingRouter, Long> highest = new HashMap<>();
+    private final TreeMap<Long, Instant> versionsPutAt = new TreeMap<>();
+    private final Map<String, Instant> leftAt = new HashMap<>();
+    private final Map<String, Instant> drainedAt = new HashMap<>();
+    private final Map<String, Instant> joinedAt = new HashMap<>();
+    private final Map<String, Instant> zonesDrainedAt = new HashMap<>();
+    private final Map<String, Instant> zonesRestoredAt = new HashMap<>();
+    private final TreeSet<String> liveUpstreams = new TreeSet<>();
+    private final Map<FollowingRouter, Set<String>> usedUpstreams = new HashMap<>();
+    private final Map<FollowingRouter, Long> highestVersion = new HashMap<>();
     private final List<Runnable> postponed = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
-    private final List<String> story = new ArrayList<>();
-    private final Instant began = world.clock().instant();
-    private int outages;
+    private final List<String> violations = new ArrayList<>();
+    private final List<String> eventLog = new ArrayList<>();
+    private final Instant start = world.clock().instant();
+    private int openOutages;
     private long version;
-    private int upstreams;
+    private int upstreamCount;
 
     StoreWorld() {
         this(StorePaces.CONFIGURATION);
@@ -97,12 +97,12 @@
 
     /** Returns the violated guarantees, one line each; each is listed once for a router. */
     List<String> violations() {
-        return broken;
+        return violations;
     }
 
     /** Returns the log of events, each with the milliseconds since the start. */
     List<String> eventLog() {
-        return story;
+        return eventLog;
     }
 
     List<FollowingRouter> routers() {
@@ -116,7 +116,7 @@
 
     /** Returns the upstreams that neither drain nor have left. */
     List<String> liveUpstreams() {
-        return List.copyOf(alive);
+        return List.copyOf(liveUpstreams);
     }
 
     /** Lets time pass, and checks every router's guarantees at each step. */
@@ -138,31 +138,31 @@
                 () -> {
                     version++;
                     store.put(DIALECT.configurationKey(), bytes(Long.toString(version)));
-                    versions.put(version, world.clock().instant());
-                    tell("version " + version);
+                    versionsPutAt.put(version, world.clock().instant());
+                    log("version " + version);
                 });
     }
 
     /** Adds a new upstream. */
     void addUpstream() {
-        String id = "i-" + ++upstreams;
+        String id = "i-" + ++upstreamCount;
         write(
                 () -> {
                     store.put("up/" + id, bytes("ready"));
-                    alive.add(id);
-                    joined.put(id, world.clock().instant());
-                    tell(id + " joins");
+                    liveUpstreams.add(id);
+                    joinedAt.put(id, world.clock().instant());
+                    log(id + " joins");
                 });
     }
 
     /** Lets an upstream announce in its entry that it drains. */
     void drainUpstream(String id) {
-        alive.remove(id);
+        liveUpstreams.remove(id);
         write(
                 () -> {
                     store.put("up/" + id, bytes("draining"));
-                    drained.put(id, world.clock().instant());
-                    tell(id + " drains");
+                    drainedAt.put(id, world.clock().instant());
+                    log(id + " drains");
                 });
     }
 
@@ -171,9 +171,9 @@
         write(
                 () -> {
                     store.put(DIALECT.operatorPrefix() + "drained/" + zone, new byte[0]);
-                    zonesRestored.remove(zone);
-                    zonesDrained.put(zone, world.clock().instant());
-                    tell("zone " + zone + " is drained");
+                    zonesRestoredAt.remove(zone);
+                    zonesDrainedAt.put(zone, world.clock().instant());
+                    log("zone " + zone + " is drained");
                 });
     }
 
@@ -182,73 +182,73 @@
         write(
                 () -> {
                     store.remove(DIALECT.operatorPrefix() + "drained/" + zone);
-                    zonesDrained.remove(zone);
-                    zonesRestored.put(zone, world.clock().instant());
-                    tell("the drain of zone " + zone + " is revoked");
+                    zonesDrainedAt.remove(zone);
+                    zonesRestoredAt.put(zone, world.clock().instant());
+                    log("the drain of zone " + zone + " is revoked");
                 });
     }
 
     /** Lets an upstream leave without draining first: its entry is removed. */
     void removeUpstream(String id) {
-        alive.remove(id);
+        liveUpstreams.remove(id);
         write(
                 () -> {
                     store.remove("up/" + id);
-                    left.put(id, world.clock().instant());
-                    tell(id + " leaves");
+                    leftAt.put(id, world.clock().instant());
+                    log(id + " leaves");
                 });
     }
 
     /** Lets an upstream's entry expire during an outage; the upstream writes it again later. */
     void expireEntry(String id, Duration untilBack) {
-        tell(id + " expires, back in " + untilBack.toMillis());
+        log(id + " expires, back in " + untilBack.toMillis());
         store.remove("up/" + id);
         world.after(
                 untilBack,
                 () -> {
-                    if (alive.contains(id)) {
+                    if (liveUpstreams.contains(id)) {
                         store.put("up/" + id, bytes("ready"));
-                        tell(id + " is back");
+                        log(id + " is back");
                     }
                 });
     }
 
     /** Cuts off the store from routers, operators and upstreams. */
     void cutAll(SimulatedPath.State how, Duration length) {
-        tell("store " + how + " for " + length.toMillis());
-        outages++;
+        log("store " + how + " for " + length.toMillis());
+        openOutages++;
         routers.forEach(each -> each.startPathFault(how));
         world.after(
                 length,
                 () -> {
-                    tell("store no longer " + how);
-                    outages--;
+                    log("store no longer " + how);
+                    openOutages--;
                     routers.forEach(each -> each.endPathFault(how));
-                    if (outages == 0) {
-                        List<Runnable> waited = List.copyOf(postponed);
+                    if (openOutages == 0) {
+                        List<Runnable> steps = List.copyOf(postponed);
                         postponed.clear();
-                        waited.forEach(Runnable::run);
+                        steps.forEach(Runnable::run);
                     }
                 });
     }
 
     /** Cuts off the store from one router only. */
     void cut(FollowingRouter router, SimulatedPath.State how, Duration length) {
-        tell(router.name() + ' ' + how + " for " + length.toMillis());
+        log(router.name() + ' ' + how + " for " + length.toMillis());
         router.startPathFault(how);
         world.after(length, () -> router.endPathFault(how));
     }
 
     /** Freezes the VM of one router. */
     void freeze(FollowingRouter router, Duration length) {
-        tell(router.name() + " is frozen for " + length.toMillis());
+        log(router.name() + " is frozen for " + length.toMillis());
         router.freeze();
         world.after(length, router::unfreeze);
     }
 
     /** Withholds changes from watch calls for a while, and then drops the history. */
     void dropHistory(Duration after) {
-        tell("history will be dropped in " + after.toMillis());
+        log("history will be dropped in " + after.toMillis());
         store.withholdChanges();
         world.after(
                 after,
@@ -259,7 +259,7 @@
     }
 
     private void write(Runnable step) {
-        if (outages > 0) {
+        if (openOutages > 0) {
             postponed.add(step);
         } else {
             step.run();
@@ -268,51 +268,51 @@
 
     private void check(FollowingRouter router) {
         long seen = router.version();
-        if (seen < highest.getOrDefault(router, 0L)) {
+        if (seen < highestVersion.getOrDefault(router, 0L)) {
             report(router, "went back to version", seen);
         }
-        highest.merge(router, seen, Math::max);
+        highestVersion.merge(router, seen, Math::max);
         checkAlive(router, world.clock().instant());
         if (router.hasNoFault()) {
-            checkLate(router, router.recoveredAt(), Duration.ZERO);
+            checkOverdue(router, router.recoveredAt(), Duration.ZERO);
         } else if (router.hasOnlyPathFault()) {
             // A peer router without a fault passes on what it knows.
             routers.stream()
                     .filter(FollowingRouter::hasNoFault)
                     .map(FollowingRouter::recoveredAt)
                     .min(Instant::compareTo)
-                    .map(calm -> later(calm, router.recoveredAt()))
-                    .ifPresent(calm -> checkLate(router, calm, GOSSIP));
+                    .map(recovered -> later(recovered, router.recoveredAt()))
+                    .ifPresent(recovered -> checkOverdue(router, recovered, GOSSIP));
         }
     }
 
-    private void checkLate(FollowingRouter router, Instant calm, Duration more) {
+    private void checkOverdue(FollowingRouter router, Instant recovered, Duration more) {
         long seen = router.version();
         Instant now = world.clock().instant().minus(more);
-        versions.forEach(
+        versionsPutAt.forEach(
                 (number, at) -> {
-                    if (seen < number && overdue(at, calm, now)) {
+                    if (seen < number && overdue(at, recovered, now)) {
                         report(router, "does not yet apply version", number);
                     }
                 });
-        drained.forEach(
+        drainedAt.forEach(
                 (id, at) -> {
-                    if (router.uses(id) && overdue(at, calm, now)) {
+                    if (router.uses(id) && overdue(at, recovered, now)) {
                         report(router, "still uses, although it drains,", id);
                     }
                 });
-        zonesDrained.forEach(
+        zonesDrainedAt.forEach(
                 (zone, at) -> {
-                    Instant due = later(at.plus(DrainedZones.DEFAULT_LIMIT), calm.plus(BOUND));
+                    Instant due = later(at.plus(DrainedZones.DEFAULT_LIMIT), recovered.plus(BOUND));
                     if (!now.isBefore(due)) {
                         in(zone).filter(router::uses)
                                 .forEach(
                                         id -> report(router, "still uses, in a drained zone,", id));
                     }
                 });
-        left.forEach(
+        leftAt.forEach(
                 (id, at) -> {
-                    Instant due = later(at.plus(BOUND), calm.plus(SETTLED));
+                    Instant due = later(at.plus(BOUND), recovered.plus(SETTLED));
                     if (router.uses(id) && !now.isBefore(due)) {
                         report(router, "still uses, although it left,", id);
                     }
@@ -320,10 +320,10 @@
     }
 
     private void checkAlive(FollowingRouter router, Instant now) {
-        Set<String> known = used.computeIfAbsent(router, any -> new HashSet<>());
-        for (String id : alive) {
-            Instant restored = zonesRestored.get(TestDialect.zone(id));
-            if (zonesDrained.containsKey(TestDialect.zone(id))) {
+        Set<String> known = usedUpstreams.computeIfAbsent(router, any -> new HashSet<>());
+        for (String id : liveUpstreams) {
+            Instant restored = zonesRestoredAt.get(TestDialect.zone(id));
+            if (zonesDrainedAt.containsKey(TestDialect.zone(id))) {
                 known.remove(id);
             } else if (router.uses(id)) {
                 // It may not have read a drain yet that has been revoked since.
@@ -332,7 +332,7 @@
                 }
             } else if (known.contains(id)) {
                 report(router, "does not use any more, although it is alive,", id);
-            } else if (mustKnow(router, latest(joined.get(id), restored), now)) {
+            } else if (mustKnow(router, latest(joinedAt.get(id), restored), now)) {
                 report(router, "does not use yet, although it joined,", id);
             }
         }
@@ -347,22 +347,22 @@
     }
 
     private Stream<String> in(String zone) {
-        return alive.stream().filter(id -> TestDialect.zone(id).equals(zone));
+        return liveUpstreams.stream().filter(id -> TestDialect.zone(id).equals(zone));
     }
 
-    private static boolean overdue(Instant at, Instant calm, Instant now) {
-        return at != null && !now.isBefore(later(at, calm).plus(BOUND));
+    private static boolean overdue(Instant at, Instant recovered, Instant now) {
+        return at != null && !now.isBefore(later(at, recovered).plus(BOUND));
     }
 
-    private void tell(String what) {
-        story.add(Duration.between(began, world.clock().instant()).toMillis() + " " + what);
+    private void log(String what) {
+        eventLog.add(Duration.between(start, world.clock().instant()).toMillis() + " " + what);
     }
 
     private void report(FollowingRouter router, String what, Object which) {
         String line = router.name() + ' ' + what + ' ' + which;
-        if (!broken.contains(line)) {
-            broken.add(line);
-            tell("VIOLATED: " + line);
+        if (!violations.contains(line)) {
+            violations.add(line);
+            log("VIOLATED: " + line);
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/WatchPlanTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/WatchPlanTest.java
@@ -18,7 +18,7 @@
 
 class WatchPlanTest {
     @Test
-    void aFewRoutersFollowTheStoreEachByItself() {
+    void inASmallFleetEveryRouterWatchesTheStore() {
         WatchPlan plan = WatchPlan.of(routers(6, 2));
         assertTrue(plan.allWatch());
         assertEquals(List.of(), plan.sources(VmId.of("r-1"), AvailabilityZone.of("zone-1")));
@@ -27,12 +27,12 @@
     // Guards against calls to the store that grow with the routers.
     @ParameterizedTest
     @CsvSource({"9, 1, 2", "15, 3, 4", "33, 5, 5", "100, 7, 7", "300, 15, 12"})
-    void thoseThatFollowTheStoreAreFew(int routers, int zones, int watchers) {
+    void aLargeFleetHasFewWatchers(int routers, int zones, int watchers) {
         assertEquals(watchers, WatchPlan.of(routers(routers, zones)).watchers().size());
     }
 
     @Test
-    void aRouterAsksThoseOfItsOwnZoneFirstAndAllOthersAfterThem() {
+    void aRouterAsksTheWatchersOfItsOwnZoneFirstAndThenAllOthers() {
         WatchPlan plan = WatchPlan.of(routers(33, 5));
         for (Vm router : routers(33, 5)) {
             List<VmId> sources = plan.sources(router.id(), router.zone());
@@ -45,9 +45,9 @@
         }
     }
 
-    // Guards against one that is asked by all, and so does little else.
+    // Guards against one watcher that all routers ask and that has time for little else.
     @Test
-    void thoseThatFollowTheStoreAreAskedByAboutAsManyEach() {
+    void watchersAreAskedByAboutEquallyManyRouters() {
         WatchPlan plan = WatchPlan.of(routers(300, 15));
         var first =
                 routers(300, 15).stream()
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void whoReadsTheSameListMakesTheSamePlan() {
+    void theSameListGivesTheSamePlan() {
         List<Vm> other = new ArrayList<>(routers(33, 5));
         java.util.Collections.reverse(other);
         assertEquals(WatchPlan.of(routers(33, 5)).watchers(), WatchPlan.of(other).watchers());
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
@@ -16,31 +16,31 @@
     private static final byte[] NOTHING = new byte[0];
 
     private final DrainedZones zones = new DrainedZones(Duration.ofSeconds(5));
-    private final List<String> told = new ArrayList<>();
+    private final List<String> notified = new ArrayList<>();
     private final ZoneDrains drains =
-            new ZoneDrains(new TestDialect(), zones, Set.of("a", "b"), new Told());
+            new ZoneDrains(new TestDialect(), zones, Set.of("a", "b"), new RecordingListener());
 
     @Test
-    void aDrainIsToldOnce() {
+    void aDrainIsNotifiedOnce() {
         drains.applyDrain("a", NOTHING, 3, NOW);
         drains.applyDrain("a", NOTHING, 4, NOW);
         drains.applyRestore("a", 5);
-        assertEquals(List.of("drained a", "restored a"), told);
+        assertEquals(List.of("drained a", "restored a"), notified);
     }
 
     @Test
-    void anUnknownZoneAnUnreadableValueAndAnEndOfNoDrainChangeNothing() {
+    void unknownZonesUnreadableValuesAndRestoresWithoutADrainChangeNothing() {
         drains.applyDrain("nowhere", NOTHING, 3, NOW);
         drains.applyDrain("a", new byte[] {7}, 4, NOW);
         drains.applyRestore("b", 5);
         drains.applyRestore("nowhere", 6);
         assertEquals(Map.of(), zones.all());
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), notified);
     }
 
     // Guards against an old change that arrives after newer ones and would open the zone again.
     @Test
-    void whatIsOlderThanWhatIsKnownIsLeftOut() {
+    void changesOlderThanTheAppliedRevisionAreIgnored() {
         drains.merge(new RouterStanding.Drains(9, Map.of("a", NOW)));
         drains.applyDrain("b", NOTHING, 7, NOW);
         drains.applyRestore("a", 8);
@@ -51,23 +51,23 @@
     }
 
     @Test
-    void anotherRouterThatKnowsMoreIsBelieved() {
+    void newerDrainsOfAnotherRouterReplaceTheKnownOnes() {
         drains.applyDrain("a", NOTHING, 3, NOW);
         drains.merge(new RouterStanding.Drains(5, Map.of("b", NOW)));
         assertEquals(Set.of("b"), zones.all().keySet());
-        assertEquals(List.of("drained a", "restored a", "drained b"), told);
+        assertEquals(List.of("drained a", "restored a", "drained b"), notified);
     }
 
     /** Records the notifications. */
-    private final class Told implements ZoneDrains.Listener {
+    private final class RecordingListener implements ZoneDrains.Listener {
         @Override
         public void drained(String zone) {
-            told.add("drained " + zone);
+            notified.add("drained " + zone);
         }
 
         @Override
         public void restored(String zone) {
-            told.add("restored " + zone);
+            notified.add("restored " + zone);
         }
     }
 }
