--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ConfigurationHolder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ConfigurationHolder.java
@@ -8,19 +8,22 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** The configuration in force here; it only moves on. Control thread only. */
+/**
+ * Holds the configuration in force at this router, and replaces it only by a newer one. Control
+ * thread only.
+ */
 final class ConfigurationHolder {
     private static final Logger LOG = LogManager.getLogger(ConfigurationHolder.class);
 
     private final Dialect dialect;
-    private final Consumer<DirectConfiguration> changed;
+    private final Consumer<DirectConfiguration> onChange;
     private DirectConfiguration current;
     private RouteTable routes = new RouteTable(List.of());
-    private byte[] value = new byte[0];
+    private byte[] storedBytes = new byte[0];
 
-    ConfigurationHolder(Dialect dialect, Consumer<DirectConfiguration> changed) {
+    ConfigurationHolder(Dialect dialect, Consumer<DirectConfiguration> onChange) {
         this.dialect = dialect;
-        this.changed = changed;
+        this.onChange = onChange;
     }
 
     Optional<DirectConfiguration> current() {
@@ -31,29 +34,36 @@
         return routes;
     }
 
-    /** Where the one in force stands in the store; 0 if there is none yet. */
+    /** Returns the store revision of the configuration in force; 0 if there is none yet. */
     long revision() {
         return current == null ? 0 : current.revision();
     }
 
-    /** The one in force, as it was stored. */
-    byte[] value() {
-        return value;
+    /** Returns the configuration in force as the store holds it; empty if there is none yet. */
+    byte[] storedBytes() {
+        return storedBytes;
     }
 
-    /** Puts a newer one in force; an older or unreadable one changes nothing. */
-    void offer(byte[] given, long revision, String source) {
+    /**
+     * Puts a configuration in force if its store revision is newer; an older or unreadable one
+     * changes nothing.
+     *
+     * @param source where it was read, for the log: the store or a peer router
+     */
+    void replaceIfNewer(byte[] bytes, long revision, String source) {
         if (revision <= revision()) {
             return;
         }
         try {
-            DirectConfiguration next = dialect.configuration(given, revision);
+            DirectConfiguration next = dialect.configuration(bytes, revision);
             if (current != null && next.version() < current.version()) {
-                LOG.warn("version {} is older than the one in force", next.version());
+                LOG.warn(
+                        "ignoring configuration version={}: it is older than the one in force",
+                        next.version());
                 return;
             }
             current = next;
-            value = given;
+            storedBytes = bytes;
             routes = new RouteTable(next.routes());
             LOG.info(
                     "configuration version={} revision={} from={} routes={} in force",
@@ -61,9 +71,9 @@
                     revision,
                     source,
                     next.routes().size());
-            changed.accept(next);
+            onChange.accept(next);
         } catch (DirectException e) {
-            LOG.error("the configuration at revision {} is left out: {}", revision, e.getMessage());
+            LOG.error("ignoring the configuration at revision {}: {}", revision, e.getMessage());
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -50,27 +50,31 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * A router that reaches upstreams itself: {@code DirectRouter.start(settings, dialect, stores,
- * socket)}.
+ * A router that connects to upstreams itself, without an agent beside them: {@code
+ * DirectRouter.start(settings, dialect, stores, socket)}.
  *
- * <p>You get it once it listens; it says that it is ready once it knows the configuration and the
- * upstreams. {@link #stop()} ends it without cutting anything off.
+ * <p>{@code start} returns once it listens; it reports that it is ready once it has read the
+ * configuration and the upstreams. {@link #stop()} finishes open requests before it closes.
  */
 public final class DirectRouter {
     private static final Logger LOG = LogManager.getLogger(DirectRouter.class);
 
-    /** Upstreams are a millisecond away; one that takes longer is dark or drops packets. */
+    /** Upstreams are about 1 ms away; one that takes this long is down or drops packets. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
-    private static final Duration CHECK = Duration.ofMillis(50);
-    private static final Duration REPORT = Duration.ofMillis(150);
-    private static final Duration GOSSIP = Duration.ofSeconds(1);
-    private static final Duration COUNTERS = Duration.ofSeconds(10);
-    private static final Duration SWEEP = Duration.ofMillis(500);
+    private static final Duration CHECK_PERIOD = Duration.ofMillis(50);
+    private static final Duration REPORT_PERIOD = Duration.ofMillis(150);
+    private static final Duration GOSSIP_PERIOD = Duration.ofSeconds(1);
+    private static final Duration COUNTER_LOG_PERIOD = Duration.ofSeconds(10);
+    private static final Duration SWEEP_PERIOD = Duration.ofMillis(500);
     private static final Duration LIST_PERIOD = Duration.ofMillis(500);
 
-    /** A leader has more to do than the others; only one this many times as quick would gain. */
-    private static final int MUCH_QUICKER = 4;
+    /**
+     * How many times less late than this router's event loop another's must be before this router
+     * resigns as leader. A leader has more work than the others, so a smaller difference would
+     * vanish with the change.
+     */
+    private static final int RESIGN_LAG_RATIO = 4;
 
     private static final int TIMELINE_EVENTS = 500;
 
@@ -81,7 +85,7 @@
     private final HttpLoop loop = HttpLoop.start();
     private final InstantSource clock = SuspendAwareClock.start();
     private final Metrics metrics = new Metrics();
-    private final LoopControl control;
+    private final EventLoopControlThread control;
     private final HttpClient client;
     private final PolledStore store;
     private final UpstreamTable upstreams;
@@ -95,7 +99,7 @@
     private final DemandReports reports;
     private final UpstreamFollower upstreamFollower;
     private final ZoneDrains drains;
-    private final OperatorFollower operatorFollower;
+    private final OperatorSettingsFollower operatorFollower;
     private final Dispatch dispatch;
     private final CrashWatch crashes;
     private final LostUpstreams lost;
@@ -106,7 +110,7 @@
     private final Ingress ingress;
     private final PeerNetwork network;
     private volatile HttpServer callers;
-    private final LoopLag lag = new LoopLag(CHECK);
+    private final EventLoopLag lag = new EventLoopLag(CHECK_PERIOD);
     private volatile boolean stopping;
     private boolean stopped;
 
@@ -118,21 +122,22 @@
         this.settings = settings;
         this.dialect = dialect;
         this.self = VmId.of(settings.vm());
-        // Need only differ from this VM's other lives; a secure source would hold the start up.
-        String life = Long.toHexString(ThreadLocalRandom.current().nextLong());
-        this.incarnation = Incarnation.of(settings.vm() + ":" + life);
+        // Must only differ from the VM's other incarnations; a secure source would delay the start.
+        String suffix = Long.toHexString(ThreadLocalRandom.current().nextLong());
+        this.incarnation = Incarnation.of(settings.vm() + ":" + suffix);
         this.upstreams = new UpstreamTable(new DrainedZones(settings.zones().drainLimit()));
-        this.control = new LoopControl(loop.events(), clock, new LoopHolds(metrics));
+        this.control =
+                new EventLoopControlThread(loop.events(), clock, new EventLoopHoldTimes(metrics));
         this.client = new HttpClient(loop, CONNECT_TIMEOUT, metrics);
         this.store = stores.open(settings, client, control, metrics);
-        this.relays = new StoreRelays(control, this::relaySources, this::askRelay);
+        this.relays = new StoreRelays(control, this::relaySources, this::requestChanges);
         this.members = membership();
         this.neighbours = new Neighbours(control, members);
         this.lease = new OrderLease(control, store, members, self, lag);
         this.handOver = new OrderHandOver(control, store, lease, neighbours, members);
         UpstreamCalls calls = new UpstreamCalls(client, dialect, control);
         this.leader = new OrderLeader(control, upstreams, lease, calls, self, neighbours);
-        this.configuration = new ConfigurationHolder(dialect, this::configured);
+        this.configuration = new ConfigurationHolder(dialect, this::applyConfiguration);
         this.upstreamFollower = upstreamFollower();
         this.drains = zoneDrains();
         this.operatorFollower = operatorFollower();
@@ -140,7 +145,12 @@
         this.reports = reports();
         this.crashes =
                 new CrashWatch(
-                        control, crashNews(), this::look, members::watches, this::first, metrics);
+                        control,
+                        crashNews(),
+                        this::probe,
+                        members::watches,
+                        this::isFirstWatcher,
+                        metrics);
         this.lost = new LostUpstreams(clock, upstreams, neighbours);
         this.limits = new LimitedUpstreams(clock, upstreams, neighbours);
         this.flows = flows();
@@ -153,28 +163,28 @@
         neighbours.start(network, new NeighbourNews(newsParts(), this::replicasChanged));
         ServerSocketChannel socket =
                 open.orElseGet(() -> EarlySocket.listen(settings.callers().socket()));
-        control.run(() -> begin(socket));
-        Pages pages = new Pages(metrics, this::ready);
-        control.run(() -> control.every(COUNTERS, pages::logCounters));
+        control.run(() -> startServing(socket));
+        StatusPages pages = new StatusPages(metrics, this::ready);
+        control.run(() -> control.every(COUNTER_LOG_PERIOD, pages::logCounters));
         serve(settings.ready().host(), settings.ready().port(), pages::ready);
         if (settings.metricsPort() != 0) {
             serve(settings.peer().host(), settings.metricsPort(), pages::metrics);
         }
     }
 
-    /** Opens the platform's store over the router's own client. */
+    /** Opens the platform's store over the router's own HTTP client. */
     @FunctionalInterface
     public interface StoreFactory {
-        /** The store; all its answers come on the router's one thread. */
+        /** Opens the store; it must deliver all answers on the router's event loop. */
         PolledStore open(
                 DirectSettings settings, HttpClient client, ControlThread control, Metrics metrics);
     }
 
     /**
-     * Starts a router and returns once it listens: on the socket for callers that the process has
-     * {@code open} already, or on one of its own.
+     * Starts a router and returns once it listens for callers.
      *
-     * @throws io.damaskyoke.http.HttpException if an address is taken
+     * @param open the socket for callers that the process has opened already; empty to open one
+     * @throws io.damaskyoke.http.HttpException if an address is in use
      */
     public static DirectRouter start(
             DirectSettings settings,
@@ -186,19 +196,20 @@
         return router;
     }
 
-    /** Shows how many lines of log the process has left out, beside the router's own counts. */
-    public void logLinesLeftOut(Supplier<Long> count) {
+    /** Adds a gauge for the number of log lines that the process has dropped. */
+    public void registerDroppedLogLines(Supplier<Long> count) {
         metrics.gauge("log_lines_left_out", count);
     }
 
-    /** True if callers should be sent here. */
+    /** Returns true if the load balancer should send callers here. */
     public boolean ready() {
         return !stopping && configuration.current().isPresent() && upstreamFollower.everRead();
     }
 
     /**
-     * Stops: says that it is not ready, serves what is open and what still comes, tells callers
-     * that their connection ends, and returns when nothing is left or the grace is nearly over.
+     * Stops the router: it reports that it is not ready, serves open and new requests, announces to
+     * callers that their connections close, and returns when no request is left or the grace period
+     * is nearly over.
      */
     public synchronized void stop() {
         if (stopped) {
@@ -207,9 +218,9 @@
         stopped = true;
         stopping = true;
         LOG.info("stopping, {} requests open", flows.size());
-        new Shutdown(control, callers, settings.grace(), flows).run(lease::close);
-        // Last, since a router that is off the list may not spend its share, and would refuse what
-        // still comes while the balancer notices.
+        new GracefulShutdown(control, callers, settings.grace(), flows).run(lease::close);
+        // Last, since a router that is not listed may not spend its share of the rate limits, and
+        // would refuse requests that still arrive until the balancer notices.
         control.run(members::leave);
         network.close();
         store.close();
@@ -258,9 +269,10 @@
                 new QuarantineStore(control, store, members.keptOutPrefix()));
     }
 
-    private void look(Upstream upstream, boolean vouch, Consumer<UpstreamEnds.Sign> then) {
+    private void probe(
+            Upstream upstream, boolean trustOpenConnection, Consumer<UpstreamEnds.Sign> then) {
         Endpoint endpoint = upstream.facts().endpoint();
-        if (vouch && client.keeps(endpoint)) {
+        if (trustOpenConnection && client.keeps(endpoint)) {
             then.accept(UpstreamEnds.Sign.ALIVE);
             return;
         }
@@ -276,8 +288,8 @@
                                         .orElse(UpstreamEnds.Sign.NONE)));
     }
 
-    // One router that all agree on, unless the list is new to one of them.
-    private boolean first() {
+    // True at the first watcher of the plan: all routers that have read the same list agree on it.
+    private boolean isFirstWatcher() {
         return members.plan().watchers().stream().findFirst().filter(self::equals).isPresent();
     }
 
@@ -307,12 +319,18 @@
 
     private Membership membership() {
         return new Membership(
-                control, store, settings.storePrefix(), entry(), Paces.ROUTERS, relays, metrics);
+                control,
+                store,
+                settings.storePrefix(),
+                entry(),
+                StorePaces.ROUTERS,
+                relays,
+                metrics);
     }
 
     private UpstreamFollower upstreamFollower() {
         return new UpstreamFollower(
-                control, store, dialect, upstreams, Paces.UPSTREAMS, relays, metrics);
+                control, store, dialect, upstreams, StorePaces.UPSTREAMS, relays, metrics);
     }
 
     private ZoneDrains zoneDrains() {
@@ -323,14 +341,14 @@
                 new DrainListener());
     }
 
-    private OperatorFollower operatorFollower() {
-        return new OperatorFollower(
+    private OperatorSettingsFollower operatorFollower() {
+        return new OperatorSettingsFollower(
                 control,
                 store,
                 dialect,
                 configuration,
                 drains,
-                Paces.CONFIGURATION,
+                StorePaces.CONFIGURATION,
                 relays,
                 metrics);
     }
@@ -347,7 +365,7 @@
         return members.sources();
     }
 
-    private boolean askRelay(VmId to, long number, String prefix, long after, Duration wait) {
+    private boolean requestChanges(VmId to, long number, String prefix, long after, Duration wait) {
         return neighbours.askChanges(to, number, prefix, after, wait);
     }
 
@@ -393,8 +411,8 @@
                 loop, new InetSocketAddress(host, port), HttpLimits.usual(), handler);
     }
 
-    // The store is asked before callers are served: their requests need its answers first of all.
-    private void begin(ServerSocketChannel socket) {
+    // Starts reading the store before it serves callers, since their requests need what is read.
+    private void startServing(ServerSocketChannel socket) {
         dispatch.onStarved(reports::soon);
         operatorFollower.start();
         upstreamFollower.start(new UpstreamListener());
@@ -403,29 +421,29 @@
         callers = HttpServer.adopt(loop, socket, HttpLimits.usual(), ingress);
         metrics.gauge("direct_left_before_served", callers::leftUnserved);
         crashes.show();
-        new DrainProgress(upstreams).show(metrics);
+        new DrainProgress(upstreams).registerGauges(metrics);
         limits.show(metrics);
         leader.show(metrics);
         metrics.gauge("models_unserved", flows.unserved()::many);
         String address = settings.peer().host() + ':' + settings.peer().port();
-        rates.start(ratePeers, address, Map.of(), LIST_PERIOD, processBegan());
+        rates.start(ratePeers, address, Map.of(), LIST_PERIOD, processStart());
         leader.start(this::replicasChanged);
-        control.every(CHECK, this::check);
-        control.every(REPORT, reports::report);
-        control.every(GOSSIP, reports::gossip);
-        control.every(GOSSIP, limits::tellAgain);
-        control.every(SWEEP, client::sweep);
+        control.every(CHECK_PERIOD, this::check);
+        control.every(REPORT_PERIOD, reports::report);
+        control.every(GOSSIP_PERIOD, reports::gossip);
+        control.every(GOSSIP_PERIOD, limits::tellAgain);
+        control.every(SWEEP_PERIOD, client::sweep);
     }
 
-    // Nobody else has spent this VM's shares since its process took its first step.
-    private Instant processBegan() {
+    // No other process has spent this VM's shares of the rate limits since this one started.
+    private Instant processStart() {
         return clock.instant()
                 .minus(Duration.ofNanos(System.nanoTime() - EarlySocket.loadedNanos()));
     }
 
     private void check() {
-        lag.ticked(clock.instant());
-        if (lag.slow() && othersAreQuicker()) {
+        lag.recordTick(clock.instant());
+        if (lag.isSlow() && anotherRouterIsFaster()) {
             lease.resign("this VM is slow");
         }
         handOver.check();
@@ -434,13 +452,13 @@
         flows.check();
     }
 
-    // Where all are slow, a change of leader would only cost the orders that it interrupts.
-    private boolean othersAreQuicker() {
-        Duration much = lag.average().dividedBy(MUCH_QUICKER);
-        return neighbours.leastLate().filter(least -> least.compareTo(much) < 0).isPresent();
+    // If all routers are slow, a change of leader would only interrupt orders and gain nothing.
+    private boolean anotherRouterIsFaster() {
+        Duration limit = lag.average().dividedBy(RESIGN_LAG_RATIO);
+        return neighbours.leastLate().filter(least -> least.compareTo(limit) < 0).isPresent();
     }
 
-    private void configured(DirectConfiguration now) {
+    private void applyConfiguration(DirectConfiguration now) {
         callers.limits(now.limits());
         dispatch.configured(now.modelServices());
         upstreams.setColdLimits(ColdLimits.of(now, settings.cold()));
@@ -465,7 +483,7 @@
         dispatch.tick();
     }
 
-    /** Tells those that send or order what zones are drained, after the table has it. */
+    /** Applies changes of drained zones to dispatch and leader, after the table has them. */
     private final class DrainListener implements ZoneDrains.Listener {
         @Override
         public void drained(String zone) {
@@ -477,7 +495,7 @@
             changed(zone);
         }
 
-        // A zone's upstreams may be cold when operators drain it, and when they take that back.
+        // The upstreams of a zone may be cold when operators drain it and when they restore it.
         private void changed(String zone) {
             upstreams.markPossiblyCold(zone, clock.instant());
             leader.zonesDrained(upstreams.zones().all().keySet());
@@ -485,7 +503,7 @@
         }
     }
 
-    /** Listens to what becomes of upstreams, after the table has it. */
+    /** Applies changes of upstreams to the other parts, after the table has them. */
     private final class UpstreamListener implements UpstreamFollower.Listener {
         @Override
         public void listed(UpstreamFacts facts) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorSettingsFollower.java
@@ -18,26 +18,26 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps what operators have set up with the store: the configuration in force, and the zones that
- * are drained. One call to the store follows both. Control thread only.
+ * Keeps the operators' settings up to date with the store: the configuration in force and the
+ * drained zones. One watch of the store covers both. Control thread only.
  */
-final class OperatorFollower implements ChangeListener {
+final class OperatorSettingsFollower implements ChangeListener {
     private final Dialect dialect;
-    private final ConfigurationHolder holder;
+    private final ConfigurationHolder configuration;
     private final ZoneDrains drains;
     private final Follower follower;
 
-    OperatorFollower(
+    OperatorSettingsFollower(
             ControlThread control,
             PolledStore store,
             Dialect dialect,
-            ConfigurationHolder holder,
+            ConfigurationHolder configuration,
             ZoneDrains drains,
             Pace pace,
             Relay relay,
             Metrics metrics) {
         this.dialect = dialect;
-        this.holder = holder;
+        this.configuration = configuration;
         this.drains = drains;
         this.follower =
                 Follower.of("configuration")
@@ -54,22 +54,25 @@
         follower.start();
     }
 
-    /** What follows the operators' keys, for others that follow them through this router. */
+    /** Returns the follower of the operators' keys, for routers that use this one as a relay. */
     Follower follower() {
         return follower;
     }
 
-    /** How long ago the configuration in force was surely the newest; empty if it never was. */
+    /**
+     * Returns how long ago the configuration in force was last confirmed to be the newest; empty if
+     * it never was.
+     */
     Optional<Duration> age() {
         return follower.age();
     }
 
     /**
-     * Tells, once, when the configuration in force is the newest as of the moment, or {@code false}
-     * if that can't be known within the limit.
+     * Calls back once: with {@code true} when the configuration in force is confirmed to be the
+     * newest as of the moment, or with {@code false} if that is not confirmed within the limit.
      */
-    void whenKnown(Instant moment, Duration limit, Consumer<Boolean> told) {
-        follower.whenKnown(moment, limit, told);
+    void whenKnown(Instant moment, Duration limit, Consumer<Boolean> callback) {
+        follower.whenKnown(moment, limit, callback);
     }
 
     @Override
@@ -78,30 +81,30 @@
         for (Entry entry : entries) {
             dialect.drainedZone(entry.key()).ifPresent(drained::add);
         }
-        drains.onlyThese(drained, revision);
-        entries.forEach(this::offer);
-        drains.knownUpTo(revision);
+        drains.restoreAllExcept(drained, revision);
+        entries.forEach(this::apply);
+        drains.markAppliedUpTo(revision);
     }
 
     @Override
     public void changed(List<Change> changes, long revision, Duration silence) {
         for (Change change : changes) {
             if (change.entry().isPresent()) {
-                offer(change.entry().get());
+                apply(change.entry().get());
             } else {
                 dialect.drainedZone(change.key())
-                        .ifPresent(zone -> drains.takenBack(zone, change.revision()));
+                        .ifPresent(zone -> drains.applyRestore(zone, change.revision()));
             }
         }
-        drains.knownUpTo(revision);
+        drains.markAppliedUpTo(revision);
     }
 
-    private void offer(Entry entry) {
+    private void apply(Entry entry) {
         Optional<String> zone = dialect.drainedZone(entry.key());
         if (zone.isPresent()) {
-            drains.accepted(zone.get(), entry.value(), entry.modRevision(), follower.newsSince());
+            drains.applyDrain(zone.get(), entry.value(), entry.modRevision(), follower.newsSince());
         } else if (entry.key().equals(dialect.configurationKey())) {
-            holder.offer(entry.value(), entry.modRevision(), "store");
+            configuration.replaceIfNewer(entry.value(), entry.modRevision(), "store");
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
@@ -6,46 +6,58 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Takes in which zones operators drain, as the store tells it. Control thread only. */
+/**
+ * Applies the operators' zone drains, read from the store or received from peer routers, to the
+ * table of drained zones. Changes older than the applied revision are ignored. Control thread only.
+ */
 final class ZoneDrains {
     private static final Logger LOG = LogManager.getLogger(ZoneDrains.class);
 
     private final Dialect dialect;
     private final DrainedZones zones;
-    private final Set<String> known;
+    private final Set<String> knownZones;
     private final Listener listener;
-    private long revision;
+    private long appliedRevision;
 
-    /** Hears which zones are drained, after the table of zones has it. */
+    /** Is notified of drained and restored zones, after the table has them. */
     interface Listener {
-        /** The zone is drained from now on. */
+        /** Called when a zone is drained. */
         void drained(String zone);
 
-        /** The zone's drain is taken back. */
+        /** Called when a zone's drain is revoked. */
         void restored(String zone);
     }
 
-    /** Only zones that are known can be drained; with none given, all of them. */
-    ZoneDrains(Dialect dialect, DrainedZones zones, Set<String> known, Listener listener) {
+    /**
+     * Creates an instance that applies nothing yet.
+     *
+     * @param knownZones the zones that can be drained; if empty, any zone can
+     */
+    ZoneDrains(Dialect dialect, DrainedZones zones, Set<String> knownZones, Listener listener) {
         this.dialect = dialect;
         this.zones = zones;
-        this.known = Set.copyOf(known);
+        this.knownZones = Set.copyOf(knownZones);
         this.listener = listener;
     }
 
-    /** Operators drain the zone, which they had not done yet at {@code notBefore}. */
-    void accepted(String zone, byte[] value, long at, Instant notBefore) {
-        if (at <= revision) {
+    /**
+     * Drains a zone if its store entry is valid and newer than the applied revision.
+     *
+     * @param revision the store revision of the entry
+     * @param notBefore an instant at which the zone was not drained yet
+     */
+    void applyDrain(String zone, byte[] value, long revision, Instant notBefore) {
+        if (revision <= appliedRevision) {
             return;
         }
-        if (!known.isEmpty() && !known.contains(zone)) {
-            LOG.warn("the drain of zone {} is left out: there is no such zone", zone);
+        if (!knownZones.isEmpty() && !knownZones.contains(zone)) {
+            LOG.warn("ignoring the drain of zone {}: there is no such zone", zone);
             return;
         }
         try {
             dialect.checkDrain(value);
         } catch (DirectException e) {
-            LOG.warn("the drain of zone {} is left out: {}", zone, e.getMessage());
+            LOG.warn("ignoring the drain of zone {}: {}", zone, e.getMessage());
             return;
         }
         drain(zone, notBefore);
@@ -53,56 +65,60 @@
 
     private void drain(String zone, Instant notBefore) {
         if (zones.drain(zone, notBefore)) {
-            LOG.info("zone {} is drained, asked for after {}", zone, notBefore);
+            LOG.info("zone {} is drained, requested after {}", zone, notBefore);
             listener.drained(zone);
         }
     }
 
-    /** The drain is taken back. */
-    void takenBack(String zone, long at) {
-        if (at > revision) {
-            takeBack(zone);
+    /**
+     * Revokes the drain of a zone if the change is newer than the applied revision.
+     *
+     * @param revision the store revision of the change
+     */
+    void applyRestore(String zone, long revision) {
+        if (revision > appliedRevision) {
+            restore(zone);
         }
     }
 
-    private void takeBack(String zone) {
+    private void restore(String zone) {
         if (zones.restore(zone)) {
-            LOG.info("the drain of zone {} is taken back", zone);
+            LOG.info("the drain of zone {} is revoked", zone);
             listener.restored(zone);
         } else {
-            LOG.info("the drain of zone {}, which was not in force, is taken back", zone);
+            LOG.info("the drain of zone {} is revoked; it was not in force", zone);
         }
     }
 
-    /** All that was told up to this revision is taken in; what is older is out of date. */
-    void knownUpTo(long at) {
-        revision = Math.max(revision, at);
+    /** Marks all changes up to this store revision as applied; older ones are ignored from then. */
+    void markAppliedUpTo(long revision) {
+        appliedRevision = Math.max(appliedRevision, revision);
     }
 
-    /** No other zones are drained than these, as of the revision. */
-    void onlyThese(Set<String> drained, long at) {
-        if (at <= revision) {
+    /** Revokes all drains except those of these zones, the drained ones as of the revision. */
+    void restoreAllExcept(Set<String> drained, long revision) {
+        if (revision <= appliedRevision) {
             return;
         }
         for (String zone : zones.all().keySet()) {
             if (!drained.contains(zone)) {
-                takeBack(zone);
+                restore(zone);
             }
         }
     }
 
-    /** What this router knows, for others that the store doesn't tell. */
-    RouterStanding.Drains known() {
-        return new RouterStanding.Drains(revision, zones.all());
+    /** Returns the drains known here, for peer routers that cannot reach the store. */
+    RouterStanding.Drains current() {
+        return new RouterStanding.Drains(appliedRevision, zones.all());
     }
 
-    /** Another router says which zones are drained, and may know it better. */
-    void told(RouterStanding.Drains theirs) {
-        if (theirs.revision() <= revision) {
+    /** Applies the drains that a peer router knows, if its revision is newer. */
+    void merge(RouterStanding.Drains theirs) {
+        if (theirs.revision() <= appliedRevision) {
             return;
         }
-        onlyThese(theirs.notBefore().keySet(), theirs.revision());
+        restoreAllExcept(theirs.notBefore().keySet(), theirs.revision());
         theirs.notBefore().forEach(this::drain);
-        knownUpTo(theirs.revision());
+        markAppliedUpTo(theirs.revision());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
@@ -40,8 +40,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of waiting requests while a router's thread is held. */
-class HeldThreadTest {
+/** Tests what happens to waiting requests whose caller leaves while the event loop is blocked. */
+class BlockedEventLoopTest {
     private static final String SERVICE = "service";
     private static final Duration LIMIT = Duration.ofSeconds(10);
 
@@ -66,10 +66,10 @@
                     new Flows.RetryBounds(Duration.ofSeconds(10), 0.2, 10),
                     () -> 1,
                     new CrashWatch(
-                            new LoopControl(
+                            new EventLoopControlThread(
                                     loop.events(),
                                     InstantSource.system(),
-                                    new LoopHolds(new Metrics())),
+                                    new EventLoopHoldTimes(new Metrics())),
                             new SilentCrashNews(),
                             (upstream, vouch, then) -> then.accept(UpstreamEnds.Sign.NONE),
                             () -> true,
@@ -77,8 +77,8 @@
                             new Metrics()),
                     new LostUpstreams(Instant::now, upstreams, new SilentWire()),
                     new LimitedUpstreams(Instant::now, upstreams, new SilentLimits()));
-    private final HttpServer upstream = server(upstreamLoop, this::run);
-    private final HttpServer router = server(loop, this::begin);
+    private final HttpServer upstream = server(upstreamLoop, this::recordCall);
+    private final HttpServer router = server(loop, this::startFlow);
 
     @AfterEach
     void stop() {
@@ -86,20 +86,20 @@
         upstreamLoop.close();
     }
 
-    // Guards against a request that is sent on in the midst of reading: an answer frees a place for
-    // it, and the end of its own caller is read only after that.
+    // Guards against a request that is sent in the middle of a read pass: an answer frees a slot
+    // for it, and only afterwards is it read that its own caller has disconnected.
     @Test
-    void aPlaceThatComesFreeIsNotGivenToACallerThatHasLeft() throws Exception {
-        list(upstream.port());
+    void aFreedSlotIsNotGivenToACallerThatHasDisconnected() throws Exception {
+        putUpstream(upstream.port());
         Socket first = send("/first");
         Socket second = send("/second");
         Socket third = send("/third");
-        await().atMost(LIMIT).until(() -> reached.size() == 2 && open() == 3);
+        await().atMost(LIMIT).until(() -> reached.size() == 2 && openRequests() == 3);
 
-        CountDownLatch hold = hold();
+        CountDownLatch release = blockEventLoop();
         answer("/first");
         third.close();
-        hold.countDown();
+        release.countDown();
 
         Socket fourth = send("/fourth");
         await().atMost(LIMIT).until(() -> reached.contains("/fourth"));
@@ -109,25 +109,24 @@
         }
     }
 
-    // Guards against a request that is written when its connection opens, though its caller has
-    // left
-    // while the connection was being opened.
+    // Guards against a request that is written when its upstream connection opens, although its
+    // caller disconnected while the connection was being opened.
     @Test
-    void aConnectionThatOpensForACallerThatHasLeftCarriesNothing() throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // Two connections wait to be accepted; the router's attempt is not answered meanwhile.
-            Socket one = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
-            Socket two = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
-            list(full.getLocalPort());
+    void nothingIsWrittenWhenAConnectionOpensAfterTheCallerDisconnected() throws Exception {
+        try (ServerSocket fullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            // These two connections fill the backlog, so that the router's attempt has to wait.
+            Socket one = new Socket(InetAddress.getLoopbackAddress(), fullBacklog.getLocalPort());
+            Socket two = new Socket(InetAddress.getLoopbackAddress(), fullBacklog.getLocalPort());
+            putUpstream(fullBacklog.getLocalPort());
             Socket caller = send("/first");
-            await().atMost(LIMIT).until(() -> open() == 1);
+            await().atMost(LIMIT).until(() -> openRequests() == 1);
 
-            CountDownLatch hold = hold();
-            full.accept().close();
-            full.accept().close();
-            Socket router = full.accept();
+            CountDownLatch release = blockEventLoop();
+            fullBacklog.accept().close();
+            fullBacklog.accept().close();
+            Socket router = fullBacklog.accept();
             caller.close();
-            hold.countDown();
+            release.countDown();
 
             router.setSoTimeout((int) LIMIT.toMillis());
             assertEquals(-1, router.getInputStream().read(), "bytes reached the upstream");
@@ -136,24 +135,23 @@
         }
     }
 
-    // Guards against a request that is written when its connection opens, though the zone was
-    // closed
-    // while the connection was being opened.
+    // Guards against a request that is written when its upstream connection opens, although its
+    // zone was closed while the connection was being opened.
     @Test
-    void aConnectionThatOpensIntoAClosedZoneCarriesNothing() throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Socket one = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
-            Socket two = new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort());
-            list(full.getLocalPort());
+    void nothingIsWrittenWhenAConnectionOpensAfterTheZoneWasClosed() throws Exception {
+        try (ServerSocket fullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Socket one = new Socket(InetAddress.getLoopbackAddress(), fullBacklog.getLocalPort());
+            Socket two = new Socket(InetAddress.getLoopbackAddress(), fullBacklog.getLocalPort());
+            putUpstream(fullBacklog.getLocalPort());
             Socket caller = send("/first");
-            await().atMost(LIMIT).until(() -> open() == 1);
+            await().atMost(LIMIT).until(() -> openRequests() == 1);
 
-            CountDownLatch hold = hold();
+            CountDownLatch release = blockEventLoop();
             loop.events().execute(() -> upstreams.zones().drain("a", Instant.MIN));
-            full.accept().close();
-            full.accept().close();
-            Socket router = full.accept();
-            hold.countDown();
+            fullBacklog.accept().close();
+            fullBacklog.accept().close();
+            Socket router = fullBacklog.accept();
+            release.countDown();
 
             router.setSoTimeout((int) LIMIT.toMillis());
             assertEquals(-1, router.getInputStream().read(), "bytes reached the upstream");
@@ -166,8 +164,8 @@
         }
     }
 
-    // An upstream with one slot gets two requests at once; others wait in the router.
-    private void list(int port) {
+    // An upstream with one slot gets two requests at once; further ones wait in the router.
+    private void putUpstream(int port) {
         UpstreamFacts facts =
                 new UpstreamFacts(
                         UpstreamId.of("i-1"),
@@ -184,7 +182,7 @@
         loop.events().submit(() -> upstreams.put(facts, Instant.now())).syncUninterruptibly();
     }
 
-    private void begin(HttpCall call) {
+    private void startFlow(HttpCall call) {
         Route route =
                 new Route(
                         "route",
@@ -213,7 +211,7 @@
                 new Flow(flows, call, dialect.request(call.headers()), route, SERVICE, admitted));
     }
 
-    private void run(HttpCall call) {
+    private void recordCall(HttpCall call) {
         reached.add(call.target());
         running.put(call.target(), call);
     }
@@ -231,25 +229,25 @@
                 .syncUninterruptibly();
     }
 
-    private int open() {
+    private int openRequests() {
         return loop.events().submit(flows::size).syncUninterruptibly().getNow();
     }
 
-    private CountDownLatch hold() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch hold = new CountDownLatch(1);
+    private CountDownLatch blockEventLoop() throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         loop.events()
                 .execute(
                         () -> {
-                            held.countDown();
+                            blocked.countDown();
                             try {
-                                hold.await(LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+                                release.await(LIMIT.toMillis(), TimeUnit.MILLISECONDS);
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
-        held.await();
-        return hold;
+        blocked.await();
+        return release;
     }
 
     private Socket send(String path) throws IOException {
@@ -267,7 +265,7 @@
         public void passLimitOn(LimitedUpstreams.News word) {}
     }
 
-    /** No other router is there to be told. */
+    /** Sends no announcements, since there is no other router. */
     private static final class SilentWire implements LostUpstreams.Wire {
         @Override
         public void tellLost(UpstreamId upstream, long startedAt) {}
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RouterStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DisconnectableStore.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Supplier;
 
-/** One router's way to a {@link LeasedStore}; while it is cut, every call fails. */
-final class RouterStore extends OnlyFollowed {
+/** One router's connection to a {@link LeasedStore}; while it is cut, every call fails. */
+final class DisconnectableStore extends OnlyFollowed {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
 
     private final ControlThread world;
     private final LeasedStore leased;
     private boolean cut;
 
-    RouterStore(ControlThread world, LeasedStore leased) {
+    DisconnectableStore(ControlThread world, LeasedStore leased) {
         this.world = world;
         this.leased = leased;
     }
@@ -49,7 +49,7 @@
                                 .grantLease(ttl)
                                 .thenApply(
                                         lease -> {
-                                            leased.granted(lease, ttl);
+                                            leased.recordGrant(lease, ttl);
                                             return lease;
                                         }));
     }
@@ -58,7 +58,7 @@
     public CompletionStage<Boolean> keepAlive(long lease) {
         return call(
                 () -> {
-                    leased.kept(lease);
+                    leased.recordKeepAlive(lease);
                     return leased.store().keepAlive(lease);
                 });
     }
@@ -73,17 +73,17 @@
         return !cut;
     }
 
-    private <T> CompletionStage<T> call(Supplier<CompletionStage<T>> carriedOut) {
+    private <T> CompletionStage<T> call(Supplier<CompletionStage<T>> operation) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         if (cut) {
             world.after(ONE_WAY, () -> fail(answer));
             return answer;
         }
-        world.after(ONE_WAY, () -> carriedOut.get().whenComplete((v, f) -> back(answer, v, f)));
+        world.after(ONE_WAY, () -> operation.get().whenComplete((v, f) -> reply(answer, v, f)));
         return answer;
     }
 
-    private <T> void back(CompletableFuture<T> answer, T value, Throwable failure) {
+    private <T> void reply(CompletableFuture<T> answer, T value, Throwable failure) {
         world.after(
                 ONE_WAY,
                 () -> {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainProgressTest.java
@@ -22,20 +22,20 @@
     private final DrainProgress progress = new DrainProgress(upstreams);
 
     @Test
-    void whatIsLeftInADrainedZoneIsCounted() {
-        list("one", "a", "m", "n");
-        list("two", "b", "n");
+    void requestsAndModelsLeftInDrainedZonesAreCounted() {
+        putUpstream("one", "a", "m", "n");
+        putUpstream("two", "b", "n");
         upstreams
                 .find(UpstreamId.of("one"))
                 .ifPresent(each -> each.requestAssigned(ModelRef.parse("m"), NOW));
-        assertEquals(0, progress.requestsThere());
-        assertEquals(0, progress.modelsOnlyThere());
+        assertEquals(0, progress.requestsInDrainedZones());
+        assertEquals(0, progress.modelsOnlyInDrainedZones());
         upstreams.zones().drain("a", NOW);
-        assertEquals(1, progress.requestsThere());
-        assertEquals(1, progress.modelsOnlyThere());
+        assertEquals(1, progress.requestsInDrainedZones());
+        assertEquals(1, progress.modelsOnlyInDrainedZones());
     }
 
-    private void list(String id, String zone, String... models) {
+    private void putUpstream(String id, String zone, String... models) {
         Map<String, Set<String>> held = new HashMap<>();
         for (String model : models) {
             held.put(model, Set.of());
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -20,11 +20,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The part of a router that follows the store, on a VM and a path that fail. */
+/** The part of a router that follows the store, on a VM and a path to the store that can fail. */
 final class FollowingRouter {
     private final String name;
     private final ControlThread world;
-    private final FreezingControl control;
+    private final FreezableControlThread control;
     private final SimulatedPath path;
     private final UpstreamTable upstreams = new UpstreamTable();
     private final ConfigurationHolder configuration;
@@ -32,15 +32,15 @@
     private final ZoneDrains drains;
     private final Map<String, Follower> followed = new HashMap<>();
     private final SimulatedLinks links;
-    private final List<SimulatedPath.State> troubles = new ArrayList<>();
-    private int otherTroubles;
-    private Instant calmSince;
+    private final List<SimulatedPath.State> pathFaults = new ArrayList<>();
+    private int otherFaults;
+    private Instant recoveredAt;
 
     FollowingRouter(String name, ControlThread world, SimulatedStore store, Pace pace) {
         this(name, world, store, pace, List.of());
     }
 
-    /** One that asks these others before the store. */
+    /** Creates a router that asks these relays before it asks the store. */
     FollowingRouter(
             String name,
             ControlThread world,
@@ -49,37 +49,37 @@
             List<FollowingRouter> relays) {
         this.name = name;
         this.world = world;
-        this.control = new FreezingControl(world);
+        this.control = new FreezableControlThread(world);
         this.path = new SimulatedPath(control, world, store);
         TestDialect dialect = new TestDialect();
         Metrics metrics = new Metrics();
         this.configuration = new ConfigurationHolder(dialect, any -> {});
-        this.calmSince = world.clock().instant();
-        this.drains = new ZoneDrains(dialect, upstreams.zones(), Set.of(), new NoDrains());
+        this.recoveredAt = world.clock().instant();
+        this.drains = new ZoneDrains(dialect, upstreams.zones(), Set.of(), new IgnoredDrains());
         this.links = new SimulatedLinks(world, control, relays);
         Relay relay = relays.isEmpty() ? Relay.none() : links.relay();
-        OperatorFollower versions =
-                new OperatorFollower(
+        OperatorSettingsFollower settings =
+                new OperatorSettingsFollower(
                         control, path, dialect, configuration, drains, pace, relay, metrics);
-        followed.put(versions.follower().prefix(), versions.follower());
-        versions.start();
+        followed.put(settings.follower().prefix(), settings.follower());
+        settings.start();
         this.follower =
                 new UpstreamFollower(
-                        control, path, dialect, upstreams, Paces.UPSTREAMS, relay, metrics);
+                        control, path, dialect, upstreams, StorePaces.UPSTREAMS, relay, metrics);
         followed.put(follower.follower().prefix(), follower.follower());
-        follower.start(new Nobody());
+        follower.start(new IgnoredUpstreams());
     }
 
     String name() {
         return name;
     }
 
-    /** The version in force; 0 if there is none. */
+    /** Returns the version of the configuration in force; 0 if there is none. */
     long version() {
         return configuration.current().map(each -> each.version()).orElse(0L);
     }
 
-    /** True if the router would send requests to the upstream. */
+    /** Returns true if the router would send requests to the upstream. */
     boolean uses(String upstream) {
         return upstreams
                 .find(UpstreamId.of(upstream))
@@ -87,78 +87,83 @@
                 .isPresent();
     }
 
-    /** Hears a report of another router, and asks it for what that calls for. */
-    void hears(FollowingRouter other) {
+    /**
+     * Receives a report of another router, and fetches from it what the report shows to be newer.
+     */
+    void receiveReport(FollowingRouter other) {
         if (control.frozen() || other.control.frozen()) {
             return;
         }
         if (other.configuration.revision() > configuration.revision()) {
-            configuration.offer(
-                    other.configuration.value(), other.configuration.revision(), other.name);
+            configuration.replaceIfNewer(
+                    other.configuration.storedBytes(), other.configuration.revision(), other.name);
         }
-        drains.told(other.drains.known());
+        drains.merge(other.drains.current());
         if (follower.needsTelling(other.upstreams.revision())) {
             follower.told(other.upstreams.departures(follower.knownUpTo()));
         }
     }
 
-    /** Another router asks what has changed; the answer goes to the sink, on this thread. */
-    void asked(String prefix, long after, Duration wait, Consumer<Optional<Changes>> told) {
-        control.run(() -> followed.get(prefix).tell(after, wait, told));
+    /**
+     * Answers another router's request for changes; the consumer is called on this router's thread.
+     */
+    void answerChanges(
+            String prefix, long after, Duration wait, Consumer<Optional<Changes>> callback) {
+        control.run(() -> followed.get(prefix).tell(after, wait, callback));
     }
 
-    /** How often this router has asked the store. */
+    /** Returns the number of calls of this router to the store. */
     long storeCalls() {
         return path.calls();
     }
 
-    void pathFails(SimulatedPath.State how) {
-        troubles.add(how);
+    void startPathFault(SimulatedPath.State how) {
+        pathFaults.add(how);
         path.set(how);
     }
 
-    void pathReturns(SimulatedPath.State how) {
-        troubles.remove(how);
-        path.set(troubles.isEmpty() ? SimulatedPath.State.OPEN : troubles.get(0));
-        calmed();
+    void endPathFault(SimulatedPath.State how) {
+        pathFaults.remove(how);
+        path.set(pathFaults.isEmpty() ? SimulatedPath.State.OPEN : pathFaults.get(0));
+        recordRecovery();
     }
 
     void freeze() {
-        otherTroubles++;
+        otherFaults++;
         if (!control.frozen()) {
             control.freeze();
         }
     }
 
-    void thaw() {
-        otherTroubles--;
-        if (otherTroubles == 0) {
-            control.thaw();
-            calmed();
+    void unfreeze() {
+        otherFaults--;
+        if (otherFaults == 0) {
+            control.unfreeze();
+            recordRecovery();
         }
     }
 
-    /** Notes that something else than path or VM has just got over. */
-    void calmed() {
-        calmSince = world.clock().instant();
+    /** Records that a fault that is neither in the path nor in the VM has just ended. */
+    void recordRecovery() {
+        recoveredAt = world.clock().instant();
     }
 
-    boolean calm() {
-        return troubles.isEmpty() && otherTroubles == 0;
+    boolean hasNoFault() {
+        return pathFaults.isEmpty() && otherFaults == 0;
     }
 
-    /** True if nothing but its way to the store is wrong. */
-    boolean cutOffOnly() {
-        return !troubles.isEmpty() && otherTroubles == 0;
+    /** Returns true if its path to the store has a fault, and nothing else has. */
+    boolean hasOnlyPathFault() {
+        return !pathFaults.isEmpty() && otherFaults == 0;
     }
 
-    /** Since when nothing is wrong with the way to the store, or was until it went wrong. */
-    Instant calmSince() {
-        return calmSince;
+    /** Returns the instant at which the last fault that is over ended. */
+    Instant recoveredAt() {
+        return recoveredAt;
     }
 
-    /** Needs no telling of drains. */
-    private static final class NoDrains implements ZoneDrains.Listener {
+    /** Ignores drains. */
+    private static final class IgnoredDrains implements ZoneDrains.Listener {
         @Override
         public void drained(String zone) {}
 
@@ -166,8 +171,8 @@
         public void restored(String zone) {}
     }
 
-    /** Needs no telling. */
-    private static final class Nobody implements UpstreamFollower.Listener {
+    /** Ignores changes of upstreams. */
+    private static final class IgnoredUpstreams implements UpstreamFollower.Listener {
         @Override
         public void listed(UpstreamFacts facts) {}
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LeasedStore.java
@@ -7,42 +7,42 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A store for tests whose leases run out by its own clock, for all routers that reach it. */
+/** A store for tests whose leases expire by the simulated clock, for all routers that use it. */
 final class LeasedStore {
-    private static final Duration SWEEP = Duration.ofMillis(20);
+    private static final Duration SWEEP_PERIOD = Duration.ofMillis(20);
 
     private final ControlThread world;
     private final FakeStore store;
-    private final Map<Long, Term> terms = new HashMap<>();
+    private final Map<Long, Lease> leases = new HashMap<>();
 
-    private record Term(Duration length, Instant end) {}
+    private record Lease(Duration duration, Instant expiry) {}
 
     LeasedStore(ControlThread world) {
         this.world = world;
         this.store = new FakeStore(world);
-        world.every(SWEEP, this::sweep);
+        world.every(SWEEP_PERIOD, this::sweep);
     }
 
     FakeStore store() {
         return store;
     }
 
-    void granted(long lease, Duration term) {
-        terms.put(lease, new Term(term, world.clock().instant().plus(term)));
+    void recordGrant(long lease, Duration duration) {
+        leases.put(lease, new Lease(duration, world.clock().instant().plus(duration)));
     }
 
-    void kept(long lease) {
-        Term known = terms.get(lease);
+    void recordKeepAlive(long lease) {
+        Lease known = leases.get(lease);
         if (known != null) {
-            granted(lease, known.length());
+            recordGrant(lease, known.duration());
         }
     }
 
     private void sweep() {
         Instant now = world.clock().instant();
-        for (Long lease : Map.copyOf(terms).keySet()) {
-            if (now.isAfter(terms.get(lease).end())) {
-                terms.remove(lease);
+        for (Long lease : Map.copyOf(leases).keySet()) {
+            if (now.isAfter(leases.get(lease).expiry())) {
+                leases.remove(lease);
                 store.expire(lease);
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
@@ -12,211 +12,214 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class StorePromisesTest {
-    /** Others by hand: -Dstore.first=1000 -Dstore.count=20000. */
-    private static final long FIRST = Long.getLong("store.first", 1);
+    /** Other seeds: {@code -Dstore.first=1000 -Dstore.count=20000}. */
+    private static final long FIRST_SEED = Long.getLong("store.first", 1);
 
-    private static final int SEEDS = Integer.getInteger("store.count", 200);
-    private static final Duration PHASE = Duration.ofMillis(100);
-    private static final int PHASES = 45;
-    private static final int SHOWN = 4;
+    private static final int SEED_COUNT = Integer.getInteger("store.count", 200);
+    private static final Duration PHASE_LENGTH = Duration.ofMillis(100);
+    private static final int PHASE_COUNT = 45;
+    private static final int VIOLATIONS_SHOWN = 4;
 
-    // Guards against a call that nobody will answer, and that hides what the store says later.
+    // Guards against a watch call that is never answered and hides later changes from the router.
     @Test
     void aConfigurationIsInForceInTimeAfterTheStoreFellSilent() {
-        List<String> broken = new ArrayList<>();
-        for (int phase = 0; phase < PHASES; phase++) {
+        List<String> violations = new ArrayList<>();
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
             for (Duration length : List.of(Duration.ofMillis(400), Duration.ofSeconds(9))) {
                 StoreWorld world = new StoreWorld();
-                world.pass(PHASE.multipliedBy(phase));
-                world.outage(SimulatedPath.State.SILENT, length);
-                world.pass(length.plusMillis(100));
-                world.change();
-                world.pass(Duration.ofSeconds(6));
-                broken.addAll(world.broken());
+                world.advance(PHASE_LENGTH.multipliedBy(phase));
+                world.cutAll(SimulatedPath.State.SILENT, length);
+                world.advance(length.plusMillis(100));
+                world.changeConfiguration();
+                world.advance(Duration.ofSeconds(6));
+                violations.addAll(world.violations());
             }
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
-    // Guards against a world that would find no fault: this pace is the one that broke the promise.
+    // Guards against a simulation that detects nothing: with this pace, versions were late.
     @Test
-    void aCallThatIsWaitedForTooLongIsFoundOut() {
+    void theSimulationDetectsAPaceThatWaitsTooLongForACall() {
         Pace naive = new Pace(Duration.ofMillis(2_500), Duration.ofMillis(800));
         int late = 0;
-        for (int phase = 0; phase < PHASES; phase++) {
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
             StoreWorld world = new StoreWorld(naive);
-            world.pass(PHASE.multipliedBy(phase));
-            world.outage(SimulatedPath.State.SILENT, Duration.ofMillis(400));
-            world.pass(Duration.ofMillis(500));
-            world.change();
-            world.pass(Duration.ofSeconds(6));
-            late += world.broken().isEmpty() ? 0 : 1;
+            world.advance(PHASE_LENGTH.multipliedBy(phase));
+            world.cutAll(SimulatedPath.State.SILENT, Duration.ofMillis(400));
+            world.advance(Duration.ofMillis(500));
+            world.changeConfiguration();
+            world.advance(Duration.ofSeconds(6));
+            late += world.violations().isEmpty() ? 0 : 1;
         }
         assertTrue(late > 0, "no version was late");
     }
 
-    // Guards against taking a departure that comes after an outage for an entry that lapsed in it.
+    // Guards against taking a departure after an outage for an entry that expired during it.
     @Test
-    void anUpstreamThatLeavesSomeTimeAfterAnOutageGetsNothingMore() {
-        List<String> broken = new ArrayList<>();
-        for (int phase = 0; phase < PHASES; phase++) {
+    void anUpstreamThatLeavesSomeTimeAfterAnOutageGetsNoMoreRequests() {
+        List<String> violations = new ArrayList<>();
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
             StoreWorld world = new StoreWorld();
-            world.pass(PHASE.multipliedBy(phase));
-            world.outage(SimulatedPath.State.SILENT, Duration.ofSeconds(6));
-            world.pass(Duration.ofSeconds(6).plus(StoreWorld.SETTLED));
-            world.leave(world.alive().get(0));
-            world.pass(Duration.ofSeconds(4));
-            broken.addAll(world.broken());
+            world.advance(PHASE_LENGTH.multipliedBy(phase));
+            world.cutAll(SimulatedPath.State.SILENT, Duration.ofSeconds(6));
+            world.advance(Duration.ofSeconds(6).plus(StoreWorld.SETTLED));
+            world.removeUpstream(world.liveUpstreams().get(0));
+            world.advance(Duration.ofSeconds(4));
+            violations.addAll(world.violations());
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
-    // Guards against a reading anew, which drops an upstream that is waited for after an outage.
+    // Guards against a full read that drops an upstream whose return is awaited after an outage.
     @Test
-    void anUpstreamThatLapsedIsWaitedForThoughTheHistoryIsDropped() {
+    void anUpstreamWhoseEntryExpiredIsAwaitedAfterTheHistoryIsDropped() {
         StoreWorld world = new StoreWorld();
-        String lapsed = world.alive().get(0);
-        world.outage(SimulatedPath.State.SILENT, Duration.ofSeconds(5));
-        world.after(Duration.ofSeconds(4), () -> world.lapse(lapsed, Duration.ofMillis(2_800)));
-        world.pass(Duration.ofMillis(5_600));
+        String expired = world.liveUpstreams().get(0);
+        world.cutAll(SimulatedPath.State.SILENT, Duration.ofSeconds(5));
+        world.after(
+                Duration.ofSeconds(4), () -> world.expireEntry(expired, Duration.ofMillis(2_800)));
+        world.advance(Duration.ofMillis(5_600));
         world.dropHistory(Duration.ofMillis(500));
-        world.change();
-        world.pass(Duration.ofSeconds(5));
-        assertNone(world.broken());
+        world.changeConfiguration();
+        world.advance(Duration.ofSeconds(5));
+        assertNone(world.violations());
     }
 
-    // Guards against a change that comes late or is taken back, and a living upstream dropped.
+    // Guards against a change that is applied late or reverted, and a live upstream dropped.
     @Test
-    void anyMixOfTroublesKeepsThePromises() {
-        List<String> broken = new ArrayList<>();
-        for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken.addAll(played(seed));
+    void anyMixOfFaultsKeepsTheGuarantees() {
+        List<String> violations = new ArrayList<>();
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            violations.addAll(violationsOf(seed));
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
-    // Guards against a relay that is frozen, cut off, turned away or cut one way and hides what the
-    // store says from those behind it.
+    // Guards against a relay that is frozen, cut off in one or both directions or rejected by the
+    // store, and hides changes from the routers behind it.
     @Test
-    void anyMixOfTroublesKeepsThePromisesBehindRelays() {
-        List<String> broken = new ArrayList<>();
-        for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken.addAll(playedBehindRelays(seed));
+    void anyMixOfFaultsKeepsTheGuaranteesBehindRelays() {
+        List<String> violations = new ArrayList<>();
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            violations.addAll(violationsBehindRelays(seed));
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
-    // Guards against a drained zone that still gets requests: a drain heard of late, after a
-    // history
-    // dropped, from a relay that failed, or taken back and asked for again within a moment.
+    // Guards against a drained zone that still gets requests: after a drain that is read late,
+    // after a dropped history, through a failed relay, or revoked and requested again at once.
     @Test
-    void anyMixOfTroublesKeepsDrainedZonesClosed() {
-        List<String> broken = new ArrayList<>();
-        for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken.addAll(played(new StoreWorld(), seed, true));
-            broken.addAll(played(behindRelays(), seed, true));
+    void anyMixOfFaultsKeepsDrainedZonesClosed() {
+        List<String> violations = new ArrayList<>();
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            violations.addAll(violationsOf(new StoreWorld(), seed, true));
+            violations.addAll(violationsOf(behindRelays(), seed, true));
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
-    // Guards against a drain that two calls to the store would have to be made for.
+    // Guards against drains that need calls to the store of their own.
     @Test
-    void aDrainCostsNoCallOfItsOwn() {
+    void aDrainNeedsNoStoreCallOfItsOwn() {
         StoreWorld drained = new StoreWorld();
-        StoreWorld calm = new StoreWorld();
-        long before = drained.storeCalls() - calm.storeCalls();
+        StoreWorld undrained = new StoreWorld();
+        long before = drained.storeCalls() - undrained.storeCalls();
         drained.drainZone("a");
-        drained.pass(Duration.ofSeconds(20));
-        calm.pass(Duration.ofSeconds(20));
+        drained.advance(Duration.ofSeconds(20));
+        undrained.advance(Duration.ofSeconds(20));
         long routers = drained.routers().size();
-        assertTrue(drained.storeCalls() - calm.storeCalls() - before <= routers);
+        assertTrue(drained.storeCalls() - undrained.storeCalls() - before <= routers);
     }
 
-    // Guards against a relay that stands still while its followers wait for it.
+    // Guards against routers that keep waiting for a frozen relay.
     @Test
-    void aFrozenRelayHidesNothingForLong() {
-        List<String> broken = new ArrayList<>();
-        for (int phase = 0; phase < PHASES; phase++) {
-            StoreWorld world = new StoreWorld(Paces.CONFIGURATION, 2, 3);
-            world.pass(PHASE.multipliedBy(phase));
+    void aFrozenRelayDelaysChangesOnlyBriefly() {
+        List<String> violations = new ArrayList<>();
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
+            StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
+            world.advance(PHASE_LENGTH.multipliedBy(phase));
             world.freeze(world.routers().get(0), Duration.ofSeconds(5));
-            world.change();
-            world.drain(world.alive().get(0));
-            world.pass(Duration.ofSeconds(8));
-            broken.addAll(world.broken());
+            world.changeConfiguration();
+            world.drainUpstream(world.liveUpstreams().get(0));
+            world.advance(Duration.ofSeconds(8));
+            violations.addAll(world.violations());
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
-    // Guards against a departure that those behind a relay take for a lapse, or a lapse for one.
+    // Guards against routers behind a relay that take a departure for an expiry, or the reverse.
     @Test
-    void entriesThatLapseInAnOutageAreWaitedForBehindRelays() {
-        List<String> broken = new ArrayList<>();
-        for (int phase = 0; phase < PHASES; phase++) {
-            StoreWorld world = new StoreWorld(Paces.CONFIGURATION, 2, 3);
-            String lapsed = world.alive().get(0);
-            world.pass(PHASE.multipliedBy(phase));
-            world.outage(SimulatedPath.State.SILENT, Duration.ofMillis(2_600));
+    void entriesThatExpireInAnOutageAreAwaitedBehindRelays() {
+        List<String> violations = new ArrayList<>();
+        for (int phase = 0; phase < PHASE_COUNT; phase++) {
+            StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
+            String expired = world.liveUpstreams().get(0);
+            world.advance(PHASE_LENGTH.multipliedBy(phase));
+            world.cutAll(SimulatedPath.State.SILENT, Duration.ofMillis(2_600));
             world.after(
-                    Duration.ofMillis(2_500), () -> world.lapse(lapsed, Duration.ofMillis(1_600)));
-            world.pass(Duration.ofSeconds(9));
-            broken.addAll(world.broken());
+                    Duration.ofMillis(2_500),
+                    () -> world.expireEntry(expired, Duration.ofMillis(1_600)));
+            world.advance(Duration.ofSeconds(9));
+            violations.addAll(world.violations());
         }
-        assertNone(broken);
+        assertNone(violations);
     }
 
-    // Guards against calls to the store that grow with the routers that follow it.
+    // Guards against calls to the store that grow with the routers behind relays.
     @ParameterizedTest
     @CsvSource({"2, 4", "5, 28", "12, 88", "12, 288"})
-    void theStoreIsAskedByThoseThatFollowItAndByNobodyElse(int watchers, int behind) {
-        StoreWorld world = new StoreWorld(Paces.CONFIGURATION, watchers, behind);
-        StoreWorld alone = new StoreWorld(Paces.CONFIGURATION, watchers, 0);
+    void onlyWatchersCallTheStore(int watchers, int behind) {
+        StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, watchers, behind);
+        StoreWorld alone = new StoreWorld(StorePaces.CONFIGURATION, watchers, 0);
         long before = world.storeCalls() - alone.storeCalls();
-        world.pass(Duration.ofSeconds(20));
-        alone.pass(Duration.ofSeconds(20));
+        world.advance(Duration.ofSeconds(20));
+        alone.advance(Duration.ofSeconds(20));
         assertEquals(before, world.storeCalls() - alone.storeCalls());
     }
 
-    // Guards against what each of these mixes has shown.
+    // Guards against the faults that these seeds have shown once; the cause stands beside each.
     @ParameterizedTest
     @CsvSource({
-        "100171, a reading anew dropped what was waited for",
-        "101488, changes told late hid an entry that was back",
-        "100320, a second outage did not begin the wait anew",
-        "100049, a pause outlasted a freeze and a departure was taken for a lapse",
+        "100171, a full read dropped an upstream whose return was awaited",
+        "101488, changes announced late hid an entry that was back",
+        "100320, a second outage did not restart the wait",
+        "100049, a pause outlasted a freeze and a departure was taken for an expiry",
         "210922, a shorter freeze in a pause did the same",
-        "164, a router that was cut off was not told of one that it waited for",
-        "400064, nor was it when it could not ask whether that one is back",
-        "400534, one departure told hid an older one",
+        "164, a router that was cut off was not told of a departure that it awaited",
+        "400064, nor was it when it could not ask whether that upstream is back",
+        "400534, one announced departure hid an older one",
         "106297, a freeze and an outage in a row were taken for a longer one"
     })
-    void aMixThatFailedOnceKeepsThePromises(long seed, String cause) {
-        assertEquals(List.of(), played(seed), cause);
+    void aSeedThatFailedOnceKeepsTheGuarantees(long seed, String cause) {
+        assertEquals(List.of(), violationsOf(seed), cause);
     }
 
-    private static List<String> played(long seed) {
-        return played(new StoreWorld(), seed, false);
+    private static List<String> violationsOf(long seed) {
+        return violationsOf(new StoreWorld(), seed, false);
     }
 
-    private static List<String> playedBehindRelays(long seed) {
-        return played(behindRelays(), seed, false);
+    private static List<String> violationsBehindRelays(long seed) {
+        return violationsOf(behindRelays(), seed, false);
     }
 
     private static StoreWorld behindRelays() {
-        return new StoreWorld(Paces.CONFIGURATION, 2, 3);
+        return new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
     }
 
-    private static List<String> played(StoreWorld world, long seed, boolean drains) {
-        StoreTroubles troubles = new StoreTroubles(world, seed);
-        (drains ? troubles.withDrains() : troubles).play();
-        return world.broken().isEmpty()
+    private static List<String> violationsOf(StoreWorld world, long seed, boolean drains) {
+        StoreTroubles faults = new StoreTroubles(world, seed);
+        (drains ? faults.withDrains() : faults).play();
+        return world.violations().isEmpty()
                 ? List.of()
-                : List.of("seed " + seed + ": " + String.join("\n", world.story()) + '\n');
+                : List.of("seed " + seed + ": " + String.join("\n", world.eventLog()) + '\n');
     }
 
-    // A seed that fails breaks many promises; the first few say enough.
-    private static void assertNone(List<String> broken) {
-        String first = String.join("; ", broken.subList(0, Math.min(SHOWN, broken.size())));
-        assertEquals("", first, broken.size() + " in all");
+    // One failing seed violates many guarantees; the first few are enough to find the cause.
+    private static void assertNone(List<String> violations) {
+        String first =
+                String.join(
+                        "; ", violations.subList(0, Math.min(VIOLATIONS_SHOWN, violations.size())));
+        assertEquals("", first, violations.size() + " in all");
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -17,22 +17,24 @@
 import java.util.stream.Stream;
 
 /**
- * Some routers that follow one store, with time by hand, and the promises that they make: what is
- * acknowledged is in force everywhere within two seconds, counted from the end of trouble where
- * there was some; a drained zone gets nothing from the limit of its drain on; nothing goes back; an
- * upstream that lives and returns in time stays in use.
+ * Simulates routers that follow one store, and checks what they guarantee: an acknowledged change
+ * is in force at every router within two seconds, counted from the end of a fault if there was one;
+ * a drained zone gets no requests once the limit of its drain has passed; no configuration is
+ * replaced by an older one; a live upstream whose entry returns in time stays in use.
  */
 final class StoreWorld {
-    /** What operators are promised of a configuration, and upstreams that leave. */
+    /**
+     * The time within which a configuration, and the departure of an upstream, must be in force.
+     */
     static final Duration BOUND = Duration.ofSeconds(2);
 
     /**
-     * An entry that vanished about the time of an outage may be one that lapsed, and is waited for.
-     * The store counts as settled after this long.
+     * The time after an outage at which routers take a missing entry for a departure; until then it
+     * may have expired, and its return is awaited.
      */
     static final Duration SETTLED = Duration.ofSeconds(3);
 
-    /** Routers tell each other that often what they know. */
+    /** The period at which routers report to each other. */
     private static final Duration GOSSIP = Duration.ofSeconds(1);
 
     private static final TestDialect DIALECT = new TestDialect();
@@ -43,37 +45,37 @@
     private final TestControlThread world = new TestControlThread();
     private final SimulatedStore store = new SimulatedStore(world);
     private final List<FollowingRouter> routers = new ArrayList<>();
-    private final TreeMap<Long, Instant> versions = new TreeMap<>();
-    private final Map<String, Instant> left = new HashMap<>();
-    private final Map<String, Instant> drained = new HashMap<>();
-    private final Map<String, Instant> joined = new HashMap<>();
-    private final Map<String, Instant> zonesDrained = new HashMap<>();
-    private final Map<String, Instant> zonesRestored = new HashMap<>();
-    private final TreeSet<String> alive = new TreeSet<>();
-    private final Map<FollowingRouter, Set<String>> used = new HashMap<>();
-    private final Map<FollowingRouter, Long> highest = new HashMap<>();
+    private final TreeMap<Long, Instant> versionsPutAt = new TreeMap<>();
+    private final Map<String, Instant> leftAt = new HashMap<>();
+    private final Map<String, Instant> drainedAt = new HashMap<>();
+    private final Map<String, Instant> joinedAt = new HashMap<>();
+    private final Map<String, Instant> zonesDrainedAt = new HashMap<>();
+    private final Map<String, Instant> zonesRestoredAt = new HashMap<>();
+    private final TreeSet<String> liveUpstreams = new TreeSet<>();
+    private final Map<FollowingRouter, Set<String>> usedUpstreams = new HashMap<>();
+    private final Map<FollowingRouter, Long> highestVersion = new HashMap<>();
     private final List<Runnable> postponed = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
-    private final List<String> story = new ArrayList<>();
-    private final Instant began = world.clock().instant();
-    private int outages;
+    private final List<String> violations = new ArrayList<>();
+    private final List<String> eventLog = new ArrayList<>();
+    private final Instant start = world.clock().instant();
+    private int openOutages;
     private long version;
-    private int upstreams;
+    private int upstreamCount;
 
     StoreWorld() {
-        this(Paces.CONFIGURATION);
+        this(StorePaces.CONFIGURATION);
     }
 
-    /** A world whose routers follow the configuration at this pace. */
+    /** Creates a world whose routers follow the configuration at this pace. */
     StoreWorld(Pace pace) {
         this(pace, ROUTERS, 0);
     }
 
-    /** A world in which so many routers follow the store, and others ask these. */
+    /** Creates a world of routers that watch the store, and of routers that use them as relays. */
     StoreWorld(Pace pace, int watchers, int behindThem) {
-        change();
+        changeConfiguration();
         for (int each = 0; each < UPSTREAMS; each++) {
-            join();
+            addUpstream();
         }
         for (int each = 0; each < watchers; each++) {
             routers.add(new FollowingRouter("router-" + each, world, store, pace));
@@ -84,41 +86,41 @@
             routers.add(new FollowingRouter(name, world, store, pace, relays));
         }
         world.every(GOSSIP, this::gossip);
-        pass(BOUND);
+        advance(BOUND);
     }
 
     private void gossip() {
         for (FollowingRouter hearing : routers) {
-            routers.stream().filter(each -> each != hearing).forEach(hearing::hears);
+            routers.stream().filter(each -> each != hearing).forEach(hearing::receiveReport);
         }
     }
 
-    /** What was promised and not kept, one line each; a promise is named once for a router. */
-    List<String> broken() {
-        return broken;
+    /** Returns the violated guarantees, one line each; each is listed once for a router. */
+    List<String> violations() {
+        return violations;
     }
 
-    /** What happened, with the milliseconds since the beginning. */
-    List<String> story() {
-        return story;
+    /** Returns the log of events, each with the milliseconds since the start. */
+    List<String> eventLog() {
+        return eventLog;
     }
 
     List<FollowingRouter> routers() {
         return routers;
     }
 
-    /** How often all routers together have asked the store. */
+    /** Returns the number of calls of all routers to the store. */
     long storeCalls() {
         return routers.stream().mapToLong(FollowingRouter::storeCalls).sum();
     }
 
-    /** The upstreams that are there to stay. */
-    List<String> alive() {
-        return List.copyOf(alive);
+    /** Returns the upstreams that neither drain nor have left. */
+    List<String> liveUpstreams() {
+        return List.copyOf(liveUpstreams);
     }
 
-    /** Lets time pass, and holds the promises against the truth all the while. */
-    void pass(Duration duration) {
+    /** Lets time pass, and checks every router's guarantees at each step. */
+    void advance(Duration duration) {
         Instant end = world.clock().instant().plus(duration);
         while (world.clock().instant().isBefore(end)) {
             world.advance(STEP);
@@ -130,134 +132,134 @@
         world.after(delay, step);
     }
 
-    /** Operators change the configuration; while the store is out, as soon as it is back. */
-    void change() {
+    /** Lets operators change the configuration; during an outage, as soon as it is over. */
+    void changeConfiguration() {
         write(
                 () -> {
                     version++;
                     store.put(DIALECT.configurationKey(), bytes(Long.toString(version)));
-                    versions.put(version, world.clock().instant());
-                    tell("version " + version);
+                    versionsPutAt.put(version, world.clock().instant());
+                    log("version " + version);
                 });
     }
 
-    /** A new upstream comes. */
-    void join() {
-        String id = "i-" + ++upstreams;
+    /** Adds a new upstream. */
+    void addUpstream() {
+        String id = "i-" + ++upstreamCount;
         write(
                 () -> {
                     store.put("up/" + id, bytes("ready"));
-                    alive.add(id);
-                    joined.put(id, world.clock().instant());
-                    tell(id + " comes");
+                    liveUpstreams.add(id);
+                    joinedAt.put(id, world.clock().instant());
+                    log(id + " joins");
                 });
     }
 
-    /** An upstream says that it leaves. */
-    void drain(String id) {
-        alive.remove(id);
+    /** Lets an upstream announce in its entry that it drains. */
+    void drainUpstream(String id) {
+        liveUpstreams.remove(id);
         write(
                 () -> {
                     store.put("up/" + id, bytes("draining"));
-                    drained.put(id, world.clock().instant());
-                    tell(id + " drains");
+                    drainedAt.put(id, world.clock().instant());
+                    log(id + " drains");
                 });
     }
 
-    /** Operators drain a zone. */
+    /** Lets operators drain a zone. */
     void drainZone(String zone) {
         write(
                 () -> {
                     store.put(DIALECT.operatorPrefix() + "drained/" + zone, new byte[0]);
-                    zonesRestored.remove(zone);
-                    zonesDrained.put(zone, world.clock().instant());
-                    tell("zone " + zone + " is drained");
+                    zonesRestoredAt.remove(zone);
+                    zonesDrainedAt.put(zone, world.clock().instant());
+                    log("zone " + zone + " is drained");
                 });
     }
 
-    /** Operators take the drain of a zone back. */
+    /** Lets operators revoke the drain of a zone. */
     void restoreZone(String zone) {
         write(
                 () -> {
                     store.remove(DIALECT.operatorPrefix() + "drained/" + zone);
-                    zonesDrained.remove(zone);
-                    zonesRestored.put(zone, world.clock().instant());
-                    tell("the drain of zone " + zone + " is taken back");
+                    zonesDrainedAt.remove(zone);
+                    zonesRestoredAt.put(zone, world.clock().instant());
+                    log("the drain of zone " + zone + " is revoked");
                 });
     }
 
-    /** An upstream leaves without a word: its entry is removed. */
-    void leave(String id) {
-        alive.remove(id);
+    /** Lets an upstream leave without draining first: its entry is removed. */
+    void removeUpstream(String id) {
+        liveUpstreams.remove(id);
         write(
                 () -> {
                     store.remove("up/" + id);
-                    left.put(id, world.clock().instant());
-                    tell(id + " leaves");
+                    leftAt.put(id, world.clock().instant());
+                    log(id + " leaves");
                 });
     }
 
-    /** An upstream's entry lapses while the store is out; the upstream writes it anew. */
-    void lapse(String id, Duration untilBack) {
-        tell(id + " lapses, back in " + untilBack.toMillis());
+    /** Lets an upstream's entry expire during an outage; the upstream writes it again later. */
+    void expireEntry(String id, Duration untilBack) {
+        log(id + " expires, back in " + untilBack.toMillis());
         store.remove("up/" + id);
         world.after(
                 untilBack,
                 () -> {
-                    if (alive.contains(id)) {
+                    if (liveUpstreams.contains(id)) {
                         store.put("up/" + id, bytes("ready"));
-                        tell(id + " is back");
+                        log(id + " is back");
                     }
                 });
     }
 
-    /** The store is out for all: routers, operators, upstreams. */
-    void outage(SimulatedPath.State how, Duration length) {
-        tell("store " + how + " for " + length.toMillis());
-        outages++;
-        routers.forEach(each -> each.pathFails(how));
+    /** Cuts off the store from routers, operators and upstreams. */
+    void cutAll(SimulatedPath.State how, Duration length) {
+        log("store " + how + " for " + length.toMillis());
+        openOutages++;
+        routers.forEach(each -> each.startPathFault(how));
         world.after(
                 length,
                 () -> {
-                    tell("store no longer " + how);
-                    outages--;
-                    routers.forEach(each -> each.pathReturns(how));
-                    if (outages == 0) {
-                        List<Runnable> waited = List.copyOf(postponed);
+                    log("store no longer " + how);
+                    openOutages--;
+                    routers.forEach(each -> each.endPathFault(how));
+                    if (openOutages == 0) {
+                        List<Runnable> steps = List.copyOf(postponed);
                         postponed.clear();
-                        waited.forEach(Runnable::run);
+                        steps.forEach(Runnable::run);
                     }
                 });
     }
 
-    /** One router loses the store, and operators don't. */
+    /** Cuts off the store from one router only. */
     void cut(FollowingRouter router, SimulatedPath.State how, Duration length) {
-        tell(router.name() + ' ' + how + " for " + length.toMillis());
-        router.pathFails(how);
-        world.after(length, () -> router.pathReturns(how));
+        log(router.name() + ' ' + how + " for " + length.toMillis());
+        router.startPathFault(how);
+        world.after(length, () -> router.endPathFault(how));
     }
 
-    /** One router's VM stands still. */
+    /** Freezes the VM of one router. */
     void freeze(FollowingRouter router, Duration length) {
-        tell(router.name() + " stands still for " + length.toMillis());
+        log(router.name() + " is frozen for " + length.toMillis());
         router.freeze();
-        world.after(length, router::thaw);
+        world.after(length, router::unfreeze);
     }
 
-    /** Those that wait hear nothing for a while; then the history is dropped. */
+    /** Withholds changes from watch calls for a while, and then drops the history. */
     void dropHistory(Duration after) {
-        tell("history will be dropped in " + after.toMillis());
-        store.mute();
+        log("history will be dropped in " + after.toMillis());
+        store.withholdChanges();
         world.after(
                 after,
                 () -> {
                     store.dropHistory();
-                    routers.forEach(FollowingRouter::calmed);
+                    routers.forEach(FollowingRouter::recordRecovery);
                 });
     }
 
     private void write(Runnable step) {
-        if (outages > 0) {
+        if (openOutages > 0) {
             postponed.add(step);
         } else {
             step.run();
@@ -266,78 +268,78 @@
 
     private void check(FollowingRouter router) {
         long seen = router.version();
-        if (seen < highest.getOrDefault(router, 0L)) {
-            report(router, "went back", seen);
+        if (seen < highestVersion.getOrDefault(router, 0L)) {
+            report(router, "went back to version", seen);
         }
-        highest.merge(router, seen, Math::max);
+        highestVersion.merge(router, seen, Math::max);
         checkAlive(router, world.clock().instant());
-        if (router.calm()) {
-            checkLate(router, router.calmSince(), Duration.ZERO);
-        } else if (router.cutOffOnly()) {
-            // Its neighbours know, if one of them is calm.
+        if (router.hasNoFault()) {
+            checkOverdue(router, router.recoveredAt(), Duration.ZERO);
+        } else if (router.hasOnlyPathFault()) {
+            // A peer router without a fault passes on what it knows.
             routers.stream()
-                    .filter(FollowingRouter::calm)
-                    .map(FollowingRouter::calmSince)
+                    .filter(FollowingRouter::hasNoFault)
+                    .map(FollowingRouter::recoveredAt)
                     .min(Instant::compareTo)
-                    .map(calm -> later(calm, router.calmSince()))
-                    .ifPresent(calm -> checkLate(router, calm, GOSSIP));
+                    .map(recovered -> later(recovered, router.recoveredAt()))
+                    .ifPresent(recovered -> checkOverdue(router, recovered, GOSSIP));
         }
     }
 
-    private void checkLate(FollowingRouter router, Instant calm, Duration more) {
+    private void checkOverdue(FollowingRouter router, Instant recovered, Duration more) {
         long seen = router.version();
         Instant now = world.clock().instant().minus(more);
-        versions.forEach(
+        versionsPutAt.forEach(
                 (number, at) -> {
-                    if (seen < number && overdue(at, calm, now)) {
-                        report(router, "has not in force version", number);
+                    if (seen < number && overdue(at, recovered, now)) {
+                        report(router, "does not yet apply version", number);
                     }
                 });
-        drained.forEach(
+        drainedAt.forEach(
                 (id, at) -> {
-                    if (router.uses(id) && overdue(at, calm, now)) {
-                        report(router, "still uses, though it drains,", id);
+                    if (router.uses(id) && overdue(at, recovered, now)) {
+                        report(router, "still uses, although it drains,", id);
                     }
                 });
-        zonesDrained.forEach(
+        zonesDrainedAt.forEach(
                 (zone, at) -> {
-                    Instant due = later(at.plus(DrainedZones.DEFAULT_LIMIT), calm.plus(BOUND));
+                    Instant due = later(at.plus(DrainedZones.DEFAULT_LIMIT), recovered.plus(BOUND));
                     if (!now.isBefore(due)) {
                         in(zone).filter(router::uses)
                                 .forEach(
                                         id -> report(router, "still uses, in a drained zone,", id));
                     }
                 });
-        left.forEach(
+        leftAt.forEach(
                 (id, at) -> {
-                    Instant due = later(at.plus(BOUND), calm.plus(SETTLED));
+                    Instant due = later(at.plus(BOUND), recovered.plus(SETTLED));
                     if (router.uses(id) && !now.isBefore(due)) {
-                        report(router, "still uses, though it left,", id);
+                        report(router, "still uses, although it left,", id);
                     }
                 });
     }
 
     private void checkAlive(FollowingRouter router, Instant now) {
-        Set<String> known = used.computeIfAbsent(router, any -> new HashSet<>());
-        for (String id : alive) {
-            Instant restored = zonesRestored.get(TestDialect.zone(id));
-            if (zonesDrained.containsKey(TestDialect.zone(id))) {
+        Set<String> known = usedUpstreams.computeIfAbsent(router, any -> new HashSet<>());
+        for (String id : liveUpstreams) {
+            Instant restored = zonesRestoredAt.get(TestDialect.zone(id));
+            if (zonesDrainedAt.containsKey(TestDialect.zone(id))) {
                 known.remove(id);
             } else if (router.uses(id)) {
-                // It may not have heard of a drain yet that is taken back by now.
+                // It may not have read a drain yet that has been revoked since.
                 if (restored == null || mustKnow(router, restored, now)) {
                     known.add(id);
                 }
             } else if (known.contains(id)) {
-                report(router, "dropped, though it lives,", id);
-            } else if (mustKnow(router, latest(joined.get(id), restored), now)) {
-                report(router, "does not use, though it came,", id);
+                report(router, "does not use any more, although it is alive,", id);
+            } else if (mustKnow(router, latest(joinedAt.get(id), restored), now)) {
+                report(router, "does not use yet, although it joined,", id);
             }
         }
     }
 
     private static boolean mustKnow(FollowingRouter router, Instant at, Instant now) {
-        return router.calm() && overdue(at, router.calmSince(), now);
+        return router.hasNoFault() && overdue(at, router.recoveredAt(), now);
     }
 
     private static Instant latest(Instant joined, Instant restored) {
@@ -345,22 +347,22 @@
     }
 
     private Stream<String> in(String zone) {
-        return alive.stream().filter(id -> TestDialect.zone(id).equals(zone));
+        return liveUpstreams.stream().filter(id -> TestDialect.zone(id).equals(zone));
     }
 
-    private static boolean overdue(Instant at, Instant calm, Instant now) {
-        return at != null && !now.isBefore(later(at, calm).plus(BOUND));
+    private static boolean overdue(Instant at, Instant recovered, Instant now) {
+        return at != null && !now.isBefore(later(at, recovered).plus(BOUND));
     }
 
-    private void tell(String what) {
-        story.add(Duration.between(began, world.clock().instant()).toMillis() + " " + what);
+    private void log(String what) {
+        eventLog.add(Duration.between(start, world.clock().instant()).toMillis() + " " + what);
     }
 
     private void report(FollowingRouter router, String what, Object which) {
         String line = router.name() + ' ' + what + ' ' + which;
-        if (!broken.contains(line)) {
-            broken.add(line);
-            tell("BROKEN: " + line);
+        if (!violations.contains(line)) {
+            violations.add(line);
+            log("VIOLATED: " + line);
         }
     }
 
