--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
@@ -14,20 +14,23 @@
 import java.util.Optional;
 
 /**
- * Tells the leader what this router needs, and all routers what the leader knows. Control thread
- * only.
+ * Reports this router's demand for models to the leader and, while this router is the leader,
+ * announces to all routers the models that upstreams hold. Control thread only.
  */
 final class DemandReports {
-    /** Requests that come to wait together are told together. */
+    /** Requests that are queued within this time share a report. */
     private static final Duration URGENT = Duration.ofMillis(2);
 
-    /** Requests that come to wait in a row would else each be a report of all that is needed. */
+    /** Without a least gap, each request of a series would cause a report of the whole demand. */
     private static final Duration URGENT_GAP = Duration.ofMillis(40);
 
-    /** What has not changed is told again after this, while the last word still counts. */
+    /** Unchanged demand is reported again after this, before the last report expires. */
     private static final Duration UNCHANGED = Duration.ofMillis(600);
 
-    /** Which engines are in use decides what is unloaded, and changes with each request. */
+    /**
+     * The counts of running requests decide which models are unloaded, but change with each
+     * request; a change in them alone is reported after this.
+     */
     private static final Duration RUNNING_CHANGED = Duration.ofMillis(250);
 
     private final VmId self;
@@ -36,7 +39,7 @@
     private Map<UpstreamId, Map<ModelRef, Integer>> reportedRunning = Map.of();
     private Instant reportedAt = Instant.MIN;
 
-    /** What reports are made of, and where they go. */
+    /** The classes that reports are read from and sent through. */
     record Parts(
             ControlThread control,
             KeyValueStore store,
@@ -55,7 +58,7 @@
         this.parts = parts;
     }
 
-    /** A request waits for a model that no upstream holds: the leader hears of it at once. */
+    /** Schedules a report, because a request was queued for a model that no upstream holds. */
     void soon() {
         if (!planned) {
             planned = true;
@@ -72,7 +75,7 @@
         return pause.compareTo(URGENT) > 0 ? pause : URGENT;
     }
 
-    /** Tells the leader, or this router's own planner, what is news to it. */
+    /** Reports the demand to the leader, or to this router's planner, if a report is due. */
     void report() {
         LoadInput.DemandReported demanded = parts.dispatch().demand(self);
         if (parts.lease().held()) {
@@ -87,13 +90,13 @@
         }
     }
 
-    /** Tells a leader that has just come. */
+    /** Reports the whole demand to a leader that was just elected. */
     void reportAnew() {
         reportedAt = Instant.MIN;
         report();
     }
 
-    // An idle router's report would wake both VMs seven times a second to say the same.
+    // Unchanged reports of an idle router would wake both VMs seven times a second.
     private boolean news(LoadInput.DemandReported demanded) {
         if (demanded.hasWaitingRequests() || reportedAt.equals(Instant.MIN)) {
             return true;
@@ -104,8 +107,8 @@
     }
 
     /**
-     * Tells the routers that follow the store for all, who need it should one of them become the
-     * leader, and who have what this router may lack.
+     * Sends the report to the routers that watch the store on behalf of all: any of them may become
+     * the leader and need the demand, and they answer with what this router lacks.
      */
     void gossip() {
         tellAll();
@@ -113,9 +116,10 @@
     }
 
     /**
-     * Tells all routers what upstreams hold, if this one gives the orders. News that was sent while
-     * a link was down is lost. The other router would wait for a model that is ready, until the
-     * upstream's own word has come round seconds later.
+     * Announces the models that upstreams hold to all routers, if this one is the leader. An
+     * announcement that was sent while a link was down is lost; without another, the other router
+     * would wait for a model that is ready until the upstream's own registration arrives seconds
+     * later.
      */
     void tellAll() {
         Map<UpstreamId, HeldModels> news = parts.leader().allNews();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderNews.java
@@ -5,11 +5,11 @@
 import io.damaskyoke.control.upstreams.UpstreamId;
 import java.util.Map;
 
-/** What the leader tells all other routers: {@code news.tell(fencing, held)}. */
+/** Sends the leader's announcements to all other routers: {@code news.tell(fencing, held)}. */
 interface LeaderNews {
-    /** Tells what upstreams hold, by the leader with this fencing token. */
+    /** Announces the models that upstreams hold, as the leader with this fencing token. */
     void tell(long fencing, Map<UpstreamId, HeldModels> held);
 
-    /** Tells of an order that the next leader has to reckon with. */
+    /** Announces an unanswered load order, which the next leader must take into account. */
     void tellOpen(UnansweredLoadOrder load);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LostUpstreams.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LostUpstreams.java
@@ -6,21 +6,21 @@
 import java.time.InstantSource;
 
 /**
- * Tells the other routers which upstreams can't be reached. One that is back a second later is
- * cold; in a large fleet most routers have not used it meanwhile, and each would send it a little
- * of what waits. Control thread only.
+ * Announces to the other routers which upstreams can't be reached. An upstream that is reachable
+ * again a second later is cold. In a large fleet, most routers have not used it in between; without
+ * the announcement, each of them would send it some of its queued requests. Control thread only.
  */
 final class LostUpstreams {
     private final InstantSource clock;
     private final UpstreamTable upstreams;
     private final Wire wire;
 
-    /** Takes word to other routers. */
+    /** Sends the announcements to other routers. */
     interface Wire {
-        /** To those that pass it on to all. */
+        /** Announces a lost upstream to the routers that pass the announcement on to all. */
         void tellLost(UpstreamId upstream, long startedAt);
 
-        /** To all, if this router is one of those that pass it on. */
+        /** Announces a lost upstream to all, if this router passes announcements on. */
         void passLostOn(UpstreamId upstream, long startedAt);
     }
 
@@ -30,14 +30,17 @@
         this.wire = wire;
     }
 
-    /** This router can't reach the upstream, or a connection to it broke. */
+    /** Records that this router can't reach the upstream, or that a connection to it broke. */
     void lost(Upstream upstream) {
         if (upstream.connectionLost(clock.instant())) {
             wire.tellLost(upstream.facts().id(), upstream.facts().held().startedAt());
         }
     }
 
-    /** Another router has lost the upstream in this life; {@code passOn} if others wait for it. */
+    /**
+     * Records that another router lost the incarnation of the upstream that started at {@code
+     * startedAt}; {@code passOn} if this router is to pass the announcement on to all.
+     */
     void told(UpstreamId id, long startedAt, boolean passOn) {
         upstreams
                 .find(id)
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
@@ -29,8 +29,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Which routers there are, and who gives the orders: each writes itself into the store under a
- * lease and watches the others. Control thread only.
+ * Lists the routers of the fleet and the leader among them. Each router registers itself in the
+ * store under a lease, and watches the entries of the others. Control thread only.
  */
 final class Membership implements VmList {
     private static final Logger LOG = LogManager.getLogger(Membership.class);
@@ -39,13 +39,16 @@
 
     private static final String KEPT_OUT = FLEET + "kept-out/";
 
-    /** Named so by earlier versions, which may run beside this one. */
+    /** Earlier versions, which may run beside this one, use this key. */
     private static final String LEADER = FLEET + "giver";
 
-    /** A router that is killed is missed after this; its next life takes its place at once. */
+    /**
+     * After this the entry of a killed router expires; its next incarnation replaces the entry at
+     * once.
+     */
     private static final Duration TERM = Duration.ofSeconds(4);
 
-    /** Two may be lost before the entry lapses; each has its price in the store. */
+    /** Two renewals may be lost before the entry expires; each renewal costs the store a call. */
     private static final Duration KEEP = Duration.ofMillis(1_500);
 
     private static final Duration RETRY = Duration.ofMillis(300);
@@ -87,102 +90,112 @@
                         .tell(new Listener());
     }
 
-    /** Begins; {@code changed} runs whenever a router or the leader has come or gone. */
+    /** Starts; {@code whenChanged} runs whenever the list of routers or the leader changes. */
     void start(Runnable whenChanged) {
         changed = whenChanged;
         follower.start();
         register();
     }
 
-    /** {@code action} runs for each request that the store says is kept out, with its trials. */
+    /** Runs {@code action} for each quarantined request in the store, with its count of trials. */
     void onKeptOut(BiConsumer<RequestDigest, Integer> action) {
         keptOut = action;
     }
 
-    /** What the keys of requests that are kept out begin with. */
+    /** Returns the key prefix of quarantined requests. */
     String keptOutPrefix() {
         return prefix + KEPT_OUT;
     }
 
-    /** This router. */
+    /** Returns the VM id of this router. */
     VmId self() {
         return self.vm();
     }
 
-    /** The key that the leader holds. */
+    /** Returns the key that the leader's entry has in the store. */
     String leaderKey() {
         return prefix + LEADER;
     }
 
-    /** Who gives the orders, as far as is known. */
+    /** Returns the leader, if one is known. */
     Optional<VmId> leader() {
         return leader;
     }
 
-    /** A router says itself that it gives the orders now; the store's word comes later. */
+    /** Records that a router announced itself as leader, before the store's change arrives. */
     void announced(VmId by) {
         leader = Optional.of(by);
-        LOG.info("orders are given by {}, as it says", by);
+        LOG.info("leader: {} (by its own announcement)", by);
     }
 
-    /** A leader has stopped, and its lease is ended; the store's word comes later. */
+    /**
+     * Records that a leader resigned and its lease is revoked, before the store's change arrives.
+     */
     void vacated(VmId by) {
         if (leader.isPresent() && leader.get().equals(by)) {
             leader = Optional.empty();
             leaderRevision = 0;
-            LOG.info("{} gives orders no longer, as it says", by);
+            LOG.info("leader {} resigned (by its own announcement)", by);
         }
     }
 
-    /** Where the entry of an earlier life of this router as leader stands; 0 if there is none. */
+    /**
+     * Returns the revision of the leader entry that this router, or an earlier incarnation of it,
+     * wrote; 0 if there is none.
+     */
     long ownLeaderRevision() {
         return leader.isPresent() && leader.get().equals(self.vm()) ? leaderRevision : 0;
     }
 
     /**
-     * True if the store says that nobody gives orders, or that an earlier life of this router does.
-     * That life is over, and its lease need not be waited for.
+     * Returns true if the store has no leader entry, or one of an earlier incarnation of this
+     * router. That incarnation is over, and the expiry of its lease need not be awaited.
      */
     boolean vacant() {
         return follower.upToDate() && (leader.isEmpty() || leader.get().equals(self.vm()));
     }
 
-    /** All routers but this one. */
+    /** Returns the entries of all routers except this one. */
     Collection<RouterEntry> others() {
         return routers.values().stream().filter(each -> !each.vm().equals(self.vm())).toList();
     }
 
-    /** What follows the list of routers, for others that follow it through this one. */
+    /**
+     * Returns the follower of the list of routers, which also serves routers that relay through it.
+     */
     Follower follower() {
         return follower;
     }
 
-    /** Who follows the store for all, by the list as it is known here. */
+    /** Returns which routers watch the store on behalf of all, by the list known here. */
     WatchPlan plan() {
         return plan;
     }
 
-    /** Whom this router asks for changes in the store; empty if it follows the store itself. */
+    /**
+     * Returns the routers from which this one fetches changes in the store; empty if it watches the
+     * store itself.
+     */
     List<VmId> sources() {
         return plan.sources(self.vm(), AvailabilityZone.of(self.zone()));
     }
 
-    /** True if this router is one of those that follow the store for all. */
+    /** Returns true if this router is one of those that watch the store on behalf of all. */
     boolean watches() {
         return plan.watches(self.vm());
     }
 
-    /** The names of all routers that are listed. */
+    /** Returns the VM ids of all routers in the list. */
     Collection<VmId> routers() {
         return routers.keySet();
     }
 
-    /** How many routers there are, this one too. */
+    /** Returns the number of routers, including this one. */
     int size() {
         return others().size() + 1;
     }
 
-    /** Takes this router off the list, so that nobody counts on it. */
+    /** Revokes this router's entry, so that no other router relies on it. */
     void leave() {
         leaving = true;
         if (lease != 0) {
@@ -190,15 +203,15 @@
         }
     }
 
-    // A router that is cut off would else take its own copy for the store's word, and spend its
-    // shares for as long as the cut lasts, also after the others have taken them back.
+    // A router that is partitioned from the store must not use its own copy of the list: it would
+    // spend its rate shares during the whole partition, also after the others reclaimed them.
     @Override
     public CompletionStage<List<Vm>> read() {
         if (!follower.upToDate()) {
             return CompletableFuture.failedFuture(
                     new DirectException(
                             DirectException.Code.LIST_OUT_OF_DATE,
-                            "the store can't be followed now"));
+                            "the list of routers is out of date: the store doesn't answer"));
         }
         return CompletableFuture.completedFuture(vms());
     }
@@ -247,7 +260,8 @@
         }
     }
 
-    // Off its own list it may spend no share of a rate, and would refuse until it hears by itself.
+    // While this router is not on its own list it may spend no rate share, and would reject
+    // requests until the next change arrives; so its own entry is fetched at once.
     private void hearOfSelf() {
         follower.whenKnown(control.clock().instant(), RETRY, known -> {});
     }
@@ -266,12 +280,12 @@
         } else if (alive) {
             control.after(KEEP, this::keep);
         } else {
-            LOG.info("the lease of this router's entry has ended, registering anew");
+            LOG.info("the lease of this router's entry expired, registering again");
             register();
         }
     }
 
-    /** Takes in what the store says of the fleet. */
+    /** Applies changes in the fleet's entries. */
     private final class Listener implements ChangeListener {
         private void putKeptOut(Entry entry) {
             String digest = entry.key().substring(keptOutPrefix().length());
@@ -279,7 +293,7 @@
             try {
                 keptOut.accept(new RequestDigest(digest), Integer.parseInt(trials));
             } catch (NumberFormatException e) {
-                LOG.warn("the entry {} is left out: {}", entry.key(), e.getMessage());
+                LOG.warn("ignoring unreadable entry {}: {}", entry.key(), e.getMessage());
             }
         }
 
@@ -308,7 +322,7 @@
                         entry.map(found -> new String(found.value(), StandardCharsets.UTF_8))
                                 .map(VmId::of);
                 leaderRevision = entry.map(Entry::modRevision).orElse(0L);
-                LOG.info("orders are given by {}", leader.map(VmId::value).orElse("nobody"));
+                LOG.info("leader: {}", leader.map(VmId::value).orElse("none"));
                 return;
             }
             if (key.startsWith(keptOutPrefix())) {
@@ -326,7 +340,7 @@
             try {
                 routers.put(vm, RouterEntry.parse(entry.get().value()));
             } catch (DirectException e) {
-                LOG.warn("the entry {} is left out: {}", key, e.getMessage());
+                LOG.warn("ignoring unreadable entry {}: {}", key, e.getMessage());
             }
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
@@ -43,7 +43,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What direct routers tell each other, into frames and out of them. */
+/** Converts the messages that direct routers exchange to frames of the peer protocol and back. */
 final class NeighbourFrames {
     private NeighbourFrames() {}
 
@@ -289,7 +289,7 @@
         return line.build();
     }
 
-    /** What a relay says, or nothing if it refuses. */
+    /** Returns the changes in a relay's answer; empty if the relay refused the fetch. */
     static Optional<Changes> changes(StoreChanges answer) {
         if (answer.getRefused()) {
             return Optional.empty();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
@@ -19,13 +19,16 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Takes in what other routers say, and gives them what they lack. Control thread only. */
+/**
+ * Dispatches the messages of peer routers to the classes that handle them, and answers requests for
+ * a configuration, departures or changes in the store that a peer lacks. Control thread only.
+ */
 final class NeighbourNews implements Neighbours.Listener {
     private final Parts parts;
     private final Runnable replicasChanged;
     private long highestFencing;
 
-    /** What news is for. */
+    /** The classes that messages are dispatched to. */
     record Parts(
             InstantSource clock,
             Neighbours neighbours,
@@ -133,7 +136,8 @@
         if (fencing > highestFencing) {
             parts.members().announced(from);
             parts.neighbours().refresh();
-            // A new leader that doesn't follow the store for all knows nothing of what is needed.
+            // A leader that doesn't watch the store on behalf of all routers has received no demand
+            // reports before its election.
             parts.reports().reportAnew();
         }
         highestFencing = fencing;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
@@ -40,13 +40,16 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** What direct routers tell each other, as frames. Its methods belong to the control thread. */
+/**
+ * Sends messages to the other direct routers, and passes those received to a {@link Listener}.
+ * Control thread only, apart from the callbacks of {@link PeerListener}.
+ */
 final class Neighbours
         implements PeerListener, LeaderNews, LostUpstreams.Wire, LimitedUpstreams.Wire {
-    /** Routers report to the leader every 0.6 s at least. */
+    /** Twice the interval of at most 0.6 s at which routers report to the leader. */
     private static final Duration STORE_SEEN = Duration.ofMillis(1_200);
 
-    /** Each router reports once a second at least. */
+    /** Longer than two reports are apart: each router reports at least once a second. */
     private static final Duration LATE_SEEN = Duration.ofMillis(2_500);
 
     private final ControlThread control;
@@ -59,70 +62,81 @@
     private Listener listener;
     private long number;
 
-    /** How late a router's thread is, as it said then. */
+    /** The lag of a router's control thread, as reported at a time. */
     private record Late(Duration by, Instant at) {}
 
-    /** Listens to what other routers say. */
+    /** Receives the messages of other routers. */
     interface Listener {
-        /** A link to another router has opened; what was sent before did not go over it. */
+        /** A link to another router has opened; earlier messages were not sent over it. */
         void linked();
 
-        /** A router's needs, and what it knows. */
+        /** A router reported its demand for models, and the revisions that it knows. */
         void reported(LoadInput.DemandReported demanded, RouterStanding standing);
 
-        /** A router wants to know what has changed in the store; the answer goes to the sink. */
+        /**
+         * A router fetches changes in the store; {@code told} takes the answer, empty to refuse.
+         */
         void askedChanges(
                 String prefix, long after, Duration wait, Consumer<Optional<Changes>> told);
 
-        /** A router answers what it was asked under this number. */
+        /** A router answered the fetch of changes that has this number. */
         void changes(VmId from, long number, Optional<Changes> told);
 
-        /** What upstreams hold, by the leader with this fencing token. */
+        /** The leader with this fencing token announced the models that upstreams hold. */
         void told(VmId leader, long fencing, Map<UpstreamId, HeldModels> held);
 
-        /** A leader had no answer to an order. */
+        /** A leader announced a load order that was not answered. */
         void unanswered(UnansweredLoadOrder load);
 
-        /** An upstream ended so long ago, and these had run there for so long. */
+        /** An upstream crashed {@code ago}; {@code ran} is how long each request had run there. */
         void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
-        /** A router has found out that an upstream has ended; others are to be told or are. */
+        /**
+         * A router detected that an upstream crashed; {@code passOn} if this router is to pass the
+         * announcement on to all others.
+         */
         void found(UpstreamCrash end, boolean passOn);
 
-        /** A router holds that one more end under the request would be enough. */
+        /** By a router's count, one more crash makes the request a poison request. */
         void watched(RequestDigest request);
 
-        /** A router keeps the request out. */
+        /** A router quarantined the request. */
         void keptOut(Quarantine.Entry entry);
 
-        /** A router has just seen the request, sent so long ago, answered with a success. */
+        /** The request succeeded just now at a router, which had sent it {@code sentAgo}. */
         void cleared(RequestDigest request, Duration sentAgo);
 
-        /** A router saw the request answered with a success so long ago. */
+        /** The request succeeded {@code ago} at a router. */
         void succeededBefore(RequestDigest request, Duration ago);
 
-        /** A router has seen upstreams take the request so often and not end. */
+        /** The request ran {@code times} times at a router without crashing the upstream. */
         void borne(RequestDigest request, int times);
 
-        /** A router can't reach an upstream in this life; all others are to be told or are. */
+        /**
+         * A router can't reach the incarnation of an upstream that started at {@code startedAt};
+         * {@code passOn} if this router is to pass the announcement on to all others.
+         */
         void lost(UpstreamId upstream, long startedAt, boolean passOn);
 
-        /** An upstream says how many requests it takes; all others are to be told or are. */
+        /**
+         * An upstream declared its request limit; {@code passOn} if this router is to pass the
+         * announcement on to all others.
+         */
         void limited(LimitedUpstreams.News news, boolean passOn);
 
-        /** A router gave the orders under this lease and can't tell the store that it stopped. */
+        /** A router that was the leader under this lease resigned and can't reach the store. */
         void leaseEnded(VmId by, long lease);
 
-        /** A router has an older configuration and asks for ours. */
+        /** A router fetches the configuration if its revision is above {@code newerThan}. */
         void asked(VmId from, long newerThan);
 
-        /** A router has sent its configuration. */
+        /** A router sent its configuration. */
         void configuration(long revision, byte[] value);
 
-        /** A router that the store doesn't tell asks which upstreams leave. */
+        /** A router fetches the upstream departures with a revision above {@code newerThan}. */
         void askedDepartures(VmId from, long newerThan);
 
-        /** A router says which upstreams leave. */
+        /** A router sent upstream departures. */
         void departures(List<UpstreamDeparture> departures);
     }
 
@@ -137,9 +151,9 @@
     }
 
     /**
-     * Connects to the routers that this one speaks to by itself, and forgets those that are gone:
-     * in a large fleet those that follow the store for all, and the one that gives the orders. Who
-     * else has something to say connects to this one.
+     * Opens links to the routers that this one sends to unasked, and forgets routers that are no
+     * longer listed. In a large fleet, links are opened only to the leader and to the routers that
+     * watch the store on behalf of all; any other router opens the link if it has to send.
      */
     void refresh() {
         Map<VmId, PeerAddress> now = new HashMap<>();
@@ -169,7 +183,9 @@
         return leads || members.plan().watches(vm);
     }
 
-    /** Says what this router needs to one other, or to those that follow the store for all. */
+    /**
+     * Sends this router's report to one router, or to all that watch the store if none is given.
+     */
     void report(Optional<VmId> to, LoadInput.DemandReported demanded, RouterStanding standing) {
         Frame frame =
                 NeighbourFrames.report(++number, demanded, standing, control.clock().instant());
@@ -180,12 +196,12 @@
         }
     }
 
-    /** Asks a router for changes in the store; false if there is no link to it now. */
+    /** Fetches changes in the store from a router; returns false if there is no link to it. */
     boolean askChanges(VmId relay, long asked, String prefix, long after, Duration wait) {
         return send(relay, NeighbourFrames.changesFetch(asked, prefix, after, wait));
     }
 
-    /** The quickest of the routers that reported a moment ago, by how late its thread is. */
+    /** Returns the smallest lag of a control thread that a router reported recently. */
     Optional<Duration> leastLate() {
         Instant now = control.clock().instant();
         return late.values().stream()
@@ -204,7 +220,7 @@
         sendAll(NeighbourFrames.open(load, control.clock().instant()));
     }
 
-    /** Tells the other routers of requests under which upstreams end. */
+    /** Returns the sender of announcements about requests that crash upstreams. */
     CrashNews crashNews() {
         return new NeighbourCrashNews(
                 control.clock(),
@@ -255,7 +271,7 @@
         }
     }
 
-    /** A router that reached the store a moment ago, if there is one. */
+    /** Returns a router that reached the store recently, if there is one. */
     Optional<VmId> withStore() {
         Instant now = control.clock().instant();
         return storeSeen.entrySet().stream()
@@ -265,7 +281,7 @@
                 .findFirst();
     }
 
-    /** Asks a router to end this lease of ours. */
+    /** Asks a router to revoke a lease of this router in the store. */
     void endLease(VmId by, long lease) {
         LeaseEnd end = LeaseEnd.newBuilder().setLease(lease).build();
         send(by, Frame.newBuilder().setLeaseEnd(end).build());
@@ -397,7 +413,7 @@
             case KEPT_OUT ->
                     listener.keptOut(NeighbourFrames.keptOut(line, control.clock().instant()));
             default -> {
-                // A state of a newer version, which this one can't act by.
+                // A newer version may send states that this one doesn't know; they are ignored.
             }
         }
     }
@@ -410,7 +426,8 @@
         }
     }
 
-    // In a large fleet only those that follow the store for all have a link to every other router.
+    // In a large fleet, only the routers that watch the store on behalf of all have a link to every
+    // other router.
     private void tellThroughWatchers(Function<Boolean, Frame> frame) {
         if (members.watches()) {
             sendAll(frame.apply(false));
@@ -427,8 +444,8 @@
         addresses.keySet().forEach(vm -> send(vm, frame));
     }
 
-    // Over the link that the other has opened, if it has; two links for a pair would double their
-    // heartbeats.
+    // Uses the link that the other router opened, if there is one: two links between the same
+    // routers would double the heartbeats.
     private boolean send(VmId to, Frame frame) {
         PeerLink link = links.get(to);
         if (link != null && link.open()) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderCalls.java
@@ -6,11 +6,14 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The leader's way to upstreams: {@code calls.order(upstream, order, outcome -> ...)}. */
+/** Calls upstreams for the leader: {@code calls.order(upstream, order, outcome -> ...)}. */
 interface OrderCalls {
-    /** Gives an order; the outcome comes once, {@code UNKNOWN} if there is no answer in time. */
+    /**
+     * Sends an order. {@code then} runs once, with {@code UNKNOWN} if no answer arrives before the
+     * timeout.
+     */
     void order(UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then);
 
-    /** Asks for a report; empty if none comes in time or it can't be read. */
+    /** Requests a report; it is empty if none arrives in time or it can't be parsed. */
     void report(UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderHandOver.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderHandOver.java
@@ -8,15 +8,16 @@
 import java.util.Optional;
 
 /**
- * Passes the orders on when the store turns their leader away and serves other routers.
+ * Hands the leadership over when the store rejects the leader but still serves other routers.
  *
- * <p>Such a leader stops when its lease may have lapsed, and the others see that seconds later;
- * until then no model that isn't held can be served. So it stops at once and asks a router that
- * reaches the store to end its lease there. Nobody gives orders under a lease that its holder
- * hasn't given up by itself, so two never do at a time. Control thread only.
+ * <p>Such a leader would stop when its lease may have expired, and the others would see that only
+ * seconds later; until then no model that no upstream holds could be served. So the leader resigns
+ * at once and asks a router that reaches the store to revoke the lease there. A lease is revoked
+ * only after its own holder has resigned, so there are never two leaders at a time. Control thread
+ * only.
  */
 final class OrderHandOver {
-    /** Longer than one lost answer and its repetition; shorter than the rest of the lease. */
+    /** Longer than one lost answer and its retry; shorter than the remaining time of the lease. */
     private static final Duration PATIENCE = Duration.ofMillis(700);
 
     private final ControlThread control;
@@ -39,7 +40,9 @@
         this.members = members;
     }
 
-    /** Looks whether it is time to pass the orders on; called a few times a second. */
+    /**
+     * Resigns if the store has rejected this leader for too long; called several times a second.
+     */
     void check() {
         Instant now = control.clock().instant();
         if (store.up() || upAt.equals(Instant.MIN)) {
@@ -52,12 +55,12 @@
         Optional<VmId> other = neighbours.withStore();
         if (other.isPresent()) {
             long number = lease.number();
-            lease.resign("the store turns it away and serves " + other.get());
+            lease.resign("the store rejects this router and serves " + other.get());
             neighbours.endLease(other.get(), number);
         }
     }
 
-    /** Another router asks for the end of its lease. */
+    /** Revokes the lease of another router, at its own request. */
     void ended(VmId by, long number) {
         store.revokeLease(number)
                 .whenComplete(
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
@@ -27,7 +27,10 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Feeds a {@link LoadPlanner} and carries out what it decides. Control thread only. */
+/**
+ * Runs the {@link LoadPlanner} while this router is the leader: passes it its inputs, and carries
+ * out its actions, such as orders to load and unload models. Control thread only.
+ */
 final class OrderLeader implements OrderLease.Listener {
     private static final Logger LOG = LogManager.getLogger(OrderLeader.class);
     private static final Duration TICK = Duration.ofMillis(20);
@@ -37,17 +40,20 @@
     private static final int MOST_EXPLAINED = 4;
 
     /**
-     * What upstreams come to hold within this is told together: each piece of news goes to every
-     * other router, and a leader on a part of a core would do little else.
+     * Changes of held models within this time share an announcement: each announcement goes to
+     * every other router, and would take most of the time of a leader with a fraction of a core.
      */
     private static final Duration NEWS_GAP = Duration.ofMillis(15);
 
-    /** A round is followed by a rest, so that rounds take one part of so many of the time. */
+    /**
+     * After a planning round starts, the next one is due this multiple of its duration later, so
+     * that planning takes a quarter of the time.
+     */
     private static final int REST_FACTOR = 4;
 
     /**
-     * No rest is longer: the first rounds after a start run slow code, and models are waited for
-     * most then.
+     * Limits the rest after a planning round: the first rounds after a start run code that is not
+     * yet compiled, while demand for models is highest.
      */
     private static final Duration LONGEST_REST = Duration.ofMillis(60);
 
@@ -80,13 +86,13 @@
         this.news = news;
     }
 
-    /** Begins; {@code whenTold} runs after this router's own table has changed. */
+    /** Starts; {@code whenTold} runs after the table of upstreams of this router has changed. */
     void start(Runnable whenTold) {
         told = whenTold;
         lease.start(this);
     }
 
-    /** Shows what models are waited for, and how much of the weight store is in use. */
+    /** Registers the gauges for unmet demand and for the use of the weight store. */
     void show(Metrics metrics) {
         metrics.gauge("models_waited_for", () -> unmet().models());
         metrics.gauge("oldest_model_wait_ms", () -> unmet().longestWait().toMillis());
@@ -111,7 +117,7 @@
         feed(new LoadInput.UpstreamListed(facts));
     }
 
-    /** Just these zones are drained. */
+    /** Replaces the set of drained availability zones. */
     void zonesDrained(Set<String> zones) {
         feed(new LoadInput.DrainedZonesChanged(zones));
     }
@@ -124,12 +130,12 @@
         feed(demanded);
     }
 
-    /** Another router had no answer to an order. */
+    /** Records that another router had no answer to a load order. */
     void unanswered(UnansweredLoadOrder load) {
         feed(new LoadInput.UnansweredLoadAnnounced(load));
     }
 
-    /** What this router knows better than the list, for a router that has just come. */
+    /** Returns the models that each upstream holds; empty if this router is not the leader. */
     Map<UpstreamId, HeldModels> allNews() {
         Map<UpstreamId, HeldModels> all = new HashMap<>();
         if (lease.held()) {
@@ -145,13 +151,13 @@
     @Override
     public void won() {
         ticking = control.every(TICK, this::tick);
-        // By the store alone the others would hear of it most of a second later, and tell nobody
-        // what they need until then.
+        // Through the store alone the others would learn of the election most of a second later,
+        // and would report their demand to nobody until then.
         news.tell(lease.fencing(), Map.of());
         feed(new LoadInput.Elected());
     }
 
-    // A round that takes long on a weak VM is followed by a pause, so that callers get their turn.
+    // A long round on a weak VM is followed by a rest, so that requests get processed in between.
     private void tick() {
         long began = System.nanoTime();
         if (began - restUntilNanos < 0) {
@@ -165,7 +171,7 @@
             explainedAt = now;
             planner.explainLongWaits(LONG_WAIT, now).stream()
                     .limit(MOST_EXPLAINED)
-                    .forEach(line -> LOG.info("still waits: {}", line));
+                    .forEach(line -> LOG.info("demand still unmet: {}", line));
         }
     }
 
@@ -191,7 +197,8 @@
         }
     }
 
-    // The lease is looked at for every order: between the decision and now the VM may have slept.
+    // The lease is checked again for every order: the VM may have been suspended since the planner
+    // decided on it.
     private void give(LoadAction.SendOrder order) {
         Optional<Upstream> to = upstreams.find(order.upstream());
         if (!lease.held() || to.isEmpty()) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLease.java
@@ -19,27 +19,34 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Lets one router at a time give orders to upstreams. Its fencing token is the store's revision at
- * which it became the leader, so each later one's is higher. Control thread only.
+ * Elects the leader, the one router at a time that may send load orders to upstreams, by a lease in
+ * the store. The leader's fencing token is the store revision at which it was elected, so that each
+ * later leader has a higher one. Control thread only.
  *
- * <p>A leader that is frozen, cut off or turned away stops by its own clock before the store's
- * lease can have ended; the clock counts the time of a freeze.
+ * <p>A leader that is suspended, partitioned from the store or rejected by it stops by its own
+ * clock before the lease in the store can have expired; the clock counts the time of a suspension.
  */
 final class OrderLease {
     private static final Logger LOG = LogManager.getLogger(OrderLease.class);
     private static final Duration TICK = Duration.ofMillis(150);
     private static final Duration TERM = Duration.ofMillis(2_400);
 
-    /** How long an end is told the store again; a stop and an outage rarely last longer. */
+    /** How long a revocation is retried; a stop and an outage rarely last longer. */
     private static final Duration REVOKING = Duration.ofSeconds(8);
 
-    /** Two leaders that take turns would undo each other's plans; who was one waits this long. */
+    /**
+     * A former leader is no candidate for this long: two leaders that alternate would undo each
+     * other's plans.
+     */
     private static final Duration PAUSE = Duration.ofSeconds(5);
 
-    /** So many times as long as its thread is late a router leaves the orders to quicker ones. */
+    /**
+     * A candidate waits for its own control thread's lag times this, so that a router with less lag
+     * is elected first.
+     */
     private static final int LATE_FACTOR = 5;
 
-    /** After this any router stands for the orders. */
+    /** After this long without a leader, any router is a candidate. */
     private static final Duration LONGEST_PAUSE = Duration.ofMillis(700);
 
     private final ControlThread control;
@@ -55,12 +62,12 @@
     private Instant vacantSince = Instant.MAX;
     private boolean closed;
 
-    /** Hears when this router becomes the leader, and when it no longer is. */
+    /** Is notified when this router becomes the leader, and when it no longer is. */
     interface Listener {
-        /** Orders may be given from now on. */
+        /** This router became the leader, and may send orders from now on. */
         void won();
 
-        /** No order may be given any more. */
+        /** This router is no longer the leader, and must not send any more orders. */
         void lost();
     }
 
@@ -82,36 +89,36 @@
         control.every(TICK, this::tick);
     }
 
-    /** True if an order may be given at this moment. */
+    /** Returns true if this router is the leader now and may send an order. */
     boolean held() {
         return !closed && machine.held(control.clock().instant());
     }
 
-    /** Goes along with every order; only while {@link #held()}. */
+    /** Returns the fencing token of every order; valid only while {@link #held()}. */
     long fencing() {
         return fencing;
     }
 
-    /** Gives it up at once, so that another router goes on without waiting for its end. */
+    /** Ends the lease at once, so that another router is elected without waiting for its expiry. */
     void resign(String why) {
         if (held()) {
-            LOG.info("this router resigns: {}", why);
+            LOG.info("resigning as leader: {}", why);
         }
         feed(new LeaseInput.Resign());
         notBefore = control.clock().instant().plus(PAUSE);
     }
 
     /**
-     * The store's number of the lease, for another router to end it there; only while {@link
-     * #held()}.
+     * Returns the id of the lease in the store, by which another router can revoke it; valid only
+     * while {@link #held()}.
      */
     long number() {
         return machine.lease();
     }
 
-    /** Gives it up for good. */
+    /** Resigns, and is no candidate from now on. */
     void close() {
-        resign("it stops");
+        resign("this router stops");
         closed = true;
     }
 
@@ -121,13 +128,14 @@
         if (!closed && (machine.held(now) || mayStand)) {
             feed(new LeaseInput.Tick());
         } else if (!machine.held(now)) {
-            // An end that nobody noticed is noticed here.
+            // Notifies the listener of an expiry that no input has reported yet.
             machine.on(new LeaseInput.Failed(), now).forEach(this::carryOut);
         }
     }
 
-    // Those that follow the store for all know what all routers need, and come first; of them those
-    // that are quickest. All at once, dozens of routers would ask the store for a lease each time.
+    // Routers that watch the store on behalf of all know the demand of all routers and become
+    // candidates first; of these, the ones with the least lag. If all became candidates at once,
+    // dozens of routers would request a lease from the store each time.
     private boolean vacantForLong(Instant now) {
         if (!members.vacant()) {
             vacantSince = Instant.MAX;
@@ -142,8 +150,9 @@
         return !now.isBefore(vacantSince.plus(first ? pause : LONGEST_PAUSE));
     }
 
-    // A lease that lapsed here in an outage may still stand in the store, which counts no time
-    // while it is down. Then nobody else can have taken a turn, and the orders go on at once.
+    // A lease that expired here during an outage may still exist in the store, whose clock stops
+    // while it is down. Then no other router can have been the leader, and this one continues at
+    // once.
     private boolean givesWay(Instant now) {
         return members.ownLeaderRevision() == 0 && now.isBefore(lapsedUntil);
     }
@@ -155,7 +164,7 @@
     private void carryOut(LeaseAction action) {
         if (action instanceof LeaseAction.Grant grant) {
             LOG.info(
-                    "this router stands for the orders, own entry at {}",
+                    "candidate for leader, revision of own leader entry: {}",
                     members.ownLeaderRevision());
             answer(store.grantLease(grant.term()), LeaseInput.Granted::new);
         } else if (action instanceof LeaseAction.Acquire acquire) {
@@ -167,17 +176,17 @@
         } else if (action instanceof LeaseAction.Revoke revoke) {
             revoke(revoke.lease(), control.clock().instant().plus(REVOKING));
         } else if (action instanceof LeaseAction.Won) {
-            LOG.info("this router gives the orders, fencing token {}", fencing);
+            LOG.info("elected as leader, fencing token {}", fencing);
             listener.won();
         } else if (action instanceof LeaseAction.Lost) {
-            LOG.info("this router gives orders no longer");
+            LOG.info("no longer the leader");
             lapsedUntil = control.clock().instant().plus(PAUSE);
             listener.lost();
         }
     }
 
-    // A router that stops in an outage of the store would else keep the next one waiting, until
-    // its lease has run out after the store's return.
+    // Retried, because the lease of a router that stops during an outage of the store would
+    // otherwise block the next leader until it expires after the outage.
     private void revoke(long ended, Instant until) {
         store.revokeLease(ended)
                 .whenComplete(
@@ -194,8 +203,8 @@
     private CompletionStage<TxnResult> acquire(long lease) {
         byte[] value = self.value().getBytes(StandardCharsets.UTF_8);
         String key = members.leaderKey();
-        // Another router's entry is never taken over, not even one that came since this router saw
-        // that there was none: both would give orders.
+        // Another router's entry is never overwritten, not even one written since this router saw
+        // that there was none: both would send orders.
         long revision = members.ownLeaderRevision();
         Condition condition =
                 revision == 0 ? new Condition.Absent(key) : new Condition.Unchanged(key, revision);
@@ -206,7 +215,7 @@
         if (result.committed()) {
             fencing = result.revision();
         } else {
-            LOG.info("another router was first to stand for the orders");
+            LOG.info("another router was elected as leader first");
         }
         return new LeaseInput.Acquired(result.committed());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/RouterEntry.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/RouterEntry.java
@@ -8,7 +8,7 @@
 import io.damaskyoke.peer.PeerAddress;
 import java.io.IOException;
 
-/** What a router writes of itself into the store, under its lease, for the others to find it. */
+/** The entry that a router registers in the store, under its lease, so that others find it. */
 record RouterEntry(VmId vm, String zone, String host, int port) {
     byte[] toJson() {
         ObjectNode entry = JsonTrees.object();
@@ -25,14 +25,15 @@
                     text(entry, "host"),
                     entry.path("port").asInt());
         } catch (IOException | IllegalArgumentException e) {
-            throw new DirectException(Code.MALFORMED, "can't read a router's entry", e);
+            throw new DirectException(
+                    Code.MALFORMED, "a router's entry in the store can't be parsed", e);
         }
     }
 
     private static String text(JsonNode entry, String field) {
         String text = entry.path(field).textValue();
         if (text == null) {
-            throw new IllegalArgumentException("a router's entry has no " + field);
+            throw new IllegalArgumentException("a router's entry has no text field " + field);
         }
         return text;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/RouterStanding.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/RouterStanding.java
@@ -5,20 +5,22 @@
 import java.util.Map;
 
 /**
- * What a router tells others of itself, beside what it needs.
+ * The part of a router's report that says how current its data is and how well it runs.
  *
- * @param configuration the revision of the configuration that it has in force; 0 for none
- * @param upstreams the revision up to which it knows the list of upstreams
- * @param drains the zones that are drained, as it knows them
- * @param storeUp whether the store answers it
- * @param late how late its thread does what is due, on average
+ * @param configuration the revision of the configuration in force; 0 for none
+ * @param upstreams the revision up to which the router knows the list of upstreams
+ * @param drains the drained availability zones that the router knows
+ * @param storeUp whether the store answers the router
+ * @param late the average lag of the router's control thread
  */
 record RouterStanding(
         long configuration, long upstreams, Drains drains, boolean storeUp, Duration late) {
     /**
-     * Zones that are drained, as of a revision of the store.
+     * The drained availability zones as of a revision of the store.
      *
-     * @param notBefore for each zone a moment at which nobody had asked for it yet
+     * @param revision the revision of the store
+     * @param notBefore for each zone a time at which its drain was not yet requested; {@code
+     *     Instant.MIN} if none is known
      */
     record Drains(long revision, Map<String, Instant> notBefore) {}
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/MembershipTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/MembershipTest.java
@@ -23,8 +23,8 @@
     private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore(control);
 
-    // Guards against a router that refuses within the rate until it happens to hear that it is
-    // back.
+    // Guards against a router that rejects requests within the rate after it has registered again,
+    // until the next change tells it that it is listed.
     @ParameterizedTest
     @ValueSource(longs = {2_000, 2_200, 2_400, 2_600, 2_800, 3_000, 3_200, 3_400, 3_600, 3_800})
     void aRouterWhoseEntryLapsedIsBackOnItsListAsSoonAsItIsRegistered(long lapsesAfter) {
@@ -41,7 +41,7 @@
         members.start(() -> {});
         control.advance(Duration.ofMillis(lapsesAfter));
         store.expire(1);
-        // Another entry changes a little later, so that the next call is asked for a gap after it.
+        // Another entry changes shortly after, so that the next poll is due a full gap later.
         control.advance(Duration.ofMillis(10));
         put("p/fleet/routers/two", "junk");
         while (!store.contents("p/fleet/routers/").stream()
@@ -54,10 +54,8 @@
 
     @Test
     void aRouterThatIsCutOffHasNoListOfRouters() {
-        // The store no longer answers this router. Its own copy of the list still names it; taken
-        // for
-        // the store's word, that copy would let it spend its shares after the others took them
-        // back.
+        // The store no longer answers this router, whose copy of the list still names it. Using
+        // that copy, it would spend its rate shares after the others reclaimed them.
         Membership members =
                 new Membership(
                         control,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderLeaseTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderLeaseTest.java
@@ -49,8 +49,8 @@
 
     @Test
     void aLeaderThatIsCutOffStopsBeforeItsLeaseCanHaveEnded() {
-        // The store turns the leader away. Its lease ends 2.4 s after the last renewal, and another
-        // router may give orders from then on; the leader must have stopped by its own clock.
+        // The store rejects the leader. Its lease expires 2.4 s after the last renewal, and another
+        // router may be elected from then on; the leader must have stopped by its own clock.
         OrderLease one = router("one");
         pass(1_000);
         store.down(true);
@@ -61,9 +61,9 @@
 
     @Test
     void aLeaderWhoseLeaseLapsedInAnOutageGoesOnWhenTheStoreIsBack() {
-        // The store is down for four seconds and counts no time meanwhile, so the leader's entry
-        // still stands when it is back, and nobody else can give orders. If the leader paused for
-        // the sake of others now, nothing would be loaded for five more seconds.
+        // The store's clock stops during an outage of four seconds, so the leader's entry still
+        // exists afterwards and nobody else can be elected. If the leader paused for the sake of
+        // other candidates, nothing would be loaded for five more seconds.
         OrderLease one = router("one");
         OrderLease two = router("two");
         pass(1_000);
@@ -79,8 +79,8 @@
 
     @Test
     void aLeaderThatStopsInAnOutageEndsItsLeaseAfterIt() {
-        // The leader stops while the store is down, and can't tell it. Once the store is back its
-        // entry would stand for the whole term, with nobody to give orders.
+        // The leader stops while the store is down and can't revoke its lease. Without a retry, its
+        // entry would remain for the whole term once the store is back, with no leader.
         OrderLease one = router("one");
         OrderLease two = router("two");
         pass(1_000);
@@ -94,9 +94,8 @@
 
     @Test
     void aRouterThatResignedLetsOthersGoFirst() {
-        // A slow leader resigns and nobody else is there. Were it back at once, it would resign
-        // again
-        // at its next slow tick; and with another router they would take turns.
+        // A slow leader resigns and there is no other router. Elected again at once, it would
+        // resign at its next slow tick; with another router, the two would alternate.
         OrderLease one = router("one");
         pass(1_000);
         one.resign("slow");
@@ -121,8 +120,8 @@
 
     @Test
     void aRestartedLeaderTakesItsOwnEntryOver() {
-        // All routers are killed and start again. The leader's entry stands for two more seconds,
-        // under the lease of a life that is over; its own next life needn't wait for that.
+        // All routers are killed and start again. The leader's entry remains for two more seconds,
+        // under the lease of its earlier incarnation; the next one must not wait for its expiry.
         router("one");
         pass(1_000);
         events.clear();
@@ -134,8 +133,9 @@
 
     @Test
     void twoRoutersThatStandAtOnceDontBothWin() {
-        // Both see that nobody gives orders and ask for a lease each. The store is slow; when it
-        // goes on, one writes its entry, and the other hears of that before its own write leaves.
+        // Both see that there is no leader and request a lease each. The store is slow; when it
+        // continues, one writes its entry, and the other learns of that before it sends its own
+        // write.
         OrderLease one = router("one");
         OrderLease two = router("two");
         store.slow(true);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderPromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderPromisesTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class OrderPromisesTest {
-    /** Others by hand: -Dorders.first=1000 -Dorders.count=20000. */
+    /** More seeds can be run by hand: -Dorders.first=1000 -Dorders.count=20000. */
     private static final long FIRST = Long.getLong("orders.first", 1);
 
     private static final int SEEDS = Integer.getInteger("orders.count", 300);
     private static final int SHOWN = 2;
 
-    // Guards against orders that are carried out late, at a state that they were not planned for.
+    // Guards against orders that are carried out late, in a state that they were not planned for.
     @Test
     void noUpstreamIsOrderedToHoldMoreThanItHasRoomFor() {
         List<String> broken = new ArrayList<>();
@@ -27,20 +27,20 @@
         assertEquals("", first, broken.size() + " in all");
     }
 
-    // Guards against what each of these worlds has shown.
+    // Guards against the fault that each of these seeds has shown.
     @ParameterizedTest
     @CsvSource({
         "68, an order from before a restart was carried out after it",
-        "135, an order of a later count was carried out when another had brought the upstream"
-                + " there",
-        "460, a new leader did not know the open orders of the one before"
+        "135, an order with a later sequence was carried out once another had brought the"
+                + " upstream to it",
+        "460, a new leader did not know the unanswered orders of the one before"
     })
     void aWorldThatFailedOnceKeepsThePromise(long seed, String cause) {
         assertEquals(List.of(), played(seed, true), cause);
     }
 
-    // Guards against a world that would find no fault: without the count of accepted orders, late
-    // orders overload upstreams at once.
+    // Guards against a simulation that finds no faults: without the check of the sequence of
+    // accepted orders, late orders overload upstreams at once.
     @Test
     void upstreamsThatDoNotCountOrdersAreOverloaded() {
         int broken = 0;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderTroubles.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderTroubles.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Random;
 
-/** Half a minute of troubles between a leader and upstreams, drawn by a seed. */
+/** Plays half a minute of faults between a leader and upstreams, drawn at random from a seed. */
 final class OrderTroubles {
     private static final int TROUBLES = 8;
     private static final int LONGEST_PAUSE_MILLIS = 2_500;
@@ -47,7 +47,7 @@
 
     private void stand(OrderingRouter router) {
         int millis = random.nextInt(LONGEST_FREEZE_MILLIS);
-        world.tell(router.vm() + " stands still for " + millis);
+        world.tell(router.vm() + " is suspended for " + millis);
         router.freeze();
         world.after(Duration.ofMillis(millis), router::thaw);
     }
@@ -59,7 +59,7 @@
             return;
         }
         int millis = random.nextInt(LONGEST_FREEZE_MILLIS);
-        world.tell(router.vm() + " is cut off from the store for " + millis);
+        world.tell(router.vm() + " is partitioned from the store for " + millis);
         router.cut(true);
         world.after(Duration.ofMillis(millis), () -> router.cut(false));
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderWorld.java
@@ -27,8 +27,8 @@
 import java.util.function.Consumer;
 
 /**
- * Some routers of which one at a time gives orders to some model upstreams, with time by hand, and
- * the promise that none of them is ever ordered to hold more than it has room for.
+ * Simulates routers, one of which at a time is the leader, and model upstreams, with simulated
+ * time, and records each order to an upstream to hold more than it has capacity for.
  */
 final class OrderWorld {
     private static final int ROUTERS = 2;
@@ -52,7 +52,7 @@
     private static final int EARLIEST_LATE_MILLIS = 2_000;
     private static final int LATE_RANGE_MILLIS = 10_000;
 
-    /** An upstream that is silent for this long loses its entry in the list. */
+    /** The entry of an upstream without heartbeats expires after this. */
     private static final Duration LAPSES_AFTER = HEARTBEAT.multipliedBy(3);
 
     private final TestControlThread world = new TestControlThread();
@@ -114,12 +114,12 @@
         return new EngineSpec(SLOTS, 1_000, MEMORY_MB, PLACES, LOADS_PER_SECOND, models);
     }
 
-    /** What was promised and not kept, one line each. */
+    /** Returns the overloads of upstreams, one line each. */
     List<String> broken() {
         return broken;
     }
 
-    /** What happened, with the milliseconds since the beginning. */
+    /** Returns the events so far, each with the milliseconds since the start. */
     List<String> story() {
         return story;
     }
@@ -140,19 +140,19 @@
         world.after(delay, step);
     }
 
-    /** From now on this share of orders is carried out seconds later, and not answered. */
+    /** From now on this fraction of orders is carried out seconds later, and not answered. */
     void late(double share) {
         tell("orders late: " + share);
         lateShare = share;
     }
 
-    /** From now on this share of answers to orders is lost. */
+    /** From now on this fraction of answers to orders is lost. */
     void lost(double share) {
         tell("answers lost: " + share);
         lostShare = share;
     }
 
-    /** An upstream ends and starts again under its name. */
+    /** Stops an upstream and starts it again under the same name. */
     void restart(SimulatedEngine engine, Duration down) {
         tell(engine.id() + " restarts, down for " + down.toMillis());
         engine.restart(down);
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Ways from a router to the upstreams. */
+    /** Returns the calls from a router to the upstreams. */
     OrderCalls callsOf(ControlThread router) {
         return new OrderCalls() {
             @Override
@@ -190,7 +190,7 @@
         };
     }
 
-    /** A router's way to the others. */
+    /** Returns the sender of a router's announcements to the other routers. */
     LeaderNews newsOf(VmId from) {
         return new LeaderNews() {
             @Override
@@ -222,7 +222,7 @@
                 });
     }
 
-    /** One answer, by the router's own thread; whatever comes after it is dropped. */
+    /** Passes on one answer, on the router's own thread, and drops any later one. */
     private static final class Answer<T> {
         private final ControlThread router;
         private final Consumer<T> then;
@@ -290,7 +290,7 @@
 
     private void overloaded(String what) {
         broken.add(what);
-        tell("BROKEN: " + what);
+        tell("OVERLOADED: " + what);
     }
 
     void tell(String what) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
@@ -13,7 +13,9 @@
 import io.damaskyoke.metrics.Metrics;
 import java.time.Duration;
 
-/** The part of a router that stands for the orders and gives them, on a VM that can stand still. */
+/**
+ * The part of a router that is elected as leader and sends orders, on a VM that can be suspended.
+ */
 final class OrderingRouter {
     private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
     private static final Duration TICK = Duration.ofMillis(50);
@@ -91,7 +93,7 @@
     }
 
     void resign() {
-        control.run(() -> lease.resign("it is to"));
+        control.run(() -> lease.resign("the simulation asks for it"));
     }
 
     void freeze() {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
@@ -24,9 +24,11 @@
 import java.util.function.Consumer;
 
 /**
- * A model upstream that follows the page on orders: one order at a time, each counted, none carried
- * out at another count; unloads wait for runs; reports are some time old. A restart forgets all but
- * the upstream's name. It says when it is ordered to hold more than it has room for.
+ * Simulates a model upstream that follows the order protocol: it takes one order at a time,
+ * increments its sequence with each, and rejects an order with another sequence; unloads wait for
+ * running requests; reports are out of date. A restart loses its memory, its sequence and its
+ * fencing token; the name and the cached weights on disk remain. It reports each order to hold more
+ * than it has capacity for.
  */
 final class SimulatedEngine {
     static final String SERVICE = "engines";
@@ -58,11 +60,11 @@
     private record State(Instant at, long life, boolean busy, HeldModels held) {}
 
     /**
-     * How an upstream differs from others.
+     * The checks that an upstream makes on orders.
      *
-     * @param checksTokens whether it refuses a lower fencing token
-     * @param checksCounts whether it refuses an order that names another count; false in no
-     *     upstream, to show that a world without that safeguard breaks the promise
+     * @param checksTokens whether it rejects a lower fencing token
+     * @param checksCounts whether it rejects an order with another sequence; real upstreams always
+     *     do, and false shows that upstreams are overloaded without that check
      */
     record Manners(boolean checksTokens, boolean checksCounts) {}
 
@@ -92,7 +94,7 @@
         return up;
     }
 
-    /** What it writes into the platform's list. */
+    /** Returns the entry that the upstream writes into the platform's list. */
     UpstreamFacts facts(long revision) {
         return new UpstreamFacts(
                 id,
@@ -108,7 +110,7 @@
                 Set.copyOf(disk));
     }
 
-    /** Takes an order that has arrived; empty if there is nobody to answer. */
+    /** Carries out an order; empty if the upstream is down. */
     Optional<OrderOutcome> take(Dialect.Order order) {
         if (!up) {
             return Optional.empty();
@@ -133,7 +135,7 @@
         return Optional.of(outcome);
     }
 
-    /** What it says of itself, as of some time ago; empty if there is nobody to answer. */
+    /** Returns a report that is some time old; empty if the upstream is down. */
     Optional<LoadInput.UpstreamReported> report() {
         if (!up) {
             return Optional.empty();
@@ -151,7 +153,7 @@
                         id, found.busy, found.held, Set.of(), Set.copyOf(disk)));
     }
 
-    /** Ends, with all that it held and knew, and starts again under the same name. */
+    /** Stops, losing all models in memory, and starts again under the same name. */
     void restart(Duration down) {
         if (!up) {
             return;
@@ -182,7 +184,7 @@
 
     private OrderOutcome load(ModelRef model) {
         if (!fits(model)) {
-            overloaded.accept(id + " has no room for " + model + ", holds " + held);
+            overloaded.accept(id + " has no capacity for " + model + ", holds " + held);
             restart(Duration.ofSeconds(1));
             return OrderOutcome.ACCEPTED;
         }
@@ -288,7 +290,7 @@
                 });
     }
 
-    // Adapters on their way are told as held, as the dialect takes them.
+    // Adapters that are being loaded are reported as held, as the upstream's protocol has it.
     private void note() {
         HeldModels all = new HeldModels(startedAt, sequence, held);
         for (ModelRef each : coming.keySet()) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedLinks.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedLinks.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One router's links to those that follow the store for it; what is on its way takes its time. */
+/** Simulates one router's links to the relays that watch the store for it, with latency. */
 final class SimulatedLinks {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedPath.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedPath.java
@@ -11,14 +11,14 @@
 import java.util.function.Supplier;
 
 /**
- * One router's way to the store: {@code path.set(State.SILENT)}. A call that is under way when the
- * path falls silent is never answered, also when the path is back.
+ * Simulates one router's connection to the store and its faults: {@code path.set(State.SILENT)}. A
+ * call in flight when the path falls silent is never answered, even after the path recovers.
  */
 final class SimulatedPath extends OnlyFollowed {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
     private static final Duration SLOW = Duration.ofMillis(250);
 
-    /** As the store's client gives up. */
+    /** The timeout of the store's client. */
     private static final Duration TIME_LIMIT = Duration.ofMillis(1_500);
 
     private final ControlThread control;
@@ -29,29 +29,31 @@
     private boolean up = true;
     private long calls;
 
-    /** What becomes of calls. */
+    /** The fault that calls are subject to. */
     enum State {
         OPEN,
-        /** Nothing comes back. */
+        /** Calls do not arrive and are not answered. */
         SILENT,
-        /** Turned away at once, and what waits is cut. */
+        /** Calls are rejected at once, and those in flight fail. */
         REFUSING,
         /** Each answer takes a quarter of a second. */
         SLOW,
-        /** Calls arrive and are carried out; no answer comes back. */
+        /** Calls arrive and are carried out; their answers are lost. */
         ONE_WAY
     }
 
     private record Call<T>(CompletableFuture<T> answer) {}
 
-    /** A path whose router's timers run on {@code control}, and the store's on {@code clock}. */
+    /**
+     * Creates a path whose router's timers run on {@code control}, the store's on {@code clock}.
+     */
     SimulatedPath(ControlThread control, ControlThread clock, SimulatedStore store) {
         this.control = control;
         this.clock = clock;
         this.store = store;
     }
 
-    /** How many calls were made so far. */
+    /** Returns the number of calls so far. */
     long calls() {
         return calls;
     }
