--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
@@ -183,7 +183,7 @@
         finish();
         boolean broke = failure == Failure.BROKEN || failure == Failure.CUT_SHORT;
         if (broke || failure == Failure.NOT_CONNECTED) {
-            flows.lost().lost(upstream);
+            flows.lost().connectionLost(upstream);
         }
         if (failure == Failure.NOT_CONNECTED) {
             flows.crashes().unreachable(upstream);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReporter.java
@@ -17,7 +17,7 @@
  * Reports this router's demand for models to the leader and, while this router is the leader,
  * announces to all routers the models that upstreams hold. Control thread only.
  */
-final class DemandReports {
+final class DemandReporter {
     /** Requests that are queued within this time share a report. */
     private static final Duration URGENT = Duration.ofMillis(2);
 
@@ -44,29 +44,29 @@
             ControlThread control,
             KeyValueStore store,
             Membership members,
-            Neighbours neighbours,
-            OrderLease lease,
-            OrderLeader leader,
+            PeerRouters neighbours,
+            LeaderLease lease,
+            LoadCoordinator leader,
             Dispatch dispatch,
             ConfigurationHolder configuration,
             ZoneDrains drains,
             UpstreamTable upstreams,
             LoopLag lag) {}
 
-    DemandReports(VmId self, Parts parts) {
+    DemandReporter(VmId self, Parts parts) {
         this.self = self;
         this.parts = parts;
     }
 
     /** Schedules a report, because a request was queued for a model that no upstream holds. */
-    void soon() {
+    void reportSoon() {
         if (!planned) {
             planned = true;
-            parts.control().after(pause(), this::reportPlanned);
+            parts.control().after(delayToNextReport(), this::sendScheduledReport);
         }
     }
 
-    private Duration pause() {
+    private Duration delayToNextReport() {
         if (reportedAt.equals(Instant.MIN)) {
             return URGENT;
         }
@@ -79,11 +79,11 @@
     void report() {
         LoadInput.DemandReported demanded = parts.dispatch().demand(self);
         if (parts.lease().held()) {
-            parts.leader().demanded(demanded);
+            parts.leader().demandReported(demanded);
             return;
         }
         Optional<VmId> to = parts.members().leader().filter(leader -> !leader.equals(self));
-        if (to.isPresent() && news(demanded)) {
+        if (to.isPresent() && isReportDue(demanded)) {
             reportedRunning = demanded.running();
             reportedAt = parts.control().clock().instant();
             send(to, demanded);
@@ -91,13 +91,13 @@
     }
 
     /** Reports the whole demand to a leader that was just elected. */
-    void reportAnew() {
+    void reportToNewLeader() {
         reportedAt = Instant.MIN;
         report();
     }
 
     // Unchanged reports of an idle router would wake both VMs seven times a second.
-    private boolean news(LoadInput.DemandReported demanded) {
+    private boolean isReportDue(LoadInput.DemandReported demanded) {
         if (demanded.hasWaitingRequests() || reportedAt.equals(Instant.MIN)) {
             return true;
         }
@@ -111,7 +111,7 @@
      * the leader and need the demand, and they answer with what this router lacks.
      */
     void gossip() {
-        tellAll();
+        announceHeldModels();
         send(Optional.empty(), parts.dispatch().demand(self));
     }
 
@@ -121,21 +121,21 @@
      * would wait for a model that is ready until the upstream's own registration arrives seconds
      * later.
      */
-    void tellAll() {
-        Map<UpstreamId, HeldModels> news = parts.leader().allNews();
+    void announceHeldModels() {
+        Map<UpstreamId, HeldModels> news = parts.leader().heldModels();
         if (!news.isEmpty()) {
-            parts.neighbours().tell(parts.leader().fencing(), news);
+            parts.neighbours().announceHeldModels(parts.leader().fencing(), news);
         }
     }
 
-    private void reportPlanned() {
+    private void sendScheduledReport() {
         planned = false;
         report();
     }
 
     private void send(Optional<VmId> to, LoadInput.DemandReported demanded) {
-        RouterStanding standing =
-                new RouterStanding(
+        RouterStatus standing =
+                new RouterStatus(
                         parts.configuration().revision(),
                         parts.upstreams().revision(),
                         parts.drains().known(),
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -87,18 +87,18 @@
     private final UpstreamTable upstreams;
     private final StoreRelays relays;
     private final Membership members;
-    private final Neighbours neighbours;
-    private final OrderLease lease;
-    private final OrderLeader leader;
-    private final OrderHandOver handOver;
+    private final PeerRouters neighbours;
+    private final LeaderLease lease;
+    private final LoadCoordinator leader;
+    private final LeaderHandOver handOver;
     private final ConfigurationHolder configuration;
-    private final DemandReports reports;
+    private final DemandReporter reports;
     private final UpstreamFollower upstreamFollower;
     private final ZoneDrains drains;
     private final OperatorFollower operatorFollower;
     private final Dispatch dispatch;
     private final CrashWatch crashes;
-    private final LostUpstreams lost;
+    private final LostUpstreamAnnouncer lost;
     private final LimitedUpstreams limits;
     private final Flows flows;
     private final RateAdmission rates;
@@ -127,11 +127,11 @@
         this.store = stores.open(settings, client, control, metrics);
         this.relays = new StoreRelays(control, this::relaySources, this::askRelay);
         this.members = membership();
-        this.neighbours = new Neighbours(control, members);
-        this.lease = new OrderLease(control, store, members, self, lag);
-        this.handOver = new OrderHandOver(control, store, lease, neighbours, members);
+        this.neighbours = new PeerRouters(control, members);
+        this.lease = new LeaderLease(control, store, members, self, lag);
+        this.handOver = new LeaderHandOver(control, store, lease, neighbours, members);
         UpstreamCalls calls = new UpstreamCalls(client, dialect, control);
-        this.leader = new OrderLeader(control, upstreams, lease, calls, self, neighbours);
+        this.leader = new LoadCoordinator(control, upstreams, lease, calls, self, neighbours);
         this.configuration = new ConfigurationHolder(dialect, this::configured);
         this.upstreamFollower = upstreamFollower();
         this.drains = zoneDrains();
@@ -140,8 +140,13 @@
         this.reports = reports();
         this.crashes =
                 new CrashWatch(
-                        control, crashNews(), this::look, members::watches, this::first, metrics);
-        this.lost = new LostUpstreams(clock, upstreams, neighbours);
+                        control,
+                        crashNews(),
+                        this::look,
+                        members::watchesStore,
+                        this::first,
+                        metrics);
+        this.lost = new LostUpstreamAnnouncer(clock, upstreams, neighbours);
         this.limits = new LimitedUpstreams(clock, upstreams, neighbours);
         this.flows = flows();
         Timeline timeline = Timeline.of(settings.vm(), HybridClock.over(clock), TIMELINE_EVENTS);
@@ -150,7 +155,7 @@
         this.ingress = ingress();
         this.network = network(timeline);
         ratePeers.over(network);
-        neighbours.start(network, new NeighbourNews(newsParts(), this::replicasChanged));
+        neighbours.start(network, new PeerMessageHandler(newsParts(), this::replicasChanged));
         ServerSocketChannel socket =
                 open.orElseGet(() -> EarlySocket.listen(settings.callers().socket()));
         control.run(() -> begin(socket));
@@ -210,7 +215,7 @@
         new Shutdown(control, callers, settings.grace(), flows).run(lease::close);
         // Last, since a router that is off the list may not spend its share, and would refuse what
         // still comes while the balancer notices.
-        control.run(members::leave);
+        control.run(members::deregister);
         network.close();
         store.close();
         loop.close();
@@ -224,13 +229,13 @@
                 settings.zones().regions(),
                 clock,
                 loop::whenRead,
-                new EvenShare(self, members::routers));
+                new EvenShare(self, members::routerIds));
     }
 
-    private DemandReports reports() {
-        return new DemandReports(
+    private DemandReporter reports() {
+        return new DemandReporter(
                 self,
-                new DemandReports.Parts(
+                new DemandReporter.Parts(
                         control,
                         store,
                         members,
@@ -255,7 +260,7 @@
     private CrashNews crashNews() {
         return new StoredCrashNews(
                 neighbours.crashNews(),
-                new QuarantineStore(control, store, members.keptOutPrefix()));
+                new QuarantineStore(control, store, members.quarantinePrefix()));
     }
 
     private void look(Upstream upstream, boolean vouch, Consumer<UpstreamEnds.Sign> then) {
@@ -286,8 +291,8 @@
                 self, settings.availabilityZone(), settings.peer().host(), settings.peer().port());
     }
 
-    private NeighbourNews.Parts newsParts() {
-        return new NeighbourNews.Parts(
+    private PeerMessageHandler.Parts newsParts() {
+        return new PeerMessageHandler.Parts(
                 clock,
                 neighbours,
                 members,
@@ -344,11 +349,11 @@
     }
 
     private List<VmId> relaySources() {
-        return members.sources();
+        return members.relays();
     }
 
     private boolean askRelay(VmId to, long number, String prefix, long after, Duration wait) {
-        return neighbours.askChanges(to, number, prefix, after, wait);
+        return neighbours.fetchChanges(to, number, prefix, after, wait);
     }
 
     private Ingress ingress() {
@@ -395,17 +400,17 @@
 
     // The store is asked before callers are served: their requests need its answers first of all.
     private void begin(ServerSocketChannel socket) {
-        dispatch.onStarved(reports::soon);
+        dispatch.onStarved(reports::reportSoon);
         operatorFollower.start();
         upstreamFollower.start(new UpstreamListener());
-        members.onKeptOut(crashes::toldByStore);
+        members.onQuarantined(crashes::toldByStore);
         members.start(this::membersChanged);
         callers = HttpServer.adopt(loop, socket, HttpLimits.usual(), ingress);
         metrics.gauge("direct_left_before_served", callers::leftUnserved);
         crashes.show();
         new DrainProgress(upstreams).show(metrics);
         limits.show(metrics);
-        leader.show(metrics);
+        leader.registerMetrics(metrics);
         metrics.gauge("models_unserved", flows.unserved()::many);
         String address = settings.peer().host() + ':' + settings.peer().port();
         rates.start(ratePeers, address, Map.of(), LIST_PERIOD, processBegan());
@@ -437,14 +442,17 @@
     // Where all are slow, a change of leader would only cost the orders that it interrupts.
     private boolean othersAreQuicker() {
         Duration much = lag.average().dividedBy(MUCH_QUICKER);
-        return neighbours.leastLate().filter(least -> least.compareTo(much) < 0).isPresent();
+        return neighbours
+                .lowestReportedLag()
+                .filter(least -> least.compareTo(much) < 0)
+                .isPresent();
     }
 
     private void configured(DirectConfiguration now) {
         callers.limits(now.limits());
         dispatch.configured(now.modelServices());
         upstreams.setColdLimits(ColdLimits.of(now, settings.cold()));
-        leader.configured(now);
+        leader.configurationChanged(now);
         Map<WorkspaceId, Workspace> limited = new HashMap<>();
         for (WorkspaceSpec workspace : now.workspaces().values()) {
             if (workspace.hasRateLimit()) {
@@ -458,7 +466,7 @@
     private void membersChanged() {
         neighbours.refresh();
         rates.listChanged();
-        reports.tellAll();
+        reports.announceHeldModels();
     }
 
     private void replicasChanged() {
@@ -480,7 +488,7 @@
         // A zone's upstreams may be cold when operators drain it, and when they take that back.
         private void changed(String zone) {
             upstreams.markPossiblyCold(zone, clock.instant());
-            leader.zonesDrained(upstreams.zones().all().keySet());
+            leader.drainedZonesChanged(upstreams.zones().all().keySet());
             dispatch.tick();
         }
     }
@@ -490,14 +498,14 @@
         @Override
         public void listed(UpstreamFacts facts) {
             crashes.listed(facts);
-            leader.listed(facts);
+            leader.upstreamListed(facts);
             dispatch.drain(facts.service());
         }
 
         @Override
         public void gone(UpstreamFacts last) {
             crashes.gone(last.id());
-            leader.gone(last.id());
+            leader.upstreamRemoved(last.id());
             client.forget(last.endpoint());
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
@@ -288,7 +288,7 @@
             timeUp();
         } else if (attempt != null && attempt.silent(now, longestSilence())) {
             attempt.upstream().requestFailed(now);
-            flows.lost().lost(attempt.upstream());
+            flows.lost().connectionLost(attempt.upstream());
             attempt.cancel(Cut.SILENT);
             attemptFailed("no answer", true);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flows.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flows.java
@@ -21,7 +21,7 @@
     private final RetryBounds bounds;
     private final SlidingMaximum routers;
     private final CrashWatch crashes;
-    private final LostUpstreams lost;
+    private final LostUpstreamAnnouncer lost;
     private final LimitedUpstreams limits;
     private final DecisionLog log;
     private final UnservedModels unserved = new UnservedModels();
@@ -45,7 +45,7 @@
             RetryBounds bounds,
             IntSupplier routers,
             CrashWatch crashes,
-            LostUpstreams lost,
+            LostUpstreamAnnouncer lost,
             LimitedUpstreams limits) {
         this.dialect = dialect;
         this.client = client;
@@ -75,7 +75,7 @@
         return crashes;
     }
 
-    LostUpstreams lost() {
+    LostUpstreamAnnouncer lost() {
         return lost;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderHandOver.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderHandOver.java
@@ -16,22 +16,22 @@
  * only after its own holder has resigned, so there are never two leaders at a time. Control thread
  * only.
  */
-final class OrderHandOver {
+final class LeaderHandOver {
     /** Longer than one lost answer and its retry; shorter than the remaining time of the lease. */
     private static final Duration PATIENCE = Duration.ofMillis(700);
 
     private final ControlThread control;
     private final KeyValueStore store;
-    private final OrderLease lease;
-    private final Neighbours neighbours;
+    private final LeaderLease lease;
+    private final PeerRouters neighbours;
     private final Membership members;
     private Instant upAt = Instant.MIN;
 
-    OrderHandOver(
+    LeaderHandOver(
             ControlThread control,
             KeyValueStore store,
-            OrderLease lease,
-            Neighbours neighbours,
+            LeaderLease lease,
+            PeerRouters neighbours,
             Membership members) {
         this.control = control;
         this.store = store;
@@ -52,23 +52,23 @@
         if (!lease.held() || now.isBefore(upAt.plus(PATIENCE))) {
             return;
         }
-        Optional<VmId> other = neighbours.withStore();
+        Optional<VmId> other = neighbours.findRouterWithStore();
         if (other.isPresent()) {
-            long number = lease.number();
+            long number = lease.leaseId();
             lease.resign("the store rejects this router and serves " + other.get());
-            neighbours.endLease(other.get(), number);
+            neighbours.requestLeaseEnd(other.get(), number);
         }
     }
 
     /** Revokes the lease of another router, at its own request. */
-    void ended(VmId by, long number) {
+    void revokeLease(VmId by, long number) {
         store.revokeLease(number)
                 .whenComplete(
                         (done, failure) ->
                                 control.run(
                                         () -> {
                                             if (failure == null) {
-                                                members.vacated(by);
+                                                members.leaderResigned(by);
                                             }
                                         }));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderLease.java
@@ -26,8 +26,8 @@
  * <p>A leader that is suspended, partitioned from the store or rejected by it stops by its own
  * clock before the lease in the store can have expired; the clock counts the time of a suspension.
  */
-final class OrderLease {
-    private static final Logger LOG = LogManager.getLogger(OrderLease.class);
+final class LeaderLease {
+    private static final Logger LOG = LogManager.getLogger(LeaderLease.class);
     private static final Duration TICK = Duration.ofMillis(150);
     private static final Duration TERM = Duration.ofMillis(2_400);
 
@@ -71,7 +71,7 @@
         void lost();
     }
 
-    OrderLease(
+    LeaderLease(
             ControlThread control,
             KeyValueStore store,
             Membership members,
@@ -112,7 +112,7 @@
      * Returns the id of the lease in the store, by which another router can revoke it; valid only
      * while {@link #held()}.
      */
-    long number() {
+    long leaseId() {
         return machine.lease();
     }
 
@@ -124,7 +124,8 @@
 
     private void tick() {
         Instant now = control.clock().instant();
-        boolean mayStand = vacantForLong(now) && !now.isBefore(notBefore) && !givesWay(now);
+        boolean mayStand =
+                vacantLongEnough(now) && !now.isBefore(notBefore) && !mustYieldToOthers(now);
         if (!closed && (machine.held(now) || mayStand)) {
             feed(new LeaseInput.Tick());
         } else if (!machine.held(now)) {
@@ -136,8 +137,8 @@
     // Routers that watch the store on behalf of all know the demand of all routers and become
     // candidates first; of these, the ones with the least lag. If all became candidates at once,
     // dozens of routers would request a lease from the store each time.
-    private boolean vacantForLong(Instant now) {
-        if (!members.vacant()) {
+    private boolean vacantLongEnough(Instant now) {
+        if (!members.isLeadershipVacant()) {
             vacantSince = Instant.MAX;
             return false;
         }
@@ -146,14 +147,14 @@
         }
         Duration behind = lag.average().multipliedBy(LATE_FACTOR);
         Duration pause = behind.compareTo(LONGEST_PAUSE) < 0 ? behind : LONGEST_PAUSE;
-        boolean first = members.watches() || members.ownLeaderRevision() != 0;
+        boolean first = members.watchesStore() || members.ownLeaderRevision() != 0;
         return !now.isBefore(vacantSince.plus(first ? pause : LONGEST_PAUSE));
     }
 
     // A lease that expired here during an outage may still exist in the store, whose clock stops
     // while it is down. Then no other router can have been the leader, and this one continues at
     // once.
-    private boolean givesWay(Instant now) {
+    private boolean mustYieldToOthers(Instant now) {
         return members.ownLeaderRevision() == 0 && now.isBefore(lapsedUntil);
     }
 
@@ -166,11 +167,11 @@
             LOG.info(
                     "candidate for leader, revision of own leader entry: {}",
                     members.ownLeaderRevision());
-            answer(store.grantLease(grant.term()), LeaseInput.Granted::new);
+            feedAnswer(store.grantLease(grant.term()), LeaseInput.Granted::new);
         } else if (action instanceof LeaseAction.Acquire acquire) {
-            answer(acquire(acquire.lease()), this::acquired);
+            feedAnswer(acquire(acquire.lease()), this::acquired);
         } else if (action instanceof LeaseAction.Keep keep) {
-            answer(
+            feedAnswer(
                     store.keepAlive(keep.lease()),
                     alive -> new LeaseInput.Kept(alive, keep.askedAt()));
         } else if (action instanceof LeaseAction.Revoke revoke) {
@@ -220,7 +221,7 @@
         return new LeaseInput.Acquired(result.committed());
     }
 
-    private <T> void answer(CompletionStage<T> stage, Function<T, LeaseInput> input) {
+    private <T> void feedAnswer(CompletionStage<T> stage, Function<T, LeaseInput> input) {
         stage.whenComplete(
                 (value, failure) ->
                         control.run(
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LoadCoordinator.java
@@ -31,8 +31,8 @@
  * Runs the {@link LoadPlanner} while this router is the leader: passes it its inputs, and carries
  * out its actions, such as orders to load and unload models. Control thread only.
  */
-final class OrderLeader implements OrderLease.Listener {
-    private static final Logger LOG = LogManager.getLogger(OrderLeader.class);
+final class LoadCoordinator implements LeaderLease.Listener {
+    private static final Logger LOG = LogManager.getLogger(LoadCoordinator.class);
     private static final Duration TICK = Duration.ofMillis(20);
 
     private static final Duration EXPLAIN_GAP = Duration.ofSeconds(1);
@@ -59,10 +59,10 @@
 
     private final ControlThread control;
     private final UpstreamTable upstreams;
-    private final OrderLease lease;
-    private final OrderCalls calls;
+    private final LeaderLease lease;
+    private final OrderClient calls;
     private final VmId self;
-    private final LeaderNews news;
+    private final LeaderAnnouncements news;
     private final LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
     private final Map<UpstreamId, HeldModels> changed = new HashMap<>();
     private Runnable told = () -> {};
@@ -71,13 +71,13 @@
     private long restUntilNanos = System.nanoTime();
     private Instant explainedAt = Instant.EPOCH;
 
-    OrderLeader(
+    LoadCoordinator(
             ControlThread control,
             UpstreamTable upstreams,
-            OrderLease lease,
-            OrderCalls calls,
+            LeaderLease lease,
+            OrderClient calls,
             VmId self,
-            LeaderNews news) {
+            LeaderAnnouncements news) {
         this.control = control;
         this.upstreams = upstreams;
         this.lease = lease;
@@ -93,50 +93,50 @@
     }
 
     /** Registers the gauges for unmet demand and for the use of the weight store. */
-    void show(Metrics metrics) {
-        metrics.gauge("models_waited_for", () -> unmet().models());
-        metrics.gauge("oldest_model_wait_ms", () -> unmet().longestWait().toMillis());
+    void registerMetrics(Metrics metrics) {
+        metrics.gauge("models_waited_for", () -> unmetDemand().models());
+        metrics.gauge("oldest_model_wait_ms", () -> unmetDemand().longestWait().toMillis());
         metrics.gauge("store_loads_running", () -> planner.storeUsage().runningLoads());
         metrics.gauge("store_loads_at_full_speed", () -> planner.storeUsage().fullSpeedLoads());
     }
 
-    private UnmetDemand unmet() {
+    private UnmetDemand unmetDemand() {
         return lease.held() ? planner.unmetDemand(control.clock().instant()) : UnmetDemand.NONE;
     }
 
-    void configured(DirectConfiguration configuration) {
+    void configurationChanged(DirectConfiguration configuration) {
         Map<String, EngineSpec> engines = new HashMap<>();
         for (ServiceSpec service : configuration.modelServices()) {
             engines.put(service.name(), service.engine().orElseThrow());
         }
         feed(new LoadInput.ServicesConfigured(engines));
-        upstreams.all().forEach(each -> listed(each.facts()));
+        upstreams.all().forEach(each -> upstreamListed(each.facts()));
     }
 
-    void listed(UpstreamFacts facts) {
+    void upstreamListed(UpstreamFacts facts) {
         feed(new LoadInput.UpstreamListed(facts));
     }
 
     /** Replaces the set of drained availability zones. */
-    void zonesDrained(Set<String> zones) {
+    void drainedZonesChanged(Set<String> zones) {
         feed(new LoadInput.DrainedZonesChanged(zones));
     }
 
-    void gone(UpstreamId upstream) {
+    void upstreamRemoved(UpstreamId upstream) {
         feed(new LoadInput.UpstreamRemoved(upstream));
     }
 
-    void demanded(LoadInput.DemandReported demanded) {
+    void demandReported(LoadInput.DemandReported demanded) {
         feed(demanded);
     }
 
     /** Records that another router had no answer to a load order. */
-    void unanswered(UnansweredLoadOrder load) {
+    void unansweredLoadAnnounced(UnansweredLoadOrder load) {
         feed(new LoadInput.UnansweredLoadAnnounced(load));
     }
 
     /** Returns the models that each upstream holds; empty if this router is not the leader. */
-    Map<UpstreamId, HeldModels> allNews() {
+    Map<UpstreamId, HeldModels> heldModels() {
         Map<UpstreamId, HeldModels> all = new HashMap<>();
         if (lease.held()) {
             upstreams.all().forEach(each -> all.put(each.facts().id(), each.held()));
@@ -153,7 +153,7 @@
         ticking = control.every(TICK, this::tick);
         // Through the store alone the others would learn of the election most of a second later,
         // and would report their demand to nobody until then.
-        news.tell(lease.fencing(), Map.of());
+        news.announceHeldModels(lease.fencing(), Map.of());
         feed(new LoadInput.Elected());
     }
 
@@ -187,22 +187,22 @@
 
     private void carryOut(LoadAction action) {
         if (action instanceof LoadAction.SendOrder order) {
-            give(order);
+            sendOrder(order);
         } else if (action instanceof LoadAction.RequestReport ask) {
-            askReport(ask.upstream());
+            requestReport(ask.upstream());
         } else if (action instanceof LoadAction.AnnounceUnansweredLoad open) {
-            news.tellOpen(open.load());
+            news.announceUnansweredLoad(open.load());
         } else if (action instanceof LoadAction.AnnounceHeldModels tell) {
-            tell(tell);
+            announce(tell);
         }
     }
 
     // The lease is checked again for every order: the VM may have been suspended since the planner
     // decided on it.
-    private void give(LoadAction.SendOrder order) {
+    private void sendOrder(LoadAction.SendOrder order) {
         Optional<Upstream> to = upstreams.find(order.upstream());
         if (!lease.held() || to.isEmpty()) {
-            control.run(() -> answered(order, OrderOutcome.REFUSED));
+            control.run(() -> orderAnswered(order, OrderOutcome.REFUSED));
             return;
         }
         Dialect.Order body =
@@ -213,7 +213,7 @@
                         lease.fencing(),
                         order.sequence());
         long began = System.nanoTime();
-        calls.order(
+        calls.sendOrder(
                 to.get().facts(),
                 body,
                 outcome -> {
@@ -228,24 +228,24 @@
                             to.get().held().adapters().keySet(),
                             outcome,
                             (System.nanoTime() - began) / 1_000_000);
-                    answered(order, outcome);
+                    orderAnswered(order, outcome);
                 });
     }
 
-    private void answered(LoadAction.SendOrder order, OrderOutcome outcome) {
+    private void orderAnswered(LoadAction.SendOrder order, OrderOutcome outcome) {
         if (outcome == OrderOutcome.FENCED) {
             lease.resign("an upstream has seen a higher fencing token");
         }
         feed(new LoadInput.OrderAnswered(order.upstream(), order.number(), outcome));
     }
 
-    private void askReport(UpstreamId id) {
+    private void requestReport(UpstreamId id) {
         Optional<Upstream> to = upstreams.find(id);
         if (to.isEmpty()) {
             feed(new LoadInput.UpstreamRemoved(id));
             return;
         }
-        calls.report(
+        calls.requestReport(
                 to.get().facts(),
                 report ->
                         feed(
@@ -253,20 +253,20 @@
                                         .orElse(new LoadInput.ReportFailed(id))));
     }
 
-    private void tell(LoadAction.AnnounceHeldModels tell) {
+    private void announce(LoadAction.AnnounceHeldModels tell) {
         upstreams
                 .find(tell.upstream())
                 .ifPresent(each -> each.leaderAnnounced(tell.held(), control.clock().instant()));
         changed.put(tell.upstream(), tell.held());
         if (!flushing) {
             flushing = true;
-            control.after(NEWS_GAP, this::flush);
+            control.after(NEWS_GAP, this::sendAnnouncements);
         }
     }
 
-    private void flush() {
+    private void sendAnnouncements() {
         flushing = false;
-        news.tell(lease.fencing(), Map.copyOf(changed));
+        news.announceHeldModels(lease.fencing(), Map.copyOf(changed));
         changed.clear();
         told.run();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LostUpstreams.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LostUpstreamAnnouncer.java
@@ -10,7 +10,7 @@
  * again a second later is cold. In a large fleet, most routers have not used it in between; without
  * the announcement, each of them would send it some of its queued requests. Control thread only.
  */
-final class LostUpstreams {
+final class LostUpstreamAnnouncer {
     private final InstantSource clock;
     private final UpstreamTable upstreams;
     private final Wire wire;
@@ -18,22 +18,22 @@
     /** Sends the announcements to other routers. */
     interface Wire {
         /** Announces a lost upstream to the routers that pass the announcement on to all. */
-        void tellLost(UpstreamId upstream, long startedAt);
+        void announceLost(UpstreamId upstream, long startedAt);
 
         /** Announces a lost upstream to all, if this router passes announcements on. */
-        void passLostOn(UpstreamId upstream, long startedAt);
+        void forwardLost(UpstreamId upstream, long startedAt);
     }
 
-    LostUpstreams(InstantSource clock, UpstreamTable upstreams, Wire wire) {
+    LostUpstreamAnnouncer(InstantSource clock, UpstreamTable upstreams, Wire wire) {
         this.clock = clock;
         this.upstreams = upstreams;
         this.wire = wire;
     }
 
     /** Records that this router can't reach the upstream, or that a connection to it broke. */
-    void lost(Upstream upstream) {
+    void connectionLost(Upstream upstream) {
         if (upstream.connectionLost(clock.instant())) {
-            wire.tellLost(upstream.facts().id(), upstream.facts().held().startedAt());
+            wire.announceLost(upstream.facts().id(), upstream.facts().held().startedAt());
         }
     }
 
@@ -41,12 +41,12 @@
      * Records that another router lost the incarnation of the upstream that started at {@code
      * startedAt}; {@code passOn} if this router is to pass the announcement on to all.
      */
-    void told(UpstreamId id, long startedAt, boolean passOn) {
+    void lossAnnounced(UpstreamId id, long startedAt, boolean passOn) {
         upstreams
                 .find(id)
                 .filter(upstream -> upstream.facts().held().startedAt() == startedAt)
                 .filter(upstream -> upstream.connectionLost(clock.instant()))
                 .filter(any -> passOn)
-                .ifPresent(any -> wire.passLostOn(id, startedAt));
+                .ifPresent(any -> wire.forwardLost(id, startedAt));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
@@ -98,12 +98,12 @@
     }
 
     /** Runs {@code action} for each quarantined request in the store, with its count of trials. */
-    void onKeptOut(BiConsumer<RequestDigest, Integer> action) {
+    void onQuarantined(BiConsumer<RequestDigest, Integer> action) {
         keptOut = action;
     }
 
     /** Returns the key prefix of quarantined requests. */
-    String keptOutPrefix() {
+    String quarantinePrefix() {
         return prefix + KEPT_OUT;
     }
 
@@ -123,7 +123,7 @@
     }
 
     /** Records that a router announced itself as leader, before the store's change arrives. */
-    void announced(VmId by) {
+    void leaderAnnounced(VmId by) {
         leader = Optional.of(by);
         LOG.info("leader: {} (by its own announcement)", by);
     }
@@ -131,7 +131,7 @@
     /**
      * Records that a leader resigned and its lease is revoked, before the store's change arrives.
      */
-    void vacated(VmId by) {
+    void leaderResigned(VmId by) {
         if (leader.isPresent() && leader.get().equals(by)) {
             leader = Optional.empty();
             leaderRevision = 0;
@@ -151,7 +151,7 @@
      * Returns true if the store has no leader entry, or one of an earlier incarnation of this
      * router. That incarnation is over, and the expiry of its lease need not be awaited.
      */
-    boolean vacant() {
+    boolean isLeadershipVacant() {
         return follower.upToDate() && (leader.isEmpty() || leader.get().equals(self.vm()));
     }
 
@@ -176,17 +176,17 @@
      * Returns the routers from which this one fetches changes in the store; empty if it watches the
      * store itself.
      */
-    List<VmId> sources() {
+    List<VmId> relays() {
         return plan.sources(self.vm(), AvailabilityZone.of(self.zone()));
     }
 
     /** Returns true if this router is one of those that watch the store on behalf of all. */
-    boolean watches() {
+    boolean watchesStore() {
         return plan.watches(self.vm());
     }
 
     /** Returns the VM ids of all routers in the list. */
-    Collection<VmId> routers() {
+    Collection<VmId> routerIds() {
         return routers.keySet();
     }
 
@@ -196,7 +196,7 @@
     }
 
     /** Revokes this router's entry, so that no other router relies on it. */
-    void leave() {
+    void deregister() {
         leaving = true;
         if (lease != 0) {
             store.revokeLease(lease);
@@ -237,10 +237,10 @@
             return;
         }
         store.grantLease(TERM)
-                .whenComplete((granted, failure) -> control.run(() -> granted(granted)));
+                .whenComplete((granted, failure) -> control.run(() -> leaseGranted(granted)));
     }
 
-    private void granted(Long granted) {
+    private void leaseGranted(Long granted) {
         if (granted == null) {
             control.after(RETRY, this::register);
             return;
@@ -248,13 +248,14 @@
         lease = granted;
         String key = prefix + ROUTERS + self.vm();
         store.commit(List.of(), List.of(new Write.Put(key, self.toJson(), lease)))
-                .whenComplete((result, failure) -> control.run(() -> written(failure == null)));
+                .whenComplete(
+                        (result, failure) -> control.run(() -> entryWritten(failure == null)));
     }
 
-    private void written(boolean done) {
+    private void entryWritten(boolean done) {
         if (done) {
-            control.after(KEEP, this::keep);
-            hearOfSelf();
+            control.after(KEEP, this::keepAlive);
+            fetchOwnEntry();
         } else {
             control.after(RETRY, this::register);
         }
@@ -262,23 +263,24 @@
 
     // While this router is not on its own list it may spend no rate share, and would reject
     // requests until the next change arrives; so its own entry is fetched at once.
-    private void hearOfSelf() {
+    private void fetchOwnEntry() {
         follower.whenKnown(control.clock().instant(), RETRY, known -> {});
     }
 
-    private void keep() {
+    private void keepAlive() {
         if (leaving) {
             return;
         }
         store.keepAlive(lease)
-                .whenComplete((alive, failure) -> control.run(() -> kept(failure != null, alive)));
+                .whenComplete(
+                        (alive, failure) -> control.run(() -> keptAlive(failure != null, alive)));
     }
 
-    private void kept(boolean failed, Boolean alive) {
+    private void keptAlive(boolean failed, Boolean alive) {
         if (failed) {
-            control.after(RETRY, this::keep);
+            control.after(RETRY, this::keepAlive);
         } else if (alive) {
-            control.after(KEEP, this::keep);
+            control.after(KEEP, this::keepAlive);
         } else {
             LOG.info("the lease of this router's entry expired, registering again");
             register();
@@ -288,7 +290,7 @@
     /** Applies changes in the fleet's entries. */
     private final class Listener implements ChangeListener {
         private void putKeptOut(Entry entry) {
-            String digest = entry.key().substring(keptOutPrefix().length());
+            String digest = entry.key().substring(quarantinePrefix().length());
             String trials = new String(entry.value(), StandardCharsets.UTF_8);
             try {
                 keptOut.accept(new RequestDigest(digest), Integer.parseInt(trials));
@@ -325,7 +327,7 @@
                 LOG.info("leader: {}", leader.map(VmId::value).orElse("none"));
                 return;
             }
-            if (key.startsWith(keptOutPrefix())) {
+            if (key.startsWith(quarantinePrefix())) {
                 entry.ifPresent(this::putKeptOut);
                 return;
             }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourCrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourCrashNews.java
@@ -40,29 +40,29 @@
 
     @Override
     public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-        wire.toWatchers(NeighbourFrames.ended(end, ago, ran));
+        wire.toWatchers(PeerRouterFrames.upstreamCrash(end, ago, ran));
     }
 
     @Override
     public void found(UpstreamCrash end) {
-        wire.throughWatchers(passOn -> NeighbourFrames.found(end, passOn));
+        wire.throughWatchers(passOn -> PeerRouterFrames.crashDetected(end, passOn));
     }
 
     @Override
     public void passEndOn(UpstreamCrash end) {
         if (wire.passesOn()) {
-            wire.toAll(NeighbourFrames.found(end, false));
+            wire.toAll(PeerRouterFrames.crashDetected(end, false));
         }
     }
 
     @Override
     public void watched(RequestDigest request) {
-        wire.toAll(NeighbourFrames.suspect(request, SuspectRequest.State.WATCHED));
+        wire.toAll(PeerRouterFrames.suspect(request, SuspectRequest.State.WATCHED));
     }
 
     @Override
     public void keptOut(Quarantine.Entry entry) {
-        wire.toAll(NeighbourFrames.keptOut(entry, clock.instant()));
+        wire.toAll(PeerRouterFrames.quarantined(entry, clock.instant()));
     }
 
     @Override
@@ -72,21 +72,21 @@
 
     @Override
     public void refused(Quarantine.Entry entry) {
-        wire.toWatchers(NeighbourFrames.keptOut(entry, clock.instant()));
+        wire.toWatchers(PeerRouterFrames.quarantined(entry, clock.instant()));
     }
 
     @Override
     public void cleared(RequestDigest request, Duration sentAgo) {
-        wire.toAll(NeighbourFrames.cleared(request, sentAgo));
+        wire.toAll(PeerRouterFrames.cleared(request, sentAgo));
     }
 
     @Override
     public void succeededBefore(RequestDigest request, Duration ago) {
-        wire.toWatchers(NeighbourFrames.succeededBefore(request, ago));
+        wire.toWatchers(PeerRouterFrames.succeededBefore(request, ago));
     }
 
     @Override
     public void borne(RequestDigest request, int times) {
-        wire.toWatchers(NeighbourFrames.borne(request, times));
+        wire.toWatchers(PeerRouterFrames.survivedRuns(request, times));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OrderClient.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Calls upstreams for the leader: {@code calls.order(upstream, order, outcome -> ...)}. */
-interface OrderCalls {
+/** Calls upstreams for the leader: {@code client.sendOrder(upstream, order, outcome -> ...)}. */
+interface OrderClient {
     /**
      * Sends an order. {@code then} runs once, with {@code UNKNOWN} if no answer arrives before the
      * timeout.
      */
-    void order(UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then);
+    void sendOrder(UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then);
 
     /** Requests a report; it is empty if none arrives in time or it can't be parsed. */
-    void report(UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then);
+    void requestReport(UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerMessageHandler.java
@@ -23,7 +23,7 @@
  * Dispatches the messages of peer routers to the classes that handle them, and answers requests for
  * a configuration, departures or changes in the store that a peer lacks. Control thread only.
  */
-final class NeighbourNews implements Neighbours.Listener {
+final class PeerMessageHandler implements PeerRouters.Listener {
     private final Parts parts;
     private final Runnable replicasChanged;
     private long highestFencing;
@@ -31,14 +31,14 @@
     /** The classes that messages are dispatched to. */
     record Parts(
             InstantSource clock,
-            Neighbours neighbours,
+            PeerRouters neighbours,
             Membership members,
-            OrderLeader leader,
-            OrderHandOver handOver,
+            LoadCoordinator leader,
+            LeaderHandOver handOver,
             CrashWatch crashes,
-            LostUpstreams lost,
+            LostUpstreamAnnouncer lost,
             LimitedUpstreams limits,
-            DemandReports reports,
+            DemandReporter reports,
             ConfigurationHolder configuration,
             ZoneDrains drains,
             UpstreamTable upstreams,
@@ -46,26 +46,27 @@
             Map<String, Follower> followed,
             StoreRelays relays) {}
 
-    NeighbourNews(Parts parts, Runnable replicasChanged) {
+    PeerMessageHandler(Parts parts, Runnable replicasChanged) {
         this.parts = parts;
         this.replicasChanged = replicasChanged;
     }
 
     @Override
-    public void reported(LoadInput.DemandReported demanded, RouterStanding standing) {
-        parts.leader().demanded(demanded);
+    public void reportReceived(LoadInput.DemandReported demanded, RouterStatus standing) {
+        parts.leader().demandReported(demanded);
         parts.drains().told(standing.drains());
-        if (standing.configuration() > parts.configuration().revision()) {
-            parts.neighbours().ask(demanded.router(), parts.configuration().revision());
+        if (standing.configurationRevision() > parts.configuration().revision()) {
+            parts.neighbours()
+                    .fetchConfiguration(demanded.router(), parts.configuration().revision());
         }
-        if (parts.upstreamFollower().needsTelling(standing.upstreams())) {
+        if (parts.upstreamFollower().needsTelling(standing.upstreamsRevision())) {
             parts.neighbours()
-                    .askDepartures(demanded.router(), parts.upstreamFollower().knownUpTo());
+                    .fetchDepartures(demanded.router(), parts.upstreamFollower().knownUpTo());
         }
     }
 
     @Override
-    public void askedDepartures(VmId from, long newerThan) {
+    public void departuresRequested(VmId from, long newerThan) {
         List<UpstreamDeparture> departures = parts.upstreams().departures(newerThan);
         if (!departures.isEmpty()) {
             parts.neighbours().sendDepartures(from, departures);
@@ -73,72 +74,72 @@
     }
 
     @Override
-    public void departures(List<UpstreamDeparture> departures) {
+    public void departuresReceived(List<UpstreamDeparture> departures) {
         parts.upstreamFollower().told(departures);
     }
 
     @Override
-    public void linked() {
-        parts.reports().tellAll();
+    public void linkOpened() {
+        parts.reports().announceHeldModels();
         parts.crashes().tellAll();
     }
 
     @Override
-    public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+    public void upstreamCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         parts.crashes().told(end, ago, ran);
     }
 
     @Override
-    public void found(UpstreamCrash end, boolean passOn) {
+    public void crashDetected(UpstreamCrash end, boolean passOn) {
         parts.crashes().toldEnd(end, passOn);
     }
 
     @Override
-    public void lost(UpstreamId upstream, long startedAt, boolean passOn) {
-        parts.lost().told(upstream, startedAt, passOn);
+    public void upstreamLost(UpstreamId upstream, long startedAt, boolean passOn) {
+        parts.lost().lossAnnounced(upstream, startedAt, passOn);
     }
 
     @Override
-    public void limited(LimitedUpstreams.News news, boolean passOn) {
+    public void upstreamLimited(LimitedUpstreams.News news, boolean passOn) {
         parts.limits().told(news, passOn);
     }
 
     @Override
-    public void watched(RequestDigest request) {
+    public void requestWatched(RequestDigest request) {
         parts.crashes().toldWatched(request);
     }
 
     @Override
-    public void keptOut(Quarantine.Entry entry) {
+    public void requestQuarantined(Quarantine.Entry entry) {
         parts.crashes().told(entry);
     }
 
     @Override
-    public void cleared(RequestDigest request, Duration sentAgo) {
+    public void requestCleared(RequestDigest request, Duration sentAgo) {
         parts.crashes().toldCleared(request, sentAgo);
     }
 
     @Override
-    public void succeededBefore(RequestDigest request, Duration ago) {
+    public void requestSucceededBefore(RequestDigest request, Duration ago) {
         parts.crashes().toldSucceededBefore(request, ago);
     }
 
     @Override
-    public void borne(RequestDigest request, int times) {
+    public void requestSurvived(RequestDigest request, int times) {
         parts.crashes().toldBorne(request, times);
     }
 
     @Override
-    public void told(VmId from, long fencing, Map<UpstreamId, HeldModels> held) {
+    public void heldModelsAnnounced(VmId from, long fencing, Map<UpstreamId, HeldModels> held) {
         if (fencing < highestFencing) {
             return;
         }
         if (fencing > highestFencing) {
-            parts.members().announced(from);
+            parts.members().leaderAnnounced(from);
             parts.neighbours().refresh();
             // A leader that doesn't watch the store on behalf of all routers has received no demand
             // reports before its election.
-            parts.reports().reportAnew();
+            parts.reports().reportToNewLeader();
         }
         highestFencing = fencing;
         held.forEach(
@@ -153,12 +154,12 @@
     }
 
     @Override
-    public void unanswered(UnansweredLoadOrder load) {
-        parts.leader().unanswered(load);
+    public void unansweredLoadAnnounced(UnansweredLoadOrder load) {
+        parts.leader().unansweredLoadAnnounced(load);
     }
 
     @Override
-    public void askedChanges(
+    public void changesRequested(
             String prefix, long after, Duration wait, Consumer<Optional<Changes>> told) {
         Follower follower = parts.followed().get(prefix);
         if (follower == null) {
@@ -169,17 +170,17 @@
     }
 
     @Override
-    public void changes(VmId from, long number, Optional<Changes> told) {
+    public void changesReceived(VmId from, long number, Optional<Changes> told) {
         parts.relays().answered(from, number, told);
     }
 
     @Override
-    public void leaseEnded(VmId by, long lease) {
-        parts.handOver().ended(by, lease);
+    public void leaseEndRequested(VmId by, long lease) {
+        parts.handOver().revokeLease(by, lease);
     }
 
     @Override
-    public void asked(VmId from, long newerThan) {
+    public void configurationRequested(VmId from, long newerThan) {
         if (parts.configuration().revision() > newerThan) {
             parts.neighbours()
                     .sendConfiguration(
@@ -188,7 +189,7 @@
     }
 
     @Override
-    public void configuration(long revision, byte[] value) {
+    public void configurationReceived(long revision, byte[] value) {
         parts.configuration().offer(value, revision, "another router");
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouterFrames.java
@@ -44,22 +44,22 @@
 import java.util.TreeMap;
 
 /** Converts the messages that direct routers exchange to frames of the peer protocol and back. */
-final class NeighbourFrames {
-    private NeighbourFrames() {}
+final class PeerRouterFrames {
+    private PeerRouterFrames() {}
 
     static Frame report(
-            long number, LoadInput.DemandReported demanded, RouterStanding standing, Instant now) {
+            long number, LoadInput.DemandReported demanded, RouterStatus standing, Instant now) {
         RouterReport.Builder report =
                 RouterReport.newBuilder()
                         .setNumber(number)
-                        .setConfigurationRevision(standing.configuration())
-                        .setUpstreamsRevision(standing.upstreams())
+                        .setConfigurationRevision(standing.configurationRevision())
+                        .setUpstreamsRevision(standing.upstreamsRevision())
                         .setDrainsRevision(standing.drains().revision())
                         .setStoreUp(standing.storeUp())
-                        .setLateMs((int) standing.late().toMillis());
+                        .setLateMs((int) standing.lag().toMillis());
         standing.drains()
                 .notBefore()
-                .forEach((zone, at) -> report.addDrainedZones(drained(zone, at, now)));
+                .forEach((zone, at) -> report.addDrainedZones(drainedZone(zone, at, now)));
         demanded.demands().forEach(want -> report.addDemand(demand(want)));
         demanded.running()
                 .forEach(
@@ -72,34 +72,34 @@
         return Frame.newBuilder().setRouterReport(report).build();
     }
 
-    private static DrainedZone drained(String zone, Instant notBefore, Instant now) {
+    private static DrainedZone drainedZone(String zone, Instant notBefore, Instant now) {
         boolean known = !notBefore.equals(Instant.MIN);
         long ago = known ? Duration.between(notBefore, now).toMillis() : Long.MAX_VALUE;
         return DrainedZone.newBuilder().setZone(zone).setAskedMsAgo(ago).build();
     }
 
-    static RouterStanding standing(RouterReport report, Instant now) {
+    static RouterStatus status(RouterReport report, Instant now) {
         Map<String, Instant> drained = new HashMap<>();
         for (DrainedZone line : report.getDrainedZonesList()) {
             boolean known = line.getAskedMsAgo() != Long.MAX_VALUE;
             Instant notBefore = known ? now.minusMillis(line.getAskedMsAgo()) : Instant.MIN;
             drained.put(line.getZone(), notBefore);
         }
-        return new RouterStanding(
+        return new RouterStatus(
                 report.getConfigurationRevision(),
                 report.getUpstreamsRevision(),
-                new RouterStanding.Drains(report.getDrainsRevision(), drained),
+                new RouterStatus.Drains(report.getDrainsRevision(), drained),
                 report.getStoreUp(),
                 Duration.ofMillis(report.getLateMs()));
     }
 
-    static Frame news(long fencing, Map<UpstreamId, HeldModels> held) {
+    static Frame replicaNews(long fencing, Map<UpstreamId, HeldModels> held) {
         ReplicaNews.Builder news = ReplicaNews.newBuilder().setFencing(fencing);
-        held.forEach((upstream, models) -> news.addUpstreams(held(upstream, models)));
+        held.forEach((upstream, models) -> news.addUpstreams(heldModels(upstream, models)));
         return Frame.newBuilder().setReplicaNews(news).build();
     }
 
-    static Frame open(UnansweredLoadOrder load, Instant now) {
+    static Frame unansweredLoad(UnansweredLoadOrder load, Instant now) {
         UnansweredLoad line =
                 UnansweredLoad.newBuilder()
                         .setUpstream(load.upstream().value())
@@ -112,7 +112,7 @@
         return Frame.newBuilder().setUnansweredLoad(line).build();
     }
 
-    static UnansweredLoadOrder open(UnansweredLoad line, Instant now) {
+    static UnansweredLoadOrder unansweredLoad(UnansweredLoad line, Instant now) {
         return new UnansweredLoadOrder(
                 UpstreamId.of(line.getUpstream()),
                 line.getLife(),
@@ -121,7 +121,7 @@
                 now.minusMillis(line.getAgeMs()));
     }
 
-    static Frame ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+    static Frame upstreamCrash(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         UpstreamEnded.Builder ended =
                 UpstreamEnded.newBuilder()
                         .setUpstream(end.upstream().value())
@@ -136,11 +136,11 @@
         return Frame.newBuilder().setUpstreamEnded(ended).build();
     }
 
-    static UpstreamCrash end(UpstreamEnded ended) {
+    static UpstreamCrash crash(UpstreamEnded ended) {
         return new UpstreamCrash(UpstreamId.of(ended.getUpstream()), ended.getStartedAt());
     }
 
-    static Map<RequestDigest, Duration> ran(UpstreamEnded ended) {
+    static Map<RequestDigest, Duration> runTimes(UpstreamEnded ended) {
         Map<RequestDigest, Duration> ran = new HashMap<>();
         for (CutRequest each : ended.getRequestsList()) {
             ran.put(new RequestDigest(each.getRequest()), Duration.ofMillis(each.getRanMs()));
@@ -175,7 +175,7 @@
         return lost(new UpstreamCrash(upstream, startedAt), passOn, false);
     }
 
-    static Frame found(UpstreamCrash end, boolean passOn) {
+    static Frame crashDetected(UpstreamCrash end, boolean passOn) {
         return lost(end, passOn, true);
     }
 
@@ -194,7 +194,7 @@
         return suspect(SuspectRequest.newBuilder().setRequest(request.value()).setState(state));
     }
 
-    static Frame borne(RequestDigest request, int times) {
+    static Frame survivedRuns(RequestDigest request, int times) {
         return suspect(
                 SuspectRequest.newBuilder()
                         .setRequest(request.value())
@@ -218,7 +218,7 @@
                         .setSentMsAgo(sentAgo.toMillis()));
     }
 
-    static Frame keptOut(Quarantine.Entry entry, Instant now) {
+    static Frame quarantined(Quarantine.Entry entry, Instant now) {
         return suspect(
                 SuspectRequest.newBuilder()
                         .setRequest(entry.request().value())
@@ -228,7 +228,7 @@
                         .setEndedMsAgo(millisBetween(entry.lastCrashAt(), now)));
     }
 
-    static Quarantine.Entry keptOut(SuspectRequest line, Instant now) {
+    static Quarantine.Entry quarantined(SuspectRequest line, Instant now) {
         return new Quarantine.Entry(
                 new RequestDigest(line.getRequest()),
                 now.plusMillis(line.getLeftMs()),
@@ -274,12 +274,12 @@
         } else {
             answer.setRevision(told.get().revision());
             answer.setAgeMs((int) told.get().age().toMillis());
-            told.get().changes().forEach(change -> answer.addChanges(line(change)));
+            told.get().changes().forEach(change -> answer.addChanges(storeChange(change)));
         }
         return Frame.newBuilder().setStoreChanges(answer).build();
     }
 
-    private static StoreChange line(Change change) {
+    private static StoreChange storeChange(Change change) {
         StoreChange.Builder line =
                 StoreChange.newBuilder().setKey(change.key()).setRevision(change.revision());
         change.entry()
@@ -295,7 +295,7 @@
             return Optional.empty();
         }
         List<Change> changes =
-                answer.getChangesList().stream().map(NeighbourFrames::change).toList();
+                answer.getChangesList().stream().map(PeerRouterFrames::change).toList();
         Duration age = Duration.ofMillis(answer.getAgeMs());
         return Optional.of(new Changes(changes, answer.getRevision(), age));
     }
@@ -335,7 +335,8 @@
                 .build();
     }
 
-    private static io.damaskyoke.peer.wire.HeldModels held(UpstreamId upstream, HeldModels held) {
+    private static io.damaskyoke.peer.wire.HeldModels heldModels(
+            UpstreamId upstream, HeldModels held) {
         var line =
                 io.damaskyoke.peer.wire.HeldModels.newBuilder()
                         .setUpstream(upstream.value())
@@ -351,7 +352,7 @@
         return line.build();
     }
 
-    static LoadInput.DemandReported demanded(VmId from, RouterReport report) {
+    static LoadInput.DemandReported demandReported(VmId from, RouterReport report) {
         List<LoadInput.ModelDemand> wants = new ArrayList<>();
         for (ModelDemand demand : report.getDemandList()) {
             wants.add(
@@ -384,7 +385,7 @@
                 .toList();
     }
 
-    static Map<UpstreamId, HeldModels> held(ReplicaNews news) {
+    static Map<UpstreamId, HeldModels> heldModels(ReplicaNews news) {
         Map<UpstreamId, HeldModels> all = new HashMap<>();
         for (var line : news.getUpstreamsList()) {
             Map<String, Set<String>> adapters = new TreeMap<>();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouters.java
@@ -44,8 +44,11 @@
  * Sends messages to the other direct routers, and passes those received to a {@link Listener}.
  * Control thread only, apart from the callbacks of {@link PeerListener}.
  */
-final class Neighbours
-        implements PeerListener, LeaderNews, LostUpstreams.Wire, LimitedUpstreams.Wire {
+final class PeerRouters
+        implements PeerListener,
+                LeaderAnnouncements,
+                LostUpstreamAnnouncer.Wire,
+                LimitedUpstreams.Wire {
     /** Twice the interval of at most 0.6 s at which routers report to the leader. */
     private static final Duration STORE_SEEN = Duration.ofMillis(1_200);
 
@@ -68,79 +71,79 @@
     /** Receives the messages of other routers. */
     interface Listener {
         /** A link to another router has opened; earlier messages were not sent over it. */
-        void linked();
+        void linkOpened();
 
         /** A router reported its demand for models, and the revisions that it knows. */
-        void reported(LoadInput.DemandReported demanded, RouterStanding standing);
+        void reportReceived(LoadInput.DemandReported demanded, RouterStatus standing);
 
         /**
          * A router fetches changes in the store; {@code told} takes the answer, empty to refuse.
          */
-        void askedChanges(
+        void changesRequested(
                 String prefix, long after, Duration wait, Consumer<Optional<Changes>> told);
 
         /** A router answered the fetch of changes that has this number. */
-        void changes(VmId from, long number, Optional<Changes> told);
+        void changesReceived(VmId from, long number, Optional<Changes> told);
 
         /** The leader with this fencing token announced the models that upstreams hold. */
-        void told(VmId leader, long fencing, Map<UpstreamId, HeldModels> held);
+        void heldModelsAnnounced(VmId leader, long fencing, Map<UpstreamId, HeldModels> held);
 
         /** A leader announced a load order that was not answered. */
-        void unanswered(UnansweredLoadOrder load);
+        void unansweredLoadAnnounced(UnansweredLoadOrder load);
 
         /** An upstream crashed {@code ago}; {@code ran} is how long each request had run there. */
-        void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
+        void upstreamCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
         /**
          * A router detected that an upstream crashed; {@code passOn} if this router is to pass the
          * announcement on to all others.
          */
-        void found(UpstreamCrash end, boolean passOn);
+        void crashDetected(UpstreamCrash end, boolean passOn);
 
         /** By a router's count, one more crash makes the request a poison request. */
-        void watched(RequestDigest request);
+        void requestWatched(RequestDigest request);
 
         /** A router quarantined the request. */
-        void keptOut(Quarantine.Entry entry);
+        void requestQuarantined(Quarantine.Entry entry);
 
         /** The request succeeded just now at a router, which had sent it {@code sentAgo}. */
-        void cleared(RequestDigest request, Duration sentAgo);
+        void requestCleared(RequestDigest request, Duration sentAgo);
 
         /** The request succeeded {@code ago} at a router. */
-        void succeededBefore(RequestDigest request, Duration ago);
+        void requestSucceededBefore(RequestDigest request, Duration ago);
 
         /** The request ran {@code times} times at a router without crashing the upstream. */
-        void borne(RequestDigest request, int times);
+        void requestSurvived(RequestDigest request, int times);
 
         /**
          * A router can't reach the incarnation of an upstream that started at {@code startedAt};
          * {@code passOn} if this router is to pass the announcement on to all others.
          */
-        void lost(UpstreamId upstream, long startedAt, boolean passOn);
+        void upstreamLost(UpstreamId upstream, long startedAt, boolean passOn);
 
         /**
          * An upstream declared its request limit; {@code passOn} if this router is to pass the
          * announcement on to all others.
          */
-        void limited(LimitedUpstreams.News news, boolean passOn);
+        void upstreamLimited(LimitedUpstreams.News news, boolean passOn);
 
         /** A router that was the leader under this lease resigned and can't reach the store. */
-        void leaseEnded(VmId by, long lease);
+        void leaseEndRequested(VmId by, long lease);
 
         /** A router fetches the configuration if its revision is above {@code newerThan}. */
-        void asked(VmId from, long newerThan);
+        void configurationRequested(VmId from, long newerThan);
 
         /** A router sent its configuration. */
-        void configuration(long revision, byte[] value);
+        void configurationReceived(long revision, byte[] value);
 
         /** A router fetches the upstream departures with a revision above {@code newerThan}. */
-        void askedDepartures(VmId from, long newerThan);
+        void departuresRequested(VmId from, long newerThan);
 
         /** A router sent upstream departures. */
-        void departures(List<UpstreamDeparture> departures);
+        void departuresReceived(List<UpstreamDeparture> departures);
     }
 
-    Neighbours(ControlThread control, Membership members) {
+    PeerRouters(ControlThread control, Membership members) {
         this.control = control;
         this.members = members;
     }
@@ -172,13 +175,13 @@
         addresses.putAll(now);
         addresses.forEach(
                 (vm, address) -> {
-                    if (speaksTo(vm)) {
+                    if (opensLinkTo(vm)) {
                         network.link(address);
                     }
                 });
     }
 
-    private boolean speaksTo(VmId vm) {
+    private boolean opensLinkTo(VmId vm) {
         boolean leads = members.leader().filter(vm::equals).isPresent();
         return leads || members.plan().watches(vm);
     }
@@ -186,9 +189,9 @@
     /**
      * Sends this router's report to one router, or to all that watch the store if none is given.
      */
-    void report(Optional<VmId> to, LoadInput.DemandReported demanded, RouterStanding standing) {
+    void report(Optional<VmId> to, LoadInput.DemandReported demanded, RouterStatus standing) {
         Frame frame =
-                NeighbourFrames.report(++number, demanded, standing, control.clock().instant());
+                PeerRouterFrames.report(++number, demanded, standing, control.clock().instant());
         if (to.isPresent()) {
             send(to.get(), frame);
         } else {
@@ -197,12 +200,12 @@
     }
 
     /** Fetches changes in the store from a router; returns false if there is no link to it. */
-    boolean askChanges(VmId relay, long asked, String prefix, long after, Duration wait) {
-        return send(relay, NeighbourFrames.changesFetch(asked, prefix, after, wait));
+    boolean fetchChanges(VmId relay, long asked, String prefix, long after, Duration wait) {
+        return send(relay, PeerRouterFrames.changesFetch(asked, prefix, after, wait));
     }
 
     /** Returns the smallest lag of a control thread that a router reported recently. */
-    Optional<Duration> leastLate() {
+    Optional<Duration> lowestReportedLag() {
         Instant now = control.clock().instant();
         return late.values().stream()
                 .filter(each -> now.isBefore(each.at().plus(LATE_SEEN)))
@@ -211,13 +214,13 @@
     }
 
     @Override
-    public void tell(long fencing, Map<UpstreamId, HeldModels> held) {
-        sendAll(NeighbourFrames.news(fencing, held));
+    public void announceHeldModels(long fencing, Map<UpstreamId, HeldModels> held) {
+        sendAll(PeerRouterFrames.replicaNews(fencing, held));
     }
 
     @Override
-    public void tellOpen(UnansweredLoadOrder load) {
-        sendAll(NeighbourFrames.open(load, control.clock().instant()));
+    public void announceUnansweredLoad(UnansweredLoadOrder load) {
+        sendAll(PeerRouterFrames.unansweredLoad(load, control.clock().instant()));
     }
 
     /** Returns the sender of announcements about requests that crash upstreams. */
@@ -237,42 +240,42 @@
 
                     @Override
                     public void throughWatchers(Function<Boolean, Frame> frame) {
-                        tellThroughWatchers(frame);
+                        announceThroughWatchers(frame);
                     }
 
                     @Override
                     public boolean passesOn() {
-                        return members.watches();
+                        return members.watchesStore();
                     }
                 });
     }
 
     @Override
-    public void tellLost(UpstreamId upstream, long startedAt) {
-        tellThroughWatchers(passOn -> NeighbourFrames.lost(upstream, startedAt, passOn));
+    public void announceLost(UpstreamId upstream, long startedAt) {
+        announceThroughWatchers(passOn -> PeerRouterFrames.lost(upstream, startedAt, passOn));
     }
 
     @Override
-    public void passLostOn(UpstreamId upstream, long startedAt) {
-        if (members.watches()) {
-            sendAll(NeighbourFrames.lost(upstream, startedAt, false));
+    public void forwardLost(UpstreamId upstream, long startedAt) {
+        if (members.watchesStore()) {
+            sendAll(PeerRouterFrames.lost(upstream, startedAt, false));
         }
     }
 
     @Override
     public void tellLimit(LimitedUpstreams.News news) {
-        tellThroughWatchers(passOn -> NeighbourFrames.limit(news, passOn));
+        announceThroughWatchers(passOn -> PeerRouterFrames.limit(news, passOn));
     }
 
     @Override
     public void passLimitOn(LimitedUpstreams.News news) {
-        if (members.watches()) {
-            sendAll(NeighbourFrames.limit(news, false));
+        if (members.watchesStore()) {
+            sendAll(PeerRouterFrames.limit(news, false));
         }
     }
 
     /** Returns a router that reached the store recently, if there is one. */
-    Optional<VmId> withStore() {
+    Optional<VmId> findRouterWithStore() {
         Instant now = control.clock().instant();
         return storeSeen.entrySet().stream()
                 .filter(entry -> addresses.containsKey(entry.getKey()))
@@ -282,12 +285,12 @@
     }
 
     /** Asks a router to revoke a lease of this router in the store. */
-    void endLease(VmId by, long lease) {
+    void requestLeaseEnd(VmId by, long lease) {
         LeaseEnd end = LeaseEnd.newBuilder().setLease(lease).build();
         send(by, Frame.newBuilder().setLeaseEnd(end).build());
     }
 
-    void ask(VmId from, long newerThan) {
+    void fetchConfiguration(VmId from, long newerThan) {
         StoredFetch fetch = StoredFetch.newBuilder().setNewerThan(newerThan).build();
         send(from, Frame.newBuilder().setStoredFetch(fetch).build());
     }
@@ -302,13 +305,13 @@
     }
 
     /** Asks a router which upstreams leave, beyond what is known here. */
-    void askDepartures(VmId from, long newerThan) {
+    void fetchDepartures(VmId from, long newerThan) {
         DepartureFetch fetch = DepartureFetch.newBuilder().setNewerThan(newerThan).build();
         send(from, Frame.newBuilder().setDepartureFetch(fetch).build());
     }
 
     void sendDepartures(VmId to, List<UpstreamDeparture> departures) {
-        send(to, NeighbourFrames.departures(departures));
+        send(to, PeerRouterFrames.departures(departures));
     }
 
     @Override
@@ -320,7 +323,7 @@
                             .map(VmId::of)
                             .ifPresent(vm -> links.put(vm, link));
                     if (listener != null) {
-                        listener.linked();
+                        listener.linkOpened();
                     }
                 });
     }
@@ -328,97 +331,103 @@
     @Override
     public void received(PeerLink link, Frame frame) {
         Optional<VmId> from = link.remote().map(Hello::getVm).map(VmId::of);
-        from.ifPresent(vm -> control.run(() -> take(vm, link, frame)));
+        from.ifPresent(vm -> control.run(() -> handle(vm, link, frame)));
     }
 
-    private void take(VmId from, PeerLink link, Frame frame) {
+    private void handle(VmId from, PeerLink link, Frame frame) {
         if (listener == null) {
             return;
         }
         if (frame.hasRouterReport()) {
             RouterReport report = frame.getRouterReport();
             Instant now = control.clock().instant();
-            RouterStanding standing = NeighbourFrames.standing(report, now);
-            noteStore(from, standing.storeUp());
-            late.put(from, new Late(standing.late(), now));
-            listener.reported(NeighbourFrames.demanded(from, report), standing);
+            RouterStatus standing = PeerRouterFrames.status(report, now);
+            recordStoreStatus(from, standing.storeUp());
+            late.put(from, new Late(standing.lag(), now));
+            listener.reportReceived(PeerRouterFrames.demandReported(from, report), standing);
         } else if (frame.hasReplicaNews()) {
-            listener.told(
+            listener.heldModelsAnnounced(
                     from,
                     frame.getReplicaNews().getFencing(),
-                    NeighbourFrames.held(frame.getReplicaNews()));
+                    PeerRouterFrames.heldModels(frame.getReplicaNews()));
         } else if (frame.hasUnansweredLoad()) {
             Instant now = control.clock().instant();
-            listener.unanswered(NeighbourFrames.open(frame.getUnansweredLoad(), now));
+            listener.unansweredLoadAnnounced(
+                    PeerRouterFrames.unansweredLoad(frame.getUnansweredLoad(), now));
         } else if (frame.hasSuspectRequest()) {
-            takeSuspect(frame.getSuspectRequest());
+            handleSuspectRequest(frame.getSuspectRequest());
         } else if (frame.hasLeaseEnd()) {
-            listener.leaseEnded(from, frame.getLeaseEnd().getLease());
+            listener.leaseEndRequested(from, frame.getLeaseEnd().getLease());
         } else if (frame.hasStoredFetch()) {
-            listener.asked(from, frame.getStoredFetch().getNewerThan());
+            listener.configurationRequested(from, frame.getStoredFetch().getNewerThan());
         } else if (frame.hasStoredNews()) {
             StoredNews news = frame.getStoredNews();
-            listener.configuration(news.getRevision(), news.getConfiguration().toByteArray());
+            listener.configurationReceived(
+                    news.getRevision(), news.getConfiguration().toByteArray());
         } else if (frame.hasDepartureFetch()) {
-            listener.askedDepartures(from, frame.getDepartureFetch().getNewerThan());
+            listener.departuresRequested(from, frame.getDepartureFetch().getNewerThan());
         } else if (frame.hasChangesFetch()) {
             ChangesFetch fetch = frame.getChangesFetch();
-            listener.askedChanges(
+            listener.changesRequested(
                     fetch.getPrefix(),
                     fetch.getAfter(),
                     Duration.ofMillis(fetch.getWaitMs()),
-                    told -> link.send(NeighbourFrames.changes(fetch.getNumber(), told)));
+                    told -> link.send(PeerRouterFrames.changes(fetch.getNumber(), told)));
         } else if (frame.hasStoreChanges()) {
             StoreChanges answer = frame.getStoreChanges();
-            listener.changes(from, answer.getNumber(), NeighbourFrames.changes(answer));
+            listener.changesReceived(from, answer.getNumber(), PeerRouterFrames.changes(answer));
         } else if (frame.hasDepartures()) {
-            listener.departures(NeighbourFrames.departures(frame.getDepartures()));
+            listener.departuresReceived(PeerRouterFrames.departures(frame.getDepartures()));
         } else {
-            takeUpstream(frame);
+            handleUpstreamFrame(frame);
         }
     }
 
-    private void takeUpstream(Frame frame) {
+    private void handleUpstreamFrame(Frame frame) {
         if (frame.hasUpstreamEnded()) {
             UpstreamEnded ended = frame.getUpstreamEnded();
-            listener.ended(
-                    NeighbourFrames.end(ended),
+            listener.upstreamCrashed(
+                    PeerRouterFrames.crash(ended),
                     Duration.ofMillis(ended.getEndedMsAgo()),
-                    NeighbourFrames.ran(ended));
+                    PeerRouterFrames.runTimes(ended));
         } else if (frame.hasLostUpstream()) {
-            takeLost(frame.getLostUpstream());
+            handleLostUpstream(frame.getLostUpstream());
         } else if (frame.hasUpstreamLimit()) {
             UpstreamLimit limit = frame.getUpstreamLimit();
-            listener.limited(NeighbourFrames.limit(limit), limit.getPassOn());
+            listener.upstreamLimited(PeerRouterFrames.limit(limit), limit.getPassOn());
         }
     }
 
-    private void takeLost(LostUpstream lost) {
+    private void handleLostUpstream(LostUpstream lost) {
         UpstreamId upstream = UpstreamId.of(lost.getUpstream());
         if (lost.getEnded()) {
-            listener.found(new UpstreamCrash(upstream, lost.getStartedAt()), lost.getPassOn());
+            listener.crashDetected(
+                    new UpstreamCrash(upstream, lost.getStartedAt()), lost.getPassOn());
         } else {
-            listener.lost(upstream, lost.getStartedAt(), lost.getPassOn());
+            listener.upstreamLost(upstream, lost.getStartedAt(), lost.getPassOn());
         }
     }
 
-    private void takeSuspect(SuspectRequest line) {
+    private void handleSuspectRequest(SuspectRequest line) {
         RequestDigest request = new RequestDigest(line.getRequest());
         switch (line.getState()) {
-            case WATCHED -> listener.watched(request);
-            case CLEARED -> listener.cleared(request, Duration.ofMillis(line.getSentMsAgo()));
+            case WATCHED -> listener.requestWatched(request);
+            case CLEARED ->
+                    listener.requestCleared(request, Duration.ofMillis(line.getSentMsAgo()));
             case SUCCEEDED ->
-                    listener.succeededBefore(request, Duration.ofMillis(line.getAnsweredMsAgo()));
-            case BORNE -> listener.borne(request, Math.max(1, line.getTimes()));
+                    listener.requestSucceededBefore(
+                            request, Duration.ofMillis(line.getAnsweredMsAgo()));
+            case BORNE -> listener.requestSurvived(request, Math.max(1, line.getTimes()));
             case KEPT_OUT ->
-                    listener.keptOut(NeighbourFrames.keptOut(line, control.clock().instant()));
+                    listener.requestQuarantined(
+                            PeerRouterFrames.quarantined(line, control.clock().instant()));
             default -> {
                 // A newer version may send states that this one doesn't know; they are ignored.
             }
         }
     }
 
-    private void noteStore(VmId router, boolean up) {
+    private void recordStoreStatus(VmId router, boolean up) {
         if (up) {
             storeSeen.put(router, control.clock().instant());
         } else {
@@ -428,8 +437,8 @@
 
     // In a large fleet, only the routers that watch the store on behalf of all have a link to every
     // other router.
-    private void tellThroughWatchers(Function<Boolean, Frame> frame) {
-        if (members.watches()) {
+    private void announceThroughWatchers(Function<Boolean, Frame> frame) {
+        if (members.watchesStore()) {
             sendAll(frame.apply(false));
         } else {
             sendToWatchers(frame.apply(true));
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/RouterStanding.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/RouterStatus.java
@@ -7,14 +7,18 @@
 /**
  * The part of a router's report that says how current its data is and how well it runs.
  *
- * @param configuration the revision of the configuration in force; 0 for none
- * @param upstreams the revision up to which the router knows the list of upstreams
+ * @param configurationRevision the revision of the configuration in force; 0 for none
+ * @param upstreamsRevision the revision up to which the router knows the list of upstreams
  * @param drains the drained availability zones that the router knows
  * @param storeUp whether the store answers the router
- * @param late the average lag of the router's control thread
+ * @param lag the average lag of the router's control thread
  */
-record RouterStanding(
-        long configuration, long upstreams, Drains drains, boolean storeUp, Duration late) {
+record RouterStatus(
+        long configurationRevision,
+        long upstreamsRevision,
+        Drains drains,
+        boolean storeUp,
+        Duration lag) {
     /**
      * The drained availability zones as of a revision of the store.
      *
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
@@ -18,7 +18,7 @@
 import org.apache.logging.log4j.Logger;
 
 /** Orders to upstreams and reports from them, over the traffic's own client. */
-final class UpstreamCalls implements OrderCalls {
+final class UpstreamCalls implements OrderClient {
     private static final Logger LOG = LogManager.getLogger(UpstreamCalls.class);
 
     /** Upstreams answer reports within a few milliseconds. */
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void order(UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then) {
+    public void sendOrder(UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then) {
         HttpHeaders headers = dialect.callHeaders(to.id());
         headers.set("Content-Type", "application/json");
         call(
@@ -62,7 +62,8 @@
     }
 
     @Override
-    public void report(UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then) {
+    public void requestReport(
+            UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then) {
         call(
                 from,
                 HttpMethod.GET,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
@@ -92,12 +92,12 @@
     }
 
     /** What this router knows, for others that the store doesn't tell. */
-    RouterStanding.Drains known() {
-        return new RouterStanding.Drains(revision, zones.all());
+    RouterStatus.Drains known() {
+        return new RouterStatus.Drains(revision, zones.all());
     }
 
     /** Another router says which zones are drained, and may know it better. */
-    void told(RouterStanding.Drains theirs) {
+    void told(RouterStatus.Drains theirs) {
         if (theirs.revision() <= revision) {
             return;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -25,14 +25,14 @@
     private final String name;
     private final ControlThread world;
     private final FreezingControl control;
-    private final SimulatedPath path;
+    private final SimulatedStorePath path;
     private final UpstreamTable upstreams = new UpstreamTable();
     private final ConfigurationHolder configuration;
     private final UpstreamFollower follower;
     private final ZoneDrains drains;
     private final Map<String, Follower> followed = new HashMap<>();
-    private final SimulatedLinks links;
-    private final List<SimulatedPath.State> troubles = new ArrayList<>();
+    private final SimulatedRelayLinks links;
+    private final List<SimulatedStorePath.State> troubles = new ArrayList<>();
     private int otherTroubles;
     private Instant calmSince;
 
@@ -50,13 +50,13 @@
         this.name = name;
         this.world = world;
         this.control = new FreezingControl(world);
-        this.path = new SimulatedPath(control, world, store);
+        this.path = new SimulatedStorePath(control, world, store);
         TestDialect dialect = new TestDialect();
         Metrics metrics = new Metrics();
         this.configuration = new ConfigurationHolder(dialect, any -> {});
         this.calmSince = world.clock().instant();
         this.drains = new ZoneDrains(dialect, upstreams.zones(), Set.of(), new NoDrains());
-        this.links = new SimulatedLinks(world, control, relays);
+        this.links = new SimulatedRelayLinks(world, control, relays);
         Relay relay = relays.isEmpty() ? Relay.none() : links.relay();
         OperatorFollower versions =
                 new OperatorFollower(
@@ -112,14 +112,14 @@
         return path.calls();
     }
 
-    void pathFails(SimulatedPath.State how) {
+    void pathFails(SimulatedStorePath.State how) {
         troubles.add(how);
         path.set(how);
     }
 
-    void pathReturns(SimulatedPath.State how) {
+    void pathReturns(SimulatedStorePath.State how) {
         troubles.remove(how);
-        path.set(troubles.isEmpty() ? SimulatedPath.State.OPEN : troubles.get(0));
+        path.set(troubles.isEmpty() ? SimulatedStorePath.State.OPEN : troubles.get(0));
         calmed();
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
@@ -75,7 +75,7 @@
                             () -> true,
                             () -> true,
                             new Metrics()),
-                    new LostUpstreams(Instant::now, upstreams, new SilentWire()),
+                    new LostUpstreamAnnouncer(Instant::now, upstreams, new SilentWire()),
                     new LimitedUpstreams(Instant::now, upstreams, new SilentLimits()));
     private final HttpServer upstream = server(upstreamLoop, this::run);
     private final HttpServer router = server(loop, this::begin);
@@ -268,12 +268,12 @@
     }
 
     /** No other router is there to be told. */
-    private static final class SilentWire implements LostUpstreams.Wire {
+    private static final class SilentWire implements LostUpstreamAnnouncer.Wire {
         @Override
-        public void tellLost(UpstreamId upstream, long startedAt) {}
+        public void announceLost(UpstreamId upstream, long startedAt) {}
 
         @Override
-        public void passLostOn(UpstreamId upstream, long startedAt) {}
+        public void forwardLost(UpstreamId upstream, long startedAt) {}
     }
 
     private static HttpServer server(HttpLoop loop, io.damaskyoke.http.HttpHandler handler) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderLeaseTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LeaderLeaseTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class OrderLeaseTest {
+class LeaderLeaseTest {
     private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
 
     private final TestControlThread control = new TestControlThread();
@@ -24,25 +24,25 @@
 
     @Test
     void oneRouterAtATimeGivesOrders() {
-        OrderLease one = router("one");
-        OrderLease two = router("two");
-        pass(1_000);
+        LeaderLease one = router("one");
+        LeaderLease two = router("two");
+        advance(1_000);
         assertTrue(one.held());
         assertFalse(two.held());
-        pass(20_000);
+        advance(20_000);
         assertTrue(one.held());
         assertEquals(List.of("one won"), events);
     }
 
     @Test
     void aLeaderThatStopsIsFollowedAtOnceByAHigherToken() {
-        OrderLease one = router("one");
-        OrderLease two = router("two");
-        pass(1_000);
+        LeaderLease one = router("one");
+        LeaderLease two = router("two");
+        advance(1_000);
         long first = one.fencing();
         one.close();
         assertFalse(one.held());
-        pass(400);
+        advance(400);
         assertTrue(two.held());
         assertTrue(two.fencing() > first, two.fencing() + " after " + first);
     }
@@ -51,10 +51,10 @@
     void aLeaderThatIsCutOffStopsBeforeItsLeaseCanHaveEnded() {
         // The store rejects the leader. Its lease expires 2.4 s after the last renewal, and another
         // router may be elected from then on; the leader must have stopped by its own clock.
-        OrderLease one = router("one");
-        pass(1_000);
+        LeaderLease one = router("one");
+        advance(1_000);
         store.down(true);
-        pass(2_300);
+        advance(2_300);
         assertFalse(one.held());
         assertEquals(List.of("one won", "one lost"), events);
     }
@@ -64,14 +64,14 @@
         // The store's clock stops during an outage of four seconds, so the leader's entry still
         // exists afterwards and nobody else can be elected. If the leader paused for the sake of
         // other candidates, nothing would be loaded for five more seconds.
-        OrderLease one = router("one");
-        OrderLease two = router("two");
-        pass(1_000);
+        LeaderLease one = router("one");
+        LeaderLease two = router("two");
+        advance(1_000);
         store.down(true);
-        pass(4_000);
+        advance(4_000);
         assertFalse(one.held());
         store.down(false);
-        pass(2_000);
+        advance(2_000);
         assertTrue(one.held());
         assertFalse(two.held());
         assertEquals(List.of("one won", "one lost", "one won"), events);
@@ -81,14 +81,14 @@
     void aLeaderThatStopsInAnOutageEndsItsLeaseAfterIt() {
         // The leader stops while the store is down and can't revoke its lease. Without a retry, its
         // entry would remain for the whole term once the store is back, with no leader.
-        OrderLease one = router("one");
-        OrderLease two = router("two");
-        pass(1_000);
+        LeaderLease one = router("one");
+        LeaderLease two = router("two");
+        advance(1_000);
         store.down(true);
         one.close();
-        pass(1_000);
+        advance(1_000);
         store.down(false);
-        pass(1_500);
+        advance(1_500);
         assertTrue(two.held());
     }
 
@@ -96,25 +96,25 @@
     void aRouterThatResignedLetsOthersGoFirst() {
         // A slow leader resigns and there is no other router. Elected again at once, it would
         // resign at its next slow tick; with another router, the two would alternate.
-        OrderLease one = router("one");
-        pass(1_000);
+        LeaderLease one = router("one");
+        advance(1_000);
         one.resign("slow");
-        pass(4_000);
+        advance(4_000);
         assertFalse(one.held());
-        pass(2_000);
+        advance(2_000);
         assertTrue(one.held());
     }
 
     @Test
     void aResignationDoesNotHarmTheNextLeader() {
-        OrderLease one = router("one");
-        OrderLease two = router("two");
-        pass(1_000);
+        LeaderLease one = router("one");
+        LeaderLease two = router("two");
+        advance(1_000);
         one.resign("slow");
-        pass(400);
+        advance(400);
         assertTrue(two.held());
         one.resign("still slow");
-        pass(3_000);
+        advance(3_000);
         assertTrue(two.held());
     }
 
@@ -123,10 +123,10 @@
         // All routers are killed and start again. The leader's entry remains for two more seconds,
         // under the lease of its earlier incarnation; the next one must not wait for its expiry.
         router("one");
-        pass(1_000);
+        advance(1_000);
         events.clear();
-        OrderLease again = router("one");
-        pass(600);
+        LeaderLease again = router("one");
+        advance(600);
         assertTrue(again.held());
         assertEquals(List.of("one won"), events);
     }
@@ -136,17 +136,17 @@
         // Both see that there is no leader and request a lease each. The store is slow; when it
         // continues, one writes its entry, and the other learns of that before it sends its own
         // write.
-        OrderLease one = router("one");
-        OrderLease two = router("two");
+        LeaderLease one = router("one");
+        LeaderLease two = router("two");
         store.slow(true);
-        pass(200);
+        advance(200);
         store.release();
-        pass(1_000);
+        advance(1_000);
         assertTrue(one.held() ^ two.held());
         assertEquals(1, events.size(), events.toString());
     }
 
-    private OrderLease router(String name) {
+    private LeaderLease router(String name) {
         VmId vm = VmId.of(name);
         Membership members =
                 new Membership(
@@ -158,10 +158,10 @@
                         Relay.none(),
                         new Metrics());
         members.start(() -> {});
-        OrderLease lease =
-                new OrderLease(control, store, members, vm, new LoopLag(Duration.ofMillis(50)));
+        LeaderLease lease =
+                new LeaderLease(control, store, members, vm, new LoopLag(Duration.ofMillis(50)));
         lease.start(
-                new OrderLease.Listener() {
+                new LeaderLease.Listener() {
                     @Override
                     public void won() {
                         events.add(name + " won");
@@ -175,7 +175,7 @@
         return lease;
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         control.advance(Duration.ofMillis(millis));
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderPromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LoadOrderSafetyTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class OrderPromisesTest {
+class LoadOrderSafetyTest {
     /** More seeds can be run by hand: -Dorders.first=1000 -Dorders.count=20000. */
     private static final long FIRST = Long.getLong("orders.first", 1);
 
@@ -21,7 +21,7 @@
     void noUpstreamIsOrderedToHoldMoreThanItHasRoomFor() {
         List<String> broken = new ArrayList<>();
         for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken.addAll(played(seed, true));
+            broken.addAll(overloadsWithSeed(seed, true));
         }
         String first = String.join("; ", broken.subList(0, Math.min(SHOWN, broken.size())));
         assertEquals("", first, broken.size() + " in all");
@@ -36,7 +36,7 @@
         "460, a new leader did not know the unanswered orders of the one before"
     })
     void aWorldThatFailedOnceKeepsThePromise(long seed, String cause) {
-        assertEquals(List.of(), played(seed, true), cause);
+        assertEquals(List.of(), overloadsWithSeed(seed, true), cause);
     }
 
     // Guards against a simulation that finds no faults: without the check of the sequence of
@@ -45,16 +45,16 @@
     void upstreamsThatDoNotCountOrdersAreOverloaded() {
         int broken = 0;
         for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken += played(seed, false).size();
+            broken += overloadsWithSeed(seed, false).size();
         }
         assertTrue(broken > 0, "no upstream was overloaded");
     }
 
-    private static List<String> played(long seed, boolean checkedCounts) {
-        OrderWorld world = new OrderWorld(seed, checkedCounts);
-        new OrderTroubles(world, seed).play();
-        return world.broken().isEmpty()
+    private static List<String> overloadsWithSeed(long seed, boolean checkedCounts) {
+        OrderSimulation world = new OrderSimulation(seed, checkedCounts);
+        new OrderFaults(world, seed).play();
+        return world.overloads().isEmpty()
                 ? List.of()
-                : List.of("seed " + seed + ": " + String.join("\n", world.story()) + '\n');
+                : List.of("seed " + seed + ": " + String.join("\n", world.events()) + '\n');
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderSimulation.java
@@ -30,7 +30,7 @@
  * Simulates routers, one of which at a time is the leader, and model upstreams, with simulated
  * time, and records each order to an upstream to hold more than it has capacity for.
  */
-final class OrderWorld {
+final class OrderSimulation {
     private static final int ROUTERS = 2;
     private static final int ENGINES = 3;
     private static final int MODELS = 9;
@@ -59,7 +59,7 @@
     private final Random random;
     private final EngineSpec spec;
     private final List<SimulatedEngine> engines = new ArrayList<>();
-    private final List<OrderingRouter> routers = new ArrayList<>();
+    private final List<SimulatedOrderRouter> routers = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
     private final List<String> story = new ArrayList<>();
     private final Instant began = world.clock().instant();
@@ -67,7 +67,7 @@
     private double lostShare;
     private long revision = 1;
 
-    OrderWorld(long seed, boolean checkedCounts) {
+    OrderSimulation(long seed, boolean checkedCounts) {
         this.random = new Random(seed);
         this.spec = spec();
         SimulatedEngine.Manners manners =
@@ -79,7 +79,7 @@
         }
         LeasedStore store = new LeasedStore(world);
         for (int each = 0; each < ROUTERS; each++) {
-            routers.add(new OrderingRouter("router-" + each, world, store, this));
+            routers.add(new SimulatedOrderRouter("router-" + each, world, store, this));
         }
         ServiceSpec service =
                 new ServiceSpec(SimulatedEngine.SERVICE, 1, Duration.ZERO, 0, Optional.of(spec));
@@ -92,9 +92,9 @@
                         Map.of(),
                         Map.of(),
                         HttpLimits.usual());
-        routers.forEach(each -> each.configured(configuration));
-        engines.forEach(this::beat);
-        world.every(DEMAND, this::demand);
+        routers.forEach(each -> each.configurationChanged(configuration));
+        engines.forEach(this::sendHeartbeat);
+        world.every(DEMAND, this::reportDemand);
     }
 
     private EngineSpec spec() {
@@ -115,16 +115,16 @@
     }
 
     /** Returns the overloads of upstreams, one line each. */
-    List<String> broken() {
+    List<String> overloads() {
         return broken;
     }
 
     /** Returns the events so far, each with the milliseconds since the start. */
-    List<String> story() {
+    List<String> events() {
         return story;
     }
 
-    List<OrderingRouter> routers() {
+    List<SimulatedOrderRouter> routers() {
         return routers;
     }
 
@@ -132,7 +132,7 @@
         return engines;
     }
 
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         world.advance(duration);
     }
 
@@ -141,66 +141,74 @@
     }
 
     /** From now on this fraction of orders is carried out seconds later, and not answered. */
-    void late(double share) {
-        tell("orders late: " + share);
+    void delayOrders(double share) {
+        recordEvent("orders late: " + share);
         lateShare = share;
     }
 
     /** From now on this fraction of answers to orders is lost. */
-    void lost(double share) {
-        tell("answers lost: " + share);
+    void loseAnswers(double share) {
+        recordEvent("answers lost: " + share);
         lostShare = share;
     }
 
     /** Stops an upstream and starts it again under the same name. */
     void restart(SimulatedEngine engine, Duration down) {
-        tell(engine.id() + " restarts, down for " + down.toMillis());
+        recordEvent(engine.id() + " restarts, down for " + down.toMillis());
         engine.restart(down);
-        world.after(LAPSES_AFTER, () -> lapse(engine));
+        world.after(LAPSES_AFTER, () -> expireEntry(engine));
     }
 
-    private void lapse(SimulatedEngine engine) {
+    private void expireEntry(SimulatedEngine engine) {
         if (!engine.up()) {
             long at = ++revision;
-            soon(LONGEST_LIST_LAG_MILLIS, () -> routers.forEach(r -> r.gone(engine.id(), at)));
+            afterRandomDelay(
+                    LONGEST_LIST_LAG_MILLIS,
+                    () -> routers.forEach(r -> r.upstreamRemoved(engine.id(), at)));
         }
     }
 
     /** Returns the calls from a router to the upstreams. */
-    OrderCalls callsOf(ControlThread router) {
-        return new OrderCalls() {
+    OrderClient callsOf(ControlThread router) {
+        return new OrderClient() {
             @Override
-            public void order(UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then) {
+            public void sendOrder(
+                    UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then) {
                 Answer<OrderOutcome> answer = new Answer<>(router, then);
-                router.after(ORDER_LIMIT, () -> answer.come(OrderOutcome.UNKNOWN));
+                router.after(ORDER_LIMIT, () -> answer.complete(OrderOutcome.UNKNOWN));
                 send(engine(to), order, answer);
             }
 
             @Override
-            public void report(
+            public void requestReport(
                     UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then) {
                 Answer<Optional<LoadInput.UpstreamReported>> answer = new Answer<>(router, then);
-                router.after(REPORT_LIMIT, () -> answer.come(Optional.empty()));
-                way(
+                router.after(REPORT_LIMIT, () -> answer.complete(Optional.empty()));
+                deliver(
                         () ->
                                 engine(from)
                                         .report()
-                                        .ifPresent(r -> way(() -> answer.come(Optional.of(r)))));
+                                        .ifPresent(
+                                                r ->
+                                                        deliver(
+                                                                () ->
+                                                                        answer.complete(
+                                                                                Optional.of(r)))));
             }
         };
     }
 
     /** Returns the sender of a router's announcements to the other routers. */
-    LeaderNews newsOf(VmId from) {
-        return new LeaderNews() {
+    LeaderAnnouncements announcementsOf(VmId from) {
+        return new LeaderAnnouncements() {
             @Override
-            public void tell(long fencing, Map<UpstreamId, HeldModels> held) {}
+            public void announceHeldModels(long fencing, Map<UpstreamId, HeldModels> held) {}
 
             @Override
-            public void tellOpen(UnansweredLoadOrder load) {
+            public void announceUnansweredLoad(UnansweredLoadOrder load) {
                 routers.stream()
                         .filter(each -> !each.vm().equals(from))
-                        .forEach(each -> way(() -> each.unanswered(load)));
+                        .forEach(each -> deliver(() -> each.unansweredLoadAnnounced(load)));
             }
         };
     }
@@ -209,16 +217,17 @@
         if (random.nextDouble() < lateShare) {
             Duration later =
                     Duration.ofMillis(EARLIEST_LATE_MILLIS + random.nextInt(LATE_RANGE_MILLIS));
-            tell(engine.id() + " gets late, in " + later.toMillis() + ": " + order);
-            world.after(later, () -> engine.take(order));
+            recordEvent(engine.id() + " gets late, in " + later.toMillis() + ": " + order);
+            world.after(later, () -> engine.takeOrder(order));
             return;
         }
         boolean lost = random.nextDouble() < lostShare;
-        way(
+        deliver(
                 () -> {
-                    Optional<OrderOutcome> outcome = engine.take(order);
-                    tell(engine.id() + " " + outcome + (lost ? " (lost)" : "") + ": " + order);
-                    outcome.filter(any -> !lost).ifPresent(o -> way(() -> answer.come(o)));
+                    Optional<OrderOutcome> outcome = engine.takeOrder(order);
+                    recordEvent(
+                            engine.id() + " " + outcome + (lost ? " (lost)" : "") + ": " + order);
+                    outcome.filter(any -> !lost).ifPresent(o -> deliver(() -> answer.complete(o)));
                 });
     }
 
@@ -233,7 +242,7 @@
             this.then = then;
         }
 
-        void come(T value) {
+        void complete(T value) {
             router.run(
                     () -> {
                         if (!over) {
@@ -244,11 +253,11 @@
         }
     }
 
-    private void way(Runnable step) {
-        soon(LONGEST_WAY_MILLIS, step);
+    private void deliver(Runnable step) {
+        afterRandomDelay(LONGEST_WAY_MILLIS, step);
     }
 
-    private void soon(int mostMillis, Runnable step) {
+    private void afterRandomDelay(int mostMillis, Runnable step) {
         world.after(Duration.ofMillis(1 + random.nextInt(mostMillis)), step);
     }
 
@@ -256,15 +265,18 @@
         return engines.stream().filter(each -> each.id().equals(facts.id())).findFirst().get();
     }
 
-    private void beat(SimulatedEngine engine) {
+    private void sendHeartbeat(SimulatedEngine engine) {
         if (engine.up()) {
             UpstreamFacts facts = engine.facts(++revision);
-            routers.forEach(router -> soon(LONGEST_LIST_LAG_MILLIS, () -> router.listed(facts)));
+            routers.forEach(
+                    router ->
+                            afterRandomDelay(
+                                    LONGEST_LIST_LAG_MILLIS, () -> router.upstreamListed(facts)));
         }
-        world.after(HEARTBEAT, () -> beat(engine));
+        world.after(HEARTBEAT, () -> sendHeartbeat(engine));
     }
 
-    private void demand() {
+    private void reportDemand() {
         List<LoadInput.ModelDemand> wants = new ArrayList<>();
         int count = 1 + random.nextInt(3);
         for (int each = 0; each < count; each++) {
@@ -279,10 +291,10 @@
                             random.nextDouble() * 2,
                             1));
         }
-        for (OrderingRouter router : routers) {
+        for (SimulatedOrderRouter router : routers) {
             routers.forEach(
                     each ->
-                            each.demanded(
+                            each.demandReported(
                                     new LoadInput.DemandReported(
                                             router.vm(), wants, Map.of(), Set.of())));
         }
@@ -290,10 +302,10 @@
 
     private void overloaded(String what) {
         broken.add(what);
-        tell("OVERLOADED: " + what);
+        recordEvent("OVERLOADED: " + what);
     }
 
-    void tell(String what) {
+    void recordEvent(String what) {
         story.add(Duration.between(began, world.clock().instant()).toMillis() + " " + what);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/NeighbourFramesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/PeerRouterFramesTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class NeighbourFramesTest {
+class PeerRouterFramesTest {
     private static final VmId SENDER = VmId.of("router-1");
     private static final UpstreamId ONE = UpstreamId.of("i-1");
     private static final UpstreamId TWO = UpstreamId.of("i-2");
@@ -26,8 +26,8 @@
     void departuresArriveAsTheyWereSent() {
         List<UpstreamDeparture> sent =
                 List.of(new UpstreamDeparture(ONE, 7, true), new UpstreamDeparture(TWO, 9, false));
-        Frame frame = NeighbourFrames.departures(sent);
-        assertEquals(sent, NeighbourFrames.departures(frame.getDepartures()));
+        Frame frame = PeerRouterFrames.departures(sent);
+        assertEquals(sent, PeerRouterFrames.departures(frame.getDepartures()));
     }
 
     @Test
@@ -43,20 +43,20 @@
                         Set.of(TWO));
         Instant now = Instant.ofEpochSecond(100);
         Map<String, Instant> drained = Map.of("a", now.minusMillis(800), "b", Instant.MIN);
-        RouterStanding standing =
-                new RouterStanding(
-                        11, 12, new RouterStanding.Drains(13, drained), true, Duration.ofMillis(7));
-        RouterReport report = NeighbourFrames.report(5, sent, standing, now).getRouterReport();
-        assertEquals(sent, NeighbourFrames.demanded(SENDER, report));
-        assertEquals(standing, NeighbourFrames.standing(report, now));
+        RouterStatus standing =
+                new RouterStatus(
+                        11, 12, new RouterStatus.Drains(13, drained), true, Duration.ofMillis(7));
+        RouterReport report = PeerRouterFrames.report(5, sent, standing, now).getRouterReport();
+        assertEquals(sent, PeerRouterFrames.demandReported(SENDER, report));
+        assertEquals(standing, PeerRouterFrames.status(report, now));
     }
 
     @Test
     void whatUpstreamsHoldArrivesAsItWasSent() {
         Map<UpstreamId, HeldModels> sent =
                 Map.of(ONE, new HeldModels(100, 3, Map.of("m", Set.of("a1", "a2"))));
-        Frame frame = NeighbourFrames.news(8, sent);
-        assertEquals(sent, NeighbourFrames.held(frame.getReplicaNews()));
+        Frame frame = PeerRouterFrames.replicaNews(8, sent);
+        assertEquals(sent, PeerRouterFrames.heldModels(frame.getReplicaNews()));
         assertEquals(8, frame.getReplicaNews().getFencing());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
@@ -83,7 +83,7 @@
         this.random = random;
         this.overloaded = overloaded;
         this.startedAt = world.clock().millis();
-        note();
+        recordState();
     }
 
     UpstreamId id() {
@@ -111,7 +111,7 @@
     }
 
     /** Carries out an order; empty if the upstream is down. */
-    Optional<OrderOutcome> take(Dialect.Order order) {
+    Optional<OrderOutcome> takeOrder(Dialect.Order order) {
         if (!up) {
             return Optional.empty();
         }
@@ -131,7 +131,7 @@
         }
         sequence++;
         OrderOutcome outcome = load ? load(order.model()) : unload(order.model());
-        note();
+        recordState();
         return Optional.of(outcome);
     }
 
@@ -172,7 +172,7 @@
         sequence = 0;
         token = 0;
         startedAt = world.clock().millis();
-        note();
+        recordState();
     }
 
     private boolean has(ModelRef model) {
@@ -190,7 +190,7 @@
         }
         if (model.hasAdapter()) {
             coming.put(model, true);
-            soon(LONGEST_ADAPTER_MILLIS, () -> arrived(model));
+            afterRandomDelay(LONGEST_ADAPTER_MILLIS, () -> adapterLoaded(model));
             return OrderOutcome.ACCEPTED;
         }
         loading = Optional.of(model);
@@ -199,99 +199,99 @@
                 disk.contains(model.model())
                         ? spec.models().get(model.model()).diskLoadTime()
                         : spec.models().get(model.model()).storeLoadTime();
-        inThisLife(time, () -> loaded(model));
+        inThisIncarnation(time, () -> modelLoaded(model));
         return OrderOutcome.ACCEPTED;
     }
 
     private OrderOutcome unload(ModelRef model) {
         if (!model.hasAdapter()) {
             busy = true;
-            soon(LONGEST_RUN_MILLIS, () -> unloaded(model));
+            afterRandomDelay(LONGEST_RUN_MILLIS, () -> modelUnloaded(model));
             return OrderOutcome.ACCEPTED;
         }
         if (random.nextDouble() < ADAPTERS_IN_USE) {
-            soon(LONGEST_RUN_MILLIS, () -> dropped(model));
+            afterRandomDelay(LONGEST_RUN_MILLIS, () -> adapterUnloaded(model));
             return OrderOutcome.ACCEPTED;
         }
-        drop(model);
+        removeAdapter(model);
         return OrderOutcome.DONE;
     }
 
     private boolean fits(ModelRef model) {
-        if (model.hasAdapter() && adapters() >= spec.adapterSlots()) {
+        if (model.hasAdapter() && adapterCount() >= spec.adapterSlots()) {
             return false;
         }
-        return used() + weight(model) <= spec.weightsMb();
+        return usedMb() + weightMb(model) <= spec.weightsMb();
     }
 
-    private int adapters() {
+    private int adapterCount() {
         return coming.size() + held.values().stream().mapToInt(Set::size).sum();
     }
 
-    private double used() {
+    private double usedMb() {
         double used = 0;
         for (Map.Entry<String, Set<String>> entry : held.entrySet()) {
             used += spec.models().get(entry.getKey()).weightsMb();
             used += entry.getValue().size() * spec.models().get(entry.getKey()).adapterMb();
         }
         for (ModelRef each : coming.keySet()) {
-            used += weight(each);
+            used += weightMb(each);
         }
         return used;
     }
 
-    private double weight(ModelRef model) {
+    private double weightMb(ModelRef model) {
         var known = spec.models().get(model.model());
         return model.hasAdapter() ? known.adapterMb() : known.weightsMb();
     }
 
-    private void arrived(ModelRef adapter) {
+    private void adapterLoaded(ModelRef adapter) {
         coming.remove(adapter);
         if (held.containsKey(adapter.model())) {
             held = new HeldModels(0, 0, held).with(adapter, 0).adapters();
         }
     }
 
-    private void loaded(ModelRef model) {
+    private void modelLoaded(ModelRef model) {
         busy = false;
         loading = Optional.empty();
         held = new HeldModels(0, 0, held).with(model, 0).adapters();
         disk.add(model.model());
     }
 
-    private void unloaded(ModelRef model) {
+    private void modelUnloaded(ModelRef model) {
         busy = false;
         held = new HeldModels(0, 0, held).without(model, 0).adapters();
         coming.keySet().removeIf(each -> each.model().equals(model.model()));
     }
 
-    private void dropped(ModelRef adapter) {
-        drop(adapter);
+    private void adapterUnloaded(ModelRef adapter) {
+        removeAdapter(adapter);
     }
 
-    private void drop(ModelRef adapter) {
+    private void removeAdapter(ModelRef adapter) {
         coming.remove(adapter);
         held = new HeldModels(0, 0, held).without(adapter, 0).adapters();
     }
 
-    private void soon(int mostMillis, Runnable step) {
-        inThisLife(Duration.ofMillis(random.nextInt(mostMillis)), step);
+    private void afterRandomDelay(int mostMillis, Runnable step) {
+        inThisIncarnation(Duration.ofMillis(random.nextInt(mostMillis)), step);
     }
 
-    private void inThisLife(Duration delay, Runnable step) {
+    private void inThisIncarnation(Duration delay, Runnable step) {
         long mine = life;
         world.after(
                 delay,
                 () -> {
                     if (mine == life) {
                         step.run();
-                        note();
+                        recordState();
                     }
                 });
     }
 
     // Adapters that are being loaded are reported as held, as the upstream's protocol has it.
-    private void note() {
+    private void recordState() {
         HeldModels all = new HeldModels(startedAt, sequence, held);
         for (ModelRef each : coming.keySet()) {
             all = all.with(each, sequence);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedOrderRouter.java
@@ -16,7 +16,7 @@
 /**
  * The part of a router that is elected as leader and sends orders, on a VM that can be suspended.
  */
-final class OrderingRouter {
+final class SimulatedOrderRouter {
     private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
     private static final Duration TICK = Duration.ofMillis(50);
 
@@ -24,10 +24,11 @@
     private final FreezingControl control;
     private final RouterStore store;
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final OrderLease lease;
-    private final OrderLeader leader;
+    private final LeaderLease lease;
+    private final LoadCoordinator leader;
 
-    OrderingRouter(String name, ControlThread world, LeasedStore leased, OrderWorld engines) {
+    SimulatedOrderRouter(
+            String name, ControlThread world, LeasedStore leased, OrderSimulation engines) {
         this.vm = VmId.of(name);
         this.control = new FreezingControl(world);
         this.store = new RouterStore(world, leased);
@@ -41,15 +42,15 @@
                         PACE,
                         Relay.none(),
                         new Metrics());
-        this.lease = new OrderLease(control, store, members, vm, lag);
+        this.lease = new LeaderLease(control, store, members, vm, lag);
         this.leader =
-                new OrderLeader(
+                new LoadCoordinator(
                         control,
                         upstreams,
                         lease,
                         engines.callsOf(control),
                         vm,
-                        engines.newsOf(vm));
+                        engines.announcementsOf(vm));
         members.start(() -> {});
         leader.start(() -> {});
     }
@@ -58,57 +59,57 @@
         return vm;
     }
 
-    boolean leads() {
+    boolean isLeader() {
         return lease.held();
     }
 
-    void configured(DirectConfiguration configuration) {
-        control.run(() -> leader.configured(configuration));
+    void configurationChanged(DirectConfiguration configuration) {
+        control.run(() -> leader.configurationChanged(configuration));
     }
 
-    void listed(UpstreamFacts facts) {
+    void upstreamListed(UpstreamFacts facts) {
         control.run(
                 () -> {
                     if (upstreams.put(facts, control.clock().instant())) {
-                        leader.listed(facts);
+                        leader.upstreamListed(facts);
                     }
                 });
     }
 
-    void gone(UpstreamId id, long revision) {
+    void upstreamRemoved(UpstreamId id, long revision) {
         control.run(
                 () -> {
                     if (upstreams.remove(id, revision)) {
-                        leader.gone(id);
+                        leader.upstreamRemoved(id);
                     }
                 });
     }
 
-    void demanded(LoadInput.DemandReported demanded) {
-        control.run(() -> leader.demanded(demanded));
+    void demandReported(LoadInput.DemandReported demanded) {
+        control.run(() -> leader.demandReported(demanded));
     }
 
-    void unanswered(UnansweredLoadOrder load) {
-        control.run(() -> leader.unanswered(load));
+    void unansweredLoadAnnounced(UnansweredLoadOrder load) {
+        control.run(() -> leader.unansweredLoadAnnounced(load));
     }
 
     void resign() {
         control.run(() -> lease.resign("the simulation asks for it"));
     }
 
-    void freeze() {
+    void suspend() {
         if (!control.frozen()) {
             control.freeze();
         }
     }
 
-    void thaw() {
+    void resume() {
         if (control.frozen()) {
             control.thaw();
         }
     }
 
-    void cut(boolean value) {
+    void setPartitioned(boolean value) {
         store.cut(value);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedLinks.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedRelayLinks.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 
 /** Simulates one router's links to the relays that watch the store for it, with latency. */
-final class SimulatedLinks {
+final class SimulatedRelayLinks {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
 
     private final ControlThread world;
@@ -19,18 +19,18 @@
     private final Map<VmId, FollowingRouter> others = new LinkedHashMap<>();
     private final StoreRelays relays;
 
-    SimulatedLinks(ControlThread world, ControlThread control, List<FollowingRouter> relays) {
+    SimulatedRelayLinks(ControlThread world, ControlThread control, List<FollowingRouter> relays) {
         this.world = world;
         this.control = control;
         relays.forEach(each -> others.put(VmId.of(each.name()), each));
-        this.relays = new StoreRelays(control, () -> List.copyOf(others.keySet()), this::ask);
+        this.relays = new StoreRelays(control, () -> List.copyOf(others.keySet()), this::fetch);
     }
 
     Relay relay() {
         return relays;
     }
 
-    private boolean ask(VmId relay, long number, String prefix, long after, Duration wait) {
+    private boolean fetch(VmId relay, long number, String prefix, long after, Duration wait) {
         FollowingRouter other = others.get(relay);
         world.after(
                 ONE_WAY,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
@@ -15,7 +15,7 @@
 
 /**
  * The platform's store with time by hand: what it holds, its history, and who waits at it. Routers
- * reach it over a {@link SimulatedPath}, which is what fails.
+ * reach it over a {@link SimulatedStorePath}, which is what fails.
  */
 final class SimulatedStore {
     private final ControlThread control;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedPath.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStorePath.java
@@ -14,7 +14,7 @@
  * Simulates one router's connection to the store and its faults: {@code path.set(State.SILENT)}. A
  * call in flight when the path falls silent is never answered, even after the path recovers.
  */
-final class SimulatedPath extends OnlyFollowed {
+final class SimulatedStorePath extends OnlyFollowed {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
     private static final Duration SLOW = Duration.ofMillis(250);
 
@@ -47,7 +47,7 @@
     /**
      * Creates a path whose router's timers run on {@code control}, the store's on {@code clock}.
      */
-    SimulatedPath(ControlThread control, ControlThread clock, SimulatedStore store) {
+    SimulatedStorePath(ControlThread control, ControlThread clock, SimulatedStore store) {
         this.control = control;
         this.clock = clock;
         this.store = store;
@@ -110,10 +110,10 @@
                 .get()
                 .whenComplete(
                         (value, failure) ->
-                                clock.after(oneWay(), () -> back(call, value, failure)));
+                                clock.after(oneWay(), () -> deliverAnswer(call, value, failure)));
     }
 
-    private <T> void back(Call<T> call, T value, Throwable failure) {
+    private <T> void deliverAnswer(Call<T> call, T value, Throwable failure) {
         if (!open.remove(call)) {
             return;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
@@ -28,7 +28,7 @@
             for (Duration length : List.of(Duration.ofMillis(400), Duration.ofSeconds(9))) {
                 StoreWorld world = new StoreWorld();
                 world.pass(PHASE.multipliedBy(phase));
-                world.outage(SimulatedPath.State.SILENT, length);
+                world.outage(SimulatedStorePath.State.SILENT, length);
                 world.pass(length.plusMillis(100));
                 world.change();
                 world.pass(Duration.ofSeconds(6));
@@ -46,7 +46,7 @@
         for (int phase = 0; phase < PHASES; phase++) {
             StoreWorld world = new StoreWorld(naive);
             world.pass(PHASE.multipliedBy(phase));
-            world.outage(SimulatedPath.State.SILENT, Duration.ofMillis(400));
+            world.outage(SimulatedStorePath.State.SILENT, Duration.ofMillis(400));
             world.pass(Duration.ofMillis(500));
             world.change();
             world.pass(Duration.ofSeconds(6));
@@ -62,7 +62,7 @@
         for (int phase = 0; phase < PHASES; phase++) {
             StoreWorld world = new StoreWorld();
             world.pass(PHASE.multipliedBy(phase));
-            world.outage(SimulatedPath.State.SILENT, Duration.ofSeconds(6));
+            world.outage(SimulatedStorePath.State.SILENT, Duration.ofSeconds(6));
             world.pass(Duration.ofSeconds(6).plus(StoreWorld.SETTLED));
             world.leave(world.alive().get(0));
             world.pass(Duration.ofSeconds(4));
@@ -76,7 +76,7 @@
     void anUpstreamThatLapsedIsWaitedForThoughTheHistoryIsDropped() {
         StoreWorld world = new StoreWorld();
         String lapsed = world.alive().get(0);
-        world.outage(SimulatedPath.State.SILENT, Duration.ofSeconds(5));
+        world.outage(SimulatedStorePath.State.SILENT, Duration.ofSeconds(5));
         world.after(Duration.ofSeconds(4), () -> world.lapse(lapsed, Duration.ofMillis(2_800)));
         world.pass(Duration.ofMillis(5_600));
         world.dropHistory(Duration.ofMillis(500));
@@ -156,7 +156,7 @@
             StoreWorld world = new StoreWorld(Paces.CONFIGURATION, 2, 3);
             String lapsed = world.alive().get(0);
             world.pass(PHASE.multipliedBy(phase));
-            world.outage(SimulatedPath.State.SILENT, Duration.ofMillis(2_600));
+            world.outage(SimulatedStorePath.State.SILENT, Duration.ofMillis(2_600));
             world.after(
                     Duration.ofMillis(2_500), () -> world.lapse(lapsed, Duration.ofMillis(1_600)));
             world.pass(Duration.ofSeconds(9));
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreTroubles.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreTroubles.java
@@ -1,6 +1,6 @@
 package io.damaskyoke.direct;
 
-import io.damaskyoke.direct.SimulatedPath.State;
+import io.damaskyoke.direct.SimulatedStorePath.State;
 import java.time.Duration;
 import java.util.List;
 import java.util.Random;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -212,7 +212,7 @@
     }
 
     /** The store is out for all: routers, operators, upstreams. */
-    void outage(SimulatedPath.State how, Duration length) {
+    void outage(SimulatedStorePath.State how, Duration length) {
         tell("store " + how + " for " + length.toMillis());
         outages++;
         routers.forEach(each -> each.pathFails(how));
@@ -231,7 +231,7 @@
     }
 
     /** One router loses the store, and operators don't. */
-    void cut(FollowingRouter router, SimulatedPath.State how, Duration length) {
+    void cut(FollowingRouter router, SimulatedStorePath.State how, Duration length) {
         tell(router.name() + ' ' + how + " for " + length.toMillis());
         router.pathFails(how);
         world.after(length, () -> router.pathReturns(how));
