--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReporter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReporter.java
@@ -19,74 +19,74 @@
  */
 final class DemandReporter {
     /** Requests that are queued within this time share a report. */
-    private static final Duration URGENT = Duration.ofMillis(2);
+    private static final Duration BATCH_DELAY = Duration.ofMillis(2);
 
     /** Without a least gap, each request of a series would cause a report of the whole demand. */
-    private static final Duration URGENT_GAP = Duration.ofMillis(40);
+    private static final Duration MIN_REPORT_GAP = Duration.ofMillis(40);
 
     /** Unchanged demand is reported again after this, before the last report expires. */
-    private static final Duration UNCHANGED = Duration.ofMillis(600);
+    private static final Duration UNCHANGED_REPORT_PERIOD = Duration.ofMillis(600);
 
     /**
      * The counts of running requests decide which models are unloaded, but change with each
      * request; a change in them alone is reported after this.
      */
-    private static final Duration RUNNING_CHANGED = Duration.ofMillis(250);
+    private static final Duration RUNNING_REPORT_PERIOD = Duration.ofMillis(250);
 
     private final VmId self;
-    private final Parts parts;
-    private boolean planned;
+    private final Dependencies dependencies;
+    private boolean reportScheduled;
     private Map<UpstreamId, Map<ModelRef, Integer>> reportedRunning = Map.of();
     private Instant reportedAt = Instant.MIN;
 
     /** The classes that reports are read from and sent through. */
-    record Parts(
+    record Dependencies(
             ControlThread control,
             KeyValueStore store,
             Membership members,
-            PeerRouters neighbours,
+            PeerRouters peers,
             LeaderLease lease,
-            LoadCoordinator leader,
+            LoadCoordinator coordinator,
             Dispatch dispatch,
             ConfigurationHolder configuration,
             ZoneDrains drains,
             UpstreamTable upstreams,
             LoopLag lag) {}
 
-    DemandReporter(VmId self, Parts parts) {
+    DemandReporter(VmId self, Dependencies dependencies) {
         this.self = self;
-        this.parts = parts;
+        this.dependencies = dependencies;
     }
 
     /** Schedules a report, because a request was queued for a model that no upstream holds. */
     void reportSoon() {
-        if (!planned) {
-            planned = true;
-            parts.control().after(delayToNextReport(), this::sendScheduledReport);
+        if (!reportScheduled) {
+            reportScheduled = true;
+            dependencies.control().after(delayToNextReport(), this::sendScheduledReport);
         }
     }
 
     private Duration delayToNextReport() {
         if (reportedAt.equals(Instant.MIN)) {
-            return URGENT;
+            return BATCH_DELAY;
         }
-        Instant next = reportedAt.plus(URGENT_GAP);
-        Duration pause = Duration.between(parts.control().clock().instant(), next);
-        return pause.compareTo(URGENT) > 0 ? pause : URGENT;
+        Instant next = reportedAt.plus(MIN_REPORT_GAP);
+        Duration delay = Duration.between(dependencies.control().clock().instant(), next);
+        return delay.compareTo(BATCH_DELAY) > 0 ? delay : BATCH_DELAY;
     }
 
     /** Reports the demand to the leader, or to this router's planner, if a report is due. */
     void report() {
-        LoadInput.DemandReported demanded = parts.dispatch().demand(self);
-        if (parts.lease().held()) {
-            parts.leader().demandReported(demanded);
+        LoadInput.DemandReported demand = dependencies.dispatch().demand(self);
+        if (dependencies.lease().held()) {
+            dependencies.coordinator().demandReported(demand);
             return;
         }
-        Optional<VmId> to = parts.members().leader().filter(leader -> !leader.equals(self));
-        if (to.isPresent() && isReportDue(demanded)) {
-            reportedRunning = demanded.running();
-            reportedAt = parts.control().clock().instant();
-            send(to, demanded);
+        Optional<VmId> to = dependencies.members().leader().filter(vm -> !vm.equals(self));
+        if (to.isPresent() && isReportDue(demand)) {
+            reportedRunning = demand.running();
+            reportedAt = dependencies.control().clock().instant();
+            send(to, demand);
         }
     }
 
@@ -97,13 +97,14 @@
     }
 
     // Unchanged reports of an idle router would wake both VMs seven times a second.
-    private boolean isReportDue(LoadInput.DemandReported demanded) {
-        if (demanded.hasWaitingRequests() || reportedAt.equals(Instant.MIN)) {
+    private boolean isReportDue(LoadInput.DemandReported demand) {
+        if (demand.hasWaitingRequests() || reportedAt.equals(Instant.MIN)) {
             return true;
         }
-        boolean changed = !demanded.running().equals(reportedRunning);
-        Instant now = parts.control().clock().instant();
-        return !now.isBefore(reportedAt.plus(changed ? RUNNING_CHANGED : UNCHANGED));
+        boolean changed = !demand.running().equals(reportedRunning);
+        Instant now = dependencies.control().clock().instant();
+        return !now.isBefore(
+                reportedAt.plus(changed ? RUNNING_REPORT_PERIOD : UNCHANGED_REPORT_PERIOD));
     }
 
     /**
@@ -112,7 +113,7 @@
      */
     void gossip() {
         announceHeldModels();
-        send(Optional.empty(), parts.dispatch().demand(self));
+        send(Optional.empty(), dependencies.dispatch().demand(self));
     }
 
     /**
@@ -122,25 +123,27 @@
      * later.
      */
     void announceHeldModels() {
-        Map<UpstreamId, HeldModels> news = parts.leader().heldModels();
-        if (!news.isEmpty()) {
-            parts.neighbours().announceHeldModels(parts.leader().fencing(), news);
+        Map<UpstreamId, HeldModels> heldModels = dependencies.coordinator().heldModels();
+        if (!heldModels.isEmpty()) {
+            dependencies
+                    .peers()
+                    .announceHeldModels(dependencies.coordinator().fencing(), heldModels);
         }
     }
 
     private void sendScheduledReport() {
-        planned = false;
+        reportScheduled = false;
         report();
     }
 
-    private void send(Optional<VmId> to, LoadInput.DemandReported demanded) {
-        RouterStatus standing =
+    private void send(Optional<VmId> to, LoadInput.DemandReported demand) {
+        RouterStatus status =
                 new RouterStatus(
-                        parts.configuration().revision(),
-                        parts.upstreams().revision(),
-                        parts.drains().known(),
-                        parts.store().up(),
-                        parts.lag().average());
-        parts.neighbours().report(to, demanded, standing);
+                        dependencies.configuration().revision(),
+                        dependencies.upstreams().revision(),
+                        dependencies.drains().known(),
+                        dependencies.store().up(),
+                        dependencies.lag().average());
+        dependencies.peers().report(to, demand, status);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -235,7 +235,7 @@
     private DemandReporter reports() {
         return new DemandReporter(
                 self,
-                new DemandReporter.Parts(
+                new DemandReporter.Dependencies(
                         control,
                         store,
                         members,
@@ -291,8 +291,8 @@
                 self, settings.availabilityZone(), settings.peer().host(), settings.peer().port());
     }
 
-    private PeerMessageHandler.Parts newsParts() {
-        return new PeerMessageHandler.Parts(
+    private PeerMessageHandler.Dependencies newsParts() {
+        return new PeerMessageHandler.Dependencies(
                 clock,
                 neighbours,
                 members,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderHandOver.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderHandOver.java
@@ -18,25 +18,25 @@
  */
 final class LeaderHandOver {
     /** Longer than one lost answer and its retry; shorter than the remaining time of the lease. */
-    private static final Duration PATIENCE = Duration.ofMillis(700);
+    private static final Duration HAND_OVER_DELAY = Duration.ofMillis(700);
 
     private final ControlThread control;
     private final KeyValueStore store;
     private final LeaderLease lease;
-    private final PeerRouters neighbours;
+    private final PeerRouters peers;
     private final Membership members;
-    private Instant upAt = Instant.MIN;
+    private Instant storeUpAt = Instant.MIN;
 
     LeaderHandOver(
             ControlThread control,
             KeyValueStore store,
             LeaderLease lease,
-            PeerRouters neighbours,
+            PeerRouters peers,
             Membership members) {
         this.control = control;
         this.store = store;
         this.lease = lease;
-        this.neighbours = neighbours;
+        this.peers = peers;
         this.members = members;
     }
 
@@ -45,30 +45,30 @@
      */
     void check() {
         Instant now = control.clock().instant();
-        if (store.up() || upAt.equals(Instant.MIN)) {
-            upAt = now;
+        if (store.up() || storeUpAt.equals(Instant.MIN)) {
+            storeUpAt = now;
             return;
         }
-        if (!lease.held() || now.isBefore(upAt.plus(PATIENCE))) {
+        if (!lease.held() || now.isBefore(storeUpAt.plus(HAND_OVER_DELAY))) {
             return;
         }
-        Optional<VmId> other = neighbours.findRouterWithStore();
+        Optional<VmId> other = peers.findRouterWithStore();
         if (other.isPresent()) {
-            long number = lease.leaseId();
+            long leaseId = lease.leaseId();
             lease.resign("the store rejects this router and serves " + other.get());
-            neighbours.requestLeaseEnd(other.get(), number);
+            peers.requestLeaseEnd(other.get(), leaseId);
         }
     }
 
     /** Revokes the lease of another router, at its own request. */
-    void revokeLease(VmId by, long number) {
-        store.revokeLease(number)
+    void revokeLease(VmId holder, long leaseId) {
+        store.revokeLease(leaseId)
                 .whenComplete(
                         (done, failure) ->
                                 control.run(
                                         () -> {
                                             if (failure == null) {
-                                                members.leaderResigned(by);
+                                                members.leaderResigned(holder);
                                             }
                                         }));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LeaderLease.java
@@ -32,22 +32,22 @@
     private static final Duration TERM = Duration.ofMillis(2_400);
 
     /** How long a revocation is retried; a stop and an outage rarely last longer. */
-    private static final Duration REVOKING = Duration.ofSeconds(8);
+    private static final Duration REVOKE_RETRY_TIME = Duration.ofSeconds(8);
 
     /**
      * A former leader is no candidate for this long: two leaders that alternate would undo each
      * other's plans.
      */
-    private static final Duration PAUSE = Duration.ofSeconds(5);
+    private static final Duration CANDIDATE_PAUSE = Duration.ofSeconds(5);
 
     /**
      * A candidate waits for its own control thread's lag times this, so that a router with less lag
      * is elected first.
      */
-    private static final int LATE_FACTOR = 5;
+    private static final int LAG_FACTOR = 5;
 
     /** After this long without a leader, any router is a candidate. */
-    private static final Duration LONGEST_PAUSE = Duration.ofMillis(700);
+    private static final Duration LONGEST_CANDIDATE_DELAY = Duration.ofMillis(700);
 
     private final ControlThread control;
     private final KeyValueStore store;
@@ -57,8 +57,8 @@
     private final LeaseMachine machine = new LeaseMachine(TERM);
     private Listener listener;
     private long fencing;
-    private Instant notBefore = Instant.MIN;
-    private Instant lapsedUntil = Instant.MIN;
+    private Instant candidateNotBefore = Instant.MIN;
+    private Instant yieldUntil = Instant.MIN;
     private Instant vacantSince = Instant.MAX;
     private boolean closed;
 
@@ -84,8 +84,8 @@
         this.lag = lag;
     }
 
-    void start(Listener given) {
-        listener = given;
+    void start(Listener listener) {
+        this.listener = listener;
         control.every(TICK, this::tick);
     }
 
@@ -105,7 +105,7 @@
             LOG.info("resigning as leader: {}", why);
         }
         feed(new LeaseInput.Resign());
-        notBefore = control.clock().instant().plus(PAUSE);
+        candidateNotBefore = control.clock().instant().plus(CANDIDATE_PAUSE);
     }
 
     /**
@@ -124,9 +124,11 @@
 
     private void tick() {
         Instant now = control.clock().instant();
-        boolean mayStand =
-                vacantLongEnough(now) && !now.isBefore(notBefore) && !mustYieldToOthers(now);
-        if (!closed && (machine.held(now) || mayStand)) {
+        boolean mayBeCandidate =
+                vacantLongEnough(now)
+                        && !now.isBefore(candidateNotBefore)
+                        && !mustYieldToOthers(now);
+        if (!closed && (machine.held(now) || mayBeCandidate)) {
             feed(new LeaseInput.Tick());
         } else if (!machine.held(now)) {
             // Notifies the listener of an expiry that no input has reported yet.
@@ -145,17 +147,21 @@
         if (vacantSince.equals(Instant.MAX)) {
             vacantSince = now;
         }
-        Duration behind = lag.average().multipliedBy(LATE_FACTOR);
-        Duration pause = behind.compareTo(LONGEST_PAUSE) < 0 ? behind : LONGEST_PAUSE;
-        boolean first = members.watchesStore() || members.ownLeaderRevision() != 0;
-        return !now.isBefore(vacantSince.plus(first ? pause : LONGEST_PAUSE));
+        Duration lagDelay = lag.average().multipliedBy(LAG_FACTOR);
+        Duration candidateDelay =
+                lagDelay.compareTo(LONGEST_CANDIDATE_DELAY) < 0
+                        ? lagDelay
+                        : LONGEST_CANDIDATE_DELAY;
+        boolean isPreferred = members.watchesStore() || members.ownLeaderRevision() != 0;
+        return !now.isBefore(
+                vacantSince.plus(isPreferred ? candidateDelay : LONGEST_CANDIDATE_DELAY));
     }
 
     // A lease that expired here during an outage may still exist in the store, whose clock stops
     // while it is down. Then no other router can have been the leader, and this one continues at
     // once.
     private boolean mustYieldToOthers(Instant now) {
-        return members.ownLeaderRevision() == 0 && now.isBefore(lapsedUntil);
+        return members.ownLeaderRevision() == 0 && now.isBefore(yieldUntil);
     }
 
     private void feed(LeaseInput input) {
@@ -175,28 +181,28 @@
                     store.keepAlive(keep.lease()),
                     alive -> new LeaseInput.Kept(alive, keep.askedAt()));
         } else if (action instanceof LeaseAction.Revoke revoke) {
-            revoke(revoke.lease(), control.clock().instant().plus(REVOKING));
+            revoke(revoke.lease(), control.clock().instant().plus(REVOKE_RETRY_TIME));
         } else if (action instanceof LeaseAction.Won) {
             LOG.info("elected as leader, fencing token {}", fencing);
             listener.won();
         } else if (action instanceof LeaseAction.Lost) {
             LOG.info("no longer the leader");
-            lapsedUntil = control.clock().instant().plus(PAUSE);
+            yieldUntil = control.clock().instant().plus(CANDIDATE_PAUSE);
             listener.lost();
         }
     }
 
     // Retried, because the lease of a router that stops during an outage of the store would
     // otherwise block the next leader until it expires after the outage.
-    private void revoke(long ended, Instant until) {
-        store.revokeLease(ended)
+    private void revoke(long leaseId, Instant until) {
+        store.revokeLease(leaseId)
                 .whenComplete(
                         (done, failure) ->
                                 control.run(
                                         () -> {
                                             Instant now = control.clock().instant();
                                             if (failure != null && now.isBefore(until)) {
-                                                control.after(TICK, () -> revoke(ended, until));
+                                                control.after(TICK, () -> revoke(leaseId, until));
                                             }
                                         }));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LoadCoordinator.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LoadCoordinator.java
@@ -35,21 +35,21 @@
     private static final Logger LOG = LogManager.getLogger(LoadCoordinator.class);
     private static final Duration TICK = Duration.ofMillis(20);
 
-    private static final Duration EXPLAIN_GAP = Duration.ofSeconds(1);
+    private static final Duration EXPLAIN_PERIOD = Duration.ofSeconds(1);
     private static final Duration LONG_WAIT = Duration.ofMillis(800);
-    private static final int MOST_EXPLAINED = 4;
+    private static final int MAX_EXPLAINED = 4;
 
     /**
      * Changes of held models within this time share an announcement: each announcement goes to
      * every other router, and would take most of the time of a leader with a fraction of a core.
      */
-    private static final Duration NEWS_GAP = Duration.ofMillis(15);
+    private static final Duration ANNOUNCEMENT_GAP = Duration.ofMillis(15);
 
     /**
      * After a planning round starts, the next one is due this multiple of its duration later, so
      * that planning takes a quarter of the time.
      */
-    private static final int REST_FACTOR = 4;
+    private static final int ROUND_PERIOD_FACTOR = 4;
 
     /**
      * Limits the rest after a planning round: the first rounds after a start run code that is not
@@ -60,14 +60,14 @@
     private final ControlThread control;
     private final UpstreamTable upstreams;
     private final LeaderLease lease;
-    private final OrderClient calls;
+    private final OrderClient client;
     private final VmId self;
-    private final LeaderAnnouncements news;
+    private final LeaderAnnouncements announcements;
     private final LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
-    private final Map<UpstreamId, HeldModels> changed = new HashMap<>();
-    private Runnable told = () -> {};
-    private ControlThread.Cancellable ticking = () -> {};
-    private boolean flushing;
+    private final Map<UpstreamId, HeldModels> changedModels = new HashMap<>();
+    private Runnable onTableChanged = () -> {};
+    private ControlThread.Cancellable ticks = () -> {};
+    private boolean announcementScheduled;
     private long restUntilNanos = System.nanoTime();
     private Instant explainedAt = Instant.EPOCH;
 
@@ -75,20 +75,23 @@
             ControlThread control,
             UpstreamTable upstreams,
             LeaderLease lease,
-            OrderClient calls,
+            OrderClient client,
             VmId self,
-            LeaderAnnouncements news) {
+            LeaderAnnouncements announcements) {
         this.control = control;
         this.upstreams = upstreams;
         this.lease = lease;
-        this.calls = calls;
+        this.client = client;
         this.self = self;
-        this.news = news;
+        this.announcements = announcements;
     }
 
-    /** Starts; {@code whenTold} runs after the table of upstreams of this router has changed. */
-    void start(Runnable whenTold) {
-        told = whenTold;
+    /**
+     * Starts; {@code whenTableChanged} runs after the table of upstreams of this router has
+     * changed.
+     */
+    void start(Runnable whenTableChanged) {
+        onTableChanged = whenTableChanged;
         lease.start(this);
     }
 
@@ -126,8 +129,8 @@
         feed(new LoadInput.UpstreamRemoved(upstream));
     }
 
-    void demandReported(LoadInput.DemandReported demanded) {
-        feed(demanded);
+    void demandReported(LoadInput.DemandReported demand) {
+        feed(demand);
     }
 
     /** Records that another router had no answer to a load order. */
@@ -150,34 +153,35 @@
 
     @Override
     public void won() {
-        ticking = control.every(TICK, this::tick);
+        ticks = control.every(TICK, this::tick);
         // Through the store alone the others would learn of the election most of a second later,
         // and would report their demand to nobody until then.
-        news.announceHeldModels(lease.fencing(), Map.of());
+        announcements.announceHeldModels(lease.fencing(), Map.of());
         feed(new LoadInput.Elected());
     }
 
     // A long round on a weak VM is followed by a rest, so that requests get processed in between.
     private void tick() {
-        long began = System.nanoTime();
-        if (began - restUntilNanos < 0) {
+        long startNanos = System.nanoTime();
+        if (startNanos - restUntilNanos < 0) {
             return;
         }
         feed(new LoadInput.Tick());
-        long took = System.nanoTime() - began;
-        restUntilNanos = began + Math.min(took * REST_FACTOR, LONGEST_REST.toNanos());
+        long tookNanos = System.nanoTime() - startNanos;
+        restUntilNanos =
+                startNanos + Math.min(tookNanos * ROUND_PERIOD_FACTOR, LONGEST_REST.toNanos());
         Instant now = control.clock().instant();
-        if (explainedAt.plus(EXPLAIN_GAP).isBefore(now)) {
+        if (explainedAt.plus(EXPLAIN_PERIOD).isBefore(now)) {
             explainedAt = now;
             planner.explainLongWaits(LONG_WAIT, now).stream()
-                    .limit(MOST_EXPLAINED)
+                    .limit(MAX_EXPLAINED)
                     .forEach(line -> LOG.info("demand still unmet: {}", line));
         }
     }
 
     @Override
     public void lost() {
-        ticking.cancel();
+        ticks.cancel();
         feed(new LoadInput.Resigned());
     }
 
@@ -188,12 +192,12 @@
     private void carryOut(LoadAction action) {
         if (action instanceof LoadAction.SendOrder order) {
             sendOrder(order);
-        } else if (action instanceof LoadAction.RequestReport ask) {
-            requestReport(ask.upstream());
-        } else if (action instanceof LoadAction.AnnounceUnansweredLoad open) {
-            news.announceUnansweredLoad(open.load());
-        } else if (action instanceof LoadAction.AnnounceHeldModels tell) {
-            announce(tell);
+        } else if (action instanceof LoadAction.RequestReport request) {
+            requestReport(request.upstream());
+        } else if (action instanceof LoadAction.AnnounceUnansweredLoad unanswered) {
+            announcements.announceUnansweredLoad(unanswered.load());
+        } else if (action instanceof LoadAction.AnnounceHeldModels announcement) {
+            announce(announcement);
         }
     }
 
@@ -212,8 +216,8 @@
                         self.value(),
                         lease.fencing(),
                         order.sequence());
-        long began = System.nanoTime();
-        calls.sendOrder(
+        long startNanos = System.nanoTime();
+        client.sendOrder(
                 to.get().facts(),
                 body,
                 outcome -> {
@@ -227,7 +231,7 @@
                             (long) order.freeMb(),
                             to.get().held().adapters().keySet(),
                             outcome,
-                            (System.nanoTime() - began) / 1_000_000);
+                            (System.nanoTime() - startNanos) / 1_000_000);
                     orderAnswered(order, outcome);
                 });
     }
@@ -245,7 +249,7 @@
             feed(new LoadInput.UpstreamRemoved(id));
             return;
         }
-        calls.requestReport(
+        client.requestReport(
                 to.get().facts(),
                 report ->
                         feed(
@@ -253,21 +257,24 @@
                                         .orElse(new LoadInput.ReportFailed(id))));
     }
 
-    private void announce(LoadAction.AnnounceHeldModels tell) {
+    private void announce(LoadAction.AnnounceHeldModels announcement) {
         upstreams
-                .find(tell.upstream())
-                .ifPresent(each -> each.leaderAnnounced(tell.held(), control.clock().instant()));
-        changed.put(tell.upstream(), tell.held());
-        if (!flushing) {
-            flushing = true;
-            control.after(NEWS_GAP, this::sendAnnouncements);
+                .find(announcement.upstream())
+                .ifPresent(
+                        each ->
+                                each.leaderAnnounced(
+                                        announcement.held(), control.clock().instant()));
+        changedModels.put(announcement.upstream(), announcement.held());
+        if (!announcementScheduled) {
+            announcementScheduled = true;
+            control.after(ANNOUNCEMENT_GAP, this::sendAnnouncements);
         }
     }
 
     private void sendAnnouncements() {
-        flushing = false;
-        news.announceHeldModels(lease.fencing(), Map.copyOf(changed));
-        changed.clear();
-        told.run();
+        announcementScheduled = false;
+        announcements.announceHeldModels(lease.fencing(), Map.copyOf(changedModels));
+        changedModels.clear();
+        onTableChanged.run();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LostUpstreamAnnouncer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LostUpstreamAnnouncer.java
@@ -13,10 +13,10 @@
 final class LostUpstreamAnnouncer {
     private final InstantSource clock;
     private final UpstreamTable upstreams;
-    private final Wire wire;
+    private final Transport transport;
 
     /** Sends the announcements to other routers. */
-    interface Wire {
+    interface Transport {
         /** Announces a lost upstream to the routers that pass the announcement on to all. */
         void announceLost(UpstreamId upstream, long startedAt);
 
@@ -24,16 +24,16 @@
         void forwardLost(UpstreamId upstream, long startedAt);
     }
 
-    LostUpstreamAnnouncer(InstantSource clock, UpstreamTable upstreams, Wire wire) {
+    LostUpstreamAnnouncer(InstantSource clock, UpstreamTable upstreams, Transport transport) {
         this.clock = clock;
         this.upstreams = upstreams;
-        this.wire = wire;
+        this.transport = transport;
     }
 
     /** Records that this router can't reach the upstream, or that a connection to it broke. */
     void connectionLost(Upstream upstream) {
         if (upstream.connectionLost(clock.instant())) {
-            wire.announceLost(upstream.facts().id(), upstream.facts().held().startedAt());
+            transport.announceLost(upstream.facts().id(), upstream.facts().held().startedAt());
         }
     }
 
@@ -47,6 +47,6 @@
                 .filter(upstream -> upstream.facts().held().startedAt() == startedAt)
                 .filter(upstream -> upstream.connectionLost(clock.instant()))
                 .filter(any -> passOn)
-                .ifPresent(any -> wire.forwardLost(id, startedAt));
+                .ifPresent(any -> transport.forwardLost(id, startedAt));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
@@ -37,7 +37,7 @@
     private static final String FLEET = "/fleet/";
     private static final String ROUTERS = FLEET + "routers/";
 
-    private static final String KEPT_OUT = FLEET + "kept-out/";
+    private static final String QUARANTINED = FLEET + "kept-out/";
 
     /** Earlier versions, which may run beside this one, use this key. */
     private static final String LEADER = FLEET + "giver";
@@ -49,9 +49,9 @@
     private static final Duration TERM = Duration.ofSeconds(4);
 
     /** Two renewals may be lost before the entry expires; each renewal costs the store a call. */
-    private static final Duration KEEP = Duration.ofMillis(1_500);
+    private static final Duration RENEWAL_PERIOD = Duration.ofMillis(1_500);
 
-    private static final Duration RETRY = Duration.ofMillis(300);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final ControlThread control;
     private final PolledStore store;
@@ -62,9 +62,9 @@
     private Optional<VmId> leader = Optional.empty();
     private long leaderRevision;
     private WatchPlan plan = WatchPlan.of(List.of());
-    private Runnable changed = () -> {};
-    private BiConsumer<RequestDigest, Integer> keptOut = (request, trials) -> {};
-    private long lease;
+    private Runnable onChange = () -> {};
+    private BiConsumer<RequestDigest, Integer> onQuarantined = (request, trials) -> {};
+    private long leaseId;
     private boolean leaving;
 
     Membership(
@@ -92,19 +92,19 @@
 
     /** Starts; {@code whenChanged} runs whenever the list of routers or the leader changes. */
     void start(Runnable whenChanged) {
-        changed = whenChanged;
+        onChange = whenChanged;
         follower.start();
         register();
     }
 
     /** Runs {@code action} for each quarantined request in the store, with its count of trials. */
     void onQuarantined(BiConsumer<RequestDigest, Integer> action) {
-        keptOut = action;
+        onQuarantined = action;
     }
 
     /** Returns the key prefix of quarantined requests. */
     String quarantinePrefix() {
-        return prefix + KEPT_OUT;
+        return prefix + QUARANTINED;
     }
 
     /** Returns the VM id of this router. */
@@ -123,19 +123,19 @@
     }
 
     /** Records that a router announced itself as leader, before the store's change arrives. */
-    void leaderAnnounced(VmId by) {
-        leader = Optional.of(by);
-        LOG.info("leader: {} (by its own announcement)", by);
+    void leaderAnnounced(VmId router) {
+        leader = Optional.of(router);
+        LOG.info("leader: {} (by its own announcement)", router);
     }
 
     /**
      * Records that a leader resigned and its lease is revoked, before the store's change arrives.
      */
-    void leaderResigned(VmId by) {
-        if (leader.isPresent() && leader.get().equals(by)) {
+    void leaderResigned(VmId router) {
+        if (leader.isPresent() && leader.get().equals(router)) {
             leader = Optional.empty();
             leaderRevision = 0;
-            LOG.info("leader {} resigned (by its own announcement)", by);
+            LOG.info("leader {} resigned (by its own announcement)", router);
         }
     }
 
@@ -198,8 +198,8 @@
     /** Revokes this router's entry, so that no other router relies on it. */
     void deregister() {
         leaving = true;
-        if (lease != 0) {
-            store.revokeLease(lease);
+        if (leaseId != 0) {
+            store.revokeLease(leaseId);
         }
     }
 
@@ -242,45 +242,45 @@
 
     private void leaseGranted(Long granted) {
         if (granted == null) {
-            control.after(RETRY, this::register);
+            control.after(RETRY_DELAY, this::register);
             return;
         }
-        lease = granted;
+        leaseId = granted;
         String key = prefix + ROUTERS + self.vm();
-        store.commit(List.of(), List.of(new Write.Put(key, self.toJson(), lease)))
+        store.commit(List.of(), List.of(new Write.Put(key, self.toJson(), leaseId)))
                 .whenComplete(
                         (result, failure) -> control.run(() -> entryWritten(failure == null)));
     }
 
     private void entryWritten(boolean done) {
         if (done) {
-            control.after(KEEP, this::keepAlive);
+            control.after(RENEWAL_PERIOD, this::keepAlive);
             fetchOwnEntry();
         } else {
-            control.after(RETRY, this::register);
+            control.after(RETRY_DELAY, this::register);
         }
     }
 
     // While this router is not on its own list it may spend no rate share, and would reject
     // requests until the next change arrives; so its own entry is fetched at once.
     private void fetchOwnEntry() {
-        follower.whenKnown(control.clock().instant(), RETRY, known -> {});
+        follower.whenKnown(control.clock().instant(), RETRY_DELAY, known -> {});
     }
 
     private void keepAlive() {
         if (leaving) {
             return;
         }
-        store.keepAlive(lease)
+        store.keepAlive(leaseId)
                 .whenComplete(
                         (alive, failure) -> control.run(() -> keptAlive(failure != null, alive)));
     }
 
     private void keptAlive(boolean failed, Boolean alive) {
         if (failed) {
-            control.after(RETRY, this::keepAlive);
+            control.after(RETRY_DELAY, this::keepAlive);
         } else if (alive) {
-            control.after(KEEP, this::keepAlive);
+            control.after(RENEWAL_PERIOD, this::keepAlive);
         } else {
             LOG.info("the lease of this router's entry expired, registering again");
             register();
@@ -289,11 +289,11 @@
 
     /** Applies changes in the fleet's entries. */
     private final class Listener implements ChangeListener {
-        private void putKeptOut(Entry entry) {
+        private void putQuarantined(Entry entry) {
             String digest = entry.key().substring(quarantinePrefix().length());
             String trials = new String(entry.value(), StandardCharsets.UTF_8);
             try {
-                keptOut.accept(new RequestDigest(digest), Integer.parseInt(trials));
+                onQuarantined.accept(new RequestDigest(digest), Integer.parseInt(trials));
             } catch (NumberFormatException e) {
                 LOG.warn("ignoring unreadable entry {}: {}", entry.key(), e.getMessage());
             }
@@ -315,7 +315,7 @@
 
         private void listChanged() {
             plan = WatchPlan.of(vms());
-            changed.run();
+            onChange.run();
         }
 
         private void put(String key, Optional<Entry> entry) {
@@ -324,11 +324,11 @@
                         entry.map(found -> new String(found.value(), StandardCharsets.UTF_8))
                                 .map(VmId::of);
                 leaderRevision = entry.map(Entry::modRevision).orElse(0L);
-                LOG.info("leader: {}", leader.map(VmId::value).orElse("none"));
+                LOG.info("leader: {}", leader.map(VmId::value).orElse("nobody"));
                 return;
             }
             if (key.startsWith(quarantinePrefix())) {
-                entry.ifPresent(this::putKeptOut);
+                entry.ifPresent(this::putQuarantined);
                 return;
             }
             if (!key.startsWith(prefix + ROUTERS)) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerMessageHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerMessageHandler.java
@@ -24,109 +24,112 @@
  * a configuration, departures or changes in the store that a peer lacks. Control thread only.
  */
 final class PeerMessageHandler implements PeerRouters.Listener {
-    private final Parts parts;
+    private final Dependencies dependencies;
     private final Runnable replicasChanged;
     private long highestFencing;
 
     /** The classes that messages are dispatched to. */
-    record Parts(
+    record Dependencies(
             InstantSource clock,
-            PeerRouters neighbours,
+            PeerRouters peers,
             Membership members,
-            LoadCoordinator leader,
+            LoadCoordinator coordinator,
             LeaderHandOver handOver,
             CrashWatch crashes,
-            LostUpstreamAnnouncer lost,
+            LostUpstreamAnnouncer lostUpstreams,
             LimitedUpstreams limits,
             DemandReporter reports,
             ConfigurationHolder configuration,
             ZoneDrains drains,
             UpstreamTable upstreams,
             UpstreamFollower upstreamFollower,
-            Map<String, Follower> followed,
+            Map<String, Follower> followers,
             StoreRelays relays) {}
 
-    PeerMessageHandler(Parts parts, Runnable replicasChanged) {
-        this.parts = parts;
+    PeerMessageHandler(Dependencies dependencies, Runnable replicasChanged) {
+        this.dependencies = dependencies;
         this.replicasChanged = replicasChanged;
     }
 
     @Override
-    public void reportReceived(LoadInput.DemandReported demanded, RouterStatus standing) {
-        parts.leader().demandReported(demanded);
-        parts.drains().told(standing.drains());
-        if (standing.configurationRevision() > parts.configuration().revision()) {
-            parts.neighbours()
-                    .fetchConfiguration(demanded.router(), parts.configuration().revision());
+    public void reportReceived(LoadInput.DemandReported demand, RouterStatus status) {
+        dependencies.coordinator().demandReported(demand);
+        dependencies.drains().told(status.drains());
+        if (status.configurationRevision() > dependencies.configuration().revision()) {
+            dependencies
+                    .peers()
+                    .fetchConfiguration(demand.router(), dependencies.configuration().revision());
         }
-        if (parts.upstreamFollower().needsTelling(standing.upstreamsRevision())) {
-            parts.neighbours()
-                    .fetchDepartures(demanded.router(), parts.upstreamFollower().knownUpTo());
+        if (dependencies.upstreamFollower().needsTelling(status.upstreamsRevision())) {
+            dependencies
+                    .peers()
+                    .fetchDepartures(demand.router(), dependencies.upstreamFollower().knownUpTo());
         }
     }
 
     @Override
     public void departuresRequested(VmId from, long newerThan) {
-        List<UpstreamDeparture> departures = parts.upstreams().departures(newerThan);
+        List<UpstreamDeparture> departures = dependencies.upstreams().departures(newerThan);
         if (!departures.isEmpty()) {
-            parts.neighbours().sendDepartures(from, departures);
+            dependencies.peers().sendDepartures(from, departures);
         }
     }
 
     @Override
     public void departuresReceived(List<UpstreamDeparture> departures) {
-        parts.upstreamFollower().told(departures);
+        dependencies.upstreamFollower().told(departures);
     }
 
     @Override
     public void linkOpened() {
-        parts.reports().announceHeldModels();
-        parts.crashes().tellAll();
+        dependencies.reports().announceHeldModels();
+        dependencies.crashes().tellAll();
     }
 
     @Override
-    public void upstreamCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-        parts.crashes().told(end, ago, ran);
+    public void upstreamCrashed(
+            UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> ran) {
+        dependencies.crashes().told(crash, ago, ran);
     }
 
     @Override
-    public void crashDetected(UpstreamCrash end, boolean passOn) {
-        parts.crashes().toldEnd(end, passOn);
+    public void crashDetected(UpstreamCrash crash, boolean passOn) {
+        dependencies.crashes().toldEnd(crash, passOn);
     }
 
     @Override
     public void upstreamLost(UpstreamId upstream, long startedAt, boolean passOn) {
-        parts.lost().lossAnnounced(upstream, startedAt, passOn);
+        dependencies.lostUpstreams().lossAnnounced(upstream, startedAt, passOn);
     }
 
     @Override
     public void upstreamLimited(LimitedUpstreams.News news, boolean passOn) {
-        parts.limits().told(news, passOn);
+        dependencies.limits().told(news, passOn);
     }
 
     @Override
     public void requestWatched(RequestDigest request) {
-        parts.crashes().toldWatched(request);
+        dependencies.crashes().toldWatched(request);
     }
 
     @Override
     public void requestQuarantined(Quarantine.Entry entry) {
-        parts.crashes().told(entry);
+        dependencies.crashes().told(entry);
     }
 
     @Override
     public void requestCleared(RequestDigest request, Duration sentAgo) {
-        parts.crashes().toldCleared(request, sentAgo);
+        dependencies.crashes().toldCleared(request, sentAgo);
     }
 
     @Override
     public void requestSucceededBefore(RequestDigest request, Duration ago) {
-        parts.crashes().toldSucceededBefore(request, ago);
+        dependencies.crashes().toldSucceededBefore(request, ago);
     }
 
     @Override
     public void requestSurvived(RequestDigest request, int times) {
-        parts.crashes().toldBorne(request, times);
+        dependencies.crashes().toldBorne(request, times);
     }
 
     @Override
@@ -135,61 +138,65 @@
             return;
         }
         if (fencing > highestFencing) {
-            parts.members().leaderAnnounced(from);
-            parts.neighbours().refresh();
+            dependencies.members().leaderAnnounced(from);
+            dependencies.peers().refresh();
             // A leader that doesn't watch the store on behalf of all routers has received no demand
             // reports before its election.
-            parts.reports().reportToNewLeader();
+            dependencies.reports().reportToNewLeader();
         }
         highestFencing = fencing;
         held.forEach(
                 (id, models) ->
-                        parts.upstreams()
+                        dependencies
+                                .upstreams()
                                 .find(id)
                                 .ifPresent(
                                         each ->
                                                 each.leaderAnnounced(
-                                                        models, parts.clock().instant())));
+                                                        models, dependencies.clock().instant())));
         replicasChanged.run();
     }
 
     @Override
     public void unansweredLoadAnnounced(UnansweredLoadOrder load) {
-        parts.leader().unansweredLoadAnnounced(load);
+        dependencies.coordinator().unansweredLoadAnnounced(load);
     }
 
     @Override
     public void changesRequested(
-            String prefix, long after, Duration wait, Consumer<Optional<Changes>> told) {
-        Follower follower = parts.followed().get(prefix);
+            String prefix, long after, Duration wait, Consumer<Optional<Changes>> answer) {
+        Follower follower = dependencies.followers().get(prefix);
         if (follower == null) {
-            told.accept(Optional.empty());
+            answer.accept(Optional.empty());
         } else {
-            follower.tell(after, wait, told);
+            follower.tell(after, wait, answer);
         }
     }
 
     @Override
-    public void changesReceived(VmId from, long number, Optional<Changes> told) {
-        parts.relays().answered(from, number, told);
+    public void changesReceived(VmId from, long number, Optional<Changes> changes) {
+        dependencies.relays().answered(from, number, changes);
     }
 
     @Override
-    public void leaseEndRequested(VmId by, long lease) {
-        parts.handOver().revokeLease(by, lease);
+    public void leaseEndRequested(VmId from, long lease) {
+        dependencies.handOver().revokeLease(from, lease);
     }
 
     @Override
     public void configurationRequested(VmId from, long newerThan) {
-        if (parts.configuration().revision() > newerThan) {
-            parts.neighbours()
+        if (dependencies.configuration().revision() > newerThan) {
+            dependencies
+                    .peers()
                     .sendConfiguration(
-                            from, parts.configuration().revision(), parts.configuration().value());
+                            from,
+                            dependencies.configuration().revision(),
+                            dependencies.configuration().value());
         }
     }
 
     @Override
     public void configurationReceived(long revision, byte[] value) {
-        parts.configuration().offer(value, revision, "another router");
+        dependencies.configuration().offer(value, revision, "another router");
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouterFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouterFrames.java
@@ -48,27 +48,28 @@
     private PeerRouterFrames() {}
 
     static Frame report(
-            long number, LoadInput.DemandReported demanded, RouterStatus standing, Instant now) {
+            long number, LoadInput.DemandReported demandReport, RouterStatus status, Instant now) {
         RouterReport.Builder report =
                 RouterReport.newBuilder()
                         .setNumber(number)
-                        .setConfigurationRevision(standing.configurationRevision())
-                        .setUpstreamsRevision(standing.upstreamsRevision())
-                        .setDrainsRevision(standing.drains().revision())
-                        .setStoreUp(standing.storeUp())
-                        .setLateMs((int) standing.lag().toMillis());
-        standing.drains()
+                        .setConfigurationRevision(status.configurationRevision())
+                        .setUpstreamsRevision(status.upstreamsRevision())
+                        .setDrainsRevision(status.drains().revision())
+                        .setStoreUp(status.storeUp())
+                        .setLateMs((int) status.lag().toMillis());
+        status.drains()
                 .notBefore()
                 .forEach((zone, at) -> report.addDrainedZones(drainedZone(zone, at, now)));
-        demanded.demands().forEach(want -> report.addDemand(demand(want)));
-        demanded.running()
+        demandReport.demands().forEach(demand -> report.addDemand(demand(demand)));
+        demandReport
+                .running()
                 .forEach(
                         (upstream, counts) ->
                                 counts.forEach(
                                         (model, count) ->
                                                 report.addRunning(
                                                         running(upstream, model, count))));
-        demanded.suspects().forEach(id -> report.addSuspects(id.value()));
+        demandReport.suspects().forEach(id -> report.addSuspects(id.value()));
         return Frame.newBuilder().setRouterReport(report).build();
     }
 
@@ -88,7 +89,7 @@
         return new RouterStatus(
                 report.getConfigurationRevision(),
                 report.getUpstreamsRevision(),
-                new RouterStatus.Drains(report.getDrainsRevision(), drained),
+                new RouterStatus.DrainStatus(report.getDrainsRevision(), drained),
                 report.getStoreUp(),
                 Duration.ofMillis(report.getLateMs()));
     }
@@ -121,13 +122,14 @@
                 now.minusMillis(line.getAgeMs()));
     }
 
-    static Frame upstreamCrash(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+    static Frame upstreamCrash(
+            UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes) {
         UpstreamEnded.Builder ended =
                 UpstreamEnded.newBuilder()
-                        .setUpstream(end.upstream().value())
-                        .setStartedAt(end.startedAt())
+                        .setUpstream(crash.upstream().value())
+                        .setStartedAt(crash.startedAt())
                         .setEndedMsAgo((int) ago.toMillis());
-        ran.forEach(
+        runTimes.forEach(
                 (request, time) ->
                         ended.addRequests(
                                 CutRequest.newBuilder()
@@ -141,11 +143,11 @@
     }
 
     static Map<RequestDigest, Duration> runTimes(UpstreamEnded ended) {
-        Map<RequestDigest, Duration> ran = new HashMap<>();
+        Map<RequestDigest, Duration> runTimes = new HashMap<>();
         for (CutRequest each : ended.getRequestsList()) {
-            ran.put(new RequestDigest(each.getRequest()), Duration.ofMillis(each.getRanMs()));
+            runTimes.put(new RequestDigest(each.getRequest()), Duration.ofMillis(each.getRanMs()));
         }
-        return ran;
+        return runTimes;
     }
 
     static Frame limit(LimitedUpstreams.News news, boolean passOn) {
@@ -175,17 +177,17 @@
         return lost(new UpstreamCrash(upstream, startedAt), passOn, false);
     }
 
-    static Frame crashDetected(UpstreamCrash end, boolean passOn) {
-        return lost(end, passOn, true);
+    static Frame crashDetected(UpstreamCrash crash, boolean passOn) {
+        return lost(crash, passOn, true);
     }
 
-    private static Frame lost(UpstreamCrash end, boolean passOn, boolean ended) {
+    private static Frame lost(UpstreamCrash crash, boolean passOn, boolean crashed) {
         LostUpstream lost =
                 LostUpstream.newBuilder()
-                        .setUpstream(end.upstream().value())
-                        .setStartedAt(end.startedAt())
+                        .setUpstream(crash.upstream().value())
+                        .setStartedAt(crash.startedAt())
                         .setPassOn(passOn)
-                        .setEnded(ended)
+                        .setEnded(crashed)
                         .build();
         return Frame.newBuilder().setLostUpstream(lost).build();
     }
@@ -267,14 +269,14 @@
         return Frame.newBuilder().setChangesFetch(fetch).build();
     }
 
-    static Frame changes(long number, Optional<Changes> told) {
+    static Frame changes(long number, Optional<Changes> changes) {
         StoreChanges.Builder answer = StoreChanges.newBuilder().setNumber(number);
-        if (told.isEmpty()) {
+        if (changes.isEmpty()) {
             answer.setRefused(true);
         } else {
-            answer.setRevision(told.get().revision());
-            answer.setAgeMs((int) told.get().age().toMillis());
-            told.get().changes().forEach(change -> answer.addChanges(storeChange(change)));
+            answer.setRevision(changes.get().revision());
+            answer.setAgeMs((int) changes.get().age().toMillis());
+            changes.get().changes().forEach(change -> answer.addChanges(storeChange(change)));
         }
         return Frame.newBuilder().setStoreChanges(answer).build();
     }
@@ -314,15 +316,15 @@
         return new Change(line.getKey(), line.getRevision(), entry);
     }
 
-    private static ModelDemand demand(LoadInput.ModelDemand want) {
+    private static ModelDemand demand(LoadInput.ModelDemand demand) {
         return ModelDemand.newBuilder()
-                .setModel(want.model().model())
-                .setAdapter(want.model().adapter())
-                .setWaiting(want.waiting())
-                .setOldestMs((int) want.longestWait().toMillis())
-                .setUrgency(want.urgency())
-                .setPerSecond(want.arrivalsPerSecond())
-                .setInTime(want.inTime())
+                .setModel(demand.model().model())
+                .setAdapter(demand.model().adapter())
+                .setWaiting(demand.waiting())
+                .setOldestMs((int) demand.longestWait().toMillis())
+                .setUrgency(demand.urgency())
+                .setPerSecond(demand.arrivalsPerSecond())
+                .setInTime(demand.inTime())
                 .build();
     }
 
@@ -353,9 +355,9 @@
     }
 
     static LoadInput.DemandReported demandReported(VmId from, RouterReport report) {
-        List<LoadInput.ModelDemand> wants = new ArrayList<>();
+        List<LoadInput.ModelDemand> demands = new ArrayList<>();
         for (ModelDemand demand : report.getDemandList()) {
-            wants.add(
+            demands.add(
                     new LoadInput.ModelDemand(
                             new ModelRef(demand.getModel(), demand.getAdapter()),
                             demand.getWaiting(),
@@ -371,7 +373,7 @@
         }
         Set<UpstreamId> suspects = new HashSet<>();
         report.getSuspectsList().forEach(id -> suspects.add(UpstreamId.of(id)));
-        return new LoadInput.DemandReported(from, wants, running, suspects);
+        return new LoadInput.DemandReported(from, demands, running, suspects);
     }
 
     static List<UpstreamDeparture> departures(Departures all) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouters.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouters.java
@@ -47,26 +47,26 @@
 final class PeerRouters
         implements PeerListener,
                 LeaderAnnouncements,
-                LostUpstreamAnnouncer.Wire,
+                LostUpstreamAnnouncer.Transport,
                 LimitedUpstreams.Wire {
     /** Twice the interval of at most 0.6 s at which routers report to the leader. */
-    private static final Duration STORE_SEEN = Duration.ofMillis(1_200);
+    private static final Duration STORE_STATUS_VALIDITY = Duration.ofMillis(1_200);
 
     /** Longer than two reports are apart: each router reports at least once a second. */
-    private static final Duration LATE_SEEN = Duration.ofMillis(2_500);
+    private static final Duration LAG_VALIDITY = Duration.ofMillis(2_500);
 
     private final ControlThread control;
     private final Membership members;
     private final Map<VmId, PeerAddress> addresses = new HashMap<>();
     private final Map<VmId, PeerLink> links = new HashMap<>();
-    private final Map<VmId, Instant> storeSeen = new TreeMap<>();
-    private final Map<VmId, Late> late = new HashMap<>();
+    private final Map<VmId, Instant> storeSeenAt = new TreeMap<>();
+    private final Map<VmId, ReportedLag> reportedLags = new HashMap<>();
     private PeerNetwork network;
     private Listener listener;
-    private long number;
+    private long lastReportNumber;
 
     /** The lag of a router's control thread, as reported at a time. */
-    private record Late(Duration by, Instant at) {}
+    private record ReportedLag(Duration lag, Instant reportedAt) {}
 
     /** Receives the messages of other routers. */
     interface Listener {
@@ -74,16 +74,16 @@
         void linkOpened();
 
         /** A router reported its demand for models, and the revisions that it knows. */
-        void reportReceived(LoadInput.DemandReported demanded, RouterStatus standing);
+        void reportReceived(LoadInput.DemandReported demand, RouterStatus status);
 
         /**
-         * A router fetches changes in the store; {@code told} takes the answer, empty to refuse.
+         * A router fetches changes in the store; {@code answer} takes the answer, empty to refuse.
          */
         void changesRequested(
-                String prefix, long after, Duration wait, Consumer<Optional<Changes>> told);
+                String prefix, long after, Duration wait, Consumer<Optional<Changes>> answer);
 
         /** A router answered the fetch of changes that has this number. */
-        void changesReceived(VmId from, long number, Optional<Changes> told);
+        void changesReceived(VmId from, long fetchNumber, Optional<Changes> changes);
 
         /** The leader with this fencing token announced the models that upstreams hold. */
         void heldModelsAnnounced(VmId leader, long fencing, Map<UpstreamId, HeldModels> held);
@@ -92,13 +92,13 @@
         void unansweredLoadAnnounced(UnansweredLoadOrder load);
 
         /** An upstream crashed {@code ago}; {@code ran} is how long each request had run there. */
-        void upstreamCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
+        void upstreamCrashed(UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> ran);
 
         /**
          * A router detected that an upstream crashed; {@code passOn} if this router is to pass the
          * announcement on to all others.
          */
-        void crashDetected(UpstreamCrash end, boolean passOn);
+        void crashDetected(UpstreamCrash crash, boolean passOn);
 
         /** By a router's count, one more crash makes the request a poison request. */
         void requestWatched(RequestDigest request);
@@ -128,7 +128,7 @@
         void upstreamLimited(LimitedUpstreams.News news, boolean passOn);
 
         /** A router that was the leader under this lease resigned and can't reach the store. */
-        void leaseEndRequested(VmId by, long lease);
+        void leaseEndRequested(VmId from, long lease);
 
         /** A router fetches the configuration if its revision is above {@code newerThan}. */
         void configurationRequested(VmId from, long newerThan);
@@ -148,9 +148,9 @@
         this.members = members;
     }
 
-    void start(PeerNetwork given, Listener hears) {
-        network = given;
-        listener = hears;
+    void start(PeerNetwork network, Listener listener) {
+        this.network = network;
+        this.listener = listener;
     }
 
     /**
@@ -159,20 +159,20 @@
      * watch the store on behalf of all; any other router opens the link if it has to send.
      */
     void refresh() {
-        Map<VmId, PeerAddress> now = new HashMap<>();
-        members.others().forEach(each -> now.put(each.vm(), each.address()));
+        Map<VmId, PeerAddress> current = new HashMap<>();
+        members.others().forEach(each -> current.put(each.vm(), each.address()));
         addresses
                 .entrySet()
                 .removeIf(
                         entry -> {
-                            boolean gone = !entry.getValue().equals(now.get(entry.getKey()));
-                            if (gone) {
+                            boolean removed = !entry.getValue().equals(current.get(entry.getKey()));
+                            if (removed) {
                                 network.forget(entry.getValue());
                             }
-                            return gone;
+                            return removed;
                         });
         links.values().removeIf(link -> !link.open());
-        addresses.putAll(now);
+        addresses.putAll(current);
         addresses.forEach(
                 (vm, address) -> {
                     if (opensLinkTo(vm)) {
@@ -182,16 +182,17 @@
     }
 
     private boolean opensLinkTo(VmId vm) {
-        boolean leads = members.leader().filter(vm::equals).isPresent();
-        return leads || members.plan().watches(vm);
+        boolean isLeader = members.leader().filter(vm::equals).isPresent();
+        return isLeader || members.plan().watches(vm);
     }
 
     /**
      * Sends this router's report to one router, or to all that watch the store if none is given.
      */
-    void report(Optional<VmId> to, LoadInput.DemandReported demanded, RouterStatus standing) {
+    void report(Optional<VmId> to, LoadInput.DemandReported demand, RouterStatus status) {
         Frame frame =
-                PeerRouterFrames.report(++number, demanded, standing, control.clock().instant());
+                PeerRouterFrames.report(
+                        ++lastReportNumber, demand, status, control.clock().instant());
         if (to.isPresent()) {
             send(to.get(), frame);
         } else {
@@ -200,16 +201,16 @@
     }
 
     /** Fetches changes in the store from a router; returns false if there is no link to it. */
-    boolean fetchChanges(VmId relay, long asked, String prefix, long after, Duration wait) {
-        return send(relay, PeerRouterFrames.changesFetch(asked, prefix, after, wait));
+    boolean fetchChanges(VmId relay, long fetchNumber, String prefix, long after, Duration wait) {
+        return send(relay, PeerRouterFrames.changesFetch(fetchNumber, prefix, after, wait));
     }
 
     /** Returns the smallest lag of a control thread that a router reported recently. */
     Optional<Duration> lowestReportedLag() {
         Instant now = control.clock().instant();
-        return late.values().stream()
-                .filter(each -> now.isBefore(each.at().plus(LATE_SEEN)))
-                .map(Late::by)
+        return reportedLags.values().stream()
+                .filter(each -> now.isBefore(each.reportedAt().plus(LAG_VALIDITY)))
+                .map(ReportedLag::lag)
                 .min(Comparator.naturalOrder());
     }
 
@@ -277,17 +278,17 @@
     /** Returns a router that reached the store recently, if there is one. */
     Optional<VmId> findRouterWithStore() {
         Instant now = control.clock().instant();
-        return storeSeen.entrySet().stream()
+        return storeSeenAt.entrySet().stream()
                 .filter(entry -> addresses.containsKey(entry.getKey()))
-                .filter(entry -> now.isBefore(entry.getValue().plus(STORE_SEEN)))
+                .filter(entry -> now.isBefore(entry.getValue().plus(STORE_STATUS_VALIDITY)))
                 .map(Map.Entry::getKey)
                 .findFirst();
     }
 
     /** Asks a router to revoke a lease of this router in the store. */
-    void requestLeaseEnd(VmId by, long lease) {
+    void requestLeaseEnd(VmId router, long lease) {
         LeaseEnd end = LeaseEnd.newBuilder().setLease(lease).build();
-        send(by, Frame.newBuilder().setLeaseEnd(end).build());
+        send(router, Frame.newBuilder().setLeaseEnd(end).build());
     }
 
     void fetchConfiguration(VmId from, long newerThan) {
@@ -341,10 +342,10 @@
         if (frame.hasRouterReport()) {
             RouterReport report = frame.getRouterReport();
             Instant now = control.clock().instant();
-            RouterStatus standing = PeerRouterFrames.status(report, now);
-            recordStoreStatus(from, standing.storeUp());
-            late.put(from, new Late(standing.lag(), now));
-            listener.reportReceived(PeerRouterFrames.demandReported(from, report), standing);
+            RouterStatus status = PeerRouterFrames.status(report, now);
+            recordStoreStatus(from, status.storeUp());
+            reportedLags.put(from, new ReportedLag(status.lag(), now));
+            listener.reportReceived(PeerRouterFrames.demandReported(from, report), status);
         } else if (frame.hasReplicaNews()) {
             listener.heldModelsAnnounced(
                     from,
@@ -372,7 +373,7 @@
                     fetch.getPrefix(),
                     fetch.getAfter(),
                     Duration.ofMillis(fetch.getWaitMs()),
-                    told -> link.send(PeerRouterFrames.changes(fetch.getNumber(), told)));
+                    answer -> link.send(PeerRouterFrames.changes(fetch.getNumber(), answer)));
         } else if (frame.hasStoreChanges()) {
             StoreChanges answer = frame.getStoreChanges();
             listener.changesReceived(from, answer.getNumber(), PeerRouterFrames.changes(answer));
@@ -429,9 +430,9 @@
 
     private void recordStoreStatus(VmId router, boolean up) {
         if (up) {
-            storeSeen.put(router, control.clock().instant());
+            storeSeenAt.put(router, control.clock().instant());
         } else {
-            storeSeen.remove(router);
+            storeSeenAt.remove(router);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/RouterStatus.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/RouterStatus.java
@@ -16,7 +16,7 @@
 record RouterStatus(
         long configurationRevision,
         long upstreamsRevision,
-        Drains drains,
+        DrainStatus drains,
         boolean storeUp,
         Duration lag) {
     /**
@@ -26,5 +26,5 @@
      * @param notBefore for each zone a time at which its drain was not yet requested; {@code
      *     Instant.MIN} if none is known
      */
-    record Drains(long revision, Map<String, Instant> notBefore) {}
+    record DrainStatus(long revision, Map<String, Instant> notBefore) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
@@ -92,12 +92,12 @@
     }
 
     /** What this router knows, for others that the store doesn't tell. */
-    RouterStatus.Drains known() {
-        return new RouterStatus.Drains(revision, zones.all());
+    RouterStatus.DrainStatus known() {
+        return new RouterStatus.DrainStatus(revision, zones.all());
     }
 
     /** Another router says which zones are drained, and may know it better. */
-    void told(RouterStatus.Drains theirs) {
+    void told(RouterStatus.DrainStatus theirs) {
         if (theirs.revision() <= revision) {
             return;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
@@ -268,7 +268,7 @@
     }
 
     /** No other router is there to be told. */
-    private static final class SilentWire implements LostUpstreamAnnouncer.Wire {
+    private static final class SilentWire implements LostUpstreamAnnouncer.Transport {
         @Override
         public void announceLost(UpstreamId upstream, long startedAt) {}
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LeaderLeaseTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LeaderLeaseTest.java
@@ -23,7 +23,7 @@
     private final List<String> events = new ArrayList<>();
 
     @Test
-    void oneRouterAtATimeGivesOrders() {
+    void onlyOneRouterAtATimeIsLeader() {
         LeaderLease one = router("one");
         LeaderLease two = router("two");
         advance(1_000);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aLeaderThatStopsIsFollowedAtOnceByAHigherToken() {
+    void aStoppedLeaderIsReplacedAtOnceWithAHigherFencingToken() {
         LeaderLease one = router("one");
         LeaderLease two = router("two");
         advance(1_000);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aLeaderThatIsCutOffStopsBeforeItsLeaseCanHaveEnded() {
+    void aPartitionedLeaderStopsBeforeItsLeaseCanHaveExpired() {
         // The store rejects the leader. Its lease expires 2.4 s after the last renewal, and another
         // router may be elected from then on; the leader must have stopped by its own clock.
         LeaderLease one = router("one");
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aLeaderWhoseLeaseLapsedInAnOutageGoesOnWhenTheStoreIsBack() {
+    void aLeaderWhoseLeaseExpiredInAnOutageLeadsAgainOnceTheStoreIsBack() {
         // The store's clock stops during an outage of four seconds, so the leader's entry still
         // exists afterwards and nobody else can be elected. If the leader paused for the sake of
         // other candidates, nothing would be loaded for five more seconds.
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aLeaderThatStopsInAnOutageEndsItsLeaseAfterIt() {
+    void aLeaderThatStopsInAnOutageRevokesItsLeaseAfterIt() {
         // The leader stops while the store is down and can't revoke its lease. Without a retry, its
         // entry would remain for the whole term once the store is back, with no leader.
         LeaderLease one = router("one");
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aRouterThatResignedLetsOthersGoFirst() {
+    void aRouterThatResignedLetsOthersBeElectedFirst() {
         // A slow leader resigns and there is no other router. Elected again at once, it would
         // resign at its next slow tick; with another router, the two would alternate.
         LeaderLease one = router("one");
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aResignationDoesNotHarmTheNextLeader() {
+    void aSecondResignationDoesNotAffectTheNextLeader() {
         LeaderLease one = router("one");
         LeaderLease two = router("two");
         advance(1_000);
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aRestartedLeaderTakesItsOwnEntryOver() {
+    void aRestartedLeaderReplacesItsOwnEntry() {
         // All routers are killed and start again. The leader's entry remains for two more seconds,
         // under the lease of its earlier incarnation; the next one must not wait for its expiry.
         router("one");
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void twoRoutersThatStandAtOnceDontBothWin() {
+    void twoSimultaneousCandidatesAreNotBothElected() {
         // Both see that there is no leader and request a lease each. The store is slow; when it
         // continues, one writes its entry, and the other learns of that before it sends its own
         // write.
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LoadOrderSafetyTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LoadOrderSafetyTest.java
@@ -14,17 +14,18 @@
     private static final long FIRST = Long.getLong("orders.first", 1);
 
     private static final int SEEDS = Integer.getInteger("orders.count", 300);
-    private static final int SHOWN = 2;
+    private static final int MAX_SHOWN = 2;
 
     // Guards against orders that are carried out late, in a state that they were not planned for.
     @Test
-    void noUpstreamIsOrderedToHoldMoreThanItHasRoomFor() {
-        List<String> broken = new ArrayList<>();
+    void noUpstreamIsOrderedToHoldMoreThanItsCapacity() {
+        List<String> overloads = new ArrayList<>();
         for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken.addAll(overloadsWithSeed(seed, true));
+            overloads.addAll(overloadsWithSeed(seed, true));
         }
-        String first = String.join("; ", broken.subList(0, Math.min(SHOWN, broken.size())));
-        assertEquals("", first, broken.size() + " in all");
+        String first =
+                String.join("; ", overloads.subList(0, Math.min(MAX_SHOWN, overloads.size())));
+        assertEquals("", first, overloads.size() + " in all");
     }
 
     // Guards against the fault that each of these seeds has shown.
@@ -35,26 +36,26 @@
                 + " upstream to it",
         "460, a new leader did not know the unanswered orders of the one before"
     })
-    void aWorldThatFailedOnceKeepsThePromise(long seed, String cause) {
+    void seedsThatOnceOverloadedAnUpstreamNoLongerDo(long seed, String cause) {
         assertEquals(List.of(), overloadsWithSeed(seed, true), cause);
     }
 
     // Guards against a simulation that finds no faults: without the check of the sequence of
     // accepted orders, late orders overload upstreams at once.
     @Test
-    void upstreamsThatDoNotCountOrdersAreOverloaded() {
-        int broken = 0;
+    void upstreamsThatDoNotCheckSequencesAreOverloaded() {
+        int overloads = 0;
         for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            broken += overloadsWithSeed(seed, false).size();
+            overloads += overloadsWithSeed(seed, false).size();
         }
-        assertTrue(broken > 0, "no upstream was overloaded");
+        assertTrue(overloads > 0, "no upstream was overloaded");
     }
 
-    private static List<String> overloadsWithSeed(long seed, boolean checkedCounts) {
-        OrderSimulation world = new OrderSimulation(seed, checkedCounts);
-        new OrderFaults(world, seed).play();
-        return world.overloads().isEmpty()
+    private static List<String> overloadsWithSeed(long seed, boolean checksSequences) {
+        OrderSimulation simulation = new OrderSimulation(seed, checksSequences);
+        new OrderFaults(simulation, seed).play();
+        return simulation.overloads().isEmpty()
                 ? List.of()
-                : List.of("seed " + seed + ": " + String.join("\n", world.events()) + '\n');
+                : List.of("seed " + seed + ": " + String.join("\n", simulation.events()) + '\n');
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderSimulation.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderSimulation.java
@@ -39,43 +39,43 @@
     private static final double LEAST_MODEL_MB = 22;
     private static final double MODEL_MB_RANGE = 24;
     private static final double ADAPTER_MB = 2;
-    private static final int PLACES = 4;
+    private static final int ADAPTER_SLOTS = 4;
     private static final int SLOTS = 4;
     private static final double LOADS_PER_SECOND = 5;
 
-    private static final Duration DEMAND = Duration.ofMillis(150);
-    private static final Duration HEARTBEAT = Duration.ofMillis(1_200);
-    private static final Duration ORDER_LIMIT = Duration.ofMillis(150);
-    private static final Duration REPORT_LIMIT = Duration.ofMillis(400);
+    private static final Duration DEMAND_PERIOD = Duration.ofMillis(150);
+    private static final Duration HEARTBEAT_PERIOD = Duration.ofMillis(1_200);
+    private static final Duration ORDER_TIMEOUT = Duration.ofMillis(150);
+    private static final Duration REPORT_TIMEOUT = Duration.ofMillis(400);
     private static final int LONGEST_LIST_LAG_MILLIS = 300;
-    private static final int LONGEST_WAY_MILLIS = 20;
+    private static final int LONGEST_LATENCY_MILLIS = 20;
     private static final int EARLIEST_LATE_MILLIS = 2_000;
     private static final int LATE_RANGE_MILLIS = 10_000;
 
     /** The entry of an upstream without heartbeats expires after this. */
-    private static final Duration LAPSES_AFTER = HEARTBEAT.multipliedBy(3);
+    private static final Duration ENTRY_EXPIRY = HEARTBEAT_PERIOD.multipliedBy(3);
 
     private final TestControlThread world = new TestControlThread();
     private final Random random;
     private final EngineSpec spec;
     private final List<SimulatedEngine> engines = new ArrayList<>();
     private final List<SimulatedOrderRouter> routers = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
-    private final List<String> story = new ArrayList<>();
-    private final Instant began = world.clock().instant();
-    private double lateShare;
-    private double lostShare;
+    private final List<String> overloads = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
+    private final Instant startedAt = world.clock().instant();
+    private double lateFraction;
+    private double lostFraction;
     private long revision = 1;
 
-    OrderSimulation(long seed, boolean checkedCounts) {
+    OrderSimulation(long seed, boolean checksSequences) {
         this.random = new Random(seed);
         this.spec = spec();
-        SimulatedEngine.Manners manners =
-                new SimulatedEngine.Manners(random.nextBoolean(), checkedCounts);
+        SimulatedEngine.OrderChecks checks =
+                new SimulatedEngine.OrderChecks(random.nextBoolean(), checksSequences);
         for (int each = 0; each < ENGINES; each++) {
             engines.add(
                     new SimulatedEngine(
-                            world, "engine-" + each, spec, manners, random, this::overloaded));
+                            world, "engine-" + each, spec, checks, random, this::overloaded));
         }
         LeasedStore store = new LeasedStore(world);
         for (int each = 0; each < ROUTERS; each++) {
@@ -94,7 +94,7 @@
                         HttpLimits.usual());
         routers.forEach(each -> each.configurationChanged(configuration));
         engines.forEach(this::sendHeartbeat);
-        world.every(DEMAND, this::reportDemand);
+        world.every(DEMAND_PERIOD, this::reportDemand);
     }
 
     private EngineSpec spec() {
@@ -111,17 +111,17 @@
                             Duration.ofMillis(400),
                             ADAPTER_MB));
         }
-        return new EngineSpec(SLOTS, 1_000, MEMORY_MB, PLACES, LOADS_PER_SECOND, models);
+        return new EngineSpec(SLOTS, 1_000, MEMORY_MB, ADAPTER_SLOTS, LOADS_PER_SECOND, models);
     }
 
     /** Returns the overloads of upstreams, one line each. */
     List<String> overloads() {
-        return broken;
+        return overloads;
     }
 
     /** Returns the events so far, each with the milliseconds since the start. */
     List<String> events() {
-        return story;
+        return events;
     }
 
     List<SimulatedOrderRouter> routers() {
@@ -141,22 +141,22 @@
     }
 
     /** From now on this fraction of orders is carried out seconds later, and not answered. */
-    void delayOrders(double share) {
-        recordEvent("orders late: " + share);
-        lateShare = share;
+    void delayOrders(double fraction) {
+        recordEvent("orders late: " + fraction);
+        lateFraction = fraction;
     }
 
     /** From now on this fraction of answers to orders is lost. */
-    void loseAnswers(double share) {
-        recordEvent("answers lost: " + share);
-        lostShare = share;
+    void loseAnswers(double fraction) {
+        recordEvent("answers lost: " + fraction);
+        lostFraction = fraction;
     }
 
     /** Stops an upstream and starts it again under the same name. */
     void restart(SimulatedEngine engine, Duration down) {
         recordEvent(engine.id() + " restarts, down for " + down.toMillis());
         engine.restart(down);
-        world.after(LAPSES_AFTER, () -> expireEntry(engine));
+        world.after(ENTRY_EXPIRY, () -> expireEntry(engine));
     }
 
     private void expireEntry(SimulatedEngine engine) {
@@ -175,7 +175,7 @@
             public void sendOrder(
                     UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then) {
                 Answer<OrderOutcome> answer = new Answer<>(router, then);
-                router.after(ORDER_LIMIT, () -> answer.complete(OrderOutcome.UNKNOWN));
+                router.after(ORDER_TIMEOUT, () -> answer.complete(OrderOutcome.UNKNOWN));
                 send(engine(to), order, answer);
             }
 
@@ -183,7 +183,7 @@
             public void requestReport(
                     UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then) {
                 Answer<Optional<LoadInput.UpstreamReported>> answer = new Answer<>(router, then);
-                router.after(REPORT_LIMIT, () -> answer.complete(Optional.empty()));
+                router.after(REPORT_TIMEOUT, () -> answer.complete(Optional.empty()));
                 deliver(
                         () ->
                                 engine(from)
@@ -214,14 +214,14 @@
     }
 
     private void send(SimulatedEngine engine, Dialect.Order order, Answer<OrderOutcome> answer) {
-        if (random.nextDouble() < lateShare) {
+        if (random.nextDouble() < lateFraction) {
             Duration later =
                     Duration.ofMillis(EARLIEST_LATE_MILLIS + random.nextInt(LATE_RANGE_MILLIS));
             recordEvent(engine.id() + " gets late, in " + later.toMillis() + ": " + order);
             world.after(later, () -> engine.takeOrder(order));
             return;
         }
-        boolean lost = random.nextDouble() < lostShare;
+        boolean lost = random.nextDouble() < lostFraction;
         deliver(
                 () -> {
                     Optional<OrderOutcome> outcome = engine.takeOrder(order);
@@ -235,7 +235,7 @@
     private static final class Answer<T> {
         private final ControlThread router;
         private final Consumer<T> then;
-        private boolean over;
+        private boolean done;
 
         Answer(ControlThread router, Consumer<T> then) {
             this.router = router;
@@ -245,8 +245,8 @@
         void complete(T value) {
             router.run(
                     () -> {
-                        if (!over) {
-                            over = true;
+                        if (!done) {
+                            done = true;
                             then.accept(value);
                         }
                     });
@@ -254,11 +254,11 @@
     }
 
     private void deliver(Runnable step) {
-        afterRandomDelay(LONGEST_WAY_MILLIS, step);
+        afterRandomDelay(LONGEST_LATENCY_MILLIS, step);
     }
 
-    private void afterRandomDelay(int mostMillis, Runnable step) {
-        world.after(Duration.ofMillis(1 + random.nextInt(mostMillis)), step);
+    private void afterRandomDelay(int maxMillis, Runnable step) {
+        world.after(Duration.ofMillis(1 + random.nextInt(maxMillis)), step);
     }
 
     private SimulatedEngine engine(UpstreamFacts facts) {
@@ -273,16 +273,16 @@
                             afterRandomDelay(
                                     LONGEST_LIST_LAG_MILLIS, () -> router.upstreamListed(facts)));
         }
-        world.after(HEARTBEAT, () -> sendHeartbeat(engine));
+        world.after(HEARTBEAT_PERIOD, () -> sendHeartbeat(engine));
     }
 
     private void reportDemand() {
-        List<LoadInput.ModelDemand> wants = new ArrayList<>();
+        List<LoadInput.ModelDemand> demands = new ArrayList<>();
         int count = 1 + random.nextInt(3);
         for (int each = 0; each < count; each++) {
             String model = "m" + random.nextInt(MODELS);
             String adapter = random.nextBoolean() ? "a" + random.nextInt(ADAPTERS) : "";
-            wants.add(
+            demands.add(
                     new LoadInput.ModelDemand(
                             new ModelRef(model, adapter),
                             1 + random.nextInt(3),
@@ -296,16 +296,16 @@
                     each ->
                             each.demandReported(
                                     new LoadInput.DemandReported(
-                                            router.vm(), wants, Map.of(), Set.of())));
+                                            router.vm(), demands, Map.of(), Set.of())));
         }
     }
 
     private void overloaded(String what) {
-        broken.add(what);
+        overloads.add(what);
         recordEvent("OVERLOADED: " + what);
     }
 
     void recordEvent(String what) {
-        story.add(Duration.between(began, world.clock().instant()).toMillis() + " " + what);
+        events.add(Duration.between(startedAt, world.clock().instant()).toMillis() + " " + what);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/PeerRouterFramesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/PeerRouterFramesTest.java
@@ -43,12 +43,16 @@
                         Set.of(TWO));
         Instant now = Instant.ofEpochSecond(100);
         Map<String, Instant> drained = Map.of("a", now.minusMillis(800), "b", Instant.MIN);
-        RouterStatus standing =
+        RouterStatus status =
                 new RouterStatus(
-                        11, 12, new RouterStatus.Drains(13, drained), true, Duration.ofMillis(7));
-        RouterReport report = PeerRouterFrames.report(5, sent, standing, now).getRouterReport();
+                        11,
+                        12,
+                        new RouterStatus.DrainStatus(13, drained),
+                        true,
+                        Duration.ofMillis(7));
+        RouterReport report = PeerRouterFrames.report(5, sent, status, now).getRouterReport();
         assertEquals(sent, PeerRouterFrames.demandReported(SENDER, report));
-        assertEquals(standing, PeerRouterFrames.status(report, now));
+        assertEquals(status, PeerRouterFrames.status(report, now));
     }
 
     @Test
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
@@ -36,52 +36,52 @@
     private static final int LONGEST_RUN_MILLIS = 900;
     private static final int LONGEST_ADAPTER_MILLIS = 60;
     private static final int LONGEST_REPORT_LAG_MILLIS = 250;
-    private static final double ADAPTERS_IN_USE = 0.3;
+    private static final double ADAPTER_IN_USE_PROBABILITY = 0.3;
 
     private final ControlThread world;
     private final UpstreamId id;
     private final EngineSpec spec;
     private final Random random;
     private final boolean checksTokens;
-    private final boolean checksCounts;
-    private final Consumer<String> overloaded;
-    private final Set<String> disk = new HashSet<>();
-    private final List<State> past = new ArrayList<>();
+    private final boolean checksSequences;
+    private final Consumer<String> onOverload;
+    private final Set<String> cachedOnDisk = new HashSet<>();
+    private final List<State> history = new ArrayList<>();
     private Map<String, Set<String>> held = new TreeMap<>();
-    private Map<ModelRef, Boolean> coming = new HashMap<>();
+    private Map<ModelRef, Boolean> loadingAdapters = new HashMap<>();
     private Optional<ModelRef> loading = Optional.empty();
     private boolean busy;
     private boolean up = true;
     private long sequence;
-    private long token;
-    private long life = 1;
+    private long highestToken;
+    private long incarnation = 1;
     private long startedAt;
 
-    private record State(Instant at, long life, boolean busy, HeldModels held) {}
+    private record State(Instant at, long incarnation, boolean busy, HeldModels held) {}
 
     /**
      * The checks that an upstream makes on orders.
      *
      * @param checksTokens whether it rejects a lower fencing token
-     * @param checksCounts whether it rejects an order with another sequence; real upstreams always
-     *     do, and false shows that upstreams are overloaded without that check
+     * @param checksSequences whether it rejects an order with another sequence; real upstreams
+     *     always do, and false shows that upstreams are overloaded without that check
      */
-    record Manners(boolean checksTokens, boolean checksCounts) {}
+    record OrderChecks(boolean checksTokens, boolean checksSequences) {}
 
     SimulatedEngine(
             ControlThread world,
             String name,
             EngineSpec spec,
-            Manners manners,
+            OrderChecks checks,
             Random random,
-            Consumer<String> overloaded) {
+            Consumer<String> onOverload) {
         this.world = world;
         this.id = UpstreamId.of(name);
         this.spec = spec;
-        this.checksTokens = manners.checksTokens();
-        this.checksCounts = manners.checksCounts();
+        this.checksTokens = checks.checksTokens();
+        this.checksSequences = checks.checksSequences();
         this.random = random;
-        this.overloaded = overloaded;
+        this.onOverload = onOverload;
         this.startedAt = world.clock().millis();
         recordState();
     }
@@ -107,7 +107,7 @@
                 Duration.ZERO,
                 new HeldModels(startedAt, HeldModels.UNKNOWN_SEQUENCE, held),
                 Set.of(),
-                Set.copyOf(disk));
+                Set.copyOf(cachedOnDisk));
     }
 
     /** Carries out an order; empty if the upstream is down. */
@@ -115,11 +115,11 @@
         if (!up) {
             return Optional.empty();
         }
-        if (checksTokens && order.fencing() < token) {
+        if (checksTokens && order.fencing() < highestToken) {
             return Optional.of(OrderOutcome.FENCED);
         }
-        token = Math.max(token, order.fencing());
-        if (busy || (checksCounts && order.sequence() != sequence)) {
+        highestToken = Math.max(highestToken, order.fencing());
+        if (busy || (checksSequences && order.sequence() != sequence)) {
             return Optional.of(OrderOutcome.CONFLICT);
         }
         boolean load = order.verb() == OrderOperation.LOAD;
@@ -143,14 +143,14 @@
         Instant asOf =
                 world.clock().instant().minusMillis(random.nextInt(LONGEST_REPORT_LAG_MILLIS));
         State found = null;
-        for (State each : past) {
-            if (each.life == life && (found == null || !each.at.isAfter(asOf))) {
+        for (State each : history) {
+            if (each.incarnation == incarnation && (found == null || !each.at.isAfter(asOf))) {
                 found = each;
             }
         }
         return Optional.of(
                 new LoadInput.UpstreamReported(
-                        id, found.busy, found.held, Set.of(), Set.copyOf(disk)));
+                        id, found.busy, found.held, Set.of(), Set.copyOf(cachedOnDisk)));
     }
 
     /** Stops, losing all models in memory, and starts again under the same name. */
@@ -159,24 +159,24 @@
             return;
         }
         up = false;
-        life++;
+        incarnation++;
         world.after(down, this::start);
     }
 
     private void start() {
         up = true;
         held = new TreeMap<>();
-        coming = new HashMap<>();
+        loadingAdapters = new HashMap<>();
         loading = Optional.empty();
         busy = false;
         sequence = 0;
-        token = 0;
+        highestToken = 0;
         startedAt = world.clock().millis();
         recordState();
     }
 
     private boolean has(ModelRef model) {
-        if (coming.containsKey(model) || loading.filter(model::equals).isPresent()) {
+        if (loadingAdapters.containsKey(model) || loading.filter(model::equals).isPresent()) {
             return true;
         }
         return new HeldModels(0, 0, held).contains(model);
@@ -184,19 +184,19 @@
 
     private OrderOutcome load(ModelRef model) {
         if (!fits(model)) {
-            overloaded.accept(id + " has no capacity for " + model + ", holds " + held);
+            onOverload.accept(id + " has no capacity for " + model + ", holds " + held);
             restart(Duration.ofSeconds(1));
             return OrderOutcome.ACCEPTED;
         }
         if (model.hasAdapter()) {
-            coming.put(model, true);
+            loadingAdapters.put(model, true);
             afterRandomDelay(LONGEST_ADAPTER_MILLIS, () -> adapterLoaded(model));
             return OrderOutcome.ACCEPTED;
         }
         loading = Optional.of(model);
         busy = true;
         Duration time =
-                disk.contains(model.model())
+                cachedOnDisk.contains(model.model())
                         ? spec.models().get(model.model()).diskLoadTime()
                         : spec.models().get(model.model()).storeLoadTime();
         inThisIncarnation(time, () -> modelLoaded(model));
@@ -209,7 +209,7 @@
             afterRandomDelay(LONGEST_RUN_MILLIS, () -> modelUnloaded(model));
             return OrderOutcome.ACCEPTED;
         }
-        if (random.nextDouble() < ADAPTERS_IN_USE) {
+        if (random.nextDouble() < ADAPTER_IN_USE_PROBABILITY) {
             afterRandomDelay(LONGEST_RUN_MILLIS, () -> adapterUnloaded(model));
             return OrderOutcome.ACCEPTED;
         }
@@ -225,7 +225,7 @@
     }
 
     private int adapterCount() {
-        return coming.size() + held.values().stream().mapToInt(Set::size).sum();
+        return loadingAdapters.size() + held.values().stream().mapToInt(Set::size).sum();
     }
 
     private double usedMb() {
@@ -234,7 +234,7 @@
             used += spec.models().get(entry.getKey()).weightsMb();
             used += entry.getValue().size() * spec.models().get(entry.getKey()).adapterMb();
         }
-        for (ModelRef each : coming.keySet()) {
+        for (ModelRef each : loadingAdapters.keySet()) {
             used += weightMb(each);
         }
         return used;
@@ -246,7 +246,7 @@
     }
 
     private void adapterLoaded(ModelRef adapter) {
-        coming.remove(adapter);
+        loadingAdapters.remove(adapter);
         if (held.containsKey(adapter.model())) {
             held = new HeldModels(0, 0, held).with(adapter, 0).adapters();
         }
@@ -256,13 +256,13 @@
         busy = false;
         loading = Optional.empty();
         held = new HeldModels(0, 0, held).with(model, 0).adapters();
-        disk.add(model.model());
+        cachedOnDisk.add(model.model());
     }
 
     private void modelUnloaded(ModelRef model) {
         busy = false;
         held = new HeldModels(0, 0, held).without(model, 0).adapters();
-        coming.keySet().removeIf(each -> each.model().equals(model.model()));
+        loadingAdapters.keySet().removeIf(each -> each.model().equals(model.model()));
     }
 
     private void adapterUnloaded(ModelRef adapter) {
@@ -270,20 +270,20 @@
     }
 
     private void removeAdapter(ModelRef adapter) {
-        coming.remove(adapter);
+        loadingAdapters.remove(adapter);
         held = new HeldModels(0, 0, held).without(adapter, 0).adapters();
     }
 
-    private void afterRandomDelay(int mostMillis, Runnable step) {
-        inThisIncarnation(Duration.ofMillis(random.nextInt(mostMillis)), step);
+    private void afterRandomDelay(int maxMillis, Runnable step) {
+        inThisIncarnation(Duration.ofMillis(random.nextInt(maxMillis)), step);
     }
 
     private void inThisIncarnation(Duration delay, Runnable step) {
-        long mine = life;
+        long started = incarnation;
         world.after(
                 delay,
                 () -> {
-                    if (mine == life) {
+                    if (started == incarnation) {
                         step.run();
                         recordState();
                     }
@@ -293,9 +293,9 @@
     // Adapters that are being loaded are reported as held, as the upstream's protocol has it.
     private void recordState() {
         HeldModels all = new HeldModels(startedAt, sequence, held);
-        for (ModelRef each : coming.keySet()) {
+        for (ModelRef each : loadingAdapters.keySet()) {
             all = all.with(each, sequence);
         }
-        past.add(new State(world.clock().instant(), life, busy, all));
+        history.add(new State(world.clock().instant(), incarnation, busy, all));
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedRelayLinks.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedRelayLinks.java
@@ -16,14 +16,15 @@
 
     private final ControlThread world;
     private final ControlThread control;
-    private final Map<VmId, FollowingRouter> others = new LinkedHashMap<>();
+    private final Map<VmId, FollowingRouter> relayRouters = new LinkedHashMap<>();
     private final StoreRelays relays;
 
     SimulatedRelayLinks(ControlThread world, ControlThread control, List<FollowingRouter> relays) {
         this.world = world;
         this.control = control;
-        relays.forEach(each -> others.put(VmId.of(each.name()), each));
-        this.relays = new StoreRelays(control, () -> List.copyOf(others.keySet()), this::fetch);
+        relays.forEach(each -> relayRouters.put(VmId.of(each.name()), each));
+        this.relays =
+                new StoreRelays(control, () -> List.copyOf(relayRouters.keySet()), this::fetch);
     }
 
     Relay relay() {
@@ -31,14 +32,16 @@
     }
 
     private boolean fetch(VmId relay, long number, String prefix, long after, Duration wait) {
-        FollowingRouter other = others.get(relay);
+        FollowingRouter relayRouter = relayRouters.get(relay);
         world.after(
                 ONE_WAY,
-                () -> other.asked(prefix, after, wait, told -> answer(relay, number, told)));
+                () ->
+                        relayRouter.asked(
+                                prefix, after, wait, answer -> answer(relay, number, answer)));
         return true;
     }
 
-    private void answer(VmId relay, long number, Optional<Changes> told) {
-        world.after(ONE_WAY, () -> control.run(() -> relays.answered(relay, number, told)));
+    private void answer(VmId relay, long number, Optional<Changes> answer) {
+        world.after(ONE_WAY, () -> control.run(() -> relays.answered(relay, number, answer)));
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStorePath.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStorePath.java
@@ -19,12 +19,12 @@
     private static final Duration SLOW = Duration.ofMillis(250);
 
     /** The timeout of the store's client. */
-    private static final Duration TIME_LIMIT = Duration.ofMillis(1_500);
+    private static final Duration TIMEOUT = Duration.ofMillis(1_500);
 
     private final ControlThread control;
     private final ControlThread clock;
     private final SimulatedStore store;
-    private final Set<Call<?>> open = new HashSet<>();
+    private final Set<Call<?>> inFlight = new HashSet<>();
     private State state = State.OPEN;
     private boolean up = true;
     private long calls;
@@ -62,14 +62,14 @@
         return state;
     }
 
-    void set(State given) {
-        state = given;
-        if (given == State.SILENT || given == State.ONE_WAY) {
-            open.clear();
-        } else if (given == State.REFUSING) {
-            List<Call<?>> cut = List.copyOf(open);
-            open.clear();
-            cut.forEach(each -> fail(each, "reset"));
+    void set(State newState) {
+        state = newState;
+        if (newState == State.SILENT || newState == State.ONE_WAY) {
+            inFlight.clear();
+        } else if (newState == State.REFUSING) {
+            List<Call<?>> interrupted = List.copyOf(inFlight);
+            inFlight.clear();
+            interrupted.forEach(each -> fail(each, "reset"));
         }
     }
 
@@ -90,7 +90,7 @@
     private <T> CompletionStage<T> call(Duration wait, Supplier<CompletableFuture<T>> carriedOut) {
         calls++;
         Call<T> call = new Call<>(new CompletableFuture<>());
-        control.after(wait.plus(TIME_LIMIT), () -> fail(call, "no answer"));
+        control.after(wait.plus(TIMEOUT), () -> fail(call, "no answer"));
         if (state == State.REFUSING) {
             clock.after(ONE_WAY, () -> fail(call, "refused"));
             return call.answer;
@@ -98,7 +98,7 @@
         if (state != State.SILENT) {
             boolean answerLost = state == State.ONE_WAY;
             if (!answerLost) {
-                open.add(call);
+                inFlight.add(call);
             }
             clock.after(oneWay(), () -> arrive(call, carriedOut));
         }
@@ -114,7 +114,7 @@
     }
 
     private <T> void deliverAnswer(Call<T> call, T value, Throwable failure) {
-        if (!open.remove(call)) {
+        if (!inFlight.remove(call)) {
             return;
         }
         up = true;
@@ -126,7 +126,7 @@
     }
 
     private void fail(Call<?> call, String why) {
-        open.remove(call);
+        inFlight.remove(call);
         if (call.answer.completeExceptionally(SimulatedStore.unavailable(why))) {
             up = false;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
@@ -41,19 +41,19 @@
     // Guards against an old change that is told after newer ones, and would open the zone again.
     @Test
     void whatIsOlderThanWhatIsKnownIsLeftOut() {
-        drains.told(new RouterStatus.Drains(9, Map.of("a", NOW)));
+        drains.told(new RouterStatus.DrainStatus(9, Map.of("a", NOW)));
         drains.accepted("b", NOTHING, 7, NOW);
         drains.takenBack("a", 8);
         drains.onlyThese(Set.of(), 9);
         assertEquals(Set.of("a"), zones.all().keySet());
-        drains.told(new RouterStatus.Drains(8, Map.of()));
+        drains.told(new RouterStatus.DrainStatus(8, Map.of()));
         assertEquals(Set.of("a"), zones.all().keySet());
     }
 
     @Test
     void anotherRouterThatKnowsMoreIsBelieved() {
         drains.accepted("a", NOTHING, 3, NOW);
-        drains.told(new RouterStatus.Drains(5, Map.of("b", NOW)));
+        drains.told(new RouterStatus.DrainStatus(5, Map.of("b", NOW)));
         assertEquals(Set.of("b"), zones.all().keySet());
         assertEquals(List.of("drained a", "restored a", "drained b"), told);
     }
