--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -91,18 +91,18 @@
     private final UpstreamTable upstreams;
     private final StoreRelays relays;
     private final Membership members;
-    private final Neighbours neighbours;
-    private final OrderLease lease;
-    private final OrderLeader leader;
-    private final OrderHandOver handOver;
+    private final PeerRouters neighbours;
+    private final LeaderLease lease;
+    private final LoadCoordinator leader;
+    private final LeaderHandOver handOver;
     private final ConfigurationHolder configuration;
-    private final DemandReports reports;
+    private final DemandReporter reports;
     private final UpstreamFollower upstreamFollower;
     private final ZoneDrains drains;
     private final OperatorSettingsFollower operatorFollower;
     private final Dispatch dispatch;
     private final CrashWatch crashes;
-    private final LostUpstreams lost;
+    private final LostUpstreamAnnouncer lost;
     private final LimitedUpstreams limits;
     private final Flows flows;
     private final RateAdmission rates;
@@ -132,11 +132,11 @@
         this.store = stores.open(settings, client, control, metrics);
         this.relays = new StoreRelays(control, this::relaySources, this::requestChanges);
         this.members = membership();
-        this.neighbours = new Neighbours(control, members);
-        this.lease = new OrderLease(control, store, members, self, lag);
-        this.handOver = new OrderHandOver(control, store, lease, neighbours, members);
+        this.neighbours = new PeerRouters(control, members);
+        this.lease = new LeaderLease(control, store, members, self, lag);
+        this.handOver = new LeaderHandOver(control, store, lease, neighbours, members);
         UpstreamCalls calls = new UpstreamCalls(client, dialect, control);
-        this.leader = new OrderLeader(control, upstreams, lease, calls, self, neighbours);
+        this.leader = new LoadCoordinator(control, upstreams, lease, calls, self, neighbours);
         this.configuration = new ConfigurationHolder(dialect, this::applyConfiguration);
         this.upstreamFollower = upstreamFollower();
         this.drains = zoneDrains();
@@ -148,10 +148,10 @@
                         control,
                         crashNews(),
                         this::probe,
-                        members::watches,
+                        members::watchesStore,
                         this::isFirstWatcher,
                         metrics);
-        this.lost = new LostUpstreams(clock, upstreams, neighbours);
+        this.lost = new LostUpstreamAnnouncer(clock, upstreams, neighbours);
         this.limits = new LimitedUpstreams(clock, upstreams, neighbours);
         this.flows = flows();
         Timeline timeline = Timeline.of(settings.vm(), HybridClock.over(clock), TIMELINE_EVENTS);
@@ -160,7 +160,7 @@
         this.ingress = ingress();
         this.network = network(timeline);
         ratePeers.over(network);
-        neighbours.start(network, new NeighbourNews(newsParts(), this::replicasChanged));
+        neighbours.start(network, new PeerMessageHandler(newsParts(), this::replicasChanged));
         ServerSocketChannel socket =
                 open.orElseGet(() -> EarlySocket.listen(settings.callers().socket()));
         control.run(() -> startServing(socket));
@@ -221,7 +221,7 @@
         new GracefulShutdown(control, callers, settings.grace(), flows).run(lease::close);
         // Last, since a router that is not listed may not spend its share of the rate limits, and
         // would refuse requests that still arrive until the balancer notices.
-        control.run(members::leave);
+        control.run(members::deregister);
         network.close();
         store.close();
         loop.close();
@@ -235,13 +235,13 @@
                 settings.zones().regions(),
                 clock,
                 loop::whenRead,
-                new EvenShare(self, members::routers));
+                new EvenShare(self, members::routerIds));
     }
 
-    private DemandReports reports() {
-        return new DemandReports(
+    private DemandReporter reports() {
+        return new DemandReporter(
                 self,
-                new DemandReports.Parts(
+                new DemandReporter.Dependencies(
                         control,
                         store,
                         members,
@@ -266,7 +266,7 @@
     private CrashNews crashNews() {
         return new StoredCrashNews(
                 neighbours.crashNews(),
-                new QuarantineStore(control, store, members.keptOutPrefix()));
+                new QuarantineStore(control, store, members.quarantinePrefix()));
     }
 
     private void probe(
@@ -298,8 +298,8 @@
                 self, settings.availabilityZone(), settings.peer().host(), settings.peer().port());
     }
 
-    private NeighbourNews.Parts newsParts() {
-        return new NeighbourNews.Parts(
+    private PeerMessageHandler.Dependencies newsParts() {
+        return new PeerMessageHandler.Dependencies(
                 clock,
                 neighbours,
                 members,
@@ -362,11 +362,11 @@
     }
 
     private List<VmId> relaySources() {
-        return members.sources();
+        return members.relays();
     }
 
     private boolean requestChanges(VmId to, long number, String prefix, long after, Duration wait) {
-        return neighbours.askChanges(to, number, prefix, after, wait);
+        return neighbours.fetchChanges(to, number, prefix, after, wait);
     }
 
     private Ingress ingress() {
@@ -413,17 +413,17 @@
 
     // Starts reading the store before it serves callers, since their requests need what is read.
     private void startServing(ServerSocketChannel socket) {
-        dispatch.onStarved(reports::soon);
+        dispatch.onStarved(reports::reportSoon);
         operatorFollower.start();
         upstreamFollower.start(new UpstreamListener());
-        members.onKeptOut(crashes::toldByStore);
+        members.onQuarantined(crashes::toldByStore);
         members.start(this::membersChanged);
         callers = HttpServer.adopt(loop, socket, HttpLimits.usual(), ingress);
         metrics.gauge("direct_left_before_served", callers::leftUnserved);
         crashes.show();
         new DrainProgress(upstreams).registerGauges(metrics);
         limits.show(metrics);
-        leader.show(metrics);
+        leader.registerMetrics(metrics);
         metrics.gauge("models_unserved", flows.unserved()::many);
         String address = settings.peer().host() + ':' + settings.peer().port();
         rates.start(ratePeers, address, Map.of(), LIST_PERIOD, processStart());
@@ -455,14 +455,17 @@
     // If all routers are slow, a change of leader would only interrupt orders and gain nothing.
     private boolean anotherRouterIsFaster() {
         Duration limit = lag.average().dividedBy(RESIGN_LAG_RATIO);
-        return neighbours.leastLate().filter(least -> least.compareTo(limit) < 0).isPresent();
+        return neighbours
+                .lowestReportedLag()
+                .filter(least -> least.compareTo(limit) < 0)
+                .isPresent();
     }
 
     private void applyConfiguration(DirectConfiguration now) {
         callers.limits(now.limits());
         dispatch.configured(now.modelServices());
         upstreams.setColdLimits(ColdLimits.of(now, settings.cold()));
-        leader.configured(now);
+        leader.configurationChanged(now);
         Map<WorkspaceId, Workspace> limited = new HashMap<>();
         for (WorkspaceSpec workspace : now.workspaces().values()) {
             if (workspace.hasRateLimit()) {
@@ -476,7 +479,7 @@
     private void membersChanged() {
         neighbours.refresh();
         rates.listChanged();
-        reports.tellAll();
+        reports.announceHeldModels();
     }
 
     private void replicasChanged() {
@@ -498,7 +501,7 @@
         // The upstreams of a zone may be cold when operators drain it and when they restore it.
         private void changed(String zone) {
             upstreams.markPossiblyCold(zone, clock.instant());
-            leader.zonesDrained(upstreams.zones().all().keySet());
+            leader.drainedZonesChanged(upstreams.zones().all().keySet());
             dispatch.tick();
         }
     }
@@ -508,14 +511,14 @@
         @Override
         public void listed(UpstreamFacts facts) {
             crashes.listed(facts);
-            leader.listed(facts);
+            leader.upstreamListed(facts);
             dispatch.drain(facts.service());
         }
 
         @Override
         public void gone(UpstreamFacts last) {
             crashes.gone(last.id());
-            leader.gone(last.id());
+            leader.upstreamRemoved(last.id());
             client.forget(last.endpoint());
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OrderLeader.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LoadCoordinator.java
@@ -27,110 +27,119 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Feeds a {@link LoadPlanner} and carries out what it decides. Control thread only. */
-final class OrderLeader implements OrderLease.Listener {
-    private static final Logger LOG = LogManager.getLogger(OrderLeader.class);
+/**
+ * Runs the {@link LoadPlanner} while this router is the leader: passes it its inputs, and carries
+ * out its actions, such as orders to load and unload models. Control thread only.
+ */
+final class LoadCoordinator implements LeaderLease.Listener {
+    private static final Logger LOG = LogManager.getLogger(LoadCoordinator.class);
     private static final Duration TICK = Duration.ofMillis(20);
 
-    private static final Duration EXPLAIN_GAP = Duration.ofSeconds(1);
+    private static final Duration EXPLAIN_PERIOD = Duration.ofSeconds(1);
     private static final Duration LONG_WAIT = Duration.ofMillis(800);
-    private static final int MOST_EXPLAINED = 4;
+    private static final int MAX_EXPLAINED = 4;
 
     /**
-     * What upstreams come to hold within this is told together: each piece of news goes to every
-     * other router, and a leader on a part of a core would do little else.
+     * Changes of held models within this time share an announcement: each announcement goes to
+     * every other router, and would take most of the time of a leader with a fraction of a core.
      */
-    private static final Duration NEWS_GAP = Duration.ofMillis(15);
+    private static final Duration ANNOUNCEMENT_GAP = Duration.ofMillis(15);
 
-    /** A round is followed by a rest, so that rounds take one part of so many of the time. */
-    private static final int REST_FACTOR = 4;
+    /**
+     * After a planning round starts, the next one is due this multiple of its duration later, so
+     * that planning takes a quarter of the time.
+     */
+    private static final int ROUND_PERIOD_FACTOR = 4;
 
     /**
-     * No rest is longer: the first rounds after a start run slow code, and models are waited for
-     * most then.
+     * Limits the rest after a planning round: the first rounds after a start run code that is not
+     * yet compiled, while demand for models is highest.
      */
     private static final Duration LONGEST_REST = Duration.ofMillis(60);
 
     private final ControlThread control;
     private final UpstreamTable upstreams;
-    private final OrderLease lease;
-    private final OrderCalls calls;
+    private final LeaderLease lease;
+    private final OrderClient client;
     private final VmId self;
-    private final LeaderNews news;
+    private final LeaderAnnouncements announcements;
     private final LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
-    private final Map<UpstreamId, HeldModels> changed = new HashMap<>();
-    private Runnable told = () -> {};
-    private ControlThread.Cancellable ticking = () -> {};
-    private boolean flushing;
+    private final Map<UpstreamId, HeldModels> changedModels = new HashMap<>();
+    private Runnable onTableChanged = () -> {};
+    private ControlThread.Cancellable ticks = () -> {};
+    private boolean announcementScheduled;
     private long restUntilNanos = System.nanoTime();
     private Instant explainedAt = Instant.EPOCH;
 
-    OrderLeader(
+    LoadCoordinator(
             ControlThread control,
             UpstreamTable upstreams,
-            OrderLease lease,
-            OrderCalls calls,
+            LeaderLease lease,
+            OrderClient client,
             VmId self,
-            LeaderNews news) {
+            LeaderAnnouncements announcements) {
         this.control = control;
         this.upstreams = upstreams;
         this.lease = lease;
-        this.calls = calls;
+        this.client = client;
         this.self = self;
-        this.news = news;
+        this.announcements = announcements;
     }
 
-    /** Begins; {@code whenTold} runs after this router's own table has changed. */
-    void start(Runnable whenTold) {
-        told = whenTold;
+    /**
+     * Starts; {@code whenTableChanged} runs after the table of upstreams of this router has
+     * changed.
+     */
+    void start(Runnable whenTableChanged) {
+        onTableChanged = whenTableChanged;
         lease.start(this);
     }
 
-    /** Shows what models are waited for, and how much of the weight store is in use. */
-    void show(Metrics metrics) {
-        metrics.gauge("models_waited_for", () -> unmet().models());
-        metrics.gauge("oldest_model_wait_ms", () -> unmet().longestWait().toMillis());
+    /** Registers the gauges for unmet demand and for the use of the weight store. */
+    void registerMetrics(Metrics metrics) {
+        metrics.gauge("models_waited_for", () -> unmetDemand().models());
+        metrics.gauge("oldest_model_wait_ms", () -> unmetDemand().longestWait().toMillis());
         metrics.gauge("store_loads_running", () -> planner.storeUsage().runningLoads());
         metrics.gauge("store_loads_at_full_speed", () -> planner.storeUsage().fullSpeedLoads());
     }
 
-    private UnmetDemand unmet() {
+    private UnmetDemand unmetDemand() {
         return lease.held() ? planner.unmetDemand(control.clock().instant()) : UnmetDemand.NONE;
     }
 
-    void configured(DirectConfiguration configuration) {
+    void configurationChanged(DirectConfiguration configuration) {
         Map<String, EngineSpec> engines = new HashMap<>();
         for (ServiceSpec service : configuration.modelServices()) {
             engines.put(service.name(), service.engine().orElseThrow());
         }
         feed(new LoadInput.ServicesConfigured(engines));
-        upstreams.all().forEach(each -> listed(each.facts()));
+        upstreams.all().forEach(each -> upstreamListed(each.facts()));
     }
 
-    void listed(UpstreamFacts facts) {
+    void upstreamListed(UpstreamFacts facts) {
         feed(new LoadInput.UpstreamListed(facts));
     }
 
-    /** Just these zones are drained. */
-    void zonesDrained(Set<String> zones) {
+    /** Replaces the set of drained availability zones. */
+    void drainedZonesChanged(Set<String> zones) {
         feed(new LoadInput.DrainedZonesChanged(zones));
     }
 
-    void gone(UpstreamId upstream) {
+    void upstreamRemoved(UpstreamId upstream) {
         feed(new LoadInput.UpstreamRemoved(upstream));
     }
 
-    void demanded(LoadInput.DemandReported demanded) {
-        feed(demanded);
+    void demandReported(LoadInput.DemandReported demand) {
+        feed(demand);
     }
 
-    /** Another router had no answer to an order. */
-    void unanswered(UnansweredLoadOrder load) {
+    /** Records that another router had no answer to a load order. */
+    void unansweredLoadAnnounced(UnansweredLoadOrder load) {
         feed(new LoadInput.UnansweredLoadAnnounced(load));
     }
 
-    /** What this router knows better than the list, for a router that has just come. */
-    Map<UpstreamId, HeldModels> allNews() {
+    /** Returns the models that each upstream holds; empty if this router is not the leader. */
+    Map<UpstreamId, HeldModels> heldModels() {
         Map<UpstreamId, HeldModels> all = new HashMap<>();
         if (lease.held()) {
             upstreams.all().forEach(each -> all.put(each.facts().id(), each.held()));
@@ -144,34 +153,35 @@
 
     @Override
     public void won() {
-        ticking = control.every(TICK, this::tick);
-        // By the store alone the others would hear of it most of a second later, and tell nobody
-        // what they need until then.
-        news.tell(lease.fencing(), Map.of());
+        ticks = control.every(TICK, this::tick);
+        // Through the store alone the others would learn of the election most of a second later,
+        // and would report their demand to nobody until then.
+        announcements.announceHeldModels(lease.fencing(), Map.of());
         feed(new LoadInput.Elected());
     }
 
-    // A round that takes long on a weak VM is followed by a pause, so that callers get their turn.
+    // A long round on a weak VM is followed by a rest, so that requests get processed in between.
     private void tick() {
-        long began = System.nanoTime();
-        if (began - restUntilNanos < 0) {
+        long startNanos = System.nanoTime();
+        if (startNanos - restUntilNanos < 0) {
             return;
         }
         feed(new LoadInput.Tick());
-        long took = System.nanoTime() - began;
-        restUntilNanos = began + Math.min(took * REST_FACTOR, LONGEST_REST.toNanos());
+        long tookNanos = System.nanoTime() - startNanos;
+        restUntilNanos =
+                startNanos + Math.min(tookNanos * ROUND_PERIOD_FACTOR, LONGEST_REST.toNanos());
         Instant now = control.clock().instant();
-        if (explainedAt.plus(EXPLAIN_GAP).isBefore(now)) {
+        if (explainedAt.plus(EXPLAIN_PERIOD).isBefore(now)) {
             explainedAt = now;
             planner.explainLongWaits(LONG_WAIT, now).stream()
-                    .limit(MOST_EXPLAINED)
-                    .forEach(line -> LOG.info("still waits: {}", line));
+                    .limit(MAX_EXPLAINED)
+                    .forEach(line -> LOG.info("demand still unmet: {}", line));
         }
     }
 
     @Override
     public void lost() {
-        ticking.cancel();
+        ticks.cancel();
         feed(new LoadInput.Resigned());
     }
 
@@ -181,21 +191,22 @@
 
     private void carryOut(LoadAction action) {
         if (action instanceof LoadAction.SendOrder order) {
-            give(order);
-        } else if (action instanceof LoadAction.RequestReport ask) {
-            askReport(ask.upstream());
-        } else if (action instanceof LoadAction.AnnounceUnansweredLoad open) {
-            news.tellOpen(open.load());
-        } else if (action instanceof LoadAction.AnnounceHeldModels tell) {
-            tell(tell);
+            sendOrder(order);
+        } else if (action instanceof LoadAction.RequestReport request) {
+            requestReport(request.upstream());
+        } else if (action instanceof LoadAction.AnnounceUnansweredLoad unanswered) {
+            announcements.announceUnansweredLoad(unanswered.load());
+        } else if (action instanceof LoadAction.AnnounceHeldModels announcement) {
+            announce(announcement);
         }
     }
 
-    // The lease is looked at for every order: between the decision and now the VM may have slept.
-    private void give(LoadAction.SendOrder order) {
+    // The lease is checked again for every order: the VM may have been suspended since the planner
+    // decided on it.
+    private void sendOrder(LoadAction.SendOrder order) {
         Optional<Upstream> to = upstreams.find(order.upstream());
         if (!lease.held() || to.isEmpty()) {
-            control.run(() -> answered(order, OrderOutcome.REFUSED));
+            control.run(() -> orderAnswered(order, OrderOutcome.REFUSED));
             return;
         }
         Dialect.Order body =
@@ -205,8 +216,8 @@
                         self.value(),
                         lease.fencing(),
                         order.sequence());
-        long began = System.nanoTime();
-        calls.order(
+        long startNanos = System.nanoTime();
+        client.sendOrder(
                 to.get().facts(),
                 body,
                 outcome -> {
@@ -220,25 +231,25 @@
                             (long) order.freeMb(),
                             to.get().held().adapters().keySet(),
                             outcome,
-                            (System.nanoTime() - began) / 1_000_000);
-                    answered(order, outcome);
+                            (System.nanoTime() - startNanos) / 1_000_000);
+                    orderAnswered(order, outcome);
                 });
     }
 
-    private void answered(LoadAction.SendOrder order, OrderOutcome outcome) {
+    private void orderAnswered(LoadAction.SendOrder order, OrderOutcome outcome) {
         if (outcome == OrderOutcome.FENCED) {
             lease.resign("an upstream has seen a higher fencing token");
         }
         feed(new LoadInput.OrderAnswered(order.upstream(), order.number(), outcome));
     }
 
-    private void askReport(UpstreamId id) {
+    private void requestReport(UpstreamId id) {
         Optional<Upstream> to = upstreams.find(id);
         if (to.isEmpty()) {
             feed(new LoadInput.UpstreamRemoved(id));
             return;
         }
-        calls.report(
+        client.requestReport(
                 to.get().facts(),
                 report ->
                         feed(
@@ -246,21 +257,24 @@
                                         .orElse(new LoadInput.ReportFailed(id))));
     }
 
-    private void tell(LoadAction.AnnounceHeldModels tell) {
+    private void announce(LoadAction.AnnounceHeldModels announcement) {
         upstreams
-                .find(tell.upstream())
-                .ifPresent(each -> each.leaderAnnounced(tell.held(), control.clock().instant()));
-        changed.put(tell.upstream(), tell.held());
-        if (!flushing) {
-            flushing = true;
-            control.after(NEWS_GAP, this::flush);
+                .find(announcement.upstream())
+                .ifPresent(
+                        each ->
+                                each.leaderAnnounced(
+                                        announcement.held(), control.clock().instant()));
+        changedModels.put(announcement.upstream(), announcement.held());
+        if (!announcementScheduled) {
+            announcementScheduled = true;
+            control.after(ANNOUNCEMENT_GAP, this::sendAnnouncements);
         }
     }
 
-    private void flush() {
-        flushing = false;
-        news.tell(lease.fencing(), Map.copyOf(changed));
-        changed.clear();
-        told.run();
+    private void sendAnnouncements() {
+        announcementScheduled = false;
+        announcements.announceHeldModels(lease.fencing(), Map.copyOf(changedModels));
+        changedModels.clear();
+        onTableChanged.run();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouterFrames.java
@@ -43,63 +43,64 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What direct routers tell each other, into frames and out of them. */
-final class NeighbourFrames {
-    private NeighbourFrames() {}
+/** Converts the messages that direct routers exchange to frames of the peer protocol and back. */
+final class PeerRouterFrames {
+    private PeerRouterFrames() {}
 
     static Frame report(
-            long number, LoadInput.DemandReported demanded, RouterStanding standing, Instant now) {
+            long number, LoadInput.DemandReported demandReport, RouterStatus status, Instant now) {
         RouterReport.Builder report =
                 RouterReport.newBuilder()
                         .setNumber(number)
-                        .setConfigurationRevision(standing.configuration())
-                        .setUpstreamsRevision(standing.upstreams())
-                        .setDrainsRevision(standing.drains().revision())
-                        .setStoreUp(standing.storeUp())
-                        .setLateMs((int) standing.late().toMillis());
-        standing.drains()
+                        .setConfigurationRevision(status.configurationRevision())
+                        .setUpstreamsRevision(status.upstreamsRevision())
+                        .setDrainsRevision(status.drains().revision())
+                        .setStoreUp(status.storeUp())
+                        .setLateMs((int) status.lag().toMillis());
+        status.drains()
                 .notBefore()
-                .forEach((zone, at) -> report.addDrainedZones(drained(zone, at, now)));
-        demanded.demands().forEach(want -> report.addDemand(demand(want)));
-        demanded.running()
+                .forEach((zone, at) -> report.addDrainedZones(drainedZone(zone, at, now)));
+        demandReport.demands().forEach(demand -> report.addDemand(demand(demand)));
+        demandReport
+                .running()
                 .forEach(
                         (upstream, counts) ->
                                 counts.forEach(
                                         (model, count) ->
                                                 report.addRunning(
                                                         running(upstream, model, count))));
-        demanded.suspects().forEach(id -> report.addSuspects(id.value()));
+        demandReport.suspects().forEach(id -> report.addSuspects(id.value()));
         return Frame.newBuilder().setRouterReport(report).build();
     }
 
-    private static DrainedZone drained(String zone, Instant notBefore, Instant now) {
+    private static DrainedZone drainedZone(String zone, Instant notBefore, Instant now) {
         boolean known = !notBefore.equals(Instant.MIN);
         long ago = known ? Duration.between(notBefore, now).toMillis() : Long.MAX_VALUE;
         return DrainedZone.newBuilder().setZone(zone).setAskedMsAgo(ago).build();
     }
 
-    static RouterStanding standing(RouterReport report, Instant now) {
+    static RouterStatus status(RouterReport report, Instant now) {
         Map<String, Instant> drained = new HashMap<>();
         for (DrainedZone line : report.getDrainedZonesList()) {
             boolean known = line.getAskedMsAgo() != Long.MAX_VALUE;
             Instant notBefore = known ? now.minusMillis(line.getAskedMsAgo()) : Instant.MIN;
             drained.put(line.getZone(), notBefore);
         }
-        return new RouterStanding(
+        return new RouterStatus(
                 report.getConfigurationRevision(),
                 report.getUpstreamsRevision(),
-                new RouterStanding.Drains(report.getDrainsRevision(), drained),
+                new RouterStatus.DrainStatus(report.getDrainsRevision(), drained),
                 report.getStoreUp(),
                 Duration.ofMillis(report.getLateMs()));
     }
 
-    static Frame news(long fencing, Map<UpstreamId, HeldModels> held) {
+    static Frame replicaNews(long fencing, Map<UpstreamId, HeldModels> held) {
         ReplicaNews.Builder news = ReplicaNews.newBuilder().setFencing(fencing);
-        held.forEach((upstream, models) -> news.addUpstreams(held(upstream, models)));
+        held.forEach((upstream, models) -> news.addUpstreams(heldModels(upstream, models)));
         return Frame.newBuilder().setReplicaNews(news).build();
     }
 
-    static Frame open(UnansweredLoadOrder load, Instant now) {
+    static Frame unansweredLoad(UnansweredLoadOrder load, Instant now) {
         UnansweredLoad line =
                 UnansweredLoad.newBuilder()
                         .setUpstream(load.upstream().value())
@@ -112,7 +113,7 @@
         return Frame.newBuilder().setUnansweredLoad(line).build();
     }
 
-    static UnansweredLoadOrder open(UnansweredLoad line, Instant now) {
+    static UnansweredLoadOrder unansweredLoad(UnansweredLoad line, Instant now) {
         return new UnansweredLoadOrder(
                 UpstreamId.of(line.getUpstream()),
                 line.getLife(),
@@ -121,13 +122,14 @@
                 now.minusMillis(line.getAgeMs()));
     }
 
-    static Frame ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+    static Frame upstreamCrash(
+            UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes) {
         UpstreamEnded.Builder ended =
                 UpstreamEnded.newBuilder()
-                        .setUpstream(end.upstream().value())
-                        .setStartedAt(end.startedAt())
+                        .setUpstream(crash.upstream().value())
+                        .setStartedAt(crash.startedAt())
                         .setEndedMsAgo((int) ago.toMillis());
-        ran.forEach(
+        runTimes.forEach(
                 (request, time) ->
                         ended.addRequests(
                                 CutRequest.newBuilder()
@@ -136,16 +138,16 @@
         return Frame.newBuilder().setUpstreamEnded(ended).build();
     }
 
-    static UpstreamCrash end(UpstreamEnded ended) {
+    static UpstreamCrash crash(UpstreamEnded ended) {
         return new UpstreamCrash(UpstreamId.of(ended.getUpstream()), ended.getStartedAt());
     }
 
-    static Map<RequestDigest, Duration> ran(UpstreamEnded ended) {
-        Map<RequestDigest, Duration> ran = new HashMap<>();
+    static Map<RequestDigest, Duration> runTimes(UpstreamEnded ended) {
+        Map<RequestDigest, Duration> runTimes = new HashMap<>();
         for (CutRequest each : ended.getRequestsList()) {
-            ran.put(new RequestDigest(each.getRequest()), Duration.ofMillis(each.getRanMs()));
+            runTimes.put(new RequestDigest(each.getRequest()), Duration.ofMillis(each.getRanMs()));
         }
-        return ran;
+        return runTimes;
     }
 
     static Frame limit(LimitedUpstreams.News news, boolean passOn) {
@@ -175,17 +177,17 @@
         return lost(new UpstreamCrash(upstream, startedAt), passOn, false);
     }
 
-    static Frame found(UpstreamCrash end, boolean passOn) {
-        return lost(end, passOn, true);
+    static Frame crashDetected(UpstreamCrash crash, boolean passOn) {
+        return lost(crash, passOn, true);
     }
 
-    private static Frame lost(UpstreamCrash end, boolean passOn, boolean ended) {
+    private static Frame lost(UpstreamCrash crash, boolean passOn, boolean crashed) {
         LostUpstream lost =
                 LostUpstream.newBuilder()
-                        .setUpstream(end.upstream().value())
-                        .setStartedAt(end.startedAt())
+                        .setUpstream(crash.upstream().value())
+                        .setStartedAt(crash.startedAt())
                         .setPassOn(passOn)
-                        .setEnded(ended)
+                        .setEnded(crashed)
                         .build();
         return Frame.newBuilder().setLostUpstream(lost).build();
     }
@@ -194,7 +196,7 @@
         return suspect(SuspectRequest.newBuilder().setRequest(request.value()).setState(state));
     }
 
-    static Frame borne(RequestDigest request, int times) {
+    static Frame survivedRuns(RequestDigest request, int times) {
         return suspect(
                 SuspectRequest.newBuilder()
                         .setRequest(request.value())
@@ -218,7 +220,7 @@
                         .setSentMsAgo(sentAgo.toMillis()));
     }
 
-    static Frame keptOut(Quarantine.Entry entry, Instant now) {
+    static Frame quarantined(Quarantine.Entry entry, Instant now) {
         return suspect(
                 SuspectRequest.newBuilder()
                         .setRequest(entry.request().value())
@@ -228,7 +230,7 @@
                         .setEndedMsAgo(millisBetween(entry.lastCrashAt(), now)));
     }
 
-    static Quarantine.Entry keptOut(SuspectRequest line, Instant now) {
+    static Quarantine.Entry quarantined(SuspectRequest line, Instant now) {
         return new Quarantine.Entry(
                 new RequestDigest(line.getRequest()),
                 now.plusMillis(line.getLeftMs()),
@@ -267,19 +269,19 @@
         return Frame.newBuilder().setChangesFetch(fetch).build();
     }
 
-    static Frame changes(long number, Optional<Changes> told) {
+    static Frame changes(long number, Optional<Changes> changes) {
         StoreChanges.Builder answer = StoreChanges.newBuilder().setNumber(number);
-        if (told.isEmpty()) {
+        if (changes.isEmpty()) {
             answer.setRefused(true);
         } else {
-            answer.setRevision(told.get().revision());
-            answer.setAgeMs((int) told.get().age().toMillis());
-            told.get().changes().forEach(change -> answer.addChanges(line(change)));
+            answer.setRevision(changes.get().revision());
+            answer.setAgeMs((int) changes.get().age().toMillis());
+            changes.get().changes().forEach(change -> answer.addChanges(storeChange(change)));
         }
         return Frame.newBuilder().setStoreChanges(answer).build();
     }
 
-    private static StoreChange line(Change change) {
+    private static StoreChange storeChange(Change change) {
         StoreChange.Builder line =
                 StoreChange.newBuilder().setKey(change.key()).setRevision(change.revision());
         change.entry()
@@ -289,13 +291,13 @@
         return line.build();
     }
 
-    /** What a relay says, or nothing if it refuses. */
+    /** Returns the changes in a relay's answer; empty if the relay refused the fetch. */
     static Optional<Changes> changes(StoreChanges answer) {
         if (answer.getRefused()) {
             return Optional.empty();
         }
         List<Change> changes =
-                answer.getChangesList().stream().map(NeighbourFrames::change).toList();
+                answer.getChangesList().stream().map(PeerRouterFrames::change).toList();
         Duration age = Duration.ofMillis(answer.getAgeMs());
         return Optional.of(new Changes(changes, answer.getRevision(), age));
     }
@@ -314,15 +316,15 @@
         return new Change(line.getKey(), line.getRevision(), entry);
     }
 
-    private static ModelDemand demand(LoadInput.ModelDemand want) {
+    private static ModelDemand demand(LoadInput.ModelDemand demand) {
         return ModelDemand.newBuilder()
-                .setModel(want.model().model())
-                .setAdapter(want.model().adapter())
-                .setWaiting(want.waiting())
-                .setOldestMs((int) want.longestWait().toMillis())
-                .setUrgency(want.urgency())
-                .setPerSecond(want.arrivalsPerSecond())
-                .setInTime(want.inTime())
+                .setModel(demand.model().model())
+                .setAdapter(demand.model().adapter())
+                .setWaiting(demand.waiting())
+                .setOldestMs((int) demand.longestWait().toMillis())
+                .setUrgency(demand.urgency())
+                .setPerSecond(demand.arrivalsPerSecond())
+                .setInTime(demand.inTime())
                 .build();
     }
 
@@ -335,7 +337,8 @@
                 .build();
     }
 
-    private static io.damaskyoke.peer.wire.HeldModels held(UpstreamId upstream, HeldModels held) {
+    private static io.damaskyoke.peer.wire.HeldModels heldModels(
+            UpstreamId upstream, HeldModels held) {
         var line =
                 io.damaskyoke.peer.wire.HeldModels.newBuilder()
                         .setUpstream(upstream.value())
@@ -351,10 +354,10 @@
         return line.build();
     }
 
-    static LoadInput.DemandReported demanded(VmId from, RouterReport report) {
-        List<LoadInput.ModelDemand> wants = new ArrayList<>();
+    static LoadInput.DemandReported demandReported(VmId from, RouterReport report) {
+        List<LoadInput.ModelDemand> demands = new ArrayList<>();
         for (ModelDemand demand : report.getDemandList()) {
-            wants.add(
+            demands.add(
                     new LoadInput.ModelDemand(
                             new ModelRef(demand.getModel(), demand.getAdapter()),
                             demand.getWaiting(),
@@ -370,7 +373,7 @@
         }
         Set<UpstreamId> suspects = new HashSet<>();
         report.getSuspectsList().forEach(id -> suspects.add(UpstreamId.of(id)));
-        return new LoadInput.DemandReported(from, wants, running, suspects);
+        return new LoadInput.DemandReported(from, demands, running, suspects);
     }
 
     static List<UpstreamDeparture> departures(Departures all) {
@@ -384,7 +387,7 @@
                 .toList();
     }
 
-    static Map<UpstreamId, HeldModels> held(ReplicaNews news) {
+    static Map<UpstreamId, HeldModels> heldModels(ReplicaNews news) {
         Map<UpstreamId, HeldModels> all = new HashMap<>();
         for (var line : news.getUpstreamsList()) {
             Map<String, Set<String>> adapters = new TreeMap<>();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ZoneDrains.java
@@ -108,12 +108,12 @@
     }
 
     /** Returns the drains known here, for peer routers that cannot reach the store. */
-    RouterStanding.Drains current() {
-        return new RouterStanding.Drains(appliedRevision, zones.all());
+    RouterStatus.DrainStatus current() {
+        return new RouterStatus.DrainStatus(appliedRevision, zones.all());
     }
 
     /** Applies the drains that a peer router knows, if its revision is newer. */
-    void merge(RouterStanding.Drains theirs) {
+    void merge(RouterStatus.DrainStatus theirs) {
         if (theirs.revision() <= appliedRevision) {
             return;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -25,14 +25,14 @@
     private final String name;
     private final ControlThread world;
     private final FreezableControlThread control;
-    private final SimulatedPath path;
+    private final SimulatedStorePath path;
     private final UpstreamTable upstreams = new UpstreamTable();
     private final ConfigurationHolder configuration;
     private final UpstreamFollower follower;
     private final ZoneDrains drains;
     private final Map<String, Follower> followed = new HashMap<>();
-    private final SimulatedLinks links;
-    private final List<SimulatedPath.State> pathFaults = new ArrayList<>();
+    private final SimulatedRelayLinks links;
+    private final List<SimulatedStorePath.State> pathFaults = new ArrayList<>();
     private int otherFaults;
     private Instant recoveredAt;
 
@@ -50,13 +50,13 @@
         this.name = name;
         this.world = world;
         this.control = new FreezableControlThread(world);
-        this.path = new SimulatedPath(control, world, store);
+        this.path = new SimulatedStorePath(control, world, store);
         TestDialect dialect = new TestDialect();
         Metrics metrics = new Metrics();
         this.configuration = new ConfigurationHolder(dialect, any -> {});
         this.recoveredAt = world.clock().instant();
         this.drains = new ZoneDrains(dialect, upstreams.zones(), Set.of(), new IgnoredDrains());
-        this.links = new SimulatedLinks(world, control, relays);
+        this.links = new SimulatedRelayLinks(world, control, relays);
         Relay relay = relays.isEmpty() ? Relay.none() : links.relay();
         OperatorSettingsFollower settings =
                 new OperatorSettingsFollower(
@@ -117,14 +117,14 @@
         return path.calls();
     }
 
-    void startPathFault(SimulatedPath.State how) {
+    void startPathFault(SimulatedStorePath.State how) {
         pathFaults.add(how);
         path.set(how);
     }
 
-    void endPathFault(SimulatedPath.State how) {
+    void endPathFault(SimulatedStorePath.State how) {
         pathFaults.remove(how);
-        path.set(pathFaults.isEmpty() ? SimulatedPath.State.OPEN : pathFaults.get(0));
+        path.set(pathFaults.isEmpty() ? SimulatedStorePath.State.OPEN : pathFaults.get(0));
         recordRecovery();
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderSimulation.java
@@ -27,10 +27,10 @@
 import java.util.function.Consumer;
 
 /**
- * Some routers of which one at a time gives orders to some model upstreams, with time by hand, and
- * the promise that none of them is ever ordered to hold more than it has room for.
+ * Simulates routers, one of which at a time is the leader, and model upstreams, with simulated
+ * time, and records each order to an upstream to hold more than it has capacity for.
  */
-final class OrderWorld {
+final class OrderSimulation {
     private static final int ROUTERS = 2;
     private static final int ENGINES = 3;
     private static final int MODELS = 9;
@@ -39,47 +39,47 @@
     private static final double LEAST_MODEL_MB = 22;
     private static final double MODEL_MB_RANGE = 24;
     private static final double ADAPTER_MB = 2;
-    private static final int PLACES = 4;
+    private static final int ADAPTER_SLOTS = 4;
     private static final int SLOTS = 4;
     private static final double LOADS_PER_SECOND = 5;
 
-    private static final Duration DEMAND = Duration.ofMillis(150);
-    private static final Duration HEARTBEAT = Duration.ofMillis(1_200);
-    private static final Duration ORDER_LIMIT = Duration.ofMillis(150);
-    private static final Duration REPORT_LIMIT = Duration.ofMillis(400);
+    private static final Duration DEMAND_PERIOD = Duration.ofMillis(150);
+    private static final Duration HEARTBEAT_PERIOD = Duration.ofMillis(1_200);
+    private static final Duration ORDER_TIMEOUT = Duration.ofMillis(150);
+    private static final Duration REPORT_TIMEOUT = Duration.ofMillis(400);
     private static final int LONGEST_LIST_LAG_MILLIS = 300;
-    private static final int LONGEST_WAY_MILLIS = 20;
+    private static final int LONGEST_LATENCY_MILLIS = 20;
     private static final int EARLIEST_LATE_MILLIS = 2_000;
     private static final int LATE_RANGE_MILLIS = 10_000;
 
-    /** An upstream that is silent for this long loses its entry in the list. */
-    private static final Duration LAPSES_AFTER = HEARTBEAT.multipliedBy(3);
+    /** The entry of an upstream without heartbeats expires after this. */
+    private static final Duration ENTRY_EXPIRY = HEARTBEAT_PERIOD.multipliedBy(3);
 
     private final TestControlThread world = new TestControlThread();
     private final Random random;
     private final EngineSpec spec;
     private final List<SimulatedEngine> engines = new ArrayList<>();
-    private final List<OrderingRouter> routers = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
-    private final List<String> story = new ArrayList<>();
-    private final Instant began = world.clock().instant();
-    private double lateShare;
-    private double lostShare;
+    private final List<SimulatedOrderRouter> routers = new ArrayList<>();
+    private final List<String> overloads = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
+    private final Instant startedAt = world.clock().instant();
+    private double lateFraction;
+    private double lostFraction;
     private long revision = 1;
 
-    OrderWorld(long seed, boolean checkedCounts) {
+    OrderSimulation(long seed, boolean checksSequences) {
         this.random = new Random(seed);
         this.spec = spec();
-        SimulatedEngine.Manners manners =
-                new SimulatedEngine.Manners(random.nextBoolean(), checkedCounts);
+        SimulatedEngine.OrderChecks checks =
+                new SimulatedEngine.OrderChecks(random.nextBoolean(), checksSequences);
         for (int each = 0; each < ENGINES; each++) {
             engines.add(
                     new SimulatedEngine(
-                            world, "engine-" + each, spec, manners, random, this::overloaded));
+                            world, "engine-" + each, spec, checks, random, this::overloaded));
         }
         LeasedStore store = new LeasedStore(world);
         for (int each = 0; each < ROUTERS; each++) {
-            routers.add(new OrderingRouter("router-" + each, world, store, this));
+            routers.add(new SimulatedOrderRouter("router-" + each, world, store, this));
         }
         ServiceSpec service =
                 new ServiceSpec(SimulatedEngine.SERVICE, 1, Duration.ZERO, 0, Optional.of(spec));
@@ -92,9 +92,9 @@
                         Map.of(),
                         Map.of(),
                         HttpLimits.usual());
-        routers.forEach(each -> each.configured(configuration));
-        engines.forEach(this::beat);
-        world.every(DEMAND, this::demand);
+        routers.forEach(each -> each.configurationChanged(configuration));
+        engines.forEach(this::sendHeartbeat);
+        world.every(DEMAND_PERIOD, this::reportDemand);
     }
 
     private EngineSpec spec() {
@@ -111,20 +111,20 @@
                             Duration.ofMillis(400),
                             ADAPTER_MB));
         }
-        return new EngineSpec(SLOTS, 1_000, MEMORY_MB, PLACES, LOADS_PER_SECOND, models);
+        return new EngineSpec(SLOTS, 1_000, MEMORY_MB, ADAPTER_SLOTS, LOADS_PER_SECOND, models);
     }
 
-    /** What was promised and not kept, one line each. */
-    List<String> broken() {
-        return broken;
+    /** Returns the overloads of upstreams, one line each. */
+    List<String> overloads() {
+        return overloads;
     }
 
-    /** What happened, with the milliseconds since the beginning. */
-    List<String> story() {
-        return story;
+    /** Returns the events so far, each with the milliseconds since the start. */
+    List<String> events() {
+        return events;
     }
 
-    List<OrderingRouter> routers() {
+    List<SimulatedOrderRouter> routers() {
         return routers;
     }
 
@@ -132,7 +132,7 @@
         return engines;
     }
 
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         world.advance(duration);
     }
 
@@ -140,137 +140,149 @@
         world.after(delay, step);
     }
 
-    /** From now on this share of orders is carried out seconds later, and not answered. */
-    void late(double share) {
-        tell("orders late: " + share);
-        lateShare = share;
+    /** From now on this fraction of orders is carried out seconds later, and not answered. */
+    void delayOrders(double fraction) {
+        recordEvent("orders late: " + fraction);
+        lateFraction = fraction;
     }
 
-    /** From now on this share of answers to orders is lost. */
-    void lost(double share) {
-        tell("answers lost: " + share);
-        lostShare = share;
+    /** From now on this fraction of answers to orders is lost. */
+    void loseAnswers(double fraction) {
+        recordEvent("answers lost: " + fraction);
+        lostFraction = fraction;
     }
 
-    /** An upstream ends and starts again under its name. */
+    /** Stops an upstream and starts it again under the same name. */
     void restart(SimulatedEngine engine, Duration down) {
-        tell(engine.id() + " restarts, down for " + down.toMillis());
+        recordEvent(engine.id() + " restarts, down for " + down.toMillis());
         engine.restart(down);
-        world.after(LAPSES_AFTER, () -> lapse(engine));
+        world.after(ENTRY_EXPIRY, () -> expireEntry(engine));
     }
 
-    private void lapse(SimulatedEngine engine) {
+    private void expireEntry(SimulatedEngine engine) {
         if (!engine.up()) {
             long at = ++revision;
-            soon(LONGEST_LIST_LAG_MILLIS, () -> routers.forEach(r -> r.gone(engine.id(), at)));
+            afterRandomDelay(
+                    LONGEST_LIST_LAG_MILLIS,
+                    () -> routers.forEach(r -> r.upstreamRemoved(engine.id(), at)));
         }
     }
 
-    /** Ways from a router to the upstreams. */
-    OrderCalls callsOf(ControlThread router) {
-        return new OrderCalls() {
+    /** Returns the calls from a router to the upstreams. */
+    OrderClient callsOf(ControlThread router) {
+        return new OrderClient() {
             @Override
-            public void order(UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then) {
+            public void sendOrder(
+                    UpstreamFacts to, Dialect.Order order, Consumer<OrderOutcome> then) {
                 Answer<OrderOutcome> answer = new Answer<>(router, then);
-                router.after(ORDER_LIMIT, () -> answer.come(OrderOutcome.UNKNOWN));
+                router.after(ORDER_TIMEOUT, () -> answer.complete(OrderOutcome.UNKNOWN));
                 send(engine(to), order, answer);
             }
 
             @Override
-            public void report(
+            public void requestReport(
                     UpstreamFacts from, Consumer<Optional<LoadInput.UpstreamReported>> then) {
                 Answer<Optional<LoadInput.UpstreamReported>> answer = new Answer<>(router, then);
-                router.after(REPORT_LIMIT, () -> answer.come(Optional.empty()));
-                way(
+                router.after(REPORT_TIMEOUT, () -> answer.complete(Optional.empty()));
+                deliver(
                         () ->
                                 engine(from)
                                         .report()
-                                        .ifPresent(r -> way(() -> answer.come(Optional.of(r)))));
+                                        .ifPresent(
+                                                r ->
+                                                        deliver(
+                                                                () ->
+                                                                        answer.complete(
+                                                                                Optional.of(r)))));
             }
         };
     }
 
-    /** A router's way to the others. */
-    LeaderNews newsOf(VmId from) {
-        return new LeaderNews() {
+    /** Returns the sender of a router's announcements to the other routers. */
+    LeaderAnnouncements announcementsOf(VmId from) {
+        return new LeaderAnnouncements() {
             @Override
-            public void tell(long fencing, Map<UpstreamId, HeldModels> held) {}
+            public void announceHeldModels(long fencing, Map<UpstreamId, HeldModels> held) {}
 
             @Override
-            public void tellOpen(UnansweredLoadOrder load) {
+            public void announceUnansweredLoad(UnansweredLoadOrder load) {
                 routers.stream()
                         .filter(each -> !each.vm().equals(from))
-                        .forEach(each -> way(() -> each.unanswered(load)));
+                        .forEach(each -> deliver(() -> each.unansweredLoadAnnounced(load)));
             }
         };
     }
 
     private void send(SimulatedEngine engine, Dialect.Order order, Answer<OrderOutcome> answer) {
-        if (random.nextDouble() < lateShare) {
+        if (random.nextDouble() < lateFraction) {
             Duration later =
                     Duration.ofMillis(EARLIEST_LATE_MILLIS + random.nextInt(LATE_RANGE_MILLIS));
-            tell(engine.id() + " gets late, in " + later.toMillis() + ": " + order);
-            world.after(later, () -> engine.take(order));
+            recordEvent(engine.id() + " gets late, in " + later.toMillis() + ": " + order);
+            world.after(later, () -> engine.takeOrder(order));
             return;
         }
-        boolean lost = random.nextDouble() < lostShare;
-        way(
+        boolean lost = random.nextDouble() < lostFraction;
+        deliver(
                 () -> {
-                    Optional<OrderOutcome> outcome = engine.take(order);
-                    tell(engine.id() + " " + outcome + (lost ? " (lost)" : "") + ": " + order);
-                    outcome.filter(any -> !lost).ifPresent(o -> way(() -> answer.come(o)));
+                    Optional<OrderOutcome> outcome = engine.takeOrder(order);
+                    recordEvent(
+                            engine.id() + " " + outcome + (lost ? " (lost)" : "") + ": " + order);
+                    outcome.filter(any -> !lost).ifPresent(o -> deliver(() -> answer.complete(o)));
                 });
     }
 
-    /** One answer, by the router's own thread; whatever comes after it is dropped. */
+    /** Passes on one answer, on the router's own thread, and drops any later one. */
     private static final class Answer<T> {
         private final ControlThread router;
         private final Consumer<T> then;
-        private boolean over;
+        private boolean done;
 
         Answer(ControlThread router, Consumer<T> then) {
             this.router = router;
             this.then = then;
         }
 
-        void come(T value) {
+        void complete(T value) {
             router.run(
                     () -> {
-                        if (!over) {
-                            over = true;
+                        if (!done) {
+                            done = true;
                             then.accept(value);
                         }
                     });
         }
     }
 
-    private void way(Runnable step) {
-        soon(LONGEST_WAY_MILLIS, step);
+    private void deliver(Runnable step) {
+        afterRandomDelay(LONGEST_LATENCY_MILLIS, step);
     }
 
-    private void soon(int mostMillis, Runnable step) {
-        world.after(Duration.ofMillis(1 + random.nextInt(mostMillis)), step);
+    private void afterRandomDelay(int maxMillis, Runnable step) {
+        world.after(Duration.ofMillis(1 + random.nextInt(maxMillis)), step);
     }
 
     private SimulatedEngine engine(UpstreamFacts facts) {
         return engines.stream().filter(each -> each.id().equals(facts.id())).findFirst().get();
     }
 
-    private void beat(SimulatedEngine engine) {
+    private void sendHeartbeat(SimulatedEngine engine) {
         if (engine.up()) {
             UpstreamFacts facts = engine.facts(++revision);
-            routers.forEach(router -> soon(LONGEST_LIST_LAG_MILLIS, () -> router.listed(facts)));
+            routers.forEach(
+                    router ->
+                            afterRandomDelay(
+                                    LONGEST_LIST_LAG_MILLIS, () -> router.upstreamListed(facts)));
         }
-        world.after(HEARTBEAT, () -> beat(engine));
+        world.after(HEARTBEAT_PERIOD, () -> sendHeartbeat(engine));
     }
 
-    private void demand() {
-        List<LoadInput.ModelDemand> wants = new ArrayList<>();
+    private void reportDemand() {
+        List<LoadInput.ModelDemand> demands = new ArrayList<>();
         int count = 1 + random.nextInt(3);
         for (int each = 0; each < count; each++) {
             String model = "m" + random.nextInt(MODELS);
             String adapter = random.nextBoolean() ? "a" + random.nextInt(ADAPTERS) : "";
-            wants.add(
+            demands.add(
                     new LoadInput.ModelDemand(
                             new ModelRef(model, adapter),
                             1 + random.nextInt(3),
@@ -279,21 +291,21 @@
                             random.nextDouble() * 2,
                             1));
         }
-        for (OrderingRouter router : routers) {
+        for (SimulatedOrderRouter router : routers) {
             routers.forEach(
                     each ->
-                            each.demanded(
+                            each.demandReported(
                                     new LoadInput.DemandReported(
-                                            router.vm(), wants, Map.of(), Set.of())));
+                                            router.vm(), demands, Map.of(), Set.of())));
         }
     }
 
     private void overloaded(String what) {
-        broken.add(what);
-        tell("BROKEN: " + what);
+        overloads.add(what);
+        recordEvent("OVERLOADED: " + what);
     }
 
-    void tell(String what) {
-        story.add(Duration.between(began, world.clock().instant()).toMillis() + " " + what);
+    void recordEvent(String what) {
+        events.add(Duration.between(startedAt, world.clock().instant()).toMillis() + " " + what);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedEngine.java
@@ -24,9 +24,11 @@
 import java.util.function.Consumer;
 
 /**
- * A model upstream that follows the page on orders: one order at a time, each counted, none carried
- * out at another count; unloads wait for runs; reports are some time old. A restart forgets all but
- * the upstream's name. It says when it is ordered to hold more than it has room for.
+ * Simulates a model upstream that follows the order protocol: it takes one order at a time,
+ * increments its sequence with each, and rejects an order with another sequence; unloads wait for
+ * running requests; reports are out of date. A restart loses its memory, its sequence and its
+ * fencing token; the name and the cached weights on disk remain. It reports each order to hold more
+ * than it has capacity for.
  */
 final class SimulatedEngine {
     static final String SERVICE = "engines";
@@ -34,54 +36,54 @@
     private static final int LONGEST_RUN_MILLIS = 900;
     private static final int LONGEST_ADAPTER_MILLIS = 60;
     private static final int LONGEST_REPORT_LAG_MILLIS = 250;
-    private static final double ADAPTERS_IN_USE = 0.3;
+    private static final double ADAPTER_IN_USE_PROBABILITY = 0.3;
 
     private final ControlThread world;
     private final UpstreamId id;
     private final EngineSpec spec;
     private final Random random;
     private final boolean checksTokens;
-    private final boolean checksCounts;
-    private final Consumer<String> overloaded;
-    private final Set<String> disk = new HashSet<>();
-    private final List<State> past = new ArrayList<>();
+    private final boolean checksSequences;
+    private final Consumer<String> onOverload;
+    private final Set<String> cachedOnDisk = new HashSet<>();
+    private final List<State> history = new ArrayList<>();
     private Map<String, Set<String>> held = new TreeMap<>();
-    private Map<ModelRef, Boolean> coming = new HashMap<>();
+    private Map<ModelRef, Boolean> loadingAdapters = new HashMap<>();
     private Optional<ModelRef> loading = Optional.empty();
     private boolean busy;
     private boolean up = true;
     private long sequence;
-    private long token;
-    private long life = 1;
+    private long highestToken;
+    private long incarnation = 1;
     private long startedAt;
 
-    private record State(Instant at, long life, boolean busy, HeldModels held) {}
+    private record State(Instant at, long incarnation, boolean busy, HeldModels held) {}
 
     /**
-     * How an upstream differs from others.
+     * The checks that an upstream makes on orders.
      *
-     * @param checksTokens whether it refuses a lower fencing token
-     * @param checksCounts whether it refuses an order that names another count; false in no
-     *     upstream, to show that a world without that safeguard breaks the promise
+     * @param checksTokens whether it rejects a lower fencing token
+     * @param checksSequences whether it rejects an order with another sequence; real upstreams
+     *     always do, and false shows that upstreams are overloaded without that check
      */
-    record Manners(boolean checksTokens, boolean checksCounts) {}
+    record OrderChecks(boolean checksTokens, boolean checksSequences) {}
 
     SimulatedEngine(
             ControlThread world,
             String name,
             EngineSpec spec,
-            Manners manners,
+            OrderChecks checks,
             Random random,
-            Consumer<String> overloaded) {
+            Consumer<String> onOverload) {
         this.world = world;
         this.id = UpstreamId.of(name);
         this.spec = spec;
-        this.checksTokens = manners.checksTokens();
-        this.checksCounts = manners.checksCounts();
+        this.checksTokens = checks.checksTokens();
+        this.checksSequences = checks.checksSequences();
         this.random = random;
-        this.overloaded = overloaded;
+        this.onOverload = onOverload;
         this.startedAt = world.clock().millis();
-        note();
+        recordState();
     }
 
     UpstreamId id() {
@@ -92,7 +94,7 @@
         return up;
     }
 
-    /** What it writes into the platform's list. */
+    /** Returns the entry that the upstream writes into the platform's list. */
     UpstreamFacts facts(long revision) {
         return new UpstreamFacts(
                 id,
@@ -105,19 +107,19 @@
                 Duration.ZERO,
                 new HeldModels(startedAt, HeldModels.UNKNOWN_SEQUENCE, held),
                 Set.of(),
-                Set.copyOf(disk));
+                Set.copyOf(cachedOnDisk));
     }
 
-    /** Takes an order that has arrived; empty if there is nobody to answer. */
-    Optional<OrderOutcome> take(Dialect.Order order) {
+    /** Carries out an order; empty if the upstream is down. */
+    Optional<OrderOutcome> takeOrder(Dialect.Order order) {
         if (!up) {
             return Optional.empty();
         }
-        if (checksTokens && order.fencing() < token) {
+        if (checksTokens && order.fencing() < highestToken) {
             return Optional.of(OrderOutcome.FENCED);
         }
-        token = Math.max(token, order.fencing());
-        if (busy || (checksCounts && order.sequence() != sequence)) {
+        highestToken = Math.max(highestToken, order.fencing());
+        if (busy || (checksSequences && order.sequence() != sequence)) {
             return Optional.of(OrderOutcome.CONFLICT);
         }
         boolean load = order.operation() == OrderOperation.LOAD;
@@ -129,11 +131,11 @@
         }
         sequence++;
         OrderOutcome outcome = load ? load(order.model()) : unload(order.model());
-        note();
+        recordState();
         return Optional.of(outcome);
     }
 
-    /** What it says of itself, as of some time ago; empty if there is nobody to answer. */
+    /** Returns a report that is some time old; empty if the upstream is down. */
     Optional<LoadInput.UpstreamReported> report() {
         if (!up) {
             return Optional.empty();
@@ -141,40 +143,40 @@
         Instant asOf =
                 world.clock().instant().minusMillis(random.nextInt(LONGEST_REPORT_LAG_MILLIS));
         State found = null;
-        for (State each : past) {
-            if (each.life == life && (found == null || !each.at.isAfter(asOf))) {
+        for (State each : history) {
+            if (each.incarnation == incarnation && (found == null || !each.at.isAfter(asOf))) {
                 found = each;
             }
         }
         return Optional.of(
                 new LoadInput.UpstreamReported(
-                        id, found.busy, found.held, Set.of(), Set.copyOf(disk)));
+                        id, found.busy, found.held, Set.of(), Set.copyOf(cachedOnDisk)));
     }
 
-    /** Ends, with all that it held and knew, and starts again under the same name. */
+    /** Stops, losing all models in memory, and starts again under the same name. */
     void restart(Duration down) {
         if (!up) {
             return;
         }
         up = false;
-        life++;
+        incarnation++;
         world.after(down, this::start);
     }
 
     private void start() {
         up = true;
         held = new TreeMap<>();
-        coming = new HashMap<>();
+        loadingAdapters = new HashMap<>();
         loading = Optional.empty();
         busy = false;
         sequence = 0;
-        token = 0;
+        highestToken = 0;
         startedAt = world.clock().millis();
-        note();
+        recordState();
     }
 
     private boolean has(ModelRef model) {
-        if (coming.containsKey(model) || loading.filter(model::equals).isPresent()) {
+        if (loadingAdapters.containsKey(model) || loading.filter(model::equals).isPresent()) {
             return true;
         }
         return new HeldModels(0, 0, held).contains(model);
@@ -182,118 +184,118 @@
 
     private OrderOutcome load(ModelRef model) {
         if (!fits(model)) {
-            overloaded.accept(id + " has no room for " + model + ", holds " + held);
+            onOverload.accept(id + " has no capacity for " + model + ", holds " + held);
             restart(Duration.ofSeconds(1));
             return OrderOutcome.ACCEPTED;
         }
         if (model.hasAdapter()) {
-            coming.put(model, true);
-            soon(LONGEST_ADAPTER_MILLIS, () -> arrived(model));
+            loadingAdapters.put(model, true);
+            afterRandomDelay(LONGEST_ADAPTER_MILLIS, () -> adapterLoaded(model));
             return OrderOutcome.ACCEPTED;
         }
         loading = Optional.of(model);
         busy = true;
         Duration time =
-                disk.contains(model.model())
+                cachedOnDisk.contains(model.model())
                         ? spec.models().get(model.model()).diskLoadTime()
                         : spec.models().get(model.model()).storeLoadTime();
-        inThisLife(time, () -> loaded(model));
+        inThisIncarnation(time, () -> modelLoaded(model));
         return OrderOutcome.ACCEPTED;
     }
 
     private OrderOutcome unload(ModelRef model) {
         if (!model.hasAdapter()) {
             busy = true;
-            soon(LONGEST_RUN_MILLIS, () -> unloaded(model));
+            afterRandomDelay(LONGEST_RUN_MILLIS, () -> modelUnloaded(model));
             return OrderOutcome.ACCEPTED;
         }
-        if (random.nextDouble() < ADAPTERS_IN_USE) {
-            soon(LONGEST_RUN_MILLIS, () -> dropped(model));
+        if (random.nextDouble() < ADAPTER_IN_USE_PROBABILITY) {
+            afterRandomDelay(LONGEST_RUN_MILLIS, () -> adapterUnloaded(model));
             return OrderOutcome.ACCEPTED;
         }
-        drop(model);
+        removeAdapter(model);
         return OrderOutcome.DONE;
     }
 
     private boolean fits(ModelRef model) {
-        if (model.hasAdapter() && adapters() >= spec.adapterSlots()) {
+        if (model.hasAdapter() && adapterCount() >= spec.adapterSlots()) {
             return false;
         }
-        return used() + weight(model) <= spec.weightsMb();
+        return usedMb() + weightMb(model) <= spec.weightsMb();
     }
 
-    private int adapters() {
-        return coming.size() + held.values().stream().mapToInt(Set::size).sum();
+    private int adapterCount() {
+        return loadingAdapters.size() + held.values().stream().mapToInt(Set::size).sum();
     }
 
-    private double used() {
+    private double usedMb() {
         double used = 0;
         for (Map.Entry<String, Set<String>> entry : held.entrySet()) {
             used += spec.models().get(entry.getKey()).weightsMb();
             used += entry.getValue().size() * spec.models().get(entry.getKey()).adapterMb();
         }
-        for (ModelRef each : coming.keySet()) {
-            used += weight(each);
+        for (ModelRef each : loadingAdapters.keySet()) {
+            used += weightMb(each);
         }
         return used;
     }
 
-    private double weight(ModelRef model) {
+    private double weightMb(ModelRef model) {
         var known = spec.models().get(model.model());
         return model.hasAdapter() ? known.adapterMb() : known.weightsMb();
     }
 
-    private void arrived(ModelRef adapter) {
-        coming.remove(adapter);
+    private void adapterLoaded(ModelRef adapter) {
+        loadingAdapters.remove(adapter);
         if (held.containsKey(adapter.model())) {
             held = new HeldModels(0, 0, held).with(adapter, 0).adapters();
         }
     }
 
-    private void loaded(ModelRef model) {
+    private void modelLoaded(ModelRef model) {
         busy = false;
         loading = Optional.empty();
         held = new HeldModels(0, 0, held).with(model, 0).adapters();
-        disk.add(model.model());
+        cachedOnDisk.add(model.model());
     }
 
-    private void unloaded(ModelRef model) {
+    private void modelUnloaded(ModelRef model) {
         busy = false;
         held = new HeldModels(0, 0, held).without(model, 0).adapters();
-        coming.keySet().removeIf(each -> each.model().equals(model.model()));
+        loadingAdapters.keySet().removeIf(each -> each.model().equals(model.model()));
     }
 
-    private void dropped(ModelRef adapter) {
-        drop(adapter);
+    private void adapterUnloaded(ModelRef adapter) {
+        removeAdapter(adapter);
     }
 
-    private void drop(ModelRef adapter) {
-        coming.remove(adapter);
+    private void removeAdapter(ModelRef adapter) {
+        loadingAdapters.remove(adapter);
         held = new HeldModels(0, 0, held).without(adapter, 0).adapters();
     }
 
-    private void soon(int mostMillis, Runnable step) {
-        inThisLife(Duration.ofMillis(random.nextInt(mostMillis)), step);
+    private void afterRandomDelay(int maxMillis, Runnable step) {
+        inThisIncarnation(Duration.ofMillis(random.nextInt(maxMillis)), step);
     }
 
-    private void inThisLife(Duration delay, Runnable step) {
-        long mine = life;
+    private void inThisIncarnation(Duration delay, Runnable step) {
+        long started = incarnation;
         world.after(
                 delay,
                 () -> {
-                    if (mine == life) {
+                    if (started == incarnation) {
                         step.run();
-                        note();
+                        recordState();
                     }
                 });
     }
 
-    // Adapters on their way are told as held, as the dialect takes them.
-    private void note() {
+    // Adapters that are being loaded are reported as held, as the upstream's protocol has it.
+    private void recordState() {
         HeldModels all = new HeldModels(startedAt, sequence, held);
-        for (ModelRef each : coming.keySet()) {
+        for (ModelRef each : loadingAdapters.keySet()) {
             all = all.with(each, sequence);
         }
-        past.add(new State(world.clock().instant(), life, busy, all));
+        history.add(new State(world.clock().instant(), incarnation, busy, all));
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedOrderRouter.java
@@ -13,8 +13,10 @@
 import io.damaskyoke.metrics.Metrics;
 import java.time.Duration;
 
-/** The part of a router that stands for the orders and gives them, on a VM that can stand still. */
-final class OrderingRouter {
+/**
+ * The part of a router that is elected as leader and sends orders, on a VM that can be suspended.
+ */
+final class SimulatedOrderRouter {
     private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
     private static final Duration TICK = Duration.ofMillis(50);
 
@@ -22,10 +24,11 @@
     private final FreezableControlThread control;
     private final DisconnectableStore store;
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final OrderLease lease;
-    private final OrderLeader leader;
+    private final LeaderLease lease;
+    private final LoadCoordinator leader;
 
-    OrderingRouter(String name, ControlThread world, LeasedStore leased, OrderWorld engines) {
+    SimulatedOrderRouter(
+            String name, ControlThread world, LeasedStore leased, OrderSimulation engines) {
         this.vm = VmId.of(name);
         this.control = new FreezableControlThread(world);
         this.store = new DisconnectableStore(world, leased);
@@ -39,15 +42,15 @@
                         PACE,
                         Relay.none(),
                         new Metrics());
-        this.lease = new OrderLease(control, store, members, vm, lag);
+        this.lease = new LeaderLease(control, store, members, vm, lag);
         this.leader =
-                new OrderLeader(
+                new LoadCoordinator(
                         control,
                         upstreams,
                         lease,
                         engines.callsOf(control),
                         vm,
-                        engines.newsOf(vm));
+                        engines.announcementsOf(vm));
         members.start(() -> {});
         leader.start(() -> {});
     }
@@ -56,57 +59,57 @@
         return vm;
     }
 
-    boolean leads() {
+    boolean isLeader() {
         return lease.held();
     }
 
-    void configured(DirectConfiguration configuration) {
-        control.run(() -> leader.configured(configuration));
+    void configurationChanged(DirectConfiguration configuration) {
+        control.run(() -> leader.configurationChanged(configuration));
     }
 
-    void listed(UpstreamFacts facts) {
+    void upstreamListed(UpstreamFacts facts) {
         control.run(
                 () -> {
                     if (upstreams.put(facts, control.clock().instant())) {
-                        leader.listed(facts);
+                        leader.upstreamListed(facts);
                     }
                 });
     }
 
-    void gone(UpstreamId id, long revision) {
+    void upstreamRemoved(UpstreamId id, long revision) {
         control.run(
                 () -> {
                     if (upstreams.remove(id, revision)) {
-                        leader.gone(id);
+                        leader.upstreamRemoved(id);
                     }
                 });
     }
 
-    void demanded(LoadInput.DemandReported demanded) {
-        control.run(() -> leader.demanded(demanded));
+    void demandReported(LoadInput.DemandReported demanded) {
+        control.run(() -> leader.demandReported(demanded));
     }
 
-    void unanswered(UnansweredLoadOrder load) {
-        control.run(() -> leader.unanswered(load));
+    void unansweredLoadAnnounced(UnansweredLoadOrder load) {
+        control.run(() -> leader.unansweredLoadAnnounced(load));
     }
 
     void resign() {
-        control.run(() -> lease.resign("it is to"));
+        control.run(() -> lease.resign("the simulation asks for it"));
     }
 
-    void freeze() {
+    void suspend() {
         if (!control.frozen()) {
             control.freeze();
         }
     }
 
-    void thaw() {
+    void resume() {
         if (control.frozen()) {
             control.unfreeze();
         }
     }
 
-    void cut(boolean value) {
+    void setPartitioned(boolean value) {
         store.cut(value);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedLinks.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedRelayLinks.java
@@ -10,37 +10,38 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One router's links to those that follow the store for it; what is on its way takes its time. */
-final class SimulatedLinks {
+/** Simulates one router's links to the relays that watch the store for it, with latency. */
+final class SimulatedRelayLinks {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
 
     private final ControlThread world;
     private final ControlThread control;
-    private final Map<VmId, FollowingRouter> others = new LinkedHashMap<>();
+    private final Map<VmId, FollowingRouter> relayRouters = new LinkedHashMap<>();
     private final StoreRelays relays;
 
-    SimulatedLinks(ControlThread world, ControlThread control, List<FollowingRouter> relays) {
+    SimulatedRelayLinks(ControlThread world, ControlThread control, List<FollowingRouter> relays) {
         this.world = world;
         this.control = control;
-        relays.forEach(each -> others.put(VmId.of(each.name()), each));
-        this.relays = new StoreRelays(control, () -> List.copyOf(others.keySet()), this::ask);
+        relays.forEach(each -> relayRouters.put(VmId.of(each.name()), each));
+        this.relays =
+                new StoreRelays(control, () -> List.copyOf(relayRouters.keySet()), this::fetch);
     }
 
     Relay relay() {
         return relays;
     }
 
-    private boolean ask(VmId relay, long number, String prefix, long after, Duration wait) {
-        FollowingRouter other = others.get(relay);
+    private boolean fetch(VmId relay, long number, String prefix, long after, Duration wait) {
+        FollowingRouter relayRouter = relayRouters.get(relay);
         world.after(
                 ONE_WAY,
                 () ->
-                        other.answerChanges(
-                                prefix, after, wait, told -> answer(relay, number, told)));
+                        relayRouter.answerChanges(
+                                prefix, after, wait, answer -> answer(relay, number, answer)));
         return true;
     }
 
-    private void answer(VmId relay, long number, Optional<Changes> told) {
-        world.after(ONE_WAY, () -> control.run(() -> relays.answered(relay, number, told)));
+    private void answer(VmId relay, long number, Optional<Changes> answer) {
+        world.after(ONE_WAY, () -> control.run(() -> relays.answered(relay, number, answer)));
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStore.java
@@ -15,7 +15,7 @@
 
 /**
  * The platform's store in simulated time: its entries, the history of changes, and the watch calls
- * that wait. Routers reach it over a {@link SimulatedPath}, which is the part that fails.
+ * that wait. Routers reach it over a {@link SimulatedStorePath}, which is the part that fails.
  */
 final class SimulatedStore {
     private final ControlThread control;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedPath.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedStorePath.java
@@ -11,47 +11,49 @@
 import java.util.function.Supplier;
 
 /**
- * One router's way to the store: {@code path.set(State.SILENT)}. A call that is under way when the
- * path falls silent is never answered, also when the path is back.
+ * Simulates one router's connection to the store and its faults: {@code path.set(State.SILENT)}. A
+ * call in flight when the path falls silent is never answered, even after the path recovers.
  */
-final class SimulatedPath extends OnlyFollowed {
+final class SimulatedStorePath extends OnlyFollowed {
     private static final Duration ONE_WAY = Duration.ofMillis(2);
     private static final Duration SLOW = Duration.ofMillis(250);
 
-    /** As the store's client gives up. */
-    private static final Duration TIME_LIMIT = Duration.ofMillis(1_500);
+    /** The timeout of the store's client. */
+    private static final Duration TIMEOUT = Duration.ofMillis(1_500);
 
     private final ControlThread control;
     private final ControlThread clock;
     private final SimulatedStore store;
-    private final Set<Call<?>> open = new HashSet<>();
+    private final Set<Call<?>> inFlight = new HashSet<>();
     private State state = State.OPEN;
     private boolean up = true;
     private long calls;
 
-    /** What becomes of calls. */
+    /** The fault that calls are subject to. */
     enum State {
         OPEN,
-        /** Nothing comes back. */
+        /** Calls do not arrive and are not answered. */
         SILENT,
-        /** Turned away at once, and what waits is cut. */
+        /** Calls are rejected at once, and those in flight fail. */
         REFUSING,
         /** Each answer takes a quarter of a second. */
         SLOW,
-        /** Calls arrive and are carried out; no answer comes back. */
+        /** Calls arrive and are carried out; their answers are lost. */
         ONE_WAY
     }
 
     private record Call<T>(CompletableFuture<T> answer) {}
 
-    /** A path whose router's timers run on {@code control}, and the store's on {@code clock}. */
-    SimulatedPath(ControlThread control, ControlThread clock, SimulatedStore store) {
+    /**
+     * Creates a path whose router's timers run on {@code control}, the store's on {@code clock}.
+     */
+    SimulatedStorePath(ControlThread control, ControlThread clock, SimulatedStore store) {
         this.control = control;
         this.clock = clock;
         this.store = store;
     }
 
-    /** How many calls were made so far. */
+    /** Returns the number of calls so far. */
     long calls() {
         return calls;
     }
@@ -60,14 +62,14 @@
         return state;
     }
 
-    void set(State given) {
-        state = given;
-        if (given == State.SILENT || given == State.ONE_WAY) {
-            open.clear();
-        } else if (given == State.REFUSING) {
-            List<Call<?>> cut = List.copyOf(open);
-            open.clear();
-            cut.forEach(each -> fail(each, "reset"));
+    void set(State newState) {
+        state = newState;
+        if (newState == State.SILENT || newState == State.ONE_WAY) {
+            inFlight.clear();
+        } else if (newState == State.REFUSING) {
+            List<Call<?>> interrupted = List.copyOf(inFlight);
+            inFlight.clear();
+            interrupted.forEach(each -> fail(each, "reset"));
         }
     }
 
@@ -88,7 +90,7 @@
     private <T> CompletionStage<T> call(Duration wait, Supplier<CompletableFuture<T>> carriedOut) {
         calls++;
         Call<T> call = new Call<>(new CompletableFuture<>());
-        control.after(wait.plus(TIME_LIMIT), () -> fail(call, "no answer"));
+        control.after(wait.plus(TIMEOUT), () -> fail(call, "no answer"));
         if (state == State.REFUSING) {
             clock.after(ONE_WAY, () -> fail(call, "refused"));
             return call.answer;
@@ -96,7 +98,7 @@
         if (state != State.SILENT) {
             boolean answerLost = state == State.ONE_WAY;
             if (!answerLost) {
-                open.add(call);
+                inFlight.add(call);
             }
             clock.after(oneWay(), () -> arrive(call, carriedOut));
         }
@@ -108,11 +110,11 @@
                 .get()
                 .whenComplete(
                         (value, failure) ->
-                                clock.after(oneWay(), () -> back(call, value, failure)));
+                                clock.after(oneWay(), () -> deliverAnswer(call, value, failure)));
     }
 
-    private <T> void back(Call<T> call, T value, Throwable failure) {
-        if (!open.remove(call)) {
+    private <T> void deliverAnswer(Call<T> call, T value, Throwable failure) {
+        if (!inFlight.remove(call)) {
             return;
         }
         up = true;
@@ -124,7 +126,7 @@
     }
 
     private void fail(Call<?> call, String why) {
-        open.remove(call);
+        inFlight.remove(call);
         if (call.answer.completeExceptionally(SimulatedStore.unavailable(why))) {
             up = false;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
@@ -28,7 +28,7 @@
             for (Duration length : List.of(Duration.ofMillis(400), Duration.ofSeconds(9))) {
                 StoreWorld world = new StoreWorld();
                 world.advance(PHASE_LENGTH.multipliedBy(phase));
-                world.cutAll(SimulatedPath.State.SILENT, length);
+                world.cutAll(SimulatedStorePath.State.SILENT, length);
                 world.advance(length.plusMillis(100));
                 world.changeConfiguration();
                 world.advance(Duration.ofSeconds(6));
@@ -46,7 +46,7 @@
         for (int phase = 0; phase < PHASE_COUNT; phase++) {
             StoreWorld world = new StoreWorld(naive);
             world.advance(PHASE_LENGTH.multipliedBy(phase));
-            world.cutAll(SimulatedPath.State.SILENT, Duration.ofMillis(400));
+            world.cutAll(SimulatedStorePath.State.SILENT, Duration.ofMillis(400));
             world.advance(Duration.ofMillis(500));
             world.changeConfiguration();
             world.advance(Duration.ofSeconds(6));
@@ -62,7 +62,7 @@
         for (int phase = 0; phase < PHASE_COUNT; phase++) {
             StoreWorld world = new StoreWorld();
             world.advance(PHASE_LENGTH.multipliedBy(phase));
-            world.cutAll(SimulatedPath.State.SILENT, Duration.ofSeconds(6));
+            world.cutAll(SimulatedStorePath.State.SILENT, Duration.ofSeconds(6));
             world.advance(Duration.ofSeconds(6).plus(StoreWorld.SETTLED));
             world.removeUpstream(world.liveUpstreams().get(0));
             world.advance(Duration.ofSeconds(4));
@@ -76,7 +76,7 @@
     void anUpstreamWhoseEntryExpiredIsAwaitedAfterTheHistoryIsDropped() {
         StoreWorld world = new StoreWorld();
         String expired = world.liveUpstreams().get(0);
-        world.cutAll(SimulatedPath.State.SILENT, Duration.ofSeconds(5));
+        world.cutAll(SimulatedStorePath.State.SILENT, Duration.ofSeconds(5));
         world.after(
                 Duration.ofSeconds(4), () -> world.expireEntry(expired, Duration.ofMillis(2_800)));
         world.advance(Duration.ofMillis(5_600));
@@ -156,7 +156,7 @@
             StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
             String expired = world.liveUpstreams().get(0);
             world.advance(PHASE_LENGTH.multipliedBy(phase));
-            world.cutAll(SimulatedPath.State.SILENT, Duration.ofMillis(2_600));
+            world.cutAll(SimulatedStorePath.State.SILENT, Duration.ofMillis(2_600));
             world.after(
                     Duration.ofMillis(2_500),
                     () -> world.expireEntry(expired, Duration.ofMillis(1_600)));
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -214,7 +214,7 @@
     }
 
     /** Cuts off the store from routers, operators and upstreams. */
-    void cutAll(SimulatedPath.State how, Duration length) {
+    void cutAll(SimulatedStorePath.State how, Duration length) {
         log("store " + how + " for " + length.toMillis());
         openOutages++;
         routers.forEach(each -> each.startPathFault(how));
@@ -233,7 +233,7 @@
     }
 
     /** Cuts off the store from one router only. */
-    void cut(FollowingRouter router, SimulatedPath.State how, Duration length) {
+    void cut(FollowingRouter router, SimulatedStorePath.State how, Duration length) {
         log(router.name() + ' ' + how + " for " + length.toMillis());
         router.startPathFault(how);
         world.after(length, () -> router.endPathFault(how));
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ZoneDrainsTest.java
@@ -41,19 +41,19 @@
     // Guards against an old change that arrives after newer ones and would open the zone again.
     @Test
     void changesOlderThanTheAppliedRevisionAreIgnored() {
-        drains.merge(new RouterStanding.Drains(9, Map.of("a", NOW)));
+        drains.merge(new RouterStatus.DrainStatus(9, Map.of("a", NOW)));
         drains.applyDrain("b", NOTHING, 7, NOW);
         drains.applyRestore("a", 8);
         drains.restoreAllExcept(Set.of(), 9);
         assertEquals(Set.of("a"), zones.all().keySet());
-        drains.merge(new RouterStanding.Drains(8, Map.of()));
+        drains.merge(new RouterStatus.DrainStatus(8, Map.of()));
         assertEquals(Set.of("a"), zones.all().keySet());
     }
 
     @Test
     void newerDrainsOfAnotherRouterReplaceTheKnownOnes() {
         drains.applyDrain("a", NOTHING, 3, NOW);
-        drains.merge(new RouterStanding.Drains(5, Map.of("b", NOW)));
+        drains.merge(new RouterStatus.DrainStatus(5, Map.of("b", NOW)));
         assertEquals(Set.of("b"), zones.all().keySet());
         assertEquals(List.of("drained a", "restored a", "drained b"), notified);
     }
