--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ArrivalRates.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ArrivalRates.java
@@ -6,21 +6,27 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many requests a second come for each model and adapter, of late. */
+/** Estimates the recent request rate of each model and adapter by exponential decay. */
 final class ArrivalRates {
-    /** Rare models are asked for every few seconds; a shift of demand shows within about this. */
+    /**
+     * Time constant of the estimate in seconds. It must bridge the few seconds between two requests
+     * for a rare model, and a shift of demand shows within about this time.
+     */
     private static final double SECONDS = 6.0;
 
-    /** A busy model that falls silent shows within about this; for a rare one it is too short. */
+    /**
+     * Shorter time constant in seconds, within which a busy model that is no longer requested
+     * shows; it is too short for rare models.
+     */
     private static final double SHORT_SECONDS = 1.5;
 
-    /** Requests a second from which a silence of a few seconds is no chance. */
+    /** Requests per second from which a pause of a few seconds is not a chance event. */
     private static final double BUSY = 2.0;
 
-    /** What a busy model's rate over the short time may be below that over the long one. */
+    /** Factor by which chance may lower a busy model's short-term rate below its long-term rate. */
     private static final double CHANCE = 1.4;
 
-    /** Slower than one in some minutes is as good as never. */
+    /** Requests per second below which a model is forgotten: one request in about four minutes. */
     private static final double LEAST = 0.004;
 
     private final Map<ModelRef, Rate> rates = new HashMap<>();
@@ -50,7 +56,7 @@
         rates.put(model, rates.getOrDefault(model, new Rate(0, 0, now)).another(now));
     }
 
-    /** All that are worth mentioning. */
+    /** Returns the requests per second of all models that are not forgotten. */
     Map<ModelRef, Double> all(Instant now) {
         rates.values().removeIf(rate -> rate.now(now) < LEAST);
         Map<ModelRef, Double> all = new HashMap<>();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
@@ -15,12 +15,23 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** One send of a request to one upstream, and what comes back. */
+/**
+ * Sends a request once to one upstream and reads the answer.
+ *
+ * <p>The outcome goes to the {@link Flow}, which may start another attempt. Crash detection and the
+ * upstream's statistics learn of it too.
+ */
 final class Attempt implements AnswerListener {
-    /** A connection that was used a moment ago is hardly ever closed yet by the other side. */
+    /**
+     * Longest idle time of a pooled connection for requests that must not be repeated. The upstream
+     * has hardly ever closed a connection that was used so recently.
+     */
     private static final Duration FRESH = Duration.ofMillis(300);
 
-    /** A repeatable request that meets a closed connection only costs a second try. */
+    /**
+     * Longest idle time of a pooled connection for repeatable requests. If the upstream has closed
+     * it, that costs only a retry.
+     */
     private static final Duration KEPT = Duration.ofSeconds(3);
 
     private static final int SERVER_ERRORS = 500;
@@ -66,7 +77,7 @@
         call = flows.client().send(upstream.facts().endpoint(), request, this);
     }
 
-    /** True if nothing has come for longer than this. */
+    /** Returns true if nothing has been received for longer than the given time. */
     boolean silent(Instant now, Duration longest) {
         return !over && Duration.between(heardAt, now).compareTo(longest) > 0;
     }
@@ -77,7 +88,7 @@
         }
     }
 
-    /** Calls it off: the upstream sees its connection close, and drops the request. */
+    /** Cancels the attempt; the upstream sees its connection close and drops the request. */
     void cancel(Cut why) {
         if (over) {
             return;
@@ -93,8 +104,8 @@
         flows.crashes().cut(upstream, flow.digest(), sentAt, how);
     }
 
-    // A connection may have taken long to open, or the thread was held: whether the upstream may
-    // still be sent to, and the time that is left, are looked at when the bytes leave.
+    // The connection may have taken long to open, or the thread may have been delayed. So the
+    // upstream's state and the remaining time are checked again when the bytes are written.
     @Override
     public boolean leaves(HttpHeaders headers) {
         Instant now = flows.now();
@@ -105,7 +116,7 @@
         }
         if (!upstream.isOpen(now)) {
             callOff();
-            flow.notSent("the upstream leaves");
+            flow.notSent("upstream is leaving");
             return false;
         }
         if (!flow.leavesOnce()) {
@@ -192,7 +203,7 @@
             cut(broke ? Cut.BROKE : Cut.GARBLED);
         }
         if (!failure.mayHaveArrived()) {
-            flow.notSent("no connection");
+            flow.notSent("connection to upstream failed");
         } else if (answer != null && answer.notRun()) {
             flow.turnedAway(answer);
         } else {
@@ -221,7 +232,7 @@
     private void events(ByteBuf data) {
         if (!acceptable()) {
             data.release();
-            spoiled("a success without the upstream's seal");
+            spoiled("successful answer without the upstream's seal, or with an encoded body");
             return;
         }
         for (EventSplitter.StreamEvent event : events.take(data)) {
@@ -236,7 +247,7 @@
 
     private void streamEnd() {
         if (events.unfinished() || !acceptable()) {
-            spoiled("the stream ends in the middle of an event");
+            spoiled("stream ended within an event, or without the upstream's seal");
             return;
         }
         finish();
@@ -254,7 +265,7 @@
 
     private void wholeAnswer() {
         if (answer.success() && !acceptable()) {
-            spoiled("a success without the upstream's seal");
+            spoiled("successful answer without the upstream's seal, or with an encoded body");
             return;
         }
         borne();
@@ -276,14 +287,15 @@
         flow.answer(answer.status(), flows.dialect().toCaller(headers), whole);
     }
 
-    // The upstream has taken the request and has not ended.
+    // Records that the upstream answered the request and so did not crash on it.
     private void borne() {
         if (flows.crashes().awaitsAnswers() && !flow.call().over()) {
             flows.crashes().answered(flow.digest(), sentAt, answer.status());
         }
     }
 
-    // These tell a caller that its request has not run, and this upstream doesn't vouch for that.
+    // These statuses tell a caller that its request has not run, which this upstream does not
+    // confirm.
     private static boolean promises(int status) {
         return status == 408 || status == 421 || status == 429 || status == 503;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CallerRequest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CallerRequest.java
@@ -6,15 +6,16 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller's headers say.
+ * The fields that a router reads from a caller's request headers.
  *
- * @param attempt names this try of the caller; a repeat has another name; empty if there is none
- * @param host that the route is picked by
- * @param key the caller key
- * @param model what is asked for at a model service
- * @param tokens of prompt and answer together, as the caller puts it
- * @param deadline how long the caller waits, from now
- * @param lastEvent the last event of a stream that the caller has seen, if it resumes one
+ * @param attempt the id of this attempt by the caller, which differs when the caller repeats the
+ *     request; an empty string if there is none
+ * @param host the host name by which the route is selected
+ * @param key the caller key, if any
+ * @param model the requested model, at a model service
+ * @param tokens the caller's figure for the tokens of prompt and answer together
+ * @param deadline how long the caller waits from now
+ * @param lastEvent the id of the last event that the caller received, if it resumes a stream
  */
 public record CallerRequest(
         String attempt,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Cut.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Cut.java
@@ -2,20 +2,20 @@
 
 import java.util.Locale;
 
-/** How a run at an upstream came to its end without a whole answer. */
+/** The reason why a run at an upstream ended without a complete answer. */
 enum Cut {
-    /** Its connection broke. */
+    /** The connection to the upstream broke. */
     BROKE,
-    /** Its caller has left, and this router closed the connection. */
+    /** The caller disconnected, and this router closed the connection to the upstream. */
     CALLER_GONE,
-    /** Its time was over, and this router closed the connection. */
+    /** The request's time was up, and this router closed the connection to the upstream. */
     TIME_UP,
-    /** Nothing came for so long that this router closed the connection. */
+    /** The upstream sent nothing until the idle timeout, and this router closed the connection. */
     SILENT,
-    /** What came was no whole answer of the upstream. */
+    /** The data received was not a complete, valid answer of the upstream. */
     GARBLED;
 
-    /** Its name on the metrics page. */
+    /** Returns the value of the metric label: the constant's name in lower case. */
     String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DecisionLog.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DecisionLog.java
@@ -8,8 +8,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * One line for each request, and no more than a bound of them a second: a flood of requests must
- * not become a flood of lines, which cost processor time when there is least of it.
+ * Logs one line for each request, up to a limit per second.
+ *
+ * <p>Under overload, when processor time is scarcest, a line for every request would cost too much
+ * of it. The number of omitted lines is logged instead.
  */
 final class DecisionLog {
     private static final Logger LOG = LogManager.getLogger("request");
@@ -24,18 +26,18 @@
         this.clock = clock;
     }
 
-    /** What became of a request that was let in. */
+    /** Logs the outcome of an admitted request. */
     void ended(Flow flow, String outcome) {
         if (mayWrite()) {
             LOG.info("{} {}", outcome, flow.describe(clock.instant()));
         }
     }
 
-    /** Why a request wasn't let in, and what that went by. */
+    /** Logs why a request was not admitted, with the inputs of that decision. */
     void refused(CallerRequest request, Refusal refusal, String inputs) {
         if (mayWrite()) {
             LOG.info(
-                    "not let in {} {} request={} {}",
+                    "not admitted {} {} request={} {}",
                     refusal.code().status(),
                     refusal.message(),
                     request.attempt(),
@@ -47,7 +49,7 @@
         Instant now = clock.instant();
         if (second.equals(Instant.MIN) || Duration.between(second, now).toSeconds() >= 1) {
             if (leftOut > 0) {
-                LOG.info("left out {} lines in the second before", leftOut);
+                LOG.info("omitted {} request log lines in the previous second", leftOut);
             }
             second = now;
             lines = 0;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Denials.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Denials.java
@@ -6,20 +6,25 @@
 import java.time.InstantSource;
 
 /**
- * Says no to a caller only by a configuration that was in force when the request came.
+ * Delays the denial of a request until the configuration is confirmed to be current.
  *
- * <p>A key or a route may have been added a moment ago. Callers take a 401 or a 404 for final, and
- * one said by an older configuration is a request lost. So the store is asked first, once for all
- * who wait; if it doesn't answer, nobody knows, and the caller is told to come back.
+ * <p>A key or a route may have been added just before the request came. Callers take a 401 or a 404
+ * as final, so a denial based on an older configuration loses the request. The store is therefore
+ * read first, once for all waiting requests. If it does not answer, the caller is asked to retry.
  */
 final class Denials {
-    /** Floods of unknown keys must not become floods of calls to the store. */
+    /**
+     * Oldest age of a configuration that confirms a denial. A flood of unknown keys must not become
+     * a flood of store reads.
+     */
     private static final Duration NEW_ENOUGH = Duration.ofMillis(250);
 
-    /** The store takes milliseconds; while it is out, callers should hear so soon. */
+    /**
+     * Longest wait for the store, which takes milliseconds; in an outage callers learn of it soon.
+     */
     private static final Duration LIMIT = Duration.ofMillis(300);
 
-    /** What a small VM can hold; the rest is told at once to come back. */
+    /** Most waiting requests that a small VM can hold; any others are asked to retry at once. */
     private static final int MOST = 512;
 
     private final OperatorFollower followed;
@@ -33,7 +38,13 @@
         this.metrics = metrics;
     }
 
-    /** Runs {@code known} when the configuration is new enough, or {@code unknown}. */
+    /**
+     * Waits until the configuration is confirmed to be current.
+     *
+     * @param call the request to deny
+     * @param known runs when the configuration is recent enough
+     * @param unknown runs when that cannot be confirmed in time, or too many requests wait
+     */
     void decide(HttpCall call, Runnable known, Runnable unknown) {
         if (waiting >= MOST) {
             unknown.run();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Dispatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Dispatch.java
@@ -27,20 +27,23 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests to upstreams, at once or when one can take them, the most urgent first.
+ * Queues requests and sends each to an upstream as soon as one has capacity, the highest priority
+ * first.
  *
- * <p>The pattern: most requests find room at once; those for a model that is not loaded wait beside
- * the others without holding them up, which is why each model has a queue of its own. So do
- * requests that may be served in some regions only.
+ * <p>Most requests find an upstream with capacity at once. Each model and each set of allowed
+ * regions has a queue of its own, so that requests which wait for a model to be loaded, or for
+ * certain regions, do not block the others.
  */
 final class Dispatch {
-    /** Plain services keep a short queue at the upstream busy; a longer one is kept here. */
+    /** Requests per slot at an upstream of a plain service; a short queue there keeps it busy. */
     private static final double PLAIN_QUEUEING = 1.5;
 
-    /** A model upstream runs its whole batch at once and needs no queue. */
+    /**
+     * Requests per slot at a model engine, which runs its whole batch at once and needs no queue.
+     */
     private static final double ENGINE_QUEUEING = 1.0;
 
-    /** A model needs most of a second to come from an upstream's own memory or disk. */
+    /** The usual time to load a model from an upstream's own memory or disk. */
     private static final Duration COMING = Duration.ofMillis(800);
 
     private final UpstreamTable upstreams;
@@ -56,14 +59,14 @@
     private Runnable starved = () -> {};
     private long counter;
 
-    /** What the requests of one queue have in common. */
+    /** The key of a queue: what its requests have in common. */
     private record Group(Optional<ModelRef> model, AllowedRegions homes) {
         static Group of(Waiter waiter) {
             return new Group(waiter.model(), waiter.homes());
         }
     }
 
-    /** A request's place in its queue. */
+    /** A queued request with its sequence number, ordered by priority, then by arrival. */
     private record Place(Waiter waiter, long number) implements Comparable<Place> {
         private static final Comparator<Place> ORDER =
                 Comparator.comparingInt((Place place) -> place.waiter().urgency())
@@ -76,8 +79,15 @@
     }
 
     /**
-     * For a router in this zone; {@code regions} has the region of each zone, {@code whenRead} runs
-     * a step once the ends of callers that have come are known.
+     * Creates the queues of a router.
+     *
+     * @param upstreams the known upstreams
+     * @param zone the availability zone of this router
+     * @param regions the region of each zone
+     * @param clock the source of the current time
+     * @param whenRead runs a step after all data received so far, such as disconnects of callers,
+     *     has been processed
+     * @param share the share of each upstream's capacity that this router may use
      */
     Dispatch(
             UpstreamTable upstreams,
@@ -94,7 +104,7 @@
         this.engines = new UpstreamSelector(zone, ENGINE_QUEUEING, share);
     }
 
-    /** {@code starved} runs when a request waits for a model that no upstream holds. */
+    /** Sets the action that runs when a request is queued for a model that no upstream holds. */
     void onStarved(Runnable action) {
         starved = action;
     }
@@ -105,12 +115,12 @@
         engineServices = names;
     }
 
-    /** Notes that a caller has asked for a model. */
+    /** Records that a caller has requested a model. */
     void arrived(ModelRef model) {
         rates.arrived(model, clock.instant());
     }
 
-    /** Sends the request now or when an upstream can take it. */
+    /** Sends the request now, or queues it until an upstream has capacity. */
     void enqueue(Waiter waiter) {
         Instant now = clock.instant();
         if (closed(waiter, now)) {
@@ -125,7 +135,7 @@
         }
     }
 
-    /** Forgets a request, whose caller has gone or which was answered otherwise. */
+    /** Removes a request whose caller has disconnected or that was answered in another way. */
     void forget(Waiter waiter) {
         Map<Group, TreeSet<Place>> groups = queues.get(waiter.service());
         TreeSet<Place> queue = groups == null ? null : groups.get(Group.of(waiter));
@@ -138,10 +148,12 @@
     }
 
     /**
-     * Something has changed at the service's upstreams: sends what can be sent.
+     * Sends queued requests of a service after a change at its upstreams, once all data received so
+     * far has been processed.
      *
-     * <p>Answers and news that free a place are read together with the ends of callers, in any
-     * order. Sent at once, a request might go to an upstream whose caller's end is read next.
+     * <p>Answers and announcements that free capacity are read in the same batch as disconnects of
+     * callers, in any order. If sent at once, a request might go upstream although the disconnect
+     * of its caller is read next.
      */
     void drain(String service) {
         if (queues.getOrDefault(service, Map.of()).isEmpty()) {
@@ -173,7 +185,7 @@
         groups.values().removeIf(TreeSet::isEmpty);
     }
 
-    /** Sends what can be sent at all services, and refuses what has waited long enough. */
+    /** Sends queued requests of all services and refuses those that have waited too long. */
     void tick() {
         Instant now = clock.instant();
         List<Waiter> late = new ArrayList<>();
@@ -191,7 +203,7 @@
         late.forEach(Waiter::waitedInVain);
     }
 
-    /** What this router needs and sees, for the leader. */
+    /** Returns this router's demand for models and its view of the upstreams, for the leader. */
     LoadInput.DemandReported demand(VmId self) {
         Instant now = clock.instant();
         Map<ModelRef, Double> perSecond = rates.all(now);
@@ -269,7 +281,7 @@
         }
     }
 
-    // Drained zones are not back within a caller's time, and no upstream moves to another region.
+    // Drained zones do not reopen within a caller's time, and no upstream moves to another region.
     private boolean closed(Waiter waiter, Instant now) {
         boolean any = !upstreams.ofService(waiter.service()).isEmpty();
         return any && candidates(waiter).stream().allMatch(each -> each.isZoneClosed(now));
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/EarlyCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EarlyCalls.java
@@ -9,18 +9,18 @@
 import java.util.List;
 
 /**
- * Requests that came before this router had its first configuration.
+ * Holds requests that arrive before this router has read its first configuration.
  *
- * <p>After a restart of all routers callers connect before the configuration is read, which takes a
- * quarter of a second on a small VM. Refused then, each would be lost to a caller that comes back
- * only once. So they wait a little; once a wait has been in vain, as with the store out, those that
- * follow are refused at once.
+ * <p>After a restart of all routers, callers connect before the configuration is read, which takes
+ * a quarter of a second on a small VM. If refused at once, the request of a caller that retries
+ * only once would be lost. So requests wait for a short time. Once that time has passed without a
+ * configuration, as in an outage of the store, later requests are refused at once.
  */
 final class EarlyCalls {
-    /** Twice what the first reading takes on the smallest VMs. */
+    /** Twice the time that the first read takes on the smallest VMs. */
     private static final Duration WAIT = Duration.ofMillis(600);
 
-    /** What a small VM can hold; the rest is refused at once. */
+    /** Most waiting requests that a small VM can hold; any others are refused at once. */
     private static final int MOST = 512;
 
     private final InstantSource clock;
@@ -31,7 +31,7 @@
         this.clock = clock;
     }
 
-    /** Keeps a request; {@link #late} hands it out again if it waits in vain. */
+    /** Adds a request; {@link #late} returns it if no configuration is read in time. */
     void add(HttpCall call) {
         if (until == null) {
             until = clock.instant().plus(WAIT);
@@ -39,7 +39,7 @@
         calls.add(call);
     }
 
-    /** All whose callers are still there, to be served now. */
+    /** Removes all requests and returns those whose callers are still connected. */
     List<HttpCall> take() {
         List<HttpCall> all = new ArrayList<>(calls);
         calls.clear();
@@ -47,7 +47,7 @@
         return all;
     }
 
-    /** Those that wait no longer: all once the time is over, and what is too many. */
+    /** Removes and returns the requests to refuse: all after the wait, and those over the limit. */
     List<HttpCall> late() {
         if (until != null && !clock.instant().isBefore(until)) {
             return take();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/EventSplitter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EventSplitter.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of events into whole ones.
+ * Splits a stream of server-sent events into complete events.
  *
- * <p>An upstream may break off in the middle of an event. If its beginning had been passed on and
- * the stream went on elsewhere, the caller would get one piece made of two.
+ * <p>An upstream may fail in the middle of an event. If the first part of that event had been
+ * forwarded and another upstream resumed the stream, the caller would get one event made of two.
  */
 final class EventSplitter {
     private static final byte LINE_END = '\n';
@@ -20,10 +20,12 @@
 
     private ByteBuf held = Unpooled.EMPTY_BUFFER;
 
-    /** An event as it came, and its id if it has one. */
+    /** A complete event with its bytes unchanged, and its id if it has one. */
     record StreamEvent(ByteBuf bytes, Optional<String> id) {}
 
-    /** Takes in a part, which it releases, and gives the events that are whole now. */
+    /**
+     * Adds received bytes, takes over their buffer, and returns the events that are now complete.
+     */
     List<StreamEvent> take(ByteBuf part) {
         ByteBuf all = part;
         if (held.isReadable()) {
@@ -46,12 +48,12 @@
         return events;
     }
 
-    /** True if an event has begun and not ended. */
+    /** Returns true if an incomplete event is buffered. */
     boolean unfinished() {
         return held.isReadable();
     }
 
-    /** Drops what is held. */
+    /** Discards the buffered bytes. */
     void clear() {
         held.release();
         held = Unpooled.EMPTY_BUFFER;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
@@ -22,14 +22,16 @@
 import java.util.Set;
 
 /**
- * One admitted request from its waiting to its answer: sent to an upstream, sent once more where
- * that is allowed, answered once.
+ * Forwards one admitted request: queues it for an upstream, sends it, sends it again where that is
+ * allowed, and answers the caller once.
  */
 final class Flow implements Waiter {
-    /** An upstream that was full is left alone for this. */
+    /** How long no requests are sent to an upstream that rejected one because it was full. */
     private static final Duration FULL_PAUSE = Duration.ofMillis(30);
 
-    /** An upstream that lacks the model is asked again after this, when it may have been loaded. */
+    /**
+     * How long this request avoids an upstream that lacked the model, which may be loaded by then.
+     */
     private static final Duration CONTRADICTED_PAUSE = Duration.ofMillis(120);
 
     private static final Duration COME_BACK = Duration.ofMillis(700);
@@ -60,14 +62,15 @@
     private boolean trial;
 
     /**
-     * How a request was let in.
+     * The terms on which a request was admitted.
      *
-     * @param homes where it may be served
-     * @param urgency 0 goes first
-     * @param began when its first byte came
-     * @param after how long that was before it was let in
-     * @param tokens what it was charged
-     * @param giveBack gives back what it was charged, if it turns out not to run
+     * @param workspace the workspace of the caller's key, if the route needs one
+     * @param homes the regions where the request may be served
+     * @param urgency the priority; 0 goes first
+     * @param began when the first byte of the request came
+     * @param after how long admission took since then
+     * @param tokens the tokens charged for the request
+     * @param giveBack refunds the charged tokens if the request does not run
      */
     record Admitted(
             Optional<WorkspaceId> workspace,
@@ -99,7 +102,7 @@
         this.until = began.plus(budget.beforeSending());
     }
 
-    /** Begins: it waits for an upstream, perhaps no time at all. */
+    /** Queues the request for an upstream, or refuses it if it is quarantined. */
     void start() {
         call.onGone(this::callerGone);
         call.onWritable(this::callerReads);
@@ -115,7 +118,7 @@
         flows.dispatch().enqueue(this);
     }
 
-    /** What it is known again by, under whatever id it comes. */
+    /** Returns the digest that identifies the request, whichever id it comes with. */
     RequestDigest digest() {
         if (digest == null) {
             String workspace = admitted.workspace().map(WorkspaceId::value).orElse("");
@@ -124,14 +127,16 @@
         return digest;
     }
 
-    // What it was let in for may have changed while it waited, or it has just ended one itself.
+    // The request may have been quarantined while it was queued, also because its own earlier
+    // attempt
+    // has crashed an upstream.
     private boolean keptOutByNow() {
         return !trial && !flows.crashes().idle() && flows.crashes().keepsOut(digest());
     }
 
     /**
-     * True if it may leave for an upstream now, as far as upstreams have ended under it; one trial
-     * leaves once.
+     * Returns true unless the request is quarantined for crashing upstreams. A quarantined request
+     * that was admitted as a trial passes only once.
      */
     boolean leavesOnce() {
         boolean keptOut = keptOutByNow();
@@ -139,7 +144,7 @@
         return !keptOut;
     }
 
-    /** It was kept out before it left, so nothing was sent. */
+    /** Refuses the request, which was quarantined before anything was sent. */
     void keptOut() {
         takeBack();
         refuseForCrashes(COME_BACK_IF_KEPT_OUT);
@@ -152,7 +157,7 @@
     }
 
     private void refuseForCrashes(Duration left) {
-        String text = "upstreams have ended under this request";
+        String text = "upstreams have crashed while running this request";
         if (runs > 0) {
             refuse(Refusal.mayHaveRun(RefusalCode.UPSTREAM_FAILED, text));
         } else {
@@ -227,7 +232,7 @@
         return lastEvent;
     }
 
-    /** What is left of the caller's time and the route's. */
+    /** Returns the time that remains until the deadline of the caller or the route. */
     Duration left(Instant now) {
         return Duration.between(now, end);
     }
@@ -256,12 +261,12 @@
         attempt.start();
     }
 
-    /** True if enough of the caller's time is left for the request to be of use upstream. */
+    /** Returns true if enough time remains for an answer to be of use to the caller. */
     boolean mayLeave(Instant now) {
         return budget.allowsSending(left(now));
     }
 
-    /** Its time was over before it left, so nothing was sent. */
+    /** Refuses the request, whose time was up before anything was sent. */
     void tooLate() {
         takeBack();
         timeUp();
@@ -272,17 +277,22 @@
         request.model().ifPresent(flows.unserved()::refused);
         Duration wait = request.model().isPresent() ? COME_BACK_COLD : COME_BACK;
         if (started) {
-            breakOff("no upstream for the rest of the stream");
+            breakOff("no upstream could resume the stream in time");
         } else if (runs > 0) {
-            refuse(Refusal.mayHaveRun(RefusalCode.UPSTREAM_FAILED, "no upstream is left to try"));
+            refuse(
+                    Refusal.mayHaveRun(
+                            RefusalCode.UPSTREAM_FAILED,
+                            "no other upstream could take the request in time"));
         } else {
             refuse(
-                    Refusal.notRun(RefusalCode.NO_UPSTREAM, "no upstream could take it in time")
+                    Refusal.notRun(
+                                    RefusalCode.NO_UPSTREAM,
+                                    "no upstream could take the request in time")
                             .retryAfter(wait));
         }
     }
 
-    /** Looks at the time; called a few times a second. */
+    /** Enforces the deadline and the idle timeout; called a few times a second. */
     void check(Instant now) {
         if (!now.isBefore(end)) {
             timeUp();
@@ -290,7 +300,7 @@
             attempt.upstream().requestFailed(now);
             flows.lost().lost(attempt.upstream());
             attempt.cancel(Cut.SILENT);
-            attemptFailed("no answer", true);
+            attemptFailed("upstream sent nothing until the idle timeout", true);
         }
     }
 
@@ -300,19 +310,23 @@
     }
 
     private void timeUp() {
-        why = "time is up";
+        why = "deadline exceeded";
         flows.dispatch().forget(this);
         if (neverSent()) {
             refuse(
-                    Refusal.notRun(RefusalCode.DEADLINE_UNREACHABLE, "no upstream in time")
+                    Refusal.notRun(
+                                    RefusalCode.DEADLINE_UNREACHABLE,
+                                    "no upstream could take the request before its deadline")
                             .retryAfter(COME_BACK));
             return;
         }
         cancelAttempt(Cut.TIME_UP);
         if (started) {
-            breakOff("the time is up in the middle of the answer");
+            breakOff("deadline exceeded before the answer was complete");
         } else {
-            refuse(Refusal.mayHaveRun(RefusalCode.DEADLINE_EXCEEDED, "no answer in time"));
+            refuse(
+                    Refusal.mayHaveRun(
+                            RefusalCode.DEADLINE_EXCEEDED, "no answer before the deadline"));
         }
     }
 
@@ -321,21 +335,21 @@
     }
 
     /**
-     * This router stops. A request that waits is refused, to come back elsewhere at once; one that
-     * runs is ended only if there is no more time for it.
+     * Handles the shutdown of this router. A queued request is refused, and its caller may retry at
+     * another router at once. A running request ends only if {@code noMoreTime} is set.
      */
     void stop(boolean noMoreTime) {
         if (neverSent()) {
             flows.dispatch().forget(this);
             refuse(
-                    Refusal.notRun(RefusalCode.STOPPING, "this router stops")
+                    Refusal.notRun(RefusalCode.STOPPING, "this router is shutting down")
                             .retryAfter(Duration.ZERO));
         } else if (noMoreTime) {
             timeUp();
         }
     }
 
-    /** The upstream vouches that it has not run it: another one may, within the retry budget. */
+    /** Retries the request, within the retry budget, as the upstream confirms it has not run it. */
     void turnedAway(UpstreamAnswer answer) {
         runs--;
         Upstream upstream = attempt.upstream();
@@ -346,18 +360,18 @@
         } else {
             upstream.requestRejected(flows.now(), FULL_PAUSE);
         }
-        why = "turned away with " + answer.status();
+        why = "rejected with status " + answer.status();
         again(true);
     }
 
-    /** Nothing was sent, for this reason; trying elsewhere costs nobody anything. */
+    /** Queues the request again, as nothing was sent; this needs no retry budget. */
     void notSent(String reason) {
         takeBack();
         why = reason;
         flows.dispatch().enqueue(this);
     }
 
-    /** It was sent and failed, so it may have run. */
+    /** Retries or refuses the request, which was sent and failed, so that it may have run. */
     void attemptFailed(String reason, boolean mayTryElsewhere) {
         why = reason;
         if (attempt != null) {
@@ -373,7 +387,7 @@
         }
     }
 
-    /** True if a failed answer may be thrown away for a second try. */
+    /** Returns true if a failed answer may be discarded for a retry. */
     boolean mayRunAgain() {
         return route.isRepeatable() && runs < route.attempts() && flows.retryLeft(service);
     }
@@ -382,17 +396,17 @@
         if (flows.takeRetry(service)) {
             flows.dispatch().enqueue(this);
         } else if (started) {
-            breakOff("the retry budget is used up");
+            breakOff("retry budget exhausted");
         } else if (notRun && runs == 0) {
             refuse(
-                    Refusal.notRun(RefusalCode.OVERLOADED, "the upstreams are full")
+                    Refusal.notRun(RefusalCode.OVERLOADED, "all upstreams are at capacity")
                             .retryAfter(COME_BACK));
         } else {
             refuse(Refusal.mayHaveRun(RefusalCode.UPSTREAM_FAILED, why));
         }
     }
 
-    /** Passes a whole answer on. */
+    /** Forwards a complete answer to the caller. */
     void answer(int status, HttpHeaders headers, ByteBuf body) {
         attempt = null;
         answeredInFull();
@@ -400,7 +414,7 @@
         finish("answered " + status);
     }
 
-    /** Begins to pass a stream on; a stream that goes on elsewhere has begun already. */
+    /** Starts the answer to the caller, unless this attempt resumes a stream that has started. */
     void startStream(int status, HttpHeaders headers) {
         if (!started) {
             started = true;
@@ -442,7 +456,7 @@
         if (runs == 0) {
             admitted.giveBack().run();
         }
-        finish("caller gone");
+        finish("caller disconnected");
     }
 
     private void cancelAttempt(Cut why) {
@@ -464,7 +478,7 @@
     private void breakOff(String reason) {
         why = reason;
         call.abort();
-        finish("broken off");
+        finish("aborted");
     }
 
     private void finish(String outcome) {
@@ -478,7 +492,7 @@
         return over;
     }
 
-    /** What the decisions went by, for the log. */
+    /** Returns the inputs of the decisions about this request as fields of its log line. */
     String describe(Instant now) {
         StringBuilder text = new StringBuilder(160);
         text.append("request=").append(request.attempt());
@@ -497,7 +511,7 @@
         return text.toString();
     }
 
-    /** A copy of the body for one try; the caller's own stays for another. */
+    /** Returns a duplicate of the body for one attempt; the original stays for retries. */
     ByteBuf body() {
         return call.body().isReadable() ? call.body().retainedDuplicate() : Unpooled.EMPTY_BUFFER;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/FlowTimes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/FlowTimes.java
@@ -5,8 +5,10 @@
 import java.time.Instant;
 
 /**
- * When a request was sent and its answer came, for its line in the log: whether a late answer
- * waited for its model, for its upstream's first part, or between two parts.
+ * Records when a request was sent and when the parts of its answer came, for the request log.
+ *
+ * <p>They show whether a late answer waited for its model, for the upstream's first part, or
+ * between two parts.
  */
 final class FlowTimes {
     private final Instant began;
@@ -20,13 +22,13 @@
         this.began = began;
     }
 
-    /** It was sent, or sent once more. */
+    /** Records that the request was sent, for the first time or as a retry. */
     void sent(UpstreamId to, Instant now) {
         upstream = to;
         sentAt = now;
     }
 
-    /** A part of its answer goes to the caller. */
+    /** Records that a part of the answer is forwarded to the caller. */
     void part(Instant now) {
         if (firstAt == null) {
             firstAt = now;
@@ -37,7 +39,10 @@
         partAt = now;
     }
 
-    /** Adds milliseconds since its first byte: to now, to the last send, to the first part. */
+    /**
+     * Appends the upstream and the times in milliseconds since the request's first byte: now, the
+     * last send and the first part, and the longest pause between two parts.
+     */
     void describe(StringBuilder text, Instant now) {
         text.append(" ms=").append(millis(now));
         if (sentAt != null) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flows.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flows.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.function.IntSupplier;
 
-/** The requests under way, and what they share. Belongs to the traffic thread. */
+/** Keeps the requests in progress and the services they share. Traffic thread only. */
 final class Flows {
     private final Dialect dialect;
     private final HttpClient client;
@@ -29,11 +29,11 @@
     private final Map<String, SharedRetryBudget> budgets = new HashMap<>();
 
     /**
-     * What all routers together may send a second time to a service.
+     * The limits of the retries that all routers together may send to a service.
      *
-     * @param window over which it is counted
-     * @param ratio part of the requests
-     * @param extra beyond that part
+     * @param window the time over which requests and retries are counted
+     * @param ratio retries allowed for each request
+     * @param extra retries allowed beyond that ratio
      */
     record RetryBounds(Duration window, double ratio, double extra) {}
 
@@ -97,7 +97,9 @@
         flow.start();
     }
 
-    /** An upstream of the service has room, or is known to have none. */
+    /**
+     * Sends queued requests of the service, as the capacity of one of its upstreams has changed.
+     */
     void roomAt(String service) {
         dispatch.drain(service);
     }
@@ -119,7 +121,7 @@
         log.ended(flow, outcome);
     }
 
-    /** Looks at the time of every request; called a few times a second. */
+    /** Enforces the deadlines and timeouts of all requests; called a few times a second. */
     void check() {
         Instant now = now();
         routers.value();
@@ -131,7 +133,8 @@
     }
 
     /**
-     * This router stops: what waits is refused, and what runs is ended if there is no more time.
+     * Handles the shutdown of this router: queued requests are refused, and running ones end if
+     * {@code noMoreTime} is set.
      */
     void stop(boolean noMoreTime) {
         new ArrayList<>(open).forEach(flow -> flow.stop(noMoreTime));
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Forwarding.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Forwarding.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * What a router adds to a request that it passes on.
+ * The fields that a router adds to a request that it forwards.
  *
- * @param to the only upstream that may run it
- * @param left of the caller's time
- * @param workspace that holds the caller's key
- * @param urgency 0 goes first
- * @param lastEvent after which a stream is to go on
+ * @param to the only upstream that may run the request
+ * @param left the time that remains for the caller
+ * @param workspace the workspace of the caller's key, if any
+ * @param urgency the priority; 0 goes first
+ * @param lastEvent the id of the event after which the upstream resumes a stream
  */
 public record Forwarding(
         UpstreamId to,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
@@ -21,8 +21,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Lets callers' requests in: the route, the key, the rate, in this order. What is refused here has
- * not run, and is told so.
+ * Admits callers' requests by route, caller key and rate limit, in this order. The answer to a
+ * request that is refused here says that the request has not run.
  */
 final class Ingress implements HttpHandler {
     private static final int LEAST_URGENT = 9;
@@ -75,12 +75,12 @@
         serve(call, request, current.get());
     }
 
-    /** Lets in what came before there was a configuration. */
+    /** Serves the requests that came before the first configuration was read. */
     void configured() {
         early.take().forEach(call -> serve(call, request(call), configuration.current().get()));
     }
 
-    /** Refuses what came early and has waited long enough; called a few times a second. */
+    /** Refuses requests that waited too long for a configuration; called a few times a second. */
     void check() {
         early.late().forEach(this::refuseUnconfirmed);
     }
@@ -89,7 +89,7 @@
         Refusal refusal =
                 Refusal.notRun(
                         RefusalCode.CONFIGURATION_UNCONFIRMED,
-                        "this router doesn't know the newest configuration");
+                        "this router could not confirm that its configuration is current");
         String inputs = configuration.current().map(this::by).orElse("");
         refuse(call, request(call), refusal.retryAfter(COME_BACK), inputs);
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    // By what is in force now, which may be newer than when the caller came.
+    // Decides again, as the current configuration may be newer than when the request came.
     private void settle(HttpCall call, CallerRequest request) {
         DirectConfiguration current = configuration.current().orElseThrow();
         Verdict verdict = verdict(call, request, current);
@@ -125,7 +125,8 @@
     private Verdict verdict(HttpCall call, CallerRequest request, DirectConfiguration current) {
         Optional<Route> route = configuration.routes().find(request.host(), call.target());
         if (route.isEmpty()) {
-            return Verdict.denied(route, RefusalCode.UNKNOWN_SERVICE, "no such route");
+            return Verdict.denied(
+                    route, RefusalCode.UNKNOWN_SERVICE, "no route matches the host and path");
         }
         if (route.get().anonymous() || current.workspaces().isEmpty()) {
             return new Verdict(route, Optional.empty(), Optional.empty());
@@ -214,7 +215,7 @@
         return Math.max(0, Math.min(LEAST_URGENT, own.orElse(route.priority())));
     }
 
-    // What a denial went by, and how old that was: the first question when one was wrong.
+    // The version and age of the configuration behind a denial, to find the cause of a wrong one.
     private String by(DirectConfiguration current) {
         return " configuration="
                 + current.version()
@@ -246,7 +247,7 @@
         Refusals.send(call, dialect.ownAnswer(request.attempt()), refusal);
     }
 
-    /** Where a request goes and for whom, or why it is not let in. */
+    /** The route and workspace of a request, or the reason why it is not admitted. */
     private record Verdict(
             Optional<Route> route, Optional<WorkspaceSpec> workspace, Optional<Refusal> denial) {
         static Verdict denied(Optional<Route> route, RefusalCode code, String message) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Refusals.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Refusals.java
@@ -9,7 +9,10 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.time.Duration;
 
-/** Writes answers of our own: the status, why, whether it has run, and when to come back. */
+/**
+ * Writes the router's own error answers: status, reason, whether the request may have run, and when
+ * to retry.
+ */
 final class Refusals {
     private static final long MILLIS = 1_000;
     private static final long HUNDREDTH_MILLIS = 10;
@@ -22,14 +25,15 @@
         call.answer(status(refusal), headers, Unpooled.wrappedBuffer(body(refusal)));
     }
 
-    // Hundreds of refusals a second are written on a part of a core: no formatter.
+    // Avoids String.format: hundreds of refusals a second are written on a fraction of a core.
     private static String seconds(Duration wait) {
         long hundredths = (wait.toMillis() + HUNDREDTH_MILLIS / 2) / HUNDREDTH_MILLIS;
         long rest = hundredths % (MILLIS / HUNDREDTH_MILLIS);
         return hundredths * HUNDREDTH_MILLIS / MILLIS + (rest < 10 ? ".0" : ".") + rest;
     }
 
-    // 429 and 503 promise that the request has not run; one that may have must not bear them.
+    // 429 and 503 promise that the request has not run, so one that may have run gets another
+    // status.
     static int status(Refusal refusal) {
         int status = refusal.code().status();
         boolean promises = status == 429 || status == 503;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
@@ -7,41 +7,44 @@
 import java.util.Optional;
 
 /**
- * How long a request may take, by its route and its caller's deadline: in all, before it is sent,
- * and between two signs of life of its upstream.
+ * Computes the time limits of a request from its route and its caller's deadline: in total, before
+ * it is sent, and between two received parts of its answer.
  */
 final class TimeBudget {
-    /** The part of a caller's patience that may go by before its request is sent. */
+    /** The fraction of the route's patience that may pass before a request is sent. */
     private static final double PATIENCE_PART = 0.8;
 
-    /** The part of a caller's whole time that may go by before its request is sent. */
+    /** The fraction of the total time that may pass before a request is sent. */
     private static final double TIME_PART = 0.6;
 
     /**
-     * A repeatable request that got no answer by this part of its time has the rest for a second
-     * try: callers of plain services have little time.
+     * The fraction of its time that a repeatable request waits for an answer before a retry gets
+     * the rest. Callers of plain services have little time.
      */
     private static final double SILENT_PART = 0.45;
 
-    /** A stream's events come some ten milliseconds apart; this long without one is no pause. */
+    /** Idle timeout of a stream, whose events come some ten milliseconds apart. */
     private static final Duration SILENT_STREAM = Duration.ofMillis(1_500);
 
-    /** From its sending to the first part of a stream, as a rule. */
+    /** The usual time from sending a request to the first part of its stream. */
     private static final Duration FIRST_PART = Duration.ofMillis(200);
 
-    /** The part of the objective that may go by before a request has its tokens. */
+    /** The fraction of the objective that may pass before a request has its tokens. */
     private static final double TOKENS_PART = 0.5;
 
-    /** So many objectives a request waits for tokens that are sure to come; late beats refused. */
+    /**
+     * How many times the objective a request waits for tokens that are certain to come, as a late
+     * answer is better than a refusal.
+     */
     private static final int TOKENS_OBJECTIVES = 3;
 
-    /** The part of a caller's whole time that may go by before a request has its tokens. */
+    /** The fraction of the total time that may pass before a request has its tokens. */
     private static final double TOKENS_TIME_PART = 0.3;
 
-    /** The part of the objective that must be left for a send to be of any use. */
+    /** The fraction of the objective that must remain for a send to be of any use. */
     private static final double LEAST_PART = 0.1;
 
-    /** Less than a loan lasts. */
+    /** Longest wait for tokens, shorter than the lifetime of a token transfer. */
     private static final Duration LONGEST_FOR_TOKENS = Duration.ofMillis(1_800);
 
     private final Route route;
@@ -53,12 +56,12 @@
         this.whole = asked.compareTo(route.timeout()) < 0 ? asked : route.timeout();
     }
 
-    /** From its first byte to the end of its answer. */
+    /** Returns the time from the request's first byte to the end of its answer. */
     Duration whole() {
         return whole;
     }
 
-    /** Until it must have been sent, or is refused. */
+    /** Returns the time after which a request that was not sent is refused. */
     Duration beforeSending() {
         Duration byTime = part(whole, TIME_PART);
         if (route.kind() != RouteKind.STREAMING) {
@@ -68,20 +71,20 @@
         return byPatience.compareTo(byTime) < 0 ? byPatience : byTime;
     }
 
-    /** Until it must have been sent to be answered within its objective, as a rule. */
+    /** Returns the time within which a request must be sent to usually meet its objective. */
     Duration inTimeBeforeSending() {
         return left(route.objective(), FIRST_PART);
     }
 
     /**
-     * False if so little is left that sending it would only make an upstream work for nobody. A
-     * thread that is behind may come to a request when its caller's time is over.
+     * Returns false if so little time remains that the upstream would run the request in vain. A
+     * delayed thread may process a request when its caller's time is up.
      */
     boolean allowsSending(Duration left) {
         return left.compareTo(part(route.objective(), LEAST_PART)) > 0;
     }
 
-    /** How long it may wait for its workspace's tokens, {@code age} after its first byte. */
+    /** Returns how long a request may wait for tokens, {@code age} after its first byte. */
     WaitLimits forTokens(Duration age) {
         Duration inTime = part(route.objective(), TOKENS_PART);
         Duration byTime = part(whole, TOKENS_TIME_PART);
@@ -96,8 +99,10 @@
     }
 
     /**
-     * Until an upstream that says nothing is given up on, once the answer has {@code begun} or
-     * before; {@code second} tells whether another one may be tried.
+     * Returns the idle timeout, after which an attempt at a silent upstream is abandoned.
+     *
+     * @param begun whether the answer has started
+     * @param second whether a retry is possible
      */
     Duration betweenBytes(boolean begun, boolean second) {
         if (route.kind() == RouteKind.STREAMING && route.isRepeatable()) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UnservedModels.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UnservedModels.java
@@ -7,35 +7,38 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Counts for each model and adapter the requests in a row that found no upstream: {@code
- * models.refused(model)}. On-call engineers see a model that is never served before its callers
- * tell. Belongs to the traffic thread.
+ * Counts the consecutive requests for each model and adapter that found no upstream: {@code
+ * models.refused(model)}. On-call engineers thus notice a model that is never served before its
+ * callers complain. Traffic thread only.
  */
 final class UnservedModels {
     private static final Logger LOG = LogManager.getLogger(UnservedModels.class);
 
-    /** One or two in a row may come while a model is on its way. */
+    /**
+     * Consecutive requests from which a model counts as unserved; one or two may fail during a
+     * load.
+     */
     private static final int MANY = 4;
 
-    /** Callers may ask for any name; those asked for longest ago are forgotten. */
+    /** Limits the memory, as callers may request any name; the least recently used is dropped. */
     private static final int MOST_COUNTED = 4_096;
 
     private final Map<ModelRef, Integer> inVain = new LruMap<>(MOST_COUNTED);
 
-    /** A request for it has waited in vain. */
+    /** Records that a request for the model found no upstream in time. */
     void refused(ModelRef model) {
         int count = inVain.merge(model, 1, Integer::sum);
         if (count == MANY) {
-            LOG.info("{} requests in a row for {} found no upstream", count, model);
+            LOG.info("{} consecutive requests for model {} found no upstream", count, model);
         }
     }
 
-    /** A request for it was answered. */
+    /** Records that a request for the model was answered. */
     void served(ModelRef model) {
         inVain.remove(model);
     }
 
-    /** How many models and adapters were asked for many times in a row in vain. */
+    /** Returns how many models and adapters are currently unserved. */
     long many() {
         return inVain.values().stream().filter(count -> count >= MANY).count();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAnswer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAnswer.java
@@ -4,14 +4,16 @@
 import java.util.Optional;
 
 /**
- * What the head of an upstream's answer says.
+ * The status and the fields that a router reads from the headers of an upstream's answer.
  *
- * @param notRun whether the upstream vouches that it has not run the request and won't
- * @param misdirected whether it is another upstream than the one meant, or lacks the model
- * @param sealed whether the answer bears the upstream's seal, without which no success counts
- * @param encoded whether the body is not as the upstream made it
- * @param load what runs and waits there, if it says so
- * @param limit what it says of how many requests it takes
+ * @param status the HTTP status
+ * @param notRun whether the upstream confirms that it has not run the request and will not
+ * @param misdirected whether another upstream than the addressed one answered, or the addressed one
+ *     lacks the model
+ * @param sealed whether the answer has the upstream's seal, without which no success is accepted
+ * @param encoded whether the body has a content encoding, so that it is not as the upstream made it
+ * @param load the requests that run and wait at the upstream, if it reports them
+ * @param limit the limit on concurrent requests that the upstream declares
  */
 public record UpstreamAnswer(
         int status,
@@ -21,10 +23,10 @@
         boolean encoded,
         Optional<Load> load,
         RequestLimit limit) {
-    /** Requests that run and wait at the upstream. */
+    /** The numbers of requests that run and wait at the upstream. */
     public record Load(int running, int waiting) {}
 
-    /** True for an answer that callers take as a success. */
+    /** Returns true for a 2xx status, which callers take as a success. */
     public boolean success() {
         return status >= 200 && status < 300;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Waiter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Waiter.java
@@ -8,35 +8,35 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A request that has to be sent to an upstream. */
+/** A request that waits in the {@link Dispatch} queues to be sent to an upstream. */
 interface Waiter {
-    /** The service whose upstreams may take it. */
+    /** Returns the service whose upstreams may run the request. */
     String service();
 
-    /** What the upstream must hold. */
+    /** Returns the model that the upstream must hold, if any. */
     Optional<ModelRef> model();
 
-    /** Where it may be served. */
+    /** Returns the regions where the request may be served. */
     AllowedRegions homes();
 
-    /** 0 goes first. */
+    /** Returns the priority; 0 goes first. */
     int urgency();
 
-    /** When it came. */
+    /** Returns when the request came. */
     Instant since();
 
-    /** Until when it must be sent to be answered in time. */
+    /** Returns when the request must be sent at the latest to meet its objective. */
     Instant inTimeUntil();
 
-    /** Until when it may wait; then it is refused. */
+    /** Returns when the request is refused if it is still queued. */
     Instant until();
 
-    /** Upstreams that it was sent to in vain. */
+    /** Returns the upstreams not to select, such as those where the request has failed. */
     Set<UpstreamId> tried();
 
-    /** Goes to this one. */
+    /** Sends the request to the upstream. */
     void sendTo(Upstream upstream);
 
-    /** Has waited in vain. */
+    /** Refuses the request, as no upstream could take it in time. */
     void waitedInVain();
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ArrivalRatesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ArrivalRatesTest.java
@@ -14,8 +14,8 @@
 
     @Test
     void aBusyModelThatFallsSilentIsNotBusyFourSecondsLater() {
-        // Demand moves on to another model. As long as the old one counts as busy, its replicas
-        // hold the memory that the new one's callers wait for.
+        // Guards against a model that counts as busy after demand has moved to another one: its
+        // replicas would occupy the memory that the other model's callers wait for.
         arrive(200, 50);
         assertTrue(rate() > 10, "busy " + rate());
         now = now.plusSeconds(4);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Where requests go while operators drain a zone. */
+/** Tests which upstreams receive requests while operators drain a zone. */
 class DrainedZoneDispatchTest {
     private final UpstreamTable upstreams =
             new UpstreamTable(new DrainedZones(Duration.ofSeconds(5)));
@@ -51,7 +51,7 @@
         assertEquals(List.of("to here"), outcomes);
     }
 
-    // Guards against requests that wait to their end for a service whose zones are all closed.
+    // Guards against requests that wait until their deadline although all zones are closed.
     @Test
     void whereAllZonesAreClosedARequestIsRefusedAtOnce() {
         list("here", "a");
@@ -59,10 +59,10 @@
         upstreams.zones().drain("a", Instant.MIN);
         upstreams.zones().drain("b", Instant.MIN);
         dispatch.enqueue(request());
-        assertEquals(List.of("in vain"), outcomes);
+        assertEquals(List.of("no upstream"), outcomes);
     }
 
-    // Guards against a request that waits when the last zone closes, and is held to its end.
+    // Guards against a queued request that waits until its deadline after the last zone has closed.
     @Test
     void aRequestThatWaitsIsRefusedWhenTheLastZoneCloses() {
         list("here", "a");
@@ -74,7 +74,7 @@
         assertEquals(6, outcomes.size());
         upstreams.zones().drain("a", Instant.MIN);
         dispatch.tick();
-        assertEquals("in vain", outcomes.get(6));
+        assertEquals("no upstream", outcomes.get(6));
     }
 
     private NotedRequest request() {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HomesDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HomesDispatchTest.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Where requests with homes go, among upstreams in three regions. */
+/** Tests the routing of requests with allowed regions, among upstreams in three regions. */
 class HomesDispatchTest {
     private static final Map<String, String> REGIONS =
             Map.of("kochi-a", "kerala", "goa-a", "goa", "jatim-a", "java");
@@ -34,7 +34,7 @@
                     (upstream, all) -> (int) all);
     private final List<String> outcomes = new ArrayList<>();
 
-    // Guards against a request that is served outside its homes, as that is nearest.
+    // Guards against a request that is served outside its allowed regions because that is nearest.
     @Test
     void aRequestIsServedInItsHomesThoughOthersAreNearer() {
         list("near", "kochi-a");
@@ -44,17 +44,17 @@
         assertEquals(List.of("to far", "to near"), outcomes);
     }
 
-    // Guards against one that waits to its end for an upstream that can't come.
+    // Guards against a request that waits until its deadline for an upstream that cannot appear.
     @Test
     void aRequestWhoseHomesHaveNoUpstreamIsRefusedAtOnce() {
         list("near", "kochi-a");
         list("nowhere", "a zone without a region");
         ask(AllowedRegions.of(List.of("java")));
         ask(AllowedRegions.of(List.of("kerala")).intersect(AllowedRegions.of(List.of("goa"))));
-        assertEquals(List.of("in vain", "in vain"), outcomes);
+        assertEquals(List.of("no upstream", "no upstream"), outcomes);
     }
 
-    // Guards against requests that wait behind one whose homes are full.
+    // Guards against requests that wait behind one whose allowed regions have no capacity.
     @Test
     void requestsWithOtherHomesDoNotHoldEachOtherUp() {
         list("far", "jatim-a");
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/NotedRequest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/NotedRequest.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 import java.util.List;
 
-/** A request that notes what becomes of it, and runs for ever. */
+/** A request that records its outcome and never finishes. */
 final class NotedRequest extends PlainRequest {
     static final String SERVICE = "service";
     private static final Duration CALLER_WAITS = Duration.ofSeconds(10);
@@ -14,7 +14,7 @@
     private final AllowedRegions homes;
     private final List<String> outcomes;
 
-    /** One that comes now, may be served there, and adds what becomes of it to the list. */
+    /** Creates a request that arrives now and adds its outcome to the list. */
     NotedRequest(Instant now, AllowedRegions homes, List<String> outcomes) {
         super(SERVICE, now, CALLER_WAITS);
         this.homes = homes;
@@ -34,6 +34,6 @@
 
     @Override
     public void waitedInVain() {
-        outcomes.add("in vain");
+        outcomes.add("no upstream");
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/PlainRequest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/PlainRequest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A request of a simulated caller that may be served anywhere and asks for no model. */
+/** A simulated caller's request that by default needs no model and may be served anywhere. */
 abstract class PlainRequest implements Waiter {
     private static final Duration IN_TIME = Duration.ofSeconds(1);
 
@@ -16,7 +16,7 @@
     private final Instant since;
     private final Duration wait;
 
-    /** One that comes now, and whose caller waits so long. */
+    /** Creates a request that arrives now and is queued for at most {@code wait}. */
     PlainRequest(String service, Instant now, Duration wait) {
         this.service = service;
         this.since = now;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
@@ -19,8 +19,9 @@
 import java.util.TreeMap;
 
 /**
- * An engine with a disk: what it has loaded once comes from there in a moment, all else from the
- * weight store. One order at a time; an unload waits for the model's runs.
+ * A simulated engine with a local disk. A model that it has loaded before loads quickly from the
+ * disk, any other from the weight store. It executes one order at a time, and an unload waits until
+ * the model's requests have finished.
  */
 final class RareModelEngine {
     private final UpstreamId id;
@@ -45,7 +46,7 @@
         return id;
     }
 
-    /** Puts a model there before the day begins, if there is room. */
+    /** Loads a model before the simulated day, if there is enough memory. */
     boolean place(String model) {
         if (held.contains(model) || used() + weight(model) > spec.weightsMb()) {
             return false;
@@ -55,7 +56,7 @@
         return true;
     }
 
-    /** Puts a copy on its disk before the day begins. */
+    /** Puts a copy of a model on the disk before the simulated day. */
     void copy(String model) {
         disk.add(model);
     }
@@ -86,7 +87,7 @@
             return OrderOutcome.ACCEPTED;
         }
         if (used() + weight(model) > spec.weightsMb()) {
-            throw new IllegalStateException(id + " has no room for " + model);
+            throw new IllegalStateException(id + " has not enough memory for " + model);
         }
         loading = model;
         ModelSpec known = spec.models().get(model);
@@ -98,7 +99,7 @@
         return OrderOutcome.ACCEPTED;
     }
 
-    /** What is over by now comes into effect. */
+    /** Completes the loads and unloads that are finished by now. */
     void pass(Instant now) {
         if (!unloading.isEmpty() && !running.containsKey(unloading)) {
             held.remove(unloading);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -25,9 +25,11 @@
 import java.util.TreeMap;
 
 /**
- * The real planner and the real queues of one router for all callers, before engines that hold two
- * thirds of the models, over a day of a minute, with time by hand. Some leaders give the orders one
- * after the other. Who asked for what, and who was served, is counted.
+ * Simulates requests for rare models with the real planner and the real queues of one router.
+ *
+ * <p>The engines hold two thirds of the models, a simulated day takes a minute, and the clock is
+ * advanced by hand. Several leaders may follow each other. The simulation counts the requests and
+ * the served requests for each model.
  */
 final class RareModelWorld {
     static final String SERVICE = "engines";
@@ -42,12 +44,13 @@
     private static final double MODELS_PER_ENGINE = 4.6;
     private static final double BUSY_PART = 0.15;
 
-    /** Requests a second at an engine: for models that are busy, and for all others evenly. */
+    /** Requests per second and engine for the busy models. */
     private static final double BUSY_PER_SECOND = 2.5;
 
+    /** Requests per second and engine for all other models, evenly distributed. */
     private static final double RARE_PER_SECOND = 0.4;
 
-    /** Of the models that no engine holds at the start, those of which one has a copy. */
+    /** Fraction of the models not loaded at the start of which some engine has a copy on disk. */
     private static final double ON_A_DISK = 0.75;
 
     private static final Duration STEP = Duration.ofMillis(10);
@@ -59,7 +62,7 @@
     private static final Duration ASK_AGAIN = Duration.ofMillis(120);
     private static final int LONGEST_RUN_MILLIS = 3_600;
 
-    /** Asked for as often as this over this time, a model should have been served. */
+    /** Requests from which a model should have been served, if they span at least {@link #LONG}. */
     private static final int OFTEN = 4;
 
     private static final Duration LONG = Duration.ofSeconds(8);
@@ -122,8 +125,9 @@
         return Math.max(1, (int) (spec.models().size() * BUSY_PART));
     }
 
-    // Busy models are on three engines each, the others on one as far as there is room, and most of
-    // the rest on a disk.
+    // Busy models are loaded on three engines each, the others on one while there is memory, and
+    // most
+    // of the rest have a copy on a disk.
     private void placeAtStart() {
         List<RareModelEngine> all = new ArrayList<>(engines.values());
         int next = 0;
@@ -144,19 +148,19 @@
         }
     }
 
-    /** The most loads from the store that ran beside each other. */
+    /** Returns the largest number of concurrent loads from the store. */
     int mostLoadsAtOnce() {
         return weights.mostAtOnce();
     }
 
-    /** Models that no engine has a copy of. */
+    /** Returns the number of models of which no engine has a copy. */
     private long withoutCopy() {
         return spec.models().keySet().stream()
                 .filter(model -> engines.values().stream().noneMatch(e -> e.hasCopy(model)))
                 .count();
     }
 
-    /** Another router gives the orders from now on. */
+    /** Makes another router the leader. */
     void lead() {
         planner = new LoadPlanner(LoadSettings.defaults());
         led = true;
@@ -165,12 +169,12 @@
         feed(new LoadInput.Elected());
     }
 
-    /** Nobody gives orders. */
+    /** Leaves the fleet without a leader. */
     void leaderless() {
         led = false;
     }
 
-    /** Callers come from now on. */
+    /** Starts the arrival of callers, for the given time. */
     void open(Duration day) {
         Instant end = now().plus(day);
         double busy = BUSY_PER_SECOND * engines.size();
@@ -265,7 +269,7 @@
         return time.clock().instant();
     }
 
-    /** Models that were asked for often and long, and never served. */
+    /** Returns the models that were requested often and over a long time but never served. */
     List<String> neverServed() {
         return counts.entrySet().stream()
                 .filter(entry -> often(entry.getValue()) && entry.getValue().served == 0)
@@ -273,7 +277,7 @@
                 .toList();
     }
 
-    /** Models that were asked for often and long. */
+    /** Returns the number of models that were requested often and over a long time. */
     long askedForOften() {
         return counts.values().stream().filter(RareModelWorld::often).count();
     }
@@ -282,7 +286,7 @@
         return count.asked >= OFTEN && !count.last.isBefore(count.first.plus(LONG));
     }
 
-    /** The part of all callers that were served, at once or when they came back. */
+    /** Returns the fraction of callers that were served, at the first attempt or at the retry. */
     double served() {
         return served / (double) asked;
     }
@@ -301,7 +305,7 @@
                 withoutCopy());
     }
 
-    /** One request; refused, its caller comes back once. */
+    /** One request; when it is refused, its caller retries once. */
     private final class Caller extends PlainRequest {
         private final ModelRef model;
         private final Duration wait;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelsTest.java
@@ -6,35 +6,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How many models that are asked for all day are never served, and how many callers are. */
+/** Tests that at most a small fraction of the models requested all day is never served. */
 class RareModelsTest {
-    /** Of the models that are asked for often, the part that may go without, and one more. */
+    /**
+     * Fraction of the often requested models that may never be served, in addition to one model.
+     */
     private static final double MOST_NEVER_SERVED = 0.1;
 
-    /** More loads than this are not even tried at once where nothing is known of the store. */
+    /** The planner starts no more concurrent loads than this when it knows nothing of the store. */
     private static final int MOST_LOADS_AT_ONCE = 4;
 
     private static final Duration BEFORE = Duration.ofSeconds(19);
     private static final Duration DAY = Duration.ofSeconds(36);
     private static final int CHANGES = 4;
 
-    // Guards against models that nobody has a copy of and that are never fetched, as the store's
-    // few loads a minute go to second replicas of busy ones or all run at once.
+    // Guards against models without any copy that are never loaded, because the store's few loads
+    // per
+    // minute go to second replicas of busy models or all run at once.
     @ParameterizedTest
     @CsvSource({"4, 2, 1", "4, 2, 2", "36, 2, 2", "36, 4, 3"})
     void nearlyAllModelsThatAreAskedForAreServed(int engines, int atFullSpeed, long seed) {
         judge(dayOfOneLeader(engines, atFullSpeed, seed));
     }
 
-    // Guards against the same on days when a store of two at once can hardly bring what is missing.
+    // Guards against the same failure when two concurrent loads hardly suffice for the missing
+    // models.
     @ParameterizedTest
     @CsvSource({"36, 2, 1", "36, 2, 3", "36, 2, 4", "36, 2, 6"})
     void nearlyAllAreServedThoughTheStoreIsShort(int engines, int atFullSpeed, long seed) {
         judge(dayOfOneLeader(engines, atFullSpeed, seed));
     }
 
-    // Guards against a new leader that fetches anew what is on its way, so that all loads from the
-    // store slow each other down and come after their callers have left.
+    // Guards against a new leader that orders loads which are already in progress, so that all
+    // loads
+    // from the store slow each other down and finish after their callers have left.
     @ParameterizedTest
     @CsvSource({"4, 2, 1", "36, 2, 1", "36, 2, 2"})
     void changesOfTheLeaderDoNotKeepModelsAway(int engines, int atFullSpeed, long seed) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
@@ -20,9 +20,11 @@
 import java.util.Set;
 
 /**
- * A deployment that stores an upstream as the word "ready" or "draining" and a configuration as its
- * version, drains a zone by a key of its name, passes headers on as they are, and has no form for
- * orders.
+ * A minimal dialect for tests.
+ *
+ * <p>The store's value is "ready" or "draining" for an upstream and the version number for a
+ * configuration. The key of a drained zone ends with the zone's name. Headers are copied unchanged,
+ * and orders are not supported.
  */
 final class TestDialect implements Dialect {
     @Override
@@ -46,11 +48,12 @@
     @Override
     public void checkDrain(byte[] value) {
         if (value.length > 0) {
-            throw new DirectException(DirectException.Code.MALFORMED, "a drain says nothing else");
+            throw new DirectException(
+                    DirectException.Code.MALFORMED, "the value of a drain key must be empty");
         }
     }
 
-    /** The zone of an upstream: by its name, every other one is in {@code b}. */
+    /** Returns the zone of an upstream: {@code a} or {@code b}, by the hash of its name. */
     static String zone(String upstream) {
         return upstream.hashCode() % 2 == 0 ? "a" : "b";
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UnservedModelsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UnservedModelsTest.java
@@ -11,7 +11,7 @@
 
     private final UnservedModels models = new UnservedModels();
 
-    // Guards against models that nobody is served and that no metric shows.
+    // Guards against models that are never served without any metric that shows it.
     @Test
     void aModelThatIsAskedForManyTimesInVainShowsUntilItIsServed() {
         for (int each = 0; each < 4; each++) {
@@ -23,7 +23,7 @@
         assertEquals(0, models.many());
     }
 
-    // Guards against callers that fill a router's memory with names that no model bears.
+    // Guards against callers that fill a router's memory by requesting models that do not exist.
     @Test
     void namesThatAreAskedForWithoutEndAreForgotten() {
         for (int name = 0; name < 10_000; name++) {
