--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ArrivalRates.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ArrivalRates.java
@@ -52,12 +52,12 @@
         }
     }
 
-    void arrived(ModelRef model, Instant now) {
+    void recordArrival(ModelRef model, Instant now) {
         rates.put(model, rates.getOrDefault(model, new Rate(0, 0, now)).another(now));
     }
 
     /** Returns the requests per second of all models that are not forgotten. */
-    Map<ModelRef, Double> all(Instant now) {
+    Map<ModelRef, Double> ratesPerSecond(Instant now) {
         rates.values().removeIf(rate -> rate.now(now) < LEAST);
         Map<ModelRef, Double> all = new HashMap<>();
         rates.forEach((model, rate) -> all.put(model, rate.now(now)));
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CallerRequest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CallerRequest.java
@@ -8,20 +8,20 @@
 /**
  * The fields that a router reads from a caller's request headers.
  *
- * @param attempt the id of this attempt by the caller, which differs when the caller repeats the
+ * @param attemptId the id of this attempt by the caller, which differs when the caller repeats the
  *     request; an empty string if there is none
  * @param host the host name by which the route is selected
- * @param key the caller key, if any
+ * @param callerKey the caller key, if any
  * @param model the requested model, at a model service
  * @param tokens the caller's figure for the tokens of prompt and answer together
  * @param deadline how long the caller waits from now
- * @param lastEvent the id of the last event that the caller received, if it resumes a stream
+ * @param lastEventId the id of the last event that the caller received, if it resumes a stream
  */
 public record CallerRequest(
-        String attempt,
+        String attemptId,
         String host,
-        Optional<String> key,
+        Optional<String> callerKey,
         Optional<ModelRef> model,
         OptionalLong tokens,
         Optional<Duration> deadline,
-        Optional<String> lastEvent) {}
+        Optional<String> lastEventId) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
@@ -179,7 +179,7 @@
     }
 
     /** The request, sent at that time, ran at the upstream and came to no whole answer there. */
-    void cut(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
+    void cut(Upstream upstream, RequestDigest request, Instant sentAt, IncompleteRunCause how) {
         ends.cut(upstream, request, sentAt, how);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReports.java
@@ -44,7 +44,7 @@
             Neighbours neighbours,
             OrderLease lease,
             OrderLeader leader,
-            Dispatch dispatch,
+            UpstreamDispatcher dispatch,
             ConfigurationHolder configuration,
             ZoneDrains drains,
             UpstreamTable upstreams,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Denials.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DenialConfirmation.java
@@ -12,7 +12,7 @@
  * as final, so a denial based on an older configuration loses the request. The store is therefore
  * read first, once for all waiting requests. If it does not answer, the caller is asked to retry.
  */
-final class Denials {
+final class DenialConfirmation {
     /**
      * Oldest age of a configuration that confirms a denial. A flood of unknown keys must not become
      * a flood of store reads.
@@ -32,7 +32,7 @@
     private final Metrics metrics;
     private int waiting;
 
-    Denials(OperatorFollower followed, InstantSource clock, Metrics metrics) {
+    DenialConfirmation(OperatorFollower followed, InstantSource clock, Metrics metrics) {
         this.followed = followed;
         this.clock = clock;
         this.metrics = metrics;
@@ -45,7 +45,7 @@
      * @param known runs when the configuration is recent enough
      * @param unknown runs when that cannot be confirmed in time, or too many requests wait
      */
-    void decide(HttpCall call, Runnable known, Runnable unknown) {
+    void confirm(HttpCall call, Runnable known, Runnable unknown) {
         if (waiting >= MOST) {
             unknown.run();
             return;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
@@ -43,7 +43,7 @@
     CallerRequest request(HttpHeaders headers);
 
     /** The headers that go to the upstream, of those that came from the caller. */
-    HttpHeaders toUpstream(HttpHeaders fromCaller, Forwarding forwarding);
+    HttpHeaders toUpstream(HttpHeaders fromCaller, ForwardingMetadata forwarding);
 
     /** True if an answer with these headers is one to that try of a caller. */
     boolean answers(String attempt, HttpHeaders fromUpstream);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -96,11 +96,11 @@
     private final UpstreamFollower upstreamFollower;
     private final ZoneDrains drains;
     private final OperatorFollower operatorFollower;
-    private final Dispatch dispatch;
+    private final UpstreamDispatcher dispatch;
     private final CrashWatch crashes;
     private final LostUpstreams lost;
     private final LimitedUpstreams limits;
-    private final Flows flows;
+    private final InFlightRequests flows;
     private final RateAdmission rates;
     private final RatePeers ratePeers;
     private final Ingress ingress;
@@ -217,8 +217,8 @@
         LOG.info("stopped");
     }
 
-    private Dispatch dispatch() {
-        return new Dispatch(
+    private UpstreamDispatcher dispatch() {
+        return new UpstreamDispatcher(
                 upstreams,
                 settings.availabilityZone(),
                 settings.zones().regions(),
@@ -244,11 +244,11 @@
                         lag));
     }
 
-    private Flows flows() {
-        Flows.RetryBounds bounds =
-                new Flows.RetryBounds(
+    private InFlightRequests flows() {
+        InFlightRequests.RetryBounds bounds =
+                new InFlightRequests.RetryBounds(
                         settings.retryWindow(), settings.retryRatio(), settings.retryExtra());
-        return new Flows(
+        return new InFlightRequests(
                 dialect, client, dispatch, clock, bounds, members::size, crashes, lost, limits);
     }
 
@@ -395,7 +395,7 @@
 
     // The store is asked before callers are served: their requests need its answers first of all.
     private void begin(ServerSocketChannel socket) {
-        dispatch.onStarved(reports::soon);
+        dispatch.onModelUnavailable(reports::soon);
         operatorFollower.start();
         upstreamFollower.start(new UpstreamListener());
         members.onKeptOut(crashes::toldByStore);
@@ -406,7 +406,7 @@
         new DrainProgress(upstreams).show(metrics);
         limits.show(metrics);
         leader.show(metrics);
-        metrics.gauge("models_unserved", flows.unserved()::many);
+        metrics.gauge("models_unserved", flows.unservedModels()::unservedCount);
         String address = settings.peer().host() + ':' + settings.peer().port();
         rates.start(ratePeers, address, Map.of(), LIST_PERIOD, processBegan());
         leader.start(this::replicasChanged);
@@ -429,9 +429,9 @@
             lease.resign("this VM is slow");
         }
         handOver.check();
-        ingress.check();
+        ingress.refuseExpired();
         dispatch.tick();
-        flows.check();
+        flows.enforceTimeouts();
     }
 
     // Where all are slow, a change of leader would only cost the orders that it interrupts.
@@ -442,7 +442,7 @@
 
     private void configured(DirectConfiguration now) {
         callers.limits(now.limits());
-        dispatch.configured(now.modelServices());
+        dispatch.setEngineServices(now.modelServices());
         upstreams.setColdLimits(ColdLimits.of(now, settings.cold()));
         leader.configured(now);
         Map<WorkspaceId, Workspace> limited = new HashMap<>();
@@ -452,7 +452,7 @@
             }
         }
         rates.configured(limited);
-        ingress.configured();
+        ingress.serveEarlyCalls();
     }
 
     private void membersChanged() {
@@ -491,7 +491,7 @@
         public void listed(UpstreamFacts facts) {
             crashes.listed(facts);
             leader.listed(facts);
-            dispatch.drain(facts.service());
+            dispatch.sendQueued(facts.service());
         }
 
         @Override
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/EventSplitter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EventSplitter.java
@@ -26,7 +26,7 @@
     /**
      * Adds received bytes, takes over their buffer, and returns the events that are now complete.
      */
-    List<StreamEvent> take(ByteBuf part) {
+    List<StreamEvent> add(ByteBuf part) {
         ByteBuf all = part;
         if (held.isReadable()) {
             all = Unpooled.buffer(held.readableBytes() + part.readableBytes());
@@ -49,7 +49,7 @@
     }
 
     /** Returns true if an incomplete event is buffered. */
-    boolean unfinished() {
+    boolean hasIncompleteEvent() {
         return held.isReadable();
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardedRequest.java
@@ -25,7 +25,7 @@
  * Forwards one admitted request: queues it for an upstream, sends it, sends it again where that is
  * allowed, and answers the caller once.
  */
-final class Flow implements Waiter {
+final class ForwardedRequest implements PendingRequest {
     /** How long no requests are sent to an upstream that rejected one because it was full. */
     private static final Duration FULL_PAUSE = Duration.ofMillis(30);
 
@@ -38,20 +38,20 @@
     private static final Duration COME_BACK_IF_KEPT_OUT = Duration.ofMinutes(10);
     private static final Duration COME_BACK_COLD = Duration.ofMillis(1_500);
 
-    private final Flows flows;
+    private final InFlightRequests flows;
     private final HttpCall call;
     private final CallerRequest request;
     private final Route route;
     private final String service;
-    private final Admitted admitted;
+    private final Admission admitted;
     private final Instant began;
     private final TimeBudget budget;
     private final Instant end;
     private final Instant until;
     private final Set<UpstreamId> tried = new HashSet<>();
     private final Map<UpstreamId, Instant> contradicted = new HashMap<>();
-    private final FlowTimes times;
-    private Attempt attempt;
+    private final RequestTimings times;
+    private UpstreamAttempt attempt;
     private Optional<String> lastEvent;
     private boolean started;
     private boolean over;
@@ -65,41 +65,41 @@
      * The terms on which a request was admitted.
      *
      * @param workspace the workspace of the caller's key, if the route needs one
-     * @param homes the regions where the request may be served
-     * @param urgency the priority; 0 goes first
-     * @param began when the first byte of the request came
-     * @param after how long admission took since then
-     * @param tokens the tokens charged for the request
-     * @param giveBack refunds the charged tokens if the request does not run
+     * @param allowedRegions the regions where the request may be served
+     * @param priority the request's priority; 0 goes first
+     * @param arrivedAt when the first byte of the request came
+     * @param admissionTime how long admission took since then
+     * @param chargedTokens the tokens charged for the request
+     * @param refundTokens refunds the charged tokens if the request does not run
      */
-    record Admitted(
+    record Admission(
             Optional<WorkspaceId> workspace,
-            AllowedRegions homes,
-            int urgency,
-            Instant began,
-            Duration after,
-            long tokens,
-            Runnable giveBack) {}
-
-    Flow(
-            Flows flows,
+            AllowedRegions allowedRegions,
+            int priority,
+            Instant arrivedAt,
+            Duration admissionTime,
+            long chargedTokens,
+            Runnable refundTokens) {}
+
+    ForwardedRequest(
+            InFlightRequests flows,
             HttpCall call,
             CallerRequest request,
             Route route,
             String service,
-            Admitted admitted) {
+            Admission admitted) {
         this.flows = flows;
         this.call = call;
         this.request = request;
         this.route = route;
         this.service = service;
         this.admitted = admitted;
-        this.began = admitted.began();
-        this.times = new FlowTimes(began);
-        this.lastEvent = request.lastEvent();
+        this.began = admitted.arrivedAt();
+        this.times = new RequestTimings(began);
+        this.lastEvent = request.lastEventId();
         this.budget = new TimeBudget(route, request.deadline());
-        this.end = began.plus(budget.whole());
-        this.until = began.plus(budget.beforeSending());
+        this.end = began.plus(budget.total());
+        this.until = began.plus(budget.maxTimeBeforeSend());
     }
 
     /** Queues the request for an upstream, or refuses it if it is quarantined. */
@@ -138,14 +138,14 @@
      * Returns true unless the request is quarantined for crashing upstreams. A quarantined request
      * that was admitted as a trial passes only once.
      */
-    boolean leavesOnce() {
+    boolean passesQuarantine() {
         boolean keptOut = keptOutByNow();
         trial = false;
         return !keptOut;
     }
 
     /** Refuses the request, which was quarantined before anything was sent. */
-    void keptOut() {
+    void refuseQuarantined() {
         takeBack();
         refuseForCrashes(COME_BACK_IF_KEPT_OUT);
     }
@@ -176,32 +176,32 @@
     }
 
     @Override
-    public AllowedRegions homes() {
-        return admitted.homes();
+    public AllowedRegions allowedRegions() {
+        return admitted.allowedRegions();
     }
 
     @Override
-    public int urgency() {
-        return admitted.urgency();
+    public int priority() {
+        return admitted.priority();
     }
 
     @Override
-    public Instant since() {
+    public Instant arrivedAt() {
         return began;
     }
 
     @Override
-    public Instant inTimeUntil() {
-        return began.plus(budget.inTimeBeforeSending());
+    public Instant onTimeSendDeadline() {
+        return began.plus(budget.onTimeBeforeSend());
     }
 
     @Override
-    public Instant until() {
+    public Instant queueDeadline() {
         return until;
     }
 
     @Override
-    public Set<UpstreamId> tried() {
+    public Set<UpstreamId> excludedUpstreams() {
         if (contradicted.isEmpty()) {
             return tried;
         }
@@ -228,17 +228,18 @@
         return request;
     }
 
-    Optional<String> lastEvent() {
+    Optional<String> lastEventId() {
         return lastEvent;
     }
 
     /** Returns the time that remains until the deadline of the caller or the route. */
-    Duration left(Instant now) {
+    Duration remainingTime(Instant now) {
         return Duration.between(now, end);
     }
 
-    Forwarding forwarding(UpstreamId to, Instant now) {
-        return new Forwarding(to, left(now), admitted.workspace(), urgency(), lastEvent);
+    ForwardingMetadata forwardingMetadata(UpstreamId to, Instant now) {
+        return new ForwardingMetadata(
+                to, remainingTime(now), admitted.workspace(), priority(), lastEvent);
     }
 
     @Override
@@ -246,7 +247,7 @@
         if (over) {
             return;
         }
-        if (!mayLeave(flows.now())) {
+        if (!hasTimeToSend(flows.now())) {
             timeUp();
             return;
         }
@@ -256,25 +257,25 @@
         }
         sends++;
         runs++;
-        times.sent(upstream.facts().id(), flows.now());
-        attempt = new Attempt(this, flows, upstream);
+        times.recordSent(upstream.facts().id(), flows.now());
+        attempt = new UpstreamAttempt(this, flows, upstream);
         attempt.start();
     }
 
     /** Returns true if enough time remains for an answer to be of use to the caller. */
-    boolean mayLeave(Instant now) {
-        return budget.allowsSending(left(now));
+    boolean hasTimeToSend(Instant now) {
+        return budget.allowsSending(remainingTime(now));
     }
 
     /** Refuses the request, whose time was up before anything was sent. */
-    void tooLate() {
+    void refuseExpired() {
         takeBack();
         timeUp();
     }
 
     @Override
-    public void waitedInVain() {
-        request.model().ifPresent(flows.unserved()::refused);
+    public void handleNoUpstream() {
+        request.model().ifPresent(flows.unservedModels()::recordUnserved);
         Duration wait = request.model().isPresent() ? COME_BACK_COLD : COME_BACK;
         if (started) {
             breakOff("no upstream could resume the stream in time");
@@ -293,25 +294,25 @@
     }
 
     /** Enforces the deadline and the idle timeout; called a few times a second. */
-    void check(Instant now) {
+    void enforceTimeouts(Instant now) {
         if (!now.isBefore(end)) {
             timeUp();
-        } else if (attempt != null && attempt.silent(now, longestSilence())) {
+        } else if (attempt != null && attempt.isSilent(now, longestSilence())) {
             attempt.upstream().requestFailed(now);
-            flows.lost().lost(attempt.upstream());
-            attempt.cancel(Cut.SILENT);
-            attemptFailed("upstream sent nothing until the idle timeout", true);
+            flows.lostUpstreams().lost(attempt.upstream());
+            attempt.cancel(IncompleteRunCause.SILENT);
+            handleAttemptFailure("upstream sent nothing until the idle timeout", true);
         }
     }
 
     private Duration longestSilence() {
-        boolean second = flows.retryLeft(service) && sends < route.attempts();
-        return budget.betweenBytes(started, second);
+        boolean second = flows.hasRetryLeft(service) && sends < route.attempts();
+        return budget.idleTimeout(started, second);
     }
 
     private void timeUp() {
         why = "deadline exceeded";
-        flows.dispatch().forget(this);
+        flows.dispatch().remove(this);
         if (neverSent()) {
             refuse(
                     Refusal.notRun(
@@ -320,7 +321,7 @@
                             .retryAfter(COME_BACK));
             return;
         }
-        cancelAttempt(Cut.TIME_UP);
+        cancelAttempt(IncompleteRunCause.TIME_UP);
         if (started) {
             breakOff("deadline exceeded before the answer was complete");
         } else {
@@ -340,7 +341,7 @@
      */
     void stop(boolean noMoreTime) {
         if (neverSent()) {
-            flows.dispatch().forget(this);
+            flows.dispatch().remove(this);
             refuse(
                     Refusal.notRun(RefusalCode.STOPPING, "this router is shutting down")
                             .retryAfter(Duration.ZERO));
@@ -350,7 +351,7 @@
     }
 
     /** Retries the request, within the retry budget, as the upstream confirms it has not run it. */
-    void turnedAway(UpstreamAnswer answer) {
+    void retryRejected(UpstreamAnswer answer) {
         runs--;
         Upstream upstream = attempt.upstream();
         attempt = null;
@@ -365,14 +366,14 @@
     }
 
     /** Queues the request again, as nothing was sent; this needs no retry budget. */
-    void notSent(String reason) {
+    void requeueUnsent(String reason) {
         takeBack();
         why = reason;
         flows.dispatch().enqueue(this);
     }
 
     /** Retries or refuses the request, which was sent and failed, so that it may have run. */
-    void attemptFailed(String reason, boolean mayTryElsewhere) {
+    void handleAttemptFailure(String reason, boolean mayTryElsewhere) {
         why = reason;
         if (attempt != null) {
             tried.add(attempt.upstream().facts().id());
@@ -388,8 +389,8 @@
     }
 
     /** Returns true if a failed answer may be discarded for a retry. */
-    boolean mayRunAgain() {
-        return route.isRepeatable() && runs < route.attempts() && flows.retryLeft(service);
+    boolean mayRetryFailure() {
+        return route.isRepeatable() && runs < route.attempts() && flows.hasRetryLeft(service);
     }
 
     private void again(boolean notRun) {
@@ -407,7 +408,7 @@
     }
 
     /** Forwards a complete answer to the caller. */
-    void answer(int status, HttpHeaders headers, ByteBuf body) {
+    void forwardAnswer(int status, HttpHeaders headers, ByteBuf body) {
         attempt = null;
         answeredInFull();
         call.answer(status, headers, body);
@@ -422,18 +423,18 @@
         }
     }
 
-    void event(ByteBuf bytes, Optional<String> id) {
-        times.part(flows.now());
+    void forwardEvent(ByteBuf bytes, Optional<String> id) {
+        times.recordPart(flows.now());
         if (id.isPresent()) {
             lastEvent = id;
         }
         call.part(bytes);
         if (attempt != null && !call.writable()) {
-            attempt.reading(false);
+            attempt.setReading(false);
         }
     }
 
-    void streamEnded() {
+    void endStream() {
         attempt = null;
         answeredInFull();
         call.end();
@@ -441,25 +442,25 @@
     }
 
     private void answeredInFull() {
-        request.model().ifPresent(flows.unserved()::served);
+        request.model().ifPresent(flows.unservedModels()::recordServed);
     }
 
     private void callerReads() {
         if (attempt != null) {
-            attempt.reading(true);
+            attempt.setReading(true);
         }
     }
 
     private void callerGone() {
-        flows.dispatch().forget(this);
-        cancelAttempt(Cut.CALLER_GONE);
+        flows.dispatch().remove(this);
+        cancelAttempt(IncompleteRunCause.CALLER_GONE);
         if (runs == 0) {
-            admitted.giveBack().run();
+            admitted.refundTokens().run();
         }
         finish("caller disconnected");
     }
 
-    private void cancelAttempt(Cut why) {
+    private void cancelAttempt(IncompleteRunCause why) {
         if (attempt != null) {
             attempt.cancel(why);
             attempt = null;
@@ -468,11 +469,11 @@
 
     private void refuse(Refusal refusal) {
         if (refusal.notRun()) {
-            admitted.giveBack().run();
+            admitted.refundTokens().run();
         }
-        HttpHeaders headers = flows.dialect().ownAnswer(request.attempt());
-        Refusals.send(call, headers, refusal);
-        finish("refused " + Refusals.status(refusal) + " " + refusal.message());
+        HttpHeaders headers = flows.dialect().ownAnswer(request.attemptId());
+        RefusalWriter.send(call, headers, refusal);
+        finish("refused " + RefusalWriter.status(refusal) + " " + refusal.message());
     }
 
     private void breakOff(String reason) {
@@ -484,27 +485,27 @@
     private void finish(String outcome) {
         if (!over) {
             over = true;
-            flows.ended(this, outcome);
+            flows.recordFinished(this, outcome);
         }
     }
 
-    boolean over() {
+    boolean isFinished() {
         return over;
     }
 
     /** Returns the inputs of the decisions about this request as fields of its log line. */
     String describe(Instant now) {
         StringBuilder text = new StringBuilder(160);
-        text.append("request=").append(request.attempt());
+        text.append("request=").append(request.attemptId());
         text.append(" route=").append(route.name());
         request.model().ifPresent(model -> text.append(" model=").append(model));
         admitted.workspace().ifPresent(id -> text.append(" workspace=").append(id));
-        text.append(" tokens=").append(admitted.tokens());
-        text.append(" admitted_ms=").append(admitted.after().toMillis());
+        text.append(" tokens=").append(admitted.chargedTokens());
+        text.append(" admitted_ms=").append(admitted.admissionTime().toMillis());
         text.append(" sends=").append(sends);
         text.append(" runs=").append(runs);
         text.append(" tried=").append(tried);
-        times.describe(text, now);
+        times.appendTo(text, now);
         if (!why.isEmpty()) {
             text.append(" why=\"").append(why).append('"');
         }
@@ -512,7 +513,7 @@
     }
 
     /** Returns a duplicate of the body for one attempt; the original stays for retries. */
-    ByteBuf body() {
+    ByteBuf bodyForAttempt() {
         return call.body().isReadable() ? call.body().retainedDuplicate() : Unpooled.EMPTY_BUFFER;
     }
 }
--- /dev/null
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardingMetadata.java
@@ -0,0 +1,22 @@
+package io.damaskyoke.direct;
+
+import io.damaskyoke.control.upstreams.UpstreamId;
+import io.damaskyoke.id.WorkspaceId;
+import java.time.Duration;
+import java.util.Optional;
+
+/**
+ * The fields that a router adds to a request that it forwards.
+ *
+ * @param upstream the only upstream that may run the request
+ * @param remainingTime the time that remains for the caller
+ * @param workspace the workspace of the caller's key, if any
+ * @param priority the request's priority; 0 goes first
+ * @param lastEventId the id of the event after which the upstream resumes a stream
+ */
+public record ForwardingMetadata(
+        UpstreamId upstream,
+        Duration remainingTime,
+        Optional<WorkspaceId> workspace,
+        int priority,
+        Optional<String> lastEventId) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flows.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/InFlightRequests.java
@@ -13,19 +13,19 @@
 import java.util.function.IntSupplier;
 
 /** Keeps the requests in progress and the services they share. Traffic thread only. */
-final class Flows {
+final class InFlightRequests {
     private final Dialect dialect;
     private final HttpClient client;
-    private final Dispatch dispatch;
+    private final UpstreamDispatcher dispatch;
     private final InstantSource clock;
     private final RetryBounds bounds;
     private final SlidingMaximum routers;
     private final CrashWatch crashes;
     private final LostUpstreams lost;
     private final LimitedUpstreams limits;
-    private final DecisionLog log;
+    private final RequestLog log;
     private final UnservedModels unserved = new UnservedModels();
-    private final Set<Flow> open = new LinkedHashSet<>();
+    private final Set<ForwardedRequest> open = new LinkedHashSet<>();
     private final Map<String, SharedRetryBudget> budgets = new HashMap<>();
 
     /**
@@ -37,10 +37,10 @@
      */
     record RetryBounds(Duration window, double ratio, double extra) {}
 
-    Flows(
+    InFlightRequests(
             Dialect dialect,
             HttpClient client,
-            Dispatch dispatch,
+            UpstreamDispatcher dispatch,
             InstantSource clock,
             RetryBounds bounds,
             IntSupplier routers,
@@ -56,7 +56,7 @@
         this.crashes = crashes;
         this.lost = lost;
         this.limits = limits;
-        this.log = new DecisionLog(clock);
+        this.log = new RequestLog(clock);
     }
 
     Dialect dialect() {
@@ -67,7 +67,7 @@
         return client;
     }
 
-    Dispatch dispatch() {
+    UpstreamDispatcher dispatch() {
         return dispatch;
     }
 
@@ -75,15 +75,15 @@
         return crashes;
     }
 
-    LostUpstreams lost() {
+    LostUpstreams lostUpstreams() {
         return lost;
     }
 
-    LimitedUpstreams limits() {
+    LimitedUpstreams limitedUpstreams() {
         return limits;
     }
 
-    UnservedModels unserved() {
+    UnservedModels unservedModels() {
         return unserved;
     }
 
@@ -91,7 +91,7 @@
         return clock.instant();
     }
 
-    void begin(Flow flow) {
+    void start(ForwardedRequest flow) {
         open.add(flow);
         budget(flow.service()).recordRequest(now());
         flow.start();
@@ -100,34 +100,34 @@
     /**
      * Sends queued requests of the service, as the capacity of one of its upstreams has changed.
      */
-    void roomAt(String service) {
-        dispatch.drain(service);
+    void sendQueued(String service) {
+        dispatch.sendQueued(service);
     }
 
     boolean takeRetry(String service) {
         return budget(service).takeRetry(routers.value(), now());
     }
 
-    boolean retryLeft(String service) {
+    boolean hasRetryLeft(String service) {
         return budget(service).hasRetryLeft(routers.value(), now());
     }
 
-    DecisionLog log() {
+    RequestLog log() {
         return log;
     }
 
-    void ended(Flow flow, String outcome) {
+    void recordFinished(ForwardedRequest flow, String outcome) {
         open.remove(flow);
-        log.ended(flow, outcome);
+        log.logFinished(flow, outcome);
     }
 
     /** Enforces the deadlines and timeouts of all requests; called a few times a second. */
-    void check() {
+    void enforceTimeouts() {
         Instant now = now();
         routers.value();
-        for (Flow flow : new ArrayList<>(open)) {
-            if (!flow.over()) {
-                flow.check(now);
+        for (ForwardedRequest flow : new ArrayList<>(open)) {
+            if (!flow.isFinished()) {
+                flow.enforceTimeouts(now);
             }
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Cut.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/IncompleteRunCause.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** The reason why a run at an upstream ended without a complete answer. */
-enum Cut {
+enum IncompleteRunCause {
     /** The connection to the upstream broke. */
     BROKE,
     /** The caller disconnected, and this router closed the connection to the upstream. */
@@ -16,7 +16,7 @@
     GARBLED;
 
     /** Returns the value of the metric label: the constant's name in lower case. */
-    String label() {
+    String metricLabel() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
@@ -31,14 +31,14 @@
     private final Dialect dialect;
     private final ConfigurationHolder configuration;
     private final OperatorFollower followed;
-    private final Denials denials;
+    private final DenialConfirmation denials;
     private final RateAdmission rates;
-    private final Flows flows;
+    private final InFlightRequests flows;
     private final Incarnation self;
     private final InstantSource clock;
     private final RandomGenerator random;
     private final Metrics metrics;
-    private final EarlyCalls early;
+    private final StartupCallQueue early;
     private long counter;
 
     Ingress(
@@ -46,7 +46,7 @@
             ConfigurationHolder configuration,
             OperatorFollower followed,
             RateAdmission rates,
-            Flows flows,
+            InFlightRequests flows,
             Incarnation self,
             RandomGenerator random,
             Metrics metrics) {
@@ -59,8 +59,8 @@
         this.clock = flows::now;
         this.random = random;
         this.metrics = metrics;
-        this.early = new EarlyCalls(clock);
-        this.denials = new Denials(followed, clock, metrics);
+        this.early = new StartupCallQueue(clock);
+        this.denials = new DenialConfirmation(followed, clock, metrics);
     }
 
     @Override
@@ -76,13 +76,13 @@
     }
 
     /** Serves the requests that came before the first configuration was read. */
-    void configured() {
-        early.take().forEach(call -> serve(call, request(call), configuration.current().get()));
+    void serveEarlyCalls() {
+        early.takeAll().forEach(call -> serve(call, request(call), configuration.current().get()));
     }
 
     /** Refuses requests that waited too long for a configuration; called a few times a second. */
-    void check() {
-        early.late().forEach(this::refuseUnconfirmed);
+    void refuseExpired() {
+        early.takeExpired().forEach(this::refuseUnconfirmed);
     }
 
     private void refuseUnconfirmed(HttpCall call) {
@@ -101,7 +101,7 @@
     private void serve(HttpCall call, CallerRequest request, DirectConfiguration current) {
         Verdict verdict = verdict(call, request, current);
         if (verdict.denial().isPresent()) {
-            denials.decide(call, () -> settle(call, request), () -> refuseUnconfirmed(call));
+            denials.confirm(call, () -> settle(call, request), () -> refuseUnconfirmed(call));
         } else {
             admit(call, request, verdict.route().orElseThrow(), verdict.workspace());
         }
@@ -131,10 +131,12 @@
         if (route.get().anonymous() || current.workspaces().isEmpty()) {
             return new Verdict(route, Optional.empty(), Optional.empty());
         }
-        Optional<WorkspaceSpec> workspace = request.key().flatMap(current::workspaceForKey);
+        Optional<WorkspaceSpec> workspace = request.callerKey().flatMap(current::workspaceForKey);
         if (workspace.isEmpty()) {
             RefusalCode code =
-                    request.key().isEmpty() ? RefusalCode.KEY_MISSING : RefusalCode.KEY_UNKNOWN;
+                    request.callerKey().isEmpty()
+                            ? RefusalCode.KEY_MISSING
+                            : RefusalCode.KEY_UNKNOWN;
             return Verdict.denied(route, code, "the caller key is missing or unknown");
         }
         return new Verdict(route, workspace, Optional.empty());
@@ -159,7 +161,7 @@
                 id,
                 workspace.get().workspace().id(),
                 tokens,
-                new TimeBudget(route, request.deadline()).forTokens(read),
+                new TimeBudget(route, request.deadline()).tokenWaitLimits(read),
                 refusal -> {
                     if (refusal.isPresent()) {
                         refuse(
@@ -189,9 +191,9 @@
             giveBack.run();
             return;
         }
-        request.model().ifPresent(flows.dispatch()::arrived);
-        Flow.Admitted admitted =
-                new Flow.Admitted(
+        request.model().ifPresent(flows.dispatch()::recordArrival);
+        ForwardedRequest.Admission admitted =
+                new ForwardedRequest.Admission(
                         workspace.map(each -> each.workspace().id()),
                         homes(route, workspace),
                         urgency(route, workspace),
@@ -200,7 +202,7 @@
                         charged,
                         giveBack);
         String service = route.chooseService(random.nextDouble());
-        flows.begin(new Flow(flows, call, request, route, service, admitted));
+        flows.start(new ForwardedRequest(flows, call, request, route, service, admitted));
     }
 
     private static AllowedRegions homes(Route route, Optional<WorkspaceSpec> workspace) {
@@ -243,8 +245,8 @@
 
     private void refuse(HttpCall call, CallerRequest request, Refusal refusal, String inputs) {
         metrics.count("direct_refused", "code", refusal.code().wireName());
-        flows.log().refused(request, refusal, inputs);
-        Refusals.send(call, dialect.ownAnswer(request.attempt()), refusal);
+        flows.log().logRefused(request, refusal, inputs);
+        RefusalWriter.send(call, dialect.ownAnswer(request.attemptId()), refusal);
     }
 
     /** The route and workspace of a request, or the reason why it is not admitted. */
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Waiter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PendingRequest.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A request that waits in the {@link Dispatch} queues to be sent to an upstream. */
-interface Waiter {
+/** A request that waits in the {@link UpstreamDispatcher} queues to be sent to an upstream. */
+interface PendingRequest {
     /** Returns the service whose upstreams may run the request. */
     String service();
 
@@ -17,26 +17,26 @@
     Optional<ModelRef> model();
 
     /** Returns the regions where the request may be served. */
-    AllowedRegions homes();
+    AllowedRegions allowedRegions();
 
     /** Returns the priority; 0 goes first. */
-    int urgency();
+    int priority();
 
     /** Returns when the request came. */
-    Instant since();
+    Instant arrivedAt();
 
     /** Returns when the request must be sent at the latest to meet its objective. */
-    Instant inTimeUntil();
+    Instant onTimeSendDeadline();
 
     /** Returns when the request is refused if it is still queued. */
-    Instant until();
+    Instant queueDeadline();
 
     /** Returns the upstreams not to select, such as those where the request has failed. */
-    Set<UpstreamId> tried();
+    Set<UpstreamId> excludedUpstreams();
 
     /** Sends the request to the upstream. */
     void sendTo(Upstream upstream);
 
     /** Refuses the request, as no upstream could take it in time. */
-    void waitedInVain();
+    void handleNoUpstream();
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Refusals.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/RefusalWriter.java
@@ -13,11 +13,11 @@
  * Writes the router's own error answers: status, reason, whether the request may have run, and when
  * to retry.
  */
-final class Refusals {
+final class RefusalWriter {
     private static final long MILLIS = 1_000;
     private static final long HUNDREDTH_MILLIS = 10;
 
-    private Refusals() {}
+    private RefusalWriter() {}
 
     static void send(HttpCall call, HttpHeaders headers, Refusal refusal) {
         headers.set("Content-Type", "application/json");
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DecisionLog.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/RequestLog.java
@@ -13,7 +13,7 @@
  * <p>Under overload, when processor time is scarcest, a line for every request would cost too much
  * of it. The number of omitted lines is logged instead.
  */
-final class DecisionLog {
+final class RequestLog {
     private static final Logger LOG = LogManager.getLogger("request");
     private static final int MOST_PER_SECOND = 120;
 
@@ -22,25 +22,25 @@
     private int lines;
     private long leftOut;
 
-    DecisionLog(InstantSource clock) {
+    RequestLog(InstantSource clock) {
         this.clock = clock;
     }
 
     /** Logs the outcome of an admitted request. */
-    void ended(Flow flow, String outcome) {
+    void logFinished(ForwardedRequest flow, String outcome) {
         if (mayWrite()) {
             LOG.info("{} {}", outcome, flow.describe(clock.instant()));
         }
     }
 
     /** Logs why a request was not admitted, with the inputs of that decision. */
-    void refused(CallerRequest request, Refusal refusal, String inputs) {
+    void logRefused(CallerRequest request, Refusal refusal, String inputs) {
         if (mayWrite()) {
             LOG.info(
                     "not admitted {} {} request={} {}",
                     refusal.code().status(),
                     refusal.message(),
-                    request.attempt(),
+                    request.attemptId(),
                     inputs);
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/FlowTimes.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/RequestTimings.java
@@ -10,7 +10,7 @@
  * <p>They show whether a late answer waited for its model, for the upstream's first part, or
  * between two parts.
  */
-final class FlowTimes {
+final class RequestTimings {
     private final Instant began;
     private UpstreamId upstream;
     private Instant sentAt;
@@ -18,18 +18,18 @@
     private Instant partAt;
     private Duration longestPause = Duration.ZERO;
 
-    FlowTimes(Instant began) {
+    RequestTimings(Instant began) {
         this.began = began;
     }
 
     /** Records that the request was sent, for the first time or as a retry. */
-    void sent(UpstreamId to, Instant now) {
+    void recordSent(UpstreamId to, Instant now) {
         upstream = to;
         sentAt = now;
     }
 
     /** Records that a part of the answer is forwarded to the caller. */
-    void part(Instant now) {
+    void recordPart(Instant now) {
         if (firstAt == null) {
             firstAt = now;
         } else {
@@ -43,7 +43,7 @@
      * Appends the upstream and the times in milliseconds since the request's first byte: now, the
      * last send and the first part, and the longest pause between two parts.
      */
-    void describe(StringBuilder text, Instant now) {
+    void appendTo(StringBuilder text, Instant now) {
         text.append(" ms=").append(millis(now));
         if (sentAt != null) {
             text.append(" upstream=").append(upstream);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Shutdown.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Shutdown.java
@@ -34,9 +34,9 @@
     private final ControlThread control;
     private final HttpServer callers;
     private final Duration grace;
-    private final Flows flows;
+    private final InFlightRequests flows;
 
-    Shutdown(ControlThread control, HttpServer callers, Duration grace, Flows flows) {
+    Shutdown(ControlThread control, HttpServer callers, Duration grace, InFlightRequests flows) {
         this.control = control;
         this.callers = callers;
         this.grace = grace;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/EarlyCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StartupCallQueue.java
@@ -16,7 +16,7 @@
  * only once would be lost. So requests wait for a short time. Once that time has passed without a
  * configuration, as in an outage of the store, later requests are refused at once.
  */
-final class EarlyCalls {
+final class StartupCallQueue {
     /** Twice the time that the first read takes on the smallest VMs. */
     private static final Duration WAIT = Duration.ofMillis(600);
 
@@ -27,11 +27,11 @@
     private final ArrayDeque<HttpCall> calls = new ArrayDeque<>();
     private Instant until;
 
-    EarlyCalls(InstantSource clock) {
+    StartupCallQueue(InstantSource clock) {
         this.clock = clock;
     }
 
-    /** Adds a request; {@link #late} returns it if no configuration is read in time. */
+    /** Adds a request; {@link #takeExpired} returns it if no configuration is read in time. */
     void add(HttpCall call) {
         if (until == null) {
             until = clock.instant().plus(WAIT);
@@ -40,7 +40,7 @@
     }
 
     /** Removes all requests and returns those whose callers are still connected. */
-    List<HttpCall> take() {
+    List<HttpCall> takeAll() {
         List<HttpCall> all = new ArrayList<>(calls);
         calls.clear();
         all.removeIf(HttpCall::over);
@@ -48,9 +48,9 @@
     }
 
     /** Removes and returns the requests to refuse: all after the wait, and those over the limit. */
-    List<HttpCall> late() {
+    List<HttpCall> takeExpired() {
         if (until != null && !clock.instant().isBefore(until)) {
-            return take();
+            return takeAll();
         }
         List<HttpCall> tooMany = new ArrayList<>();
         while (calls.size() > MOST) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
@@ -57,12 +57,12 @@
     }
 
     /** Returns the time from the request's first byte to the end of its answer. */
-    Duration whole() {
+    Duration total() {
         return whole;
     }
 
     /** Returns the time after which a request that was not sent is refused. */
-    Duration beforeSending() {
+    Duration maxTimeBeforeSend() {
         Duration byTime = part(whole, TIME_PART);
         if (route.kind() != RouteKind.STREAMING) {
             return byTime;
@@ -72,7 +72,7 @@
     }
 
     /** Returns the time within which a request must be sent to usually meet its objective. */
-    Duration inTimeBeforeSending() {
+    Duration onTimeBeforeSend() {
         return left(route.objective(), FIRST_PART);
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** Returns how long a request may wait for tokens, {@code age} after its first byte. */
-    WaitLimits forTokens(Duration age) {
+    WaitLimits tokenWaitLimits(Duration age) {
         Duration inTime = part(route.objective(), TOKENS_PART);
         Duration byTime = part(whole, TOKENS_TIME_PART);
         Duration longest = route.objective().multipliedBy(TOKENS_OBJECTIVES);
@@ -104,7 +104,7 @@
      * @param begun whether the answer has started
      * @param second whether a retry is possible
      */
-    Duration betweenBytes(boolean begun, boolean second) {
+    Duration idleTimeout(boolean begun, boolean second) {
         if (route.kind() == RouteKind.STREAMING && route.isRepeatable()) {
             return begun ? SILENT_STREAM : SILENT_STREAM.plus(route.objective());
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UnservedModels.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UnservedModels.java
@@ -8,8 +8,8 @@
 
 /**
  * Counts the consecutive requests for each model and adapter that found no upstream: {@code
- * models.refused(model)}. On-call engineers thus notice a model that is never served before its
- * callers complain. Traffic thread only.
+ * models.recordUnserved(model)}. On-call engineers thus notice a model that is never served before
+ * its callers complain. Traffic thread only.
  */
 final class UnservedModels {
     private static final Logger LOG = LogManager.getLogger(UnservedModels.class);
@@ -26,7 +26,7 @@
     private final Map<ModelRef, Integer> inVain = new LruMap<>(MOST_COUNTED);
 
     /** Records that a request for the model found no upstream in time. */
-    void refused(ModelRef model) {
+    void recordUnserved(ModelRef model) {
         int count = inVain.merge(model, 1, Integer::sum);
         if (count == MANY) {
             LOG.info("{} consecutive requests for model {} found no upstream", count, model);
@@ -34,12 +34,12 @@
     }
 
     /** Records that a request for the model was answered. */
-    void served(ModelRef model) {
+    void recordServed(ModelRef model) {
         inVain.remove(model);
     }
 
     /** Returns how many models and adapters are currently unserved. */
-    long many() {
+    long unservedCount() {
         return inVain.values().stream().filter(count -> count >= MANY).count();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAnswer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAnswer.java
@@ -11,7 +11,8 @@
  * @param misdirected whether another upstream than the addressed one answered, or the addressed one
  *     lacks the model
  * @param sealed whether the answer has the upstream's seal, without which no success is accepted
- * @param encoded whether the body has a content encoding, so that it is not as the upstream made it
+ * @param contentEncoded whether the body has a content encoding, so that it is not as the upstream
+ *     made it
  * @param load the requests that run and wait at the upstream, if it reports them
  * @param limit the limit on concurrent requests that the upstream declares
  */
@@ -20,14 +21,14 @@
         boolean notRun,
         boolean misdirected,
         boolean sealed,
-        boolean encoded,
+        boolean contentEncoded,
         Optional<Load> load,
         RequestLimit limit) {
     /** The numbers of requests that run and wait at the upstream. */
     public record Load(int running, int waiting) {}
 
     /** Returns true for a 2xx status, which callers take as a success. */
-    public boolean success() {
+    public boolean isSuccess() {
         return status >= 200 && status < 300;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
@@ -18,10 +18,10 @@
 /**
  * Sends a request once to one upstream and reads the answer.
  *
- * <p>The outcome goes to the {@link Flow}, which may start another attempt. Crash detection and the
- * upstream's statistics learn of it too.
+ * <p>The outcome goes to the {@link ForwardedRequest}, which may start another attempt. Crash
+ * detection and the upstream's statistics learn of it too.
  */
-final class Attempt implements AnswerListener {
+final class UpstreamAttempt implements AnswerListener {
     /**
      * Longest idle time of a pooled connection for requests that must not be repeated. The upstream
      * has hardly ever closed a connection that was used so recently.
@@ -37,8 +37,8 @@
     private static final int SERVER_ERRORS = 500;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    private final Flow flow;
-    private final Flows flows;
+    private final ForwardedRequest flow;
+    private final InFlightRequests flows;
     private final Upstream upstream;
     private final EventSplitter events = new EventSplitter();
     private final Instant sentAt;
@@ -51,7 +51,7 @@
     private boolean left;
     private boolean over;
 
-    Attempt(Flow flow, Flows flows, Upstream upstream) {
+    UpstreamAttempt(ForwardedRequest flow, InFlightRequests flows, Upstream upstream) {
         this.flow = flow;
         this.flows = flows;
         this.upstream = upstream;
@@ -65,31 +65,31 @@
 
     void start() {
         upstream.requestAssigned(flow.model().orElse(null), sentAt);
-        String attempt = flow.request().attempt();
+        String attempt = flow.request().attemptId();
         ClientRequest request =
                 new ClientRequest(
                         HttpMethod.valueOf(flow.call().method()),
                         flow.call().target(),
                         new DefaultHttpHeaders(),
-                        flow.body(),
+                        flow.bodyForAttempt(),
                         got -> flows.dialect().answers(attempt, got),
                         flow.route().isRepeatable() ? KEPT : FRESH);
         call = flows.client().send(upstream.facts().endpoint(), request, this);
     }
 
     /** Returns true if nothing has been received for longer than the given time. */
-    boolean silent(Instant now, Duration longest) {
+    boolean isSilent(Instant now, Duration longest) {
         return !over && Duration.between(heardAt, now).compareTo(longest) > 0;
     }
 
-    void reading(boolean wanted) {
+    void setReading(boolean wanted) {
         if (!over && call != null) {
             call.reading(wanted);
         }
     }
 
     /** Cancels the attempt; the upstream sees its connection close and drops the request. */
-    void cancel(Cut why) {
+    void cancel(IncompleteRunCause why) {
         if (over) {
             return;
         }
@@ -100,7 +100,7 @@
         call.cancel();
     }
 
-    private void cut(Cut how) {
+    private void cut(IncompleteRunCause how) {
         flows.crashes().cut(upstream, flow.digest(), sentAt, how);
     }
 
@@ -109,19 +109,19 @@
     @Override
     public boolean leaves(HttpHeaders headers) {
         Instant now = flows.now();
-        if (!flow.mayLeave(now)) {
+        if (!flow.hasTimeToSend(now)) {
             callOff();
-            flow.tooLate();
+            flow.refuseExpired();
             return false;
         }
         if (!upstream.isOpen(now)) {
             callOff();
-            flow.notSent("upstream is leaving");
+            flow.requeueUnsent("upstream is leaving");
             return false;
         }
-        if (!flow.leavesOnce()) {
+        if (!flow.passesQuarantine()) {
             callOff();
-            flow.keptOut();
+            flow.refuseQuarantined();
             return false;
         }
         left = true;
@@ -130,7 +130,7 @@
                 flows.dialect()
                         .toUpstream(
                                 flow.call().headers(),
-                                flow.forwarding(upstream.facts().id(), now)));
+                                flow.forwardingMetadata(upstream.facts().id(), now)));
         return true;
     }
 
@@ -149,7 +149,7 @@
         answer = flows.dialect().answer(status, fromUpstream, upstream.facts().id());
         answer.load()
                 .ifPresent(load -> upstream.loadReported(load.running(), load.waiting(), heardAt));
-        flows.limits().heard(upstream, answer.limit(), sentAt);
+        flows.limitedUpstreams().heard(upstream, answer.limit(), sentAt);
         flows.crashes().answers(upstream, sentAt);
     }
 
@@ -176,7 +176,7 @@
         if (answer.notRun()) {
             releaseBody();
             finish();
-            flow.turnedAway(answer);
+            flow.retryRejected(answer);
         } else if (streams()) {
             streamEnd();
         } else {
@@ -194,25 +194,25 @@
         finish();
         boolean broke = failure == Failure.BROKEN || failure == Failure.CUT_SHORT;
         if (broke || failure == Failure.NOT_CONNECTED) {
-            flows.lost().lost(upstream);
+            flows.lostUpstreams().lost(upstream);
         }
         if (failure == Failure.NOT_CONNECTED) {
             flows.crashes().unreachable(upstream);
         }
         if (failure.mayHaveArrived() && (answer == null || !answer.notRun())) {
-            cut(broke ? Cut.BROKE : Cut.GARBLED);
+            cut(broke ? IncompleteRunCause.BROKE : IncompleteRunCause.GARBLED);
         }
         if (!failure.mayHaveArrived()) {
-            flow.notSent("connection to upstream failed");
+            flow.requeueUnsent("connection to upstream failed");
         } else if (answer != null && answer.notRun()) {
-            flow.turnedAway(answer);
+            flow.retryRejected(answer);
         } else {
-            flow.attemptFailed("upstream " + upstream.facts().id() + ": " + failure, true);
+            flow.handleAttemptFailure("upstream " + upstream.facts().id() + ": " + failure, true);
         }
     }
 
     private boolean streams() {
-        return flow.route().kind() == RouteKind.STREAMING && answer.success();
+        return flow.route().kind() == RouteKind.STREAMING && answer.isSuccess();
     }
 
     private void firstByte() {
@@ -235,25 +235,25 @@
             spoiled("successful answer without the upstream's seal, or with an encoded body");
             return;
         }
-        for (EventSplitter.StreamEvent event : events.take(data)) {
+        for (EventSplitter.StreamEvent event : events.add(data)) {
             if (over) {
                 event.bytes().release();
                 continue;
             }
             flow.startStream(answer.status(), flows.dialect().toCaller(headers));
-            flow.event(event.bytes(), event.id());
+            flow.forwardEvent(event.bytes(), event.id());
         }
     }
 
     private void streamEnd() {
-        if (events.unfinished() || !acceptable()) {
+        if (events.hasIncompleteEvent() || !acceptable()) {
             spoiled("stream ended within an event, or without the upstream's seal");
             return;
         }
         finish();
         borne();
         flow.startStream(answer.status(), flows.dialect().toCaller(headers));
-        flow.streamEnded();
+        flow.endStream();
     }
 
     private void gather(ByteBuf data) {
@@ -264,16 +264,16 @@
     }
 
     private void wholeAnswer() {
-        if (answer.success() && !acceptable()) {
+        if (answer.isSuccess() && !acceptable()) {
             spoiled("successful answer without the upstream's seal, or with an encoded body");
             return;
         }
         borne();
         boolean ownFailure = answer.status() >= SERVER_ERRORS;
-        if (ownFailure && flow.mayRunAgain()) {
+        if (ownFailure && flow.mayRetryFailure()) {
             releaseBody();
             finish();
-            flow.attemptFailed("upstream answered " + answer.status(), true);
+            flow.handleAttemptFailure("upstream answered " + answer.status(), true);
             return;
         }
         ByteBuf whole = body == null ? Unpooled.EMPTY_BUFFER : body;
@@ -281,10 +281,10 @@
         finish();
         if (promises(answer.status())) {
             whole.release();
-            flow.attemptFailed("upstream answered " + answer.status(), false);
+            flow.handleAttemptFailure("upstream answered " + answer.status(), false);
             return;
         }
-        flow.answer(answer.status(), flows.dialect().toCaller(headers), whole);
+        flow.forwardAnswer(answer.status(), flows.dialect().toCaller(headers), whole);
     }
 
     // Records that the upstream answered the request and so did not crash on it.
@@ -301,16 +301,16 @@
     }
 
     private boolean acceptable() {
-        return answer.sealed() && !answer.encoded();
+        return answer.sealed() && !answer.contentEncoded();
     }
 
     private void spoiled(String why) {
         upstream.requestFailed(flows.now());
-        cut(Cut.GARBLED);
+        cut(IncompleteRunCause.GARBLED);
         releaseBody();
         finish();
         call.cancel();
-        flow.attemptFailed(why, true);
+        flow.handleAttemptFailure(why, true);
     }
 
     private void releaseBody() {
@@ -327,6 +327,6 @@
             upstream.requestNotSent();
         }
         upstream.requestFinished(flow.model().orElse(null));
-        flows.roomAt(flow.service());
+        flows.sendQueued(flow.service());
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Dispatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamDispatcher.java
@@ -34,7 +34,7 @@
  * regions has a queue of its own, so that requests which wait for a model to be loaded, or for
  * certain regions, do not block the others.
  */
-final class Dispatch {
+final class UpstreamDispatcher {
     /** Requests per slot at an upstream of a plain service; a short queue there keeps it busy. */
     private static final double PLAIN_QUEUEING = 1.5;
 
@@ -61,15 +61,15 @@
 
     /** The key of a queue: what its requests have in common. */
     private record Group(Optional<ModelRef> model, AllowedRegions homes) {
-        static Group of(Waiter waiter) {
-            return new Group(waiter.model(), waiter.homes());
+        static Group of(PendingRequest waiter) {
+            return new Group(waiter.model(), waiter.allowedRegions());
         }
     }
 
     /** A queued request with its sequence number, ordered by priority, then by arrival. */
-    private record Place(Waiter waiter, long number) implements Comparable<Place> {
+    private record Place(PendingRequest waiter, long number) implements Comparable<Place> {
         private static final Comparator<Place> ORDER =
-                Comparator.comparingInt((Place place) -> place.waiter().urgency())
+                Comparator.comparingInt((Place place) -> place.waiter().priority())
                         .thenComparingLong(Place::number);
 
         @Override
@@ -89,7 +89,7 @@
      *     has been processed
      * @param share the share of each upstream's capacity that this router may use
      */
-    Dispatch(
+    UpstreamDispatcher(
             UpstreamTable upstreams,
             String zone,
             Map<String, String> regions,
@@ -105,30 +105,30 @@
     }
 
     /** Sets the action that runs when a request is queued for a model that no upstream holds. */
-    void onStarved(Runnable action) {
+    void onModelUnavailable(Runnable action) {
         starved = action;
     }
 
-    void configured(List<ServiceSpec> engineSpecs) {
+    void setEngineServices(List<ServiceSpec> engineSpecs) {
         Set<String> names = new HashSet<>();
         engineSpecs.forEach(spec -> names.add(spec.name()));
         engineServices = names;
     }
 
     /** Records that a caller has requested a model. */
-    void arrived(ModelRef model) {
-        rates.arrived(model, clock.instant());
+    void recordArrival(ModelRef model) {
+        rates.recordArrival(model, clock.instant());
     }
 
     /** Sends the request now, or queues it until an upstream has capacity. */
-    void enqueue(Waiter waiter) {
+    void enqueue(PendingRequest waiter) {
         Instant now = clock.instant();
         if (closed(waiter, now)) {
-            waiter.waitedInVain();
+            waiter.handleNoUpstream();
             return;
         }
         queue(waiter).add(new Place(waiter, ++counter));
-        drain(waiter.service());
+        sendQueued(waiter.service());
         boolean waits = contains(waiter);
         if (waits && waiter.model().isPresent() && !held(waiter, now)) {
             starved.run();
@@ -136,7 +136,7 @@
     }
 
     /** Removes a request whose caller has disconnected or that was answered in another way. */
-    void forget(Waiter waiter) {
+    void remove(PendingRequest waiter) {
         Map<Group, TreeSet<Place>> groups = queues.get(waiter.service());
         TreeSet<Place> queue = groups == null ? null : groups.get(Group.of(waiter));
         if (queue != null) {
@@ -155,7 +155,7 @@
      * callers, in any order. If sent at once, a request might go upstream although the disconnect
      * of its caller is read next.
      */
-    void drain(String service) {
+    void sendQueued(String service) {
         if (queues.getOrDefault(service, Map.of()).isEmpty()) {
             return;
         }
@@ -188,25 +188,25 @@
     /** Sends queued requests of all services and refuses those that have waited too long. */
     void tick() {
         Instant now = clock.instant();
-        List<Waiter> late = new ArrayList<>();
+        List<PendingRequest> late = new ArrayList<>();
         for (String service : List.copyOf(queues.keySet())) {
-            drain(service);
+            sendQueued(service);
             for (TreeSet<Place> queue : queues.get(service).values()) {
                 boolean closed = !queue.isEmpty() && closed(queue.first().waiter(), now);
                 queue.stream()
                         .map(Place::waiter)
-                        .filter(waiter -> closed || !now.isBefore(waiter.until()))
+                        .filter(waiter -> closed || !now.isBefore(waiter.queueDeadline()))
                         .forEach(late::add);
             }
         }
-        late.forEach(this::forget);
-        late.forEach(Waiter::waitedInVain);
+        late.forEach(this::remove);
+        late.forEach(PendingRequest::handleNoUpstream);
     }
 
     /** Returns this router's demand for models and its view of the upstreams, for the leader. */
     LoadInput.DemandReported demand(VmId self) {
         Instant now = clock.instant();
-        Map<ModelRef, Double> perSecond = rates.all(now);
+        Map<ModelRef, Double> perSecond = rates.ratesPerSecond(now);
         Map<ModelRef, LoadInput.ModelDemand> wants = new TreeMap<>();
         perSecond.forEach(
                 (model, rate) ->
@@ -249,15 +249,15 @@
         Instant oldest = now;
         int inTime = 0;
         for (Place place : queue) {
-            Instant since = place.waiter().since();
+            Instant since = place.waiter().arrivedAt();
             oldest = since.isBefore(oldest) ? since : oldest;
-            inTime += now.plus(COMING).isBefore(place.waiter().inTimeUntil()) ? 1 : 0;
+            inTime += now.plus(COMING).isBefore(place.waiter().onTimeSendDeadline()) ? 1 : 0;
         }
         return new LoadInput.ModelDemand(
                 model,
                 queue.size(),
                 Duration.between(oldest, now),
-                queue.first().waiter().urgency(),
+                queue.first().waiter().priority(),
                 rates.getOrDefault(model, 0.0),
                 inTime);
     }
@@ -266,12 +266,12 @@
         UpstreamSelector choice = engineServices.contains(service) ? engines : plain;
         while (!queue.isEmpty()) {
             Place first = queue.first();
-            Waiter waiter = first.waiter();
+            PendingRequest waiter = first.waiter();
             Optional<Upstream> to =
                     choice.pick(
                             candidates(waiter),
                             waiter.model().orElse(null),
-                            waiter.tried(),
+                            waiter.excludedUpstreams(),
                             clock.instant());
             if (to.isEmpty()) {
                 return;
@@ -282,27 +282,29 @@
     }
 
     // Drained zones do not reopen within a caller's time, and no upstream moves to another region.
-    private boolean closed(Waiter waiter, Instant now) {
+    private boolean closed(PendingRequest waiter, Instant now) {
         boolean any = !upstreams.ofService(waiter.service()).isEmpty();
         return any && candidates(waiter).stream().allMatch(each -> each.isZoneClosed(now));
     }
 
-    private List<Upstream> candidates(Waiter waiter) {
+    private List<Upstream> candidates(PendingRequest waiter) {
         List<Upstream> all = upstreams.ofService(waiter.service());
-        return waiter.homes().isUnrestricted()
+        return waiter.allowedRegions().isUnrestricted()
                 ? all
-                : all.stream().filter(each -> waiter.homes().allows(region(each))).toList();
+                : all.stream()
+                        .filter(each -> waiter.allowedRegions().allows(region(each)))
+                        .toList();
     }
 
     private String region(Upstream upstream) {
         return regions.getOrDefault(upstream.facts().zone(), "");
     }
 
-    private boolean held(Waiter waiter, Instant now) {
+    private boolean held(PendingRequest waiter, Instant now) {
         return UpstreamSelector.anyHolds(candidates(waiter), waiter.model().orElse(null), now);
     }
 
-    private boolean contains(Waiter waiter) {
+    private boolean contains(PendingRequest waiter) {
         return queues
                 .getOrDefault(waiter.service(), Map.of())
                 .getOrDefault(Group.of(waiter), new TreeSet<>())
@@ -310,7 +312,7 @@
                 .anyMatch(place -> place.waiter() == waiter);
     }
 
-    private TreeSet<Place> queue(Waiter waiter) {
+    private TreeSet<Place> queue(PendingRequest waiter) {
         return queues.computeIfAbsent(waiter.service(), any -> new HashMap<>())
                 .computeIfAbsent(Group.of(waiter), any -> new TreeSet<>());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
@@ -131,11 +131,11 @@
     }
 
     /** The request, sent at that time, ran at the upstream and came to no whole answer there. */
-    void cut(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
-        metrics.count("runs_cut", "how", how.label());
+    void cut(Upstream upstream, RequestDigest request, Instant sentAt, IncompleteRunCause how) {
+        metrics.count("runs_cut", "how", how.metricLabel());
         Life life = lives.computeIfAbsent(lifeOf(upstream.facts()), this::begin);
         life.lastCut = now();
-        if (how == Cut.BROKE) {
+        if (how == IncompleteRunCause.BROKE) {
             life.lastBreak = life.lastCut;
         }
         if (life.runs.size() < MOST_RUNS) {
@@ -143,7 +143,7 @@
         }
         if (known.containsKey(life.end)) {
             tellSoon(life);
-        } else if (how == Cut.BROKE) {
+        } else if (how == IncompleteRunCause.BROKE) {
             lookSoon(upstream, life.end);
         } else {
             lookLater(upstream, life.end);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HomesDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/AllowedRegionsDispatchTest.java
@@ -17,15 +17,15 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the routing of requests with allowed regions, among upstreams in three regions. */
-class HomesDispatchTest {
+class AllowedRegionsDispatchTest {
     private static final Map<String, String> REGIONS =
             Map.of("kochi-a", "kerala", "goa-a", "goa", "jatim-a", "java");
     private static final int SLOTS = 4;
 
     private final Instant now = Instant.ofEpochSecond(100);
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final Dispatch dispatch =
-            new Dispatch(
+    private final UpstreamDispatcher dispatch =
+            new UpstreamDispatcher(
                     upstreams,
                     "kochi-a",
                     REGIONS,
@@ -68,7 +68,7 @@
     }
 
     private void ask(AllowedRegions homes) {
-        dispatch.enqueue(new NotedRequest(now, homes, outcomes));
+        dispatch.enqueue(new RecordingRequest(now, homes, outcomes));
     }
 
     private void list(String id, String zone) {
@@ -76,7 +76,7 @@
                 new UpstreamFacts(
                         UpstreamId.of(id),
                         1,
-                        NotedRequest.SERVICE,
+                        RecordingRequest.SERVICE,
                         new Endpoint("127.0.0.1", 1),
                         zone,
                         SLOTS,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ArrivalRatesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ArrivalRatesTest.java
@@ -32,11 +32,11 @@
     private void arrive(int times, int gapMillis) {
         for (int i = 0; i < times; i++) {
             now = now.plusMillis(gapMillis);
-            rates.arrived(MODEL, now);
+            rates.recordArrival(MODEL, now);
         }
     }
 
     private double rate() {
-        return rates.all(now).getOrDefault(MODEL, 0.0);
+        return rates.ratesPerSecond(now).getOrDefault(MODEL, 0.0);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdRouter.java
@@ -29,7 +29,7 @@
     private final VmId name;
     private final UpstreamShare share;
     private UpstreamTable upstreams;
-    private Dispatch dispatch;
+    private UpstreamDispatcher dispatch;
     private int life;
     private Instant cutUntil = Instant.MIN;
     private Instant toldUntil = Instant.MIN;
@@ -66,7 +66,9 @@
         int own = ++life;
         upstreams = new UpstreamTable();
         upstreams.setColdLimits(Map.of(ColdWorld.SERVICE, world.limit()));
-        dispatch = new Dispatch(upstreams, "zone-0", Map.of(), world::now, Runnable::run, share);
+        dispatch =
+                new UpstreamDispatcher(
+                        upstreams, "zone-0", Map.of(), world::now, Runnable::run, share);
         Map<String, UpstreamFacts> read = Map.copyOf(world.list());
         world.time.after(
                 FIRST_READING,
@@ -162,7 +164,7 @@
     }
 
     /** A request, from its caller to an upstream. */
-    private final class Request extends PlainRequest {
+    private final class Request extends SimulatedRequest {
         private final int ownLife = life;
         private boolean sent;
 
@@ -217,11 +219,11 @@
                 world.noteRefused();
             }
             upstream.requestFinished(null);
-            dispatch.drain(ColdWorld.SERVICE);
+            dispatch.sendQueued(ColdWorld.SERVICE);
         }
 
         @Override
-        public void waitedInVain() {
+        public void handleNoUpstream() {
             world.noteRefused();
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
@@ -277,7 +277,7 @@
                             table.find(worker.id).orElseThrow(),
                             run.request(),
                             run.sentAt(),
-                            Cut.CALLER_GONE);
+                            IncompleteRunCause.CALLER_GONE);
         }
     }
 
@@ -332,7 +332,11 @@
                     WAY_MILLIS,
                     () ->
                             routers.get(run.router())
-                                    .cut(upstream, run.request(), run.sentAt(), Cut.BROKE));
+                                    .cut(
+                                            upstream,
+                                            run.request(),
+                                            run.sentAt(),
+                                            IncompleteRunCause.BROKE));
             if (run.retries() > 0) {
                 soon(500, () -> send(run.request(), run.retries() - 1));
             }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
@@ -22,8 +22,8 @@
     private final UpstreamTable upstreams =
             new UpstreamTable(new DrainedZones(Duration.ofSeconds(5)));
     private final Instant now = Instant.ofEpochSecond(100);
-    private final Dispatch dispatch =
-            new Dispatch(
+    private final UpstreamDispatcher dispatch =
+            new UpstreamDispatcher(
                     upstreams,
                     "a",
                     Map.of(),
@@ -77,8 +77,8 @@
         assertEquals("no upstream", outcomes.get(6));
     }
 
-    private NotedRequest request() {
-        return new NotedRequest(now, AllowedRegions.ANYWHERE, outcomes);
+    private RecordingRequest request() {
+        return new RecordingRequest(now, AllowedRegions.ANYWHERE, outcomes);
     }
 
     private void list(String id, String zone) {
@@ -86,7 +86,7 @@
                 new UpstreamFacts(
                         UpstreamId.of(id),
                         1,
-                        NotedRequest.SERVICE,
+                        RecordingRequest.SERVICE,
                         new Endpoint("127.0.0.1", 1),
                         zone,
                         4,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/EventSplitterTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/EventSplitterTest.java
@@ -19,7 +19,7 @@
         assertEquals(
                 List.of("id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"),
                 texts("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"));
-        assertFalse(splitter.unfinished());
+        assertFalse(splitter.hasIncompleteEvent());
     }
 
     @Test
@@ -29,23 +29,23 @@
             events.addAll(texts(String.valueOf(each)));
         }
         assertEquals(List.of("id: 1\r\ndata: a\r\n\r\n"), events);
-        assertTrue(splitter.unfinished());
+        assertTrue(splitter.hasIncompleteEvent());
     }
 
     @Test
     void theIdIsTheLinesOwn() {
-        var events = splitter.take(Unpooled.copiedBuffer("data: id: 7\nid:12 \n\n", ascii()));
+        var events = splitter.add(Unpooled.copiedBuffer("data: id: 7\nid:12 \n\n", ascii()));
         assertEquals(Optional.of("12"), events.get(0).id());
     }
 
     @Test
     void anEventMayHaveNoId() {
-        var events = splitter.take(Unpooled.copiedBuffer("data: a\n\n", ascii()));
+        var events = splitter.add(Unpooled.copiedBuffer("data: a\n\n", ascii()));
         assertEquals(Optional.empty(), events.get(0).id());
     }
 
     private List<String> texts(String part) {
-        return splitter.take(Unpooled.copiedBuffer(part, ascii())).stream()
+        return splitter.add(Unpooled.copiedBuffer(part, ascii())).stream()
                 .map(event -> event.bytes().toString(ascii()))
                 .toList();
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
@@ -51,11 +51,11 @@
     private final Map<String, HttpCall> running = new ConcurrentHashMap<>();
     private final TestDialect dialect = new TestDialect();
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final Flows flows =
-            new Flows(
+    private final InFlightRequests flows =
+            new InFlightRequests(
                     dialect,
                     new HttpClient(loop, LIMIT, new Metrics()),
-                    new Dispatch(
+                    new UpstreamDispatcher(
                             upstreams,
                             "a",
                             Map.of(),
@@ -63,7 +63,7 @@
                             loop::whenRead,
                             (upstream, all) -> (int) all),
                     Instant::now,
-                    new Flows.RetryBounds(Duration.ofSeconds(10), 0.2, 10),
+                    new InFlightRequests.RetryBounds(Duration.ofSeconds(10), 0.2, 10),
                     () -> 1,
                     new CrashWatch(
                             new LoopControl(
@@ -200,8 +200,8 @@
                         false,
                         AllowedRegions.ANYWHERE,
                         List.of(new Route.Target(SERVICE, 1)));
-        Flow.Admitted admitted =
-                new Flow.Admitted(
+        ForwardedRequest.Admission admitted =
+                new ForwardedRequest.Admission(
                         Optional.empty(),
                         AllowedRegions.ANYWHERE,
                         1,
@@ -209,8 +209,9 @@
                         Duration.ZERO,
                         0,
                         () -> {});
-        flows.begin(
-                new Flow(flows, call, dialect.request(call.headers()), route, SERVICE, admitted));
+        flows.start(
+                new ForwardedRequest(
+                        flows, call, dialect.request(call.headers()), route, SERVICE, admitted));
     }
 
     private void run(HttpCall call) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitRouter.java
@@ -20,7 +20,7 @@
     private final VmId name;
     private final UpstreamShare share;
     private UpstreamTable upstreams;
-    private Dispatch dispatch;
+    private UpstreamDispatcher dispatch;
     private LimitedUpstreams limits;
     private int life;
 
@@ -49,7 +49,8 @@
         int own = ++life;
         upstreams = new UpstreamTable();
         world.engines().forEach(engine -> upstreams.put(engine.facts(), world.now()));
-        dispatch = new Dispatch(upstreams, "a", Map.of(), world::now, Runnable::run, share);
+        dispatch =
+                new UpstreamDispatcher(upstreams, "a", Map.of(), world::now, Runnable::run, share);
         limits = new LimitedUpstreams(world::now, upstreams, new Wire());
         every(own, CHECK, () -> dispatch.tick());
         every(own, AGAIN, () -> limits.tellAgain());
@@ -93,7 +94,7 @@
         }
     }
 
-    private final class Request extends PlainRequest {
+    private final class Request extends SimulatedRequest {
         Request() {
             super(LimitWorld.SERVICE, world.now(), CALLER_WAITS);
         }
@@ -123,11 +124,11 @@
             engine.passedOn(name);
             limits.heard(upstream, engine.limit(), sentAt);
             world.noteServed();
-            dispatch.drain(LimitWorld.SERVICE);
+            dispatch.sendQueued(LimitWorld.SERVICE);
         }
 
         @Override
-        public void waitedInVain() {
+        public void handleNoUpstream() {
             world.noteRefused();
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
@@ -47,7 +47,7 @@
     }
 
     /** Loads a model before the simulated day, if there is enough memory. */
-    boolean place(String model) {
+    boolean preload(String model) {
         if (held.contains(model) || used() + weight(model) > spec.weightsMb()) {
             return false;
         }
@@ -57,7 +57,7 @@
     }
 
     /** Puts a copy of a model on the disk before the simulated day. */
-    void copy(String model) {
+    void copyToDisk(String model) {
         disk.add(model);
     }
 
@@ -65,15 +65,15 @@
         return held.contains(model) && !unloading.equals(model);
     }
 
-    void begins(String model) {
+    void startRun(String model) {
         running.merge(model, 1, Integer::sum);
     }
 
-    void ends(String model) {
+    void finishRun(String model) {
         running.computeIfPresent(model, (any, count) -> count == 1 ? null : count - 1);
     }
 
-    OrderOutcome take(LoadAction.SendOrder order, Instant now) {
+    OrderOutcome execute(LoadAction.SendOrder order, Instant now) {
         if (busy() || order.sequence() != sequence) {
             return OrderOutcome.CONFLICT;
         }
@@ -100,7 +100,7 @@
     }
 
     /** Completes the loads and unloads that are finished by now. */
-    void pass(Instant now) {
+    void completeOrders(Instant now) {
         if (!unloading.isEmpty() && !running.containsKey(unloading)) {
             held.remove(unloading);
             unloading = "";
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -72,7 +72,7 @@
     private final WeightStore weights;
     private final Map<UpstreamId, RareModelEngine> engines = new TreeMap<>();
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final Dispatch dispatch;
+    private final UpstreamDispatcher dispatch;
     private final Map<String, Count> counts = new TreeMap<>();
     private final TestControlThread time = new TestControlThread();
     private LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
@@ -92,9 +92,9 @@
         this.weights = new WeightStore(atFullSpeed);
         this.spec = spec((int) (count * MODELS_PER_ENGINE));
         this.dispatch =
-                new Dispatch(
+                new UpstreamDispatcher(
                         upstreams, "a", Map.of(), this::now, Runnable::run, (id, all) -> (int) all);
-        dispatch.configured(
+        dispatch.setEngineServices(
                 List.of(new ServiceSpec(SERVICE, 1, Duration.ZERO, 0, Optional.of(spec))));
         for (int each = 0; each < count; each++) {
             RareModelEngine engine =
@@ -136,20 +136,20 @@
             boolean placed = false;
             for (int replica = 0; replica < replicas; replica++) {
                 for (int tried = 0; tried < all.size(); tried++) {
-                    if (all.get(next++ % all.size()).place(name(model))) {
+                    if (all.get(next++ % all.size()).preload(name(model))) {
                         placed = true;
                         break;
                     }
                 }
             }
             if (!placed && random.nextDouble() < ON_A_DISK) {
-                all.get(next++ % all.size()).copy(name(model));
+                all.get(next++ % all.size()).copyToDisk(name(model));
             }
         }
     }
 
     /** Returns the largest number of concurrent loads from the store. */
-    int mostLoadsAtOnce() {
+    int maxConcurrentLoads() {
         return weights.mostAtOnce();
     }
 
@@ -161,7 +161,7 @@
     }
 
     /** Makes another router the leader. */
-    void lead() {
+    void changeLeader() {
         planner = new LoadPlanner(LoadSettings.defaults());
         led = true;
         feed(new LoadInput.ServicesConfigured(Map.of(SERVICE, spec)));
@@ -170,12 +170,12 @@
     }
 
     /** Leaves the fleet without a leader. */
-    void leaderless() {
+    void removeLeader() {
         led = false;
     }
 
     /** Starts the arrival of callers, for the given time. */
-    void open(Duration day) {
+    void startArrivals(Duration day) {
         Instant end = now().plus(day);
         double busy = BUSY_PER_SECOND * engines.size();
         double rare = RARE_PER_SECOND * engines.size();
@@ -204,12 +204,12 @@
         return name((int) (many * place * place));
     }
 
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         Instant end = now().plus(duration);
         while (now().isBefore(end)) {
             time.advance(STEP);
             weights.pass(STEP);
-            engines.values().forEach(engine -> engine.pass(now()));
+            engines.values().forEach(engine -> engine.completeOrders(now()));
             if (now().toEpochMilli() % 20 == 0) {
                 feed(new LoadInput.Tick());
             }
@@ -242,7 +242,7 @@
             time.after(
                     Duration.ofMillis(2),
                     () -> {
-                        var outcome = engines.get(order.upstream()).take(order, now());
+                        var outcome = engines.get(order.upstream()).execute(order, now());
                         answer(
                                 by,
                                 new LoadInput.OrderAnswered(
@@ -278,7 +278,7 @@
     }
 
     /** Returns the number of models that were requested often and over a long time. */
-    long askedForOften() {
+    long oftenRequestedCount() {
         return counts.values().stream().filter(RareModelWorld::often).count();
     }
 
@@ -287,7 +287,7 @@
     }
 
     /** Returns the fraction of callers that were served, at the first attempt or at the retry. */
-    double served() {
+    double servedFraction() {
         return served / (double) asked;
     }
 
@@ -297,16 +297,16 @@
                 "%d of %d models never served, %.3f of %d callers served, %d loads from the"
                         + " store, %d at once, %d models without a copy",
                 neverServed().size(),
-                askedForOften(),
-                served(),
+                oftenRequestedCount(),
+                servedFraction(),
                 asked,
                 weights.begun(),
-                mostLoadsAtOnce(),
+                maxConcurrentLoads(),
                 withoutCopy());
     }
 
     /** One request; when it is refused, its caller retries once. */
-    private final class Caller extends PlainRequest {
+    private final class Caller extends SimulatedRequest {
         private final ModelRef model;
         private final Duration wait;
         private final boolean again;
@@ -325,7 +325,7 @@
             count.first = count.first == null ? now() : count.first;
             count.last = now();
             asked += again ? 0 : 1;
-            dispatch.arrived(model);
+            dispatch.recordArrival(model);
             dispatch.enqueue(this);
         }
 
@@ -335,12 +335,12 @@
         }
 
         @Override
-        public Instant inTimeUntil() {
-            return since().plus(wait.dividedBy(4));
+        public Instant onTimeSendDeadline() {
+            return arrivedAt().plus(wait.dividedBy(4));
         }
 
         @Override
-        public Set<UpstreamId> tried() {
+        public Set<UpstreamId> excludedUpstreams() {
             tried.values().removeIf(until -> !now().isBefore(until));
             return tried.keySet();
         }
@@ -356,20 +356,20 @@
             }
             upstream.requestAssigned(model, now());
             upstream.requestSent(now());
-            engine.begins(model.model());
+            engine.startRun(model.model());
             counts.get(model.model()).served++;
             served++;
             time.after(
                     Duration.ofMillis(200 + random.nextInt(LONGEST_RUN_MILLIS)),
                     () -> {
-                        engine.ends(model.model());
+                        engine.finishRun(model.model());
                         upstream.requestFinished(model);
-                        dispatch.drain(SERVICE);
+                        dispatch.sendQueued(SERVICE);
                     });
         }
 
         @Override
-        public void waitedInVain() {
+        public void handleNoUpstream() {
             if (!again) {
                 time.after(COME_BACK, () -> new Caller(model.model(), wait, true).ask());
             }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelsTest.java
@@ -44,31 +44,31 @@
     @CsvSource({"4, 2, 1", "36, 2, 1", "36, 2, 2"})
     void changesOfTheLeaderDoNotKeepModelsAway(int engines, int atFullSpeed, long seed) {
         RareModelWorld world = new RareModelWorld(engines, atFullSpeed, seed);
-        world.lead();
-        world.pass(BEFORE);
-        world.open(DAY);
+        world.changeLeader();
+        world.advance(BEFORE);
+        world.startArrivals(DAY);
         for (int change = 0; change < CHANGES; change++) {
-            world.pass(DAY.dividedBy(2 * CHANGES));
-            world.leaderless();
-            world.pass(DAY.dividedBy(4 * CHANGES));
-            world.lead();
-            world.pass(DAY.dividedBy(4 * CHANGES));
+            world.advance(DAY.dividedBy(2 * CHANGES));
+            world.removeLeader();
+            world.advance(DAY.dividedBy(4 * CHANGES));
+            world.changeLeader();
+            world.advance(DAY.dividedBy(4 * CHANGES));
         }
         judge(world);
     }
 
     private static RareModelWorld dayOfOneLeader(int engines, int atFullSpeed, long seed) {
         RareModelWorld world = new RareModelWorld(engines, atFullSpeed, seed);
-        world.lead();
-        world.pass(BEFORE);
-        world.open(DAY);
-        world.pass(DAY);
+        world.changeLeader();
+        world.advance(BEFORE);
+        world.startArrivals(DAY);
+        world.advance(DAY);
         return world;
     }
 
     private static void judge(RareModelWorld world) {
-        double most = 1 + MOST_NEVER_SERVED * world.askedForOften();
+        double most = 1 + MOST_NEVER_SERVED * world.oftenRequestedCount();
         assertTrue(world.neverServed().size() <= most, world::toString);
-        assertTrue(world.mostLoadsAtOnce() <= MOST_LOADS_AT_ONCE, world::toString);
+        assertTrue(world.maxConcurrentLoads() <= MOST_LOADS_AT_ONCE, world::toString);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/NotedRequest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RecordingRequest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** A request that records its outcome and never finishes. */
-final class NotedRequest extends PlainRequest {
+final class RecordingRequest extends SimulatedRequest {
     static final String SERVICE = "service";
     private static final Duration CALLER_WAITS = Duration.ofSeconds(10);
 
@@ -15,25 +15,25 @@
     private final List<String> outcomes;
 
     /** Creates a request that arrives now and adds its outcome to the list. */
-    NotedRequest(Instant now, AllowedRegions homes, List<String> outcomes) {
+    RecordingRequest(Instant now, AllowedRegions homes, List<String> outcomes) {
         super(SERVICE, now, CALLER_WAITS);
         this.homes = homes;
         this.outcomes = outcomes;
     }
 
     @Override
-    public AllowedRegions homes() {
+    public AllowedRegions allowedRegions() {
         return homes;
     }
 
     @Override
     public void sendTo(Upstream upstream) {
-        upstream.requestAssigned(null, since());
+        upstream.requestAssigned(null, arrivedAt());
         outcomes.add("to " + upstream.facts().id());
     }
 
     @Override
-    public void waitedInVain() {
+    public void handleNoUpstream() {
         outcomes.add("no upstream");
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/PlainRequest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedRequest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** A simulated caller's request that by default needs no model and may be served anywhere. */
-abstract class PlainRequest implements Waiter {
+abstract class SimulatedRequest implements PendingRequest {
     private static final Duration IN_TIME = Duration.ofSeconds(1);
 
     private final String service;
@@ -17,7 +17,7 @@
     private final Duration wait;
 
     /** Creates a request that arrives now and is queued for at most {@code wait}. */
-    PlainRequest(String service, Instant now, Duration wait) {
+    SimulatedRequest(String service, Instant now, Duration wait) {
         this.service = service;
         this.since = now;
         this.wait = wait;
@@ -34,32 +34,32 @@
     }
 
     @Override
-    public AllowedRegions homes() {
+    public AllowedRegions allowedRegions() {
         return AllowedRegions.ANYWHERE;
     }
 
     @Override
-    public int urgency() {
+    public int priority() {
         return 1;
     }
 
     @Override
-    public Instant since() {
+    public Instant arrivedAt() {
         return since;
     }
 
     @Override
-    public Instant inTimeUntil() {
+    public Instant onTimeSendDeadline() {
         return since.plus(IN_TIME);
     }
 
     @Override
-    public Instant until() {
+    public Instant queueDeadline() {
         return since.plus(wait);
     }
 
     @Override
-    public Set<UpstreamId> tried() {
+    public Set<UpstreamId> excludedUpstreams() {
         return Set.of();
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public HttpHeaders toUpstream(HttpHeaders fromCaller, Forwarding forwarding) {
+    public HttpHeaders toUpstream(HttpHeaders fromCaller, ForwardingMetadata forwarding) {
         return fromCaller.copy();
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UnservedModelsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UnservedModelsTest.java
@@ -15,12 +15,12 @@
     @Test
     void aModelThatIsAskedForManyTimesInVainShowsUntilItIsServed() {
         for (int each = 0; each < 4; each++) {
-            assertEquals(0, models.many());
-            models.refused(RARE);
+            assertEquals(0, models.unservedCount());
+            models.recordUnserved(RARE);
         }
-        assertEquals(1, models.many());
-        models.served(RARE);
-        assertEquals(0, models.many());
+        assertEquals(1, models.unservedCount());
+        models.recordServed(RARE);
+        assertEquals(0, models.unservedCount());
     }
 
     // Guards against callers that fill a router's memory by requesting models that do not exist.
@@ -28,9 +28,9 @@
     void namesThatAreAskedForWithoutEndAreForgotten() {
         for (int name = 0; name < 10_000; name++) {
             for (int each = 0; each < 4; each++) {
-                models.refused(ModelRef.parse("name-" + name));
+                models.recordUnserved(ModelRef.parse("name-" + name));
             }
         }
-        assertTrue(models.many() <= 4_096, models.many() + " are kept");
+        assertTrue(models.unservedCount() <= 4_096, models.unservedCount() + " are kept");
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
@@ -43,7 +43,7 @@
     @Test
     void aLookThatIsWrongTwiceIsRepeated() {
         Collections.addAll(signs, Sign.ALIVE, Sign.ALIVE, Sign.ENDED);
-        ends.cut(upstream, ONE, now(), Cut.BROKE);
+        ends.cut(upstream, ONE, now(), IncompleteRunCause.BROKE);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(ONE), ran);
         assertEquals(1, found.size());
@@ -53,7 +53,7 @@
     @Test
     void aRunWhoseCallerLeftJustBeforeTheEndIsTold() {
         signs.add(Sign.ENDED);
-        ends.cut(upstream, ONE, now(), Cut.CALLER_GONE);
+        ends.cut(upstream, ONE, now(), IncompleteRunCause.CALLER_GONE);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(ONE), ran);
     }
@@ -62,9 +62,9 @@
     @Test
     void aRunThatWasCalledOffLongBeforeTheEndIsNotTold() {
         Collections.addAll(signs, Sign.ALIVE, Sign.ENDED);
-        ends.cut(upstream, ONE, now(), Cut.CALLER_GONE);
+        ends.cut(upstream, ONE, now(), IncompleteRunCause.CALLER_GONE);
         pass(Duration.ofSeconds(3));
-        ends.cut(upstream, OTHER, now(), Cut.BROKE);
+        ends.cut(upstream, OTHER, now(), IncompleteRunCause.BROKE);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(OTHER), ran);
     }
@@ -73,8 +73,8 @@
     @Test
     void aBreakIsLookedIntoAtOnceThoughACallerHasJustLeft() {
         signs.add(Sign.ENDED);
-        ends.cut(upstream, ONE, now(), Cut.CALLER_GONE);
-        ends.cut(upstream, OTHER, now(), Cut.BROKE);
+        ends.cut(upstream, ONE, now(), IncompleteRunCause.CALLER_GONE);
+        ends.cut(upstream, OTHER, now(), IncompleteRunCause.BROKE);
         pass(Duration.ofMillis(50));
         assertEquals(List.of(ONE, OTHER), ran);
     }
@@ -82,7 +82,7 @@
     @Test
     void aRunWhoseUpstreamAnswersLaterHasBeenBorne() {
         Instant sentAt = now();
-        ends.cut(upstream, ONE, sentAt, Cut.TIME_UP);
+        ends.cut(upstream, ONE, sentAt, IncompleteRunCause.TIME_UP);
         ends.answered(upstream, sentAt.plusMillis(1_500));
         assertEquals(List.of(ONE), survived);
         ends.gone(upstream.facts().id());
@@ -93,7 +93,7 @@
     @Test
     void aRunThatComesToItsEndAfterTheUpstreamIsTold() {
         ends.told(new UpstreamCrash(upstream.facts().id(), 1));
-        ends.cut(upstream, ONE, now(), Cut.TIME_UP);
+        ends.cut(upstream, ONE, now(), IncompleteRunCause.TIME_UP);
         assertEquals(List.of(ONE), ran);
     }
 
@@ -103,14 +103,14 @@
         ends.told(new UpstreamCrash(upstream.facts().id(), 1));
         pass(Duration.ofSeconds(1));
         ends.answered(upstream, now());
-        ends.cut(upstream, ONE, now(), Cut.CALLER_GONE);
+        ends.cut(upstream, ONE, now(), IncompleteRunCause.CALLER_GONE);
         pass(Duration.ofSeconds(2));
         assertEquals(List.of(), ran);
     }
 
     @Test
     void anUpstreamThatStartsAgainHasEnded() {
-        ends.cut(upstream, ONE, now(), Cut.BROKE);
+        ends.cut(upstream, ONE, now(), IncompleteRunCause.BROKE);
         ends.listed(list(2).facts());
         assertEquals(List.of(ONE), ran);
     }
@@ -118,7 +118,7 @@
     // Guards against memory that grows with each run that was called off.
     @Test
     void whatWasCutLongAgoIsForgotten() {
-        ends.cut(upstream, ONE, now(), Cut.BROKE);
+        ends.cut(upstream, ONE, now(), IncompleteRunCause.BROKE);
         pass(Duration.ofSeconds(11));
         ends.gone(upstream.facts().id());
         assertEquals(List.of(), ran);
