--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DenialConfirmation.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DenialConfirmation.java
@@ -17,23 +17,23 @@
      * Oldest age of a configuration that confirms a denial. A flood of unknown keys must not become
      * a flood of store reads.
      */
-    private static final Duration NEW_ENOUGH = Duration.ofMillis(250);
+    private static final Duration MAX_CONFIGURATION_AGE = Duration.ofMillis(250);
 
     /**
      * Longest wait for the store, which takes milliseconds; in an outage callers learn of it soon.
      */
-    private static final Duration LIMIT = Duration.ofMillis(300);
+    private static final Duration CONFIRMATION_TIMEOUT = Duration.ofMillis(300);
 
     /** Most waiting requests that a small VM can hold; any others are asked to retry at once. */
-    private static final int MOST = 512;
+    private static final int MAX_WAITING = 512;
 
-    private final OperatorFollower followed;
+    private final OperatorFollower operatorFollower;
     private final InstantSource clock;
     private final Metrics metrics;
-    private int waiting;
+    private int waitingCount;
 
-    DenialConfirmation(OperatorFollower followed, InstantSource clock, Metrics metrics) {
-        this.followed = followed;
+    DenialConfirmation(OperatorFollower operatorFollower, InstantSource clock, Metrics metrics) {
+        this.operatorFollower = operatorFollower;
         this.clock = clock;
         this.metrics = metrics;
     }
@@ -42,23 +42,23 @@
      * Waits until the configuration is confirmed to be current.
      *
      * @param call the request to deny
-     * @param known runs when the configuration is recent enough
-     * @param unknown runs when that cannot be confirmed in time, or too many requests wait
+     * @param confirmed runs when the configuration is recent enough
+     * @param unconfirmed runs when that cannot be confirmed in time, or too many requests wait
      */
-    void confirm(HttpCall call, Runnable known, Runnable unknown) {
-        if (waiting >= MOST) {
-            unknown.run();
+    void confirm(HttpCall call, Runnable confirmed, Runnable unconfirmed) {
+        if (waitingCount >= MAX_WAITING) {
+            unconfirmed.run();
             return;
         }
-        waiting++;
+        waitingCount++;
         metrics.count("direct_denials_checked");
-        followed.whenKnown(
-                clock.instant().minus(NEW_ENOUGH),
-                LIMIT,
-                newest -> {
-                    waiting--;
+        operatorFollower.whenKnown(
+                clock.instant().minus(MAX_CONFIGURATION_AGE),
+                CONFIRMATION_TIMEOUT,
+                current -> {
+                    waitingCount--;
                     if (!call.over()) {
-                        (newest ? known : unknown).run();
+                        (current ? confirmed : unconfirmed).run();
                     }
                 });
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/EventSplitter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EventSplitter.java
@@ -14,11 +14,11 @@
  * forwarded and another upstream resumed the stream, the caller would get one event made of two.
  */
 final class EventSplitter {
-    private static final byte LINE_END = '\n';
+    private static final byte LINE_FEED = '\n';
     private static final byte CARRIAGE_RETURN = '\r';
-    private static final String ID = "id:";
+    private static final String ID_FIELD = "id:";
 
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
+    private ByteBuf pending = Unpooled.EMPTY_BUFFER;
 
     /** A complete event with its bytes unchanged, and its id if it has one. */
     record StreamEvent(ByteBuf bytes, Optional<String> id) {}
@@ -26,14 +26,14 @@
     /**
      * Adds received bytes, takes over their buffer, and returns the events that are now complete.
      */
-    List<StreamEvent> add(ByteBuf part) {
-        ByteBuf all = part;
-        if (held.isReadable()) {
-            all = Unpooled.buffer(held.readableBytes() + part.readableBytes());
-            all.writeBytes(held).writeBytes(part);
-            part.release();
+    List<StreamEvent> add(ByteBuf data) {
+        ByteBuf all = data;
+        if (pending.isReadable()) {
+            all = Unpooled.buffer(pending.readableBytes() + data.readableBytes());
+            all.writeBytes(pending).writeBytes(data);
+            data.release();
         }
-        held.release();
+        pending.release();
         List<StreamEvent> events = new ArrayList<>();
         int end = endOfEvent(all);
         while (end >= 0) {
@@ -41,8 +41,8 @@
             events.add(new StreamEvent(event, idOf(event)));
             end = endOfEvent(all);
         }
-        held = all.isReadable() ? all : Unpooled.EMPTY_BUFFER;
-        if (held != all) {
+        pending = all.isReadable() ? all : Unpooled.EMPTY_BUFFER;
+        if (pending != all) {
             all.release();
         }
         return events;
@@ -50,20 +50,20 @@
 
     /** Returns true if an incomplete event is buffered. */
     boolean hasIncompleteEvent() {
-        return held.isReadable();
+        return pending.isReadable();
     }
 
     /** Discards the buffered bytes. */
     void clear() {
-        held.release();
-        held = Unpooled.EMPTY_BUFFER;
+        pending.release();
+        pending = Unpooled.EMPTY_BUFFER;
     }
 
     // An event ends with an empty line.
     private static int endOfEvent(ByteBuf bytes) {
         int lineStart = bytes.readerIndex();
         while (true) {
-            int lineEnd = bytes.indexOf(lineStart, bytes.writerIndex(), LINE_END);
+            int lineEnd = bytes.indexOf(lineStart, bytes.writerIndex(), LINE_FEED);
             if (lineEnd < 0) {
                 return -1;
             }
@@ -80,11 +80,11 @@
     private static Optional<String> idOf(ByteBuf event) {
         int lineStart = event.readerIndex();
         while (lineStart < event.writerIndex()) {
-            int lineEnd = event.indexOf(lineStart, event.writerIndex(), LINE_END);
+            int lineEnd = event.indexOf(lineStart, event.writerIndex(), LINE_FEED);
             int length = (lineEnd < 0 ? event.writerIndex() : lineEnd) - lineStart;
-            if (length > ID.length() && startsWithId(event, lineStart)) {
+            if (length > ID_FIELD.length() && startsWithId(event, lineStart)) {
                 String line = event.toString(lineStart, length, StandardCharsets.UTF_8);
-                return Optional.of(line.substring(ID.length()).strip());
+                return Optional.of(line.substring(ID_FIELD.length()).strip());
             }
             if (lineEnd < 0) {
                 break;
@@ -94,9 +94,9 @@
         return Optional.empty();
     }
 
-    private static boolean startsWithId(ByteBuf event, int at) {
-        return event.getByte(at) == 'i'
-                && event.getByte(at + 1) == 'd'
-                && event.getByte(at + 2) == ':';
+    private static boolean startsWithId(ByteBuf event, int position) {
+        return event.getByte(position) == 'i'
+                && event.getByte(position + 1) == 'd'
+                && event.getByte(position + 2) == ':';
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardedRequest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardedRequest.java
@@ -27,37 +27,37 @@
  */
 final class ForwardedRequest implements PendingRequest {
     /** How long no requests are sent to an upstream that rejected one because it was full. */
-    private static final Duration FULL_PAUSE = Duration.ofMillis(30);
+    private static final Duration FULL_UPSTREAM_PAUSE = Duration.ofMillis(30);
 
     /**
      * How long this request avoids an upstream that lacked the model, which may be loaded by then.
      */
-    private static final Duration CONTRADICTED_PAUSE = Duration.ofMillis(120);
+    private static final Duration MISSING_MODEL_PAUSE = Duration.ofMillis(120);
 
-    private static final Duration COME_BACK = Duration.ofMillis(700);
-    private static final Duration COME_BACK_IF_KEPT_OUT = Duration.ofMinutes(10);
-    private static final Duration COME_BACK_COLD = Duration.ofMillis(1_500);
+    private static final Duration RETRY_AFTER = Duration.ofMillis(700);
+    private static final Duration RETRY_AFTER_QUARANTINED = Duration.ofMinutes(10);
+    private static final Duration RETRY_AFTER_MODEL_UNSERVED = Duration.ofMillis(1_500);
 
-    private final InFlightRequests flows;
+    private final InFlightRequests inFlight;
     private final HttpCall call;
     private final CallerRequest request;
     private final Route route;
     private final String service;
-    private final Admission admitted;
-    private final Instant began;
+    private final Admission admission;
+    private final Instant arrivedAt;
     private final TimeBudget budget;
-    private final Instant end;
-    private final Instant until;
-    private final Set<UpstreamId> tried = new HashSet<>();
-    private final Map<UpstreamId, Instant> contradicted = new HashMap<>();
-    private final RequestTimings times;
+    private final Instant deadline;
+    private final Instant queueDeadline;
+    private final Set<UpstreamId> failedUpstreams = new HashSet<>();
+    private final Map<UpstreamId, Instant> modelMissingUntil = new HashMap<>();
+    private final RequestTimings timings;
     private UpstreamAttempt attempt;
-    private Optional<String> lastEvent;
-    private boolean started;
-    private boolean over;
-    private int sends;
-    private int runs;
-    private String why = "";
+    private Optional<String> lastEventId;
+    private boolean answerStarted;
+    private boolean finished;
+    private int sendCount;
+    private int possibleRuns;
+    private String lastReason = "";
     private RequestDigest digest;
     private boolean trial;
 
@@ -82,56 +82,55 @@
             Runnable refundTokens) {}
 
     ForwardedRequest(
-            InFlightRequests flows,
+            InFlightRequests inFlight,
             HttpCall call,
             CallerRequest request,
             Route route,
             String service,
-            Admission admitted) {
-        this.flows = flows;
+            Admission admission) {
+        this.inFlight = inFlight;
         this.call = call;
         this.request = request;
         this.route = route;
         this.service = service;
-        this.admitted = admitted;
-        this.began = admitted.arrivedAt();
-        this.times = new RequestTimings(began);
-        this.lastEvent = request.lastEventId();
+        this.admission = admission;
+        this.arrivedAt = admission.arrivedAt();
+        this.timings = new RequestTimings(arrivedAt);
+        this.lastEventId = request.lastEventId();
         this.budget = new TimeBudget(route, request.deadline());
-        this.end = began.plus(budget.total());
-        this.until = began.plus(budget.maxTimeBeforeSend());
+        this.deadline = arrivedAt.plus(budget.total());
+        this.queueDeadline = arrivedAt.plus(budget.maxTimeBeforeSend());
     }
 
     /** Queues the request for an upstream, or refuses it if it is quarantined. */
     void start() {
-        call.onGone(this::callerGone);
-        call.onWritable(this::callerReads);
-        if (!flows.crashes().idle()) {
-            boolean known = flows.crashes().knows(digest());
-            Optional<Duration> keptOut = flows.crashes().refused(digest());
-            if (keptOut.isPresent()) {
-                refuseForCrashes(keptOut.get());
+        call.onGone(this::handleCallerGone);
+        call.onWritable(this::resumeReading);
+        if (!inFlight.crashes().idle()) {
+            boolean mayBeTrial = inFlight.crashes().knows(digest());
+            Optional<Duration> quarantineLeft = inFlight.crashes().refused(digest());
+            if (quarantineLeft.isPresent()) {
+                refuseAsPoisonRequest(quarantineLeft.get());
                 return;
             }
-            trial = known;
+            trial = mayBeTrial;
         }
-        flows.dispatch().enqueue(this);
+        inFlight.dispatch().enqueue(this);
     }
 
     /** Returns the digest that identifies the request, whichever id it comes with. */
     RequestDigest digest() {
         if (digest == null) {
-            String workspace = admitted.workspace().map(WorkspaceId::value).orElse("");
+            String workspace = admission.workspace().map(WorkspaceId::value).orElse("");
             digest = RequestDigest.of(call.target(), workspace, call.body().nioBuffer());
         }
         return digest;
     }
 
-    // The request may have been quarantined while it was queued, also because its own earlier
-    // attempt
-    // has crashed an upstream.
-    private boolean keptOutByNow() {
-        return !trial && !flows.crashes().idle() && flows.crashes().keepsOut(digest());
+    // The request may have been quarantined while it was queued, perhaps because its own earlier
+    // attempt crashed an upstream.
+    private boolean isQuarantinedNow() {
+        return !trial && !inFlight.crashes().idle() && inFlight.crashes().keepsOut(digest());
     }
 
     /**
@@ -139,29 +138,29 @@
      * that was admitted as a trial passes only once.
      */
     boolean passesQuarantine() {
-        boolean keptOut = keptOutByNow();
+        boolean quarantined = isQuarantinedNow();
         trial = false;
-        return !keptOut;
+        return !quarantined;
     }
 
     /** Refuses the request, which was quarantined before anything was sent. */
     void refuseQuarantined() {
-        takeBack();
-        refuseForCrashes(COME_BACK_IF_KEPT_OUT);
+        undoSend();
+        refuseAsPoisonRequest(RETRY_AFTER_QUARANTINED);
     }
 
-    private void takeBack() {
-        runs--;
-        sends--;
+    private void undoSend() {
+        possibleRuns--;
+        sendCount--;
         attempt = null;
     }
 
-    private void refuseForCrashes(Duration left) {
+    private void refuseAsPoisonRequest(Duration retryAfter) {
         String text = "upstreams have crashed while running this request";
-        if (runs > 0) {
+        if (possibleRuns > 0) {
             refuse(Refusal.mayHaveRun(RefusalCode.UPSTREAM_FAILED, text));
         } else {
-            refuse(Refusal.notRun(RefusalCode.CRASHES_UPSTREAMS, text).retryAfter(left));
+            refuse(Refusal.notRun(RefusalCode.CRASHES_UPSTREAMS, text).retryAfter(retryAfter));
         }
     }
 
@@ -177,37 +176,37 @@
 
     @Override
     public AllowedRegions allowedRegions() {
-        return admitted.allowedRegions();
+        return admission.allowedRegions();
     }
 
     @Override
     public int priority() {
-        return admitted.priority();
+        return admission.priority();
     }
 
     @Override
     public Instant arrivedAt() {
-        return began;
+        return arrivedAt;
     }
 
     @Override
     public Instant onTimeSendDeadline() {
-        return began.plus(budget.onTimeBeforeSend());
+        return arrivedAt.plus(budget.onTimeBeforeSend());
     }
 
     @Override
     public Instant queueDeadline() {
-        return until;
+        return queueDeadline;
     }
 
     @Override
     public Set<UpstreamId> excludedUpstreams() {
-        if (contradicted.isEmpty()) {
-            return tried;
+        if (modelMissingUntil.isEmpty()) {
+            return failedUpstreams;
         }
-        Instant now = flows.now();
-        Set<UpstreamId> all = new HashSet<>(tried);
-        contradicted.forEach(
+        Instant now = inFlight.now();
+        Set<UpstreamId> all = new HashSet<>(failedUpstreams);
+        modelMissingUntil.forEach(
                 (id, pausedUntil) -> {
                     if (now.isBefore(pausedUntil)) {
                         all.add(id);
@@ -229,36 +228,36 @@
     }
 
     Optional<String> lastEventId() {
-        return lastEvent;
+        return lastEventId;
     }
 
     /** Returns the time that remains until the deadline of the caller or the route. */
     Duration remainingTime(Instant now) {
-        return Duration.between(now, end);
+        return Duration.between(now, deadline);
     }
 
     ForwardingMetadata forwardingMetadata(UpstreamId to, Instant now) {
         return new ForwardingMetadata(
-                to, remainingTime(now), admitted.workspace(), priority(), lastEvent);
+                to, remainingTime(now), admission.workspace(), priority(), lastEventId);
     }
 
     @Override
     public void sendTo(Upstream upstream) {
-        if (over) {
+        if (finished) {
             return;
         }
-        if (!hasTimeToSend(flows.now())) {
-            timeUp();
+        if (!hasTimeToSend(inFlight.now())) {
+            handleDeadline();
             return;
         }
-        if (keptOutByNow()) {
-            refuseForCrashes(COME_BACK_IF_KEPT_OUT);
+        if (isQuarantinedNow()) {
+            refuseAsPoisonRequest(RETRY_AFTER_QUARANTINED);
             return;
         }
-        sends++;
-        runs++;
-        times.recordSent(upstream.facts().id(), flows.now());
-        attempt = new UpstreamAttempt(this, flows, upstream);
+        sendCount++;
+        possibleRuns++;
+        timings.recordSent(upstream.facts().id(), inFlight.now());
+        attempt = new UpstreamAttempt(this, inFlight, upstream);
         attempt.start();
     }
 
@@ -269,17 +268,17 @@
 
     /** Refuses the request, whose time was up before anything was sent. */
     void refuseExpired() {
-        takeBack();
-        timeUp();
+        undoSend();
+        handleDeadline();
     }
 
     @Override
     public void handleNoUpstream() {
-        request.model().ifPresent(flows.unservedModels()::recordUnserved);
-        Duration wait = request.model().isPresent() ? COME_BACK_COLD : COME_BACK;
-        if (started) {
-            breakOff("no upstream could resume the stream in time");
-        } else if (runs > 0) {
+        request.model().ifPresent(inFlight.unservedModels()::recordUnserved);
+        Duration wait = request.model().isPresent() ? RETRY_AFTER_MODEL_UNSERVED : RETRY_AFTER;
+        if (answerStarted) {
+            abort("no upstream could resume the stream in time");
+        } else if (possibleRuns > 0) {
             refuse(
                     Refusal.mayHaveRun(
                             RefusalCode.UPSTREAM_FAILED,
@@ -295,35 +294,35 @@
 
     /** Enforces the deadline and the idle timeout; called a few times a second. */
     void enforceTimeouts(Instant now) {
-        if (!now.isBefore(end)) {
-            timeUp();
-        } else if (attempt != null && attempt.isSilent(now, longestSilence())) {
+        if (!now.isBefore(deadline)) {
+            handleDeadline();
+        } else if (attempt != null && attempt.isSilent(now, idleTimeout())) {
             attempt.upstream().requestFailed(now);
-            flows.lostUpstreams().lost(attempt.upstream());
+            inFlight.lostUpstreams().lost(attempt.upstream());
             attempt.cancel(IncompleteRunCause.SILENT);
             handleAttemptFailure("upstream sent nothing until the idle timeout", true);
         }
     }
 
-    private Duration longestSilence() {
-        boolean second = flows.hasRetryLeft(service) && sends < route.attempts();
-        return budget.idleTimeout(started, second);
+    private Duration idleTimeout() {
+        boolean retryPossible = inFlight.hasRetryLeft(service) && sendCount < route.attempts();
+        return budget.idleTimeout(answerStarted, retryPossible);
     }
 
-    private void timeUp() {
-        why = "deadline exceeded";
-        flows.dispatch().remove(this);
+    private void handleDeadline() {
+        lastReason = "deadline exceeded";
+        inFlight.dispatch().remove(this);
         if (neverSent()) {
             refuse(
                     Refusal.notRun(
                                     RefusalCode.DEADLINE_UNREACHABLE,
                                     "no upstream could take the request before its deadline")
-                            .retryAfter(COME_BACK));
+                            .retryAfter(RETRY_AFTER));
             return;
         }
         cancelAttempt(IncompleteRunCause.TIME_UP);
-        if (started) {
-            breakOff("deadline exceeded before the answer was complete");
+        if (answerStarted) {
+            abort("deadline exceeded before the answer was complete");
         } else {
             refuse(
                     Refusal.mayHaveRun(
@@ -332,7 +331,7 @@
     }
 
     private boolean neverSent() {
-        return attempt == null && !started && runs == 0;
+        return attempt == null && !answerStarted && possibleRuns == 0;
     }
 
     /**
@@ -341,48 +340,50 @@
      */
     void stop(boolean noMoreTime) {
         if (neverSent()) {
-            flows.dispatch().remove(this);
+            inFlight.dispatch().remove(this);
             refuse(
                     Refusal.notRun(RefusalCode.STOPPING, "this router is shutting down")
                             .retryAfter(Duration.ZERO));
         } else if (noMoreTime) {
-            timeUp();
+            handleDeadline();
         }
     }
 
     /** Retries the request, within the retry budget, as the upstream confirms it has not run it. */
     void retryRejected(UpstreamAnswer answer) {
-        runs--;
+        possibleRuns--;
         Upstream upstream = attempt.upstream();
         attempt = null;
         if (answer.misdirected()) {
             upstream.leaderContradicted();
-            contradicted.put(upstream.facts().id(), flows.now().plus(CONTRADICTED_PAUSE));
+            modelMissingUntil.put(upstream.facts().id(), inFlight.now().plus(MISSING_MODEL_PAUSE));
         } else {
-            upstream.requestRejected(flows.now(), FULL_PAUSE);
+            upstream.requestRejected(inFlight.now(), FULL_UPSTREAM_PAUSE);
         }
-        why = "rejected with status " + answer.status();
-        again(true);
+        lastReason = "rejected with status " + answer.status();
+        retryWithinBudget(true);
     }
 
     /** Queues the request again, as nothing was sent; this needs no retry budget. */
     void requeueUnsent(String reason) {
-        takeBack();
-        why = reason;
-        flows.dispatch().enqueue(this);
+        undoSend();
+        lastReason = reason;
+        inFlight.dispatch().enqueue(this);
     }
 
     /** Retries or refuses the request, which was sent and failed, so that it may have run. */
     void handleAttemptFailure(String reason, boolean mayTryElsewhere) {
-        why = reason;
+        lastReason = reason;
         if (attempt != null) {
-            tried.add(attempt.upstream().facts().id());
+            failedUpstreams.add(attempt.upstream().facts().id());
         }
         attempt = null;
-        if (mayTryElsewhere && route.isRepeatable() && runs < Math.max(1, route.attempts())) {
-            again(false);
-        } else if (started) {
-            breakOff(reason);
+        if (mayTryElsewhere
+                && route.isRepeatable()
+                && possibleRuns < Math.max(1, route.attempts())) {
+            retryWithinBudget(false);
+        } else if (answerStarted) {
+            abort(reason);
         } else {
             refuse(Refusal.mayHaveRun(RefusalCode.UPSTREAM_FAILED, reason));
         }
@@ -390,43 +391,46 @@
 
     /** Returns true if a failed answer may be discarded for a retry. */
     boolean mayRetryFailure() {
-        return route.isRepeatable() && runs < route.attempts() && flows.hasRetryLeft(service);
+        return route.isRepeatable()
+                && possibleRuns < route.attempts()
+                && inFlight.hasRetryLeft(service);
     }
 
-    private void again(boolean notRun) {
-        if (flows.takeRetry(service)) {
-            flows.dispatch().enqueue(this);
-        } else if (started) {
-            breakOff("retry budget exhausted");
-        } else if (notRun && runs == 0) {
+    private void retryWithinBudget(boolean notRun) {
+        if (inFlight.takeRetry(service)) {
+            inFlight.dispatch().enqueue(this);
+        } else if (answerStarted) {
+            abort("retry budget exhausted");
+        } else if (notRun && possibleRuns == 0) {
             refuse(
                     Refusal.notRun(RefusalCode.OVERLOADED, "all upstreams are at capacity")
-                            .retryAfter(COME_BACK));
+                            .retryAfter(RETRY_AFTER));
         } else {
-            refuse(Refusal.mayHaveRun(RefusalCode.UPSTREAM_FAILED, why));
+            refuse(Refusal.mayHaveRun(RefusalCode.UPSTREAM_FAILED, lastReason));
         }
     }
 
     /** Forwards a complete answer to the caller. */
     void forwardAnswer(int status, HttpHeaders headers, ByteBuf body) {
         attempt = null;
-        answeredInFull();
+        recordServed();
         call.answer(status, headers, body);
         finish("answered " + status);
     }
 
     /** Starts the answer to the caller, unless this attempt resumes a stream that has started. */
     void startStream(int status, HttpHeaders headers) {
-        if (!started) {
-            started = true;
+        if (!answerStarted) {
+            answerStarted = true;
             call.start(status, headers);
         }
     }
 
+    /** Forwards a complete event of a stream to the caller. */
     void forwardEvent(ByteBuf bytes, Optional<String> id) {
-        times.recordPart(flows.now());
+        timings.recordPart(inFlight.now());
         if (id.isPresent()) {
-            lastEvent = id;
+            lastEventId = id;
         }
         call.part(bytes);
         if (attempt != null && !call.writable()) {
@@ -434,63 +438,64 @@
         }
     }
 
+    /** Ends the stream to the caller after the upstream has sent it completely. */
     void endStream() {
         attempt = null;
-        answeredInFull();
+        recordServed();
         call.end();
         finish("streamed");
     }
 
-    private void answeredInFull() {
-        request.model().ifPresent(flows.unservedModels()::recordServed);
+    private void recordServed() {
+        request.model().ifPresent(inFlight.unservedModels()::recordServed);
     }
 
-    private void callerReads() {
+    private void resumeReading() {
         if (attempt != null) {
             attempt.setReading(true);
         }
     }
 
-    private void callerGone() {
-        flows.dispatch().remove(this);
+    private void handleCallerGone() {
+        inFlight.dispatch().remove(this);
         cancelAttempt(IncompleteRunCause.CALLER_GONE);
-        if (runs == 0) {
-            admitted.refundTokens().run();
+        if (possibleRuns == 0) {
+            admission.refundTokens().run();
         }
         finish("caller disconnected");
     }
 
-    private void cancelAttempt(IncompleteRunCause why) {
+    private void cancelAttempt(IncompleteRunCause cause) {
         if (attempt != null) {
-            attempt.cancel(why);
+            attempt.cancel(cause);
             attempt = null;
         }
     }
 
     private void refuse(Refusal refusal) {
         if (refusal.notRun()) {
-            admitted.refundTokens().run();
+            admission.refundTokens().run();
         }
-        HttpHeaders headers = flows.dialect().ownAnswer(request.attemptId());
+        HttpHeaders headers = inFlight.dialect().ownAnswer(request.attemptId());
         RefusalWriter.send(call, headers, refusal);
         finish("refused " + RefusalWriter.status(refusal) + " " + refusal.message());
     }
 
-    private void breakOff(String reason) {
-        why = reason;
+    private void abort(String reason) {
+        lastReason = reason;
         call.abort();
         finish("aborted");
     }
 
     private void finish(String outcome) {
-        if (!over) {
-            over = true;
-            flows.recordFinished(this, outcome);
+        if (!finished) {
+            finished = true;
+            inFlight.recordFinished(this, outcome);
         }
     }
 
     boolean isFinished() {
-        return over;
+        return finished;
     }
 
     /** Returns the inputs of the decisions about this request as fields of its log line. */
@@ -499,15 +504,15 @@
         text.append("request=").append(request.attemptId());
         text.append(" route=").append(route.name());
         request.model().ifPresent(model -> text.append(" model=").append(model));
-        admitted.workspace().ifPresent(id -> text.append(" workspace=").append(id));
-        text.append(" tokens=").append(admitted.chargedTokens());
-        text.append(" admitted_ms=").append(admitted.admissionTime().toMillis());
-        text.append(" sends=").append(sends);
-        text.append(" runs=").append(runs);
-        text.append(" tried=").append(tried);
-        times.appendTo(text, now);
-        if (!why.isEmpty()) {
-            text.append(" why=\"").append(why).append('"');
+        admission.workspace().ifPresent(id -> text.append(" workspace=").append(id));
+        text.append(" tokens=").append(admission.chargedTokens());
+        text.append(" admitted_ms=").append(admission.admissionTime().toMillis());
+        text.append(" sends=").append(sendCount);
+        text.append(" runs=").append(possibleRuns);
+        text.append(" tried=").append(failedUpstreams);
+        timings.appendTo(text, now);
+        if (!lastReason.isEmpty()) {
+            text.append(" why=\"").append(lastReason).append('"');
         }
         return text.toString();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/InFlightRequests.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/InFlightRequests.java
@@ -18,15 +18,15 @@
     private final HttpClient client;
     private final UpstreamDispatcher dispatch;
     private final InstantSource clock;
-    private final RetryBounds bounds;
-    private final SlidingMaximum routers;
+    private final RetryBounds retryBounds;
+    private final SlidingMaximum routerCount;
     private final CrashWatch crashes;
-    private final LostUpstreams lost;
-    private final LimitedUpstreams limits;
-    private final RequestLog log;
-    private final UnservedModels unserved = new UnservedModels();
-    private final Set<ForwardedRequest> open = new LinkedHashSet<>();
-    private final Map<String, SharedRetryBudget> budgets = new HashMap<>();
+    private final LostUpstreams lostUpstreams;
+    private final LimitedUpstreams limitedUpstreams;
+    private final RequestLog requestLog;
+    private final UnservedModels unservedModels = new UnservedModels();
+    private final Set<ForwardedRequest> requests = new LinkedHashSet<>();
+    private final Map<String, SharedRetryBudget> retryBudgets = new HashMap<>();
 
     /**
      * The limits of the retries that all routers together may send to a service.
@@ -42,21 +42,21 @@
             HttpClient client,
             UpstreamDispatcher dispatch,
             InstantSource clock,
-            RetryBounds bounds,
-            IntSupplier routers,
+            RetryBounds retryBounds,
+            IntSupplier routerCount,
             CrashWatch crashes,
-            LostUpstreams lost,
-            LimitedUpstreams limits) {
+            LostUpstreams lostUpstreams,
+            LimitedUpstreams limitedUpstreams) {
         this.dialect = dialect;
         this.client = client;
         this.dispatch = dispatch;
         this.clock = clock;
-        this.bounds = bounds;
-        this.routers = new SlidingMaximum(routers, clock, bounds.window());
+        this.retryBounds = retryBounds;
+        this.routerCount = new SlidingMaximum(routerCount, clock, retryBounds.window());
         this.crashes = crashes;
-        this.lost = lost;
-        this.limits = limits;
-        this.log = new RequestLog(clock);
+        this.lostUpstreams = lostUpstreams;
+        this.limitedUpstreams = limitedUpstreams;
+        this.requestLog = new RequestLog(clock);
     }
 
     Dialect dialect() {
@@ -76,25 +76,25 @@
     }
 
     LostUpstreams lostUpstreams() {
-        return lost;
+        return lostUpstreams;
     }
 
     LimitedUpstreams limitedUpstreams() {
-        return limits;
+        return limitedUpstreams;
     }
 
     UnservedModels unservedModels() {
-        return unserved;
+        return unservedModels;
     }
 
     Instant now() {
         return clock.instant();
     }
 
-    void start(ForwardedRequest flow) {
-        open.add(flow);
-        budget(flow.service()).recordRequest(now());
-        flow.start();
+    void start(ForwardedRequest request) {
+        requests.add(request);
+        retryBudget(request.service()).recordRequest(now());
+        request.start();
     }
 
     /**
@@ -105,29 +105,29 @@
     }
 
     boolean takeRetry(String service) {
-        return budget(service).takeRetry(routers.value(), now());
+        return retryBudget(service).takeRetry(routerCount.value(), now());
     }
 
     boolean hasRetryLeft(String service) {
-        return budget(service).hasRetryLeft(routers.value(), now());
+        return retryBudget(service).hasRetryLeft(routerCount.value(), now());
     }
 
     RequestLog log() {
-        return log;
+        return requestLog;
     }
 
-    void recordFinished(ForwardedRequest flow, String outcome) {
-        open.remove(flow);
-        log.logFinished(flow, outcome);
+    void recordFinished(ForwardedRequest request, String outcome) {
+        requests.remove(request);
+        requestLog.logFinished(request, outcome);
     }
 
     /** Enforces the deadlines and timeouts of all requests; called a few times a second. */
     void enforceTimeouts() {
         Instant now = now();
-        routers.value();
-        for (ForwardedRequest flow : new ArrayList<>(open)) {
-            if (!flow.isFinished()) {
-                flow.enforceTimeouts(now);
+        routerCount.value();
+        for (ForwardedRequest request : new ArrayList<>(requests)) {
+            if (!request.isFinished()) {
+                request.enforceTimeouts(now);
             }
         }
     }
@@ -137,16 +137,18 @@
      * {@code noMoreTime} is set.
      */
     void stop(boolean noMoreTime) {
-        new ArrayList<>(open).forEach(flow -> flow.stop(noMoreTime));
+        new ArrayList<>(requests).forEach(request -> request.stop(noMoreTime));
     }
 
     int size() {
-        return open.size();
+        return requests.size();
     }
 
-    private SharedRetryBudget budget(String service) {
-        return budgets.computeIfAbsent(
+    private SharedRetryBudget retryBudget(String service) {
+        return retryBudgets.computeIfAbsent(
                 service,
-                any -> new SharedRetryBudget(bounds.window(), bounds.ratio(), bounds.extra()));
+                any ->
+                        new SharedRetryBudget(
+                                retryBounds.window(), retryBounds.ratio(), retryBounds.extra()));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
@@ -25,42 +25,42 @@
  * request that is refused here says that the request has not run.
  */
 final class Ingress implements HttpHandler {
-    private static final int LEAST_URGENT = 9;
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final int LOWEST_PRIORITY = 9;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final Dialect dialect;
     private final ConfigurationHolder configuration;
-    private final OperatorFollower followed;
-    private final DenialConfirmation denials;
+    private final OperatorFollower operatorFollower;
+    private final DenialConfirmation denialConfirmation;
     private final RateAdmission rates;
-    private final InFlightRequests flows;
+    private final InFlightRequests inFlight;
     private final Incarnation self;
     private final InstantSource clock;
     private final RandomGenerator random;
     private final Metrics metrics;
-    private final StartupCallQueue early;
-    private long counter;
+    private final StartupCallQueue startupQueue;
+    private long exchangeCounter;
 
     Ingress(
             Dialect dialect,
             ConfigurationHolder configuration,
-            OperatorFollower followed,
+            OperatorFollower operatorFollower,
             RateAdmission rates,
-            InFlightRequests flows,
+            InFlightRequests inFlight,
             Incarnation self,
             RandomGenerator random,
             Metrics metrics) {
         this.dialect = dialect;
         this.configuration = configuration;
-        this.followed = followed;
+        this.operatorFollower = operatorFollower;
         this.rates = rates;
-        this.flows = flows;
+        this.inFlight = inFlight;
         this.self = self;
-        this.clock = flows::now;
+        this.clock = inFlight::now;
         this.random = random;
         this.metrics = metrics;
-        this.early = new StartupCallQueue(clock);
-        this.denials = new DenialConfirmation(followed, clock, metrics);
+        this.startupQueue = new StartupCallQueue(clock);
+        this.denialConfirmation = new DenialConfirmation(operatorFollower, clock, metrics);
     }
 
     @Override
@@ -69,7 +69,7 @@
         CallerRequest request = request(call);
         Optional<DirectConfiguration> current = configuration.current();
         if (current.isEmpty()) {
-            early.add(call);
+            startupQueue.add(call);
             return;
         }
         serve(call, request, current.get());
@@ -77,12 +77,14 @@
 
     /** Serves the requests that came before the first configuration was read. */
     void serveEarlyCalls() {
-        early.takeAll().forEach(call -> serve(call, request(call), configuration.current().get()));
+        startupQueue
+                .takeAll()
+                .forEach(call -> serve(call, request(call), configuration.current().get()));
     }
 
     /** Refuses requests that waited too long for a configuration; called a few times a second. */
     void refuseExpired() {
-        early.takeExpired().forEach(this::refuseUnconfirmed);
+        startupQueue.takeExpired().forEach(this::refuseUnconfirmed);
     }
 
     private void refuseUnconfirmed(HttpCall call) {
@@ -90,8 +92,8 @@
                 Refusal.notRun(
                         RefusalCode.CONFIGURATION_UNCONFIRMED,
                         "this router could not confirm that its configuration is current");
-        String inputs = configuration.current().map(this::by).orElse("");
-        refuse(call, request(call), refusal.retryAfter(COME_BACK), inputs);
+        String inputs = configuration.current().map(this::configurationInputs).orElse("");
+        refuse(call, request(call), refusal.retryAfter(RETRY_AFTER), inputs);
     }
 
     private CallerRequest request(HttpCall call) {
@@ -99,37 +101,39 @@
     }
 
     private void serve(HttpCall call, CallerRequest request, DirectConfiguration current) {
-        Verdict verdict = verdict(call, request, current);
-        if (verdict.denial().isPresent()) {
-            denials.confirm(call, () -> settle(call, request), () -> refuseUnconfirmed(call));
+        RoutingDecision decision = decide(call, request, current);
+        if (decision.denial().isPresent()) {
+            denialConfirmation.confirm(
+                    call, () -> decideAgain(call, request), () -> refuseUnconfirmed(call));
         } else {
-            admit(call, request, verdict.route().orElseThrow(), verdict.workspace());
+            admit(call, request, decision.route().orElseThrow(), decision.workspace());
         }
     }
 
     // Decides again, as the current configuration may be newer than when the request came.
-    private void settle(HttpCall call, CallerRequest request) {
+    private void decideAgain(HttpCall call, CallerRequest request) {
         DirectConfiguration current = configuration.current().orElseThrow();
-        Verdict verdict = verdict(call, request, current);
-        if (verdict.denial().isPresent()) {
+        RoutingDecision decision = decide(call, request, current);
+        if (decision.denial().isPresent()) {
             String inputs =
-                    verdict.route()
+                    decision.route()
                             .map(route -> "route=" + route.name())
-                            .orElse(target(call, request));
-            refuse(call, request, verdict.denial().get(), inputs + by(current));
+                            .orElse(hostAndTarget(call, request));
+            refuse(call, request, decision.denial().get(), inputs + configurationInputs(current));
         } else {
-            admit(call, request, verdict.route().orElseThrow(), verdict.workspace());
+            admit(call, request, decision.route().orElseThrow(), decision.workspace());
         }
     }
 
-    private Verdict verdict(HttpCall call, CallerRequest request, DirectConfiguration current) {
+    private RoutingDecision decide(
+            HttpCall call, CallerRequest request, DirectConfiguration current) {
         Optional<Route> route = configuration.routes().find(request.host(), call.target());
         if (route.isEmpty()) {
-            return Verdict.denied(
+            return RoutingDecision.denied(
                     route, RefusalCode.UNKNOWN_SERVICE, "no route matches the host and path");
         }
         if (route.get().anonymous() || current.workspaces().isEmpty()) {
-            return new Verdict(route, Optional.empty(), Optional.empty());
+            return new RoutingDecision(route, Optional.empty(), Optional.empty());
         }
         Optional<WorkspaceSpec> workspace = request.callerKey().flatMap(current::workspaceForKey);
         if (workspace.isEmpty()) {
@@ -137,95 +141,98 @@
                     request.callerKey().isEmpty()
                             ? RefusalCode.KEY_MISSING
                             : RefusalCode.KEY_UNKNOWN;
-            return Verdict.denied(route, code, "the caller key is missing or unknown");
+            return RoutingDecision.denied(route, code, "the caller key is missing or unknown");
         }
-        return new Verdict(route, workspace, Optional.empty());
+        return new RoutingDecision(route, workspace, Optional.empty());
     }
 
-    private static String target(HttpCall call, CallerRequest request) {
+    private static String hostAndTarget(HttpCall call, CallerRequest request) {
         return request.host() + call.target();
     }
 
     private void admit(
             HttpCall call, CallerRequest request, Route route, Optional<WorkspaceSpec> workspace) {
         Instant now = clock.instant();
-        Duration read = Duration.ofNanos(System.nanoTime() - call.arrivedNanos());
-        Instant began = now.minus(read);
+        Duration readTime = Duration.ofNanos(System.nanoTime() - call.arrivedNanos());
+        Instant arrivedAt = now.minus(readTime);
         if (workspace.isEmpty() || !workspace.get().hasRateLimit()) {
-            begin(call, request, route, workspace, began, 0);
+            startForwarding(call, request, route, workspace, arrivedAt, 0);
             return;
         }
         long tokens = request.tokens().orElse(workspace.get().defaultTokens());
-        ExchangeId id = new ExchangeId(self, ++counter);
+        ExchangeId id = new ExchangeId(self, ++exchangeCounter);
         rates.admit(
                 id,
                 workspace.get().workspace().id(),
                 tokens,
-                new TimeBudget(route, request.deadline()).tokenWaitLimits(read),
+                new TimeBudget(route, request.deadline()).tokenWaitLimits(readTime),
                 refusal -> {
                     if (refusal.isPresent()) {
                         refuse(
                                 call,
                                 request,
                                 refusal.get(),
-                                inputs(route, workspace.get(), tokens));
+                                rateLimitInputs(route, workspace.get(), tokens));
                     } else {
-                        begin(call, request, route, workspace, began, tokens);
+                        startForwarding(call, request, route, workspace, arrivedAt, tokens);
                     }
                 });
     }
 
-    private void begin(
+    private void startForwarding(
             HttpCall call,
             CallerRequest request,
             Route route,
             Optional<WorkspaceSpec> workspace,
-            Instant began,
-            long charged) {
-        Runnable giveBack =
+            Instant arrivedAt,
+            long chargedTokens) {
+        Runnable refundTokens =
                 () ->
                         workspace
-                                .filter(any -> charged > 0)
-                                .ifPresent(each -> rates.settle(each.workspace().id(), charged, 0));
+                                .filter(any -> chargedTokens > 0)
+                                .ifPresent(
+                                        spec ->
+                                                rates.settle(
+                                                        spec.workspace().id(), chargedTokens, 0));
         if (call.over()) {
-            giveBack.run();
+            refundTokens.run();
             return;
         }
-        request.model().ifPresent(flows.dispatch()::recordArrival);
-        ForwardedRequest.Admission admitted =
+        request.model().ifPresent(inFlight.dispatch()::recordArrival);
+        ForwardedRequest.Admission admission =
                 new ForwardedRequest.Admission(
-                        workspace.map(each -> each.workspace().id()),
-                        homes(route, workspace),
-                        urgency(route, workspace),
-                        began,
-                        Duration.between(began, clock.instant()),
-                        charged,
-                        giveBack);
+                        workspace.map(spec -> spec.workspace().id()),
+                        allowedRegions(route, workspace),
+                        priority(route, workspace),
+                        arrivedAt,
+                        Duration.between(arrivedAt, clock.instant()),
+                        chargedTokens,
+                        refundTokens);
         String service = route.chooseService(random.nextDouble());
-        flows.start(new ForwardedRequest(flows, call, request, route, service, admitted));
+        inFlight.start(new ForwardedRequest(inFlight, call, request, route, service, admission));
     }
 
-    private static AllowedRegions homes(Route route, Optional<WorkspaceSpec> workspace) {
+    private static AllowedRegions allowedRegions(Route route, Optional<WorkspaceSpec> workspace) {
         return workspace
                 .map(WorkspaceSpec::allowedRegions)
                 .orElse(AllowedRegions.ANYWHERE)
                 .intersect(route.allowedRegions());
     }
 
-    private static int urgency(Route route, Optional<WorkspaceSpec> workspace) {
+    private static int priority(Route route, Optional<WorkspaceSpec> workspace) {
         OptionalInt own = workspace.map(WorkspaceSpec::priority).orElse(OptionalInt.empty());
-        return Math.max(0, Math.min(LEAST_URGENT, own.orElse(route.priority())));
+        return Math.max(0, Math.min(LOWEST_PRIORITY, own.orElse(route.priority())));
     }
 
     // The version and age of the configuration behind a denial, to find the cause of a wrong one.
-    private String by(DirectConfiguration current) {
+    private String configurationInputs(DirectConfiguration current) {
         return " configuration="
                 + current.version()
                 + " age_ms="
-                + followed.age().map(Duration::toMillis).orElse(-1L);
+                + operatorFollower.age().map(Duration::toMillis).orElse(-1L);
     }
 
-    private String inputs(Route route, WorkspaceSpec workspace, long tokens) {
+    private String rateLimitInputs(Route route, WorkspaceSpec workspace, long tokens) {
         WorkspaceId id = workspace.workspace().id();
         return "route="
                 + route.name()
@@ -245,15 +252,16 @@
 
     private void refuse(HttpCall call, CallerRequest request, Refusal refusal, String inputs) {
         metrics.count("direct_refused", "code", refusal.code().wireName());
-        flows.log().logRefused(request, refusal, inputs);
+        inFlight.log().logRefused(request, refusal, inputs);
         RefusalWriter.send(call, dialect.ownAnswer(request.attemptId()), refusal);
     }
 
     /** The route and workspace of a request, or the reason why it is not admitted. */
-    private record Verdict(
+    private record RoutingDecision(
             Optional<Route> route, Optional<WorkspaceSpec> workspace, Optional<Refusal> denial) {
-        static Verdict denied(Optional<Route> route, RefusalCode code, String message) {
-            return new Verdict(route, Optional.empty(), Optional.of(Refusal.notRun(code, message)));
+        static RoutingDecision denied(Optional<Route> route, RefusalCode code, String message) {
+            return new RoutingDecision(
+                    route, Optional.empty(), Optional.of(Refusal.notRun(code, message)));
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/RequestLog.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/RequestLog.java
@@ -15,12 +15,12 @@
  */
 final class RequestLog {
     private static final Logger LOG = LogManager.getLogger("request");
-    private static final int MOST_PER_SECOND = 120;
+    private static final int MAX_LINES_PER_SECOND = 120;
 
     private final InstantSource clock;
-    private Instant second = Instant.MIN;
-    private int lines;
-    private long leftOut;
+    private Instant windowStart = Instant.MIN;
+    private int linesInWindow;
+    private long omittedLines;
 
     RequestLog(InstantSource clock) {
         this.clock = clock;
@@ -28,14 +28,14 @@
 
     /** Logs the outcome of an admitted request. */
     void logFinished(ForwardedRequest flow, String outcome) {
-        if (mayWrite()) {
+        if (acquireLine()) {
             LOG.info("{} {}", outcome, flow.describe(clock.instant()));
         }
     }
 
     /** Logs why a request was not admitted, with the inputs of that decision. */
     void logRefused(CallerRequest request, Refusal refusal, String inputs) {
-        if (mayWrite()) {
+        if (acquireLine()) {
             LOG.info(
                     "not admitted {} {} request={} {}",
                     refusal.code().status(),
@@ -45,18 +45,19 @@
         }
     }
 
-    private boolean mayWrite() {
+    private boolean acquireLine() {
         Instant now = clock.instant();
-        if (second.equals(Instant.MIN) || Duration.between(second, now).toSeconds() >= 1) {
-            if (leftOut > 0) {
-                LOG.info("omitted {} request log lines in the previous second", leftOut);
+        if (windowStart.equals(Instant.MIN)
+                || Duration.between(windowStart, now).toSeconds() >= 1) {
+            if (omittedLines > 0) {
+                LOG.info("omitted {} request log lines in the previous second", omittedLines);
             }
-            second = now;
-            lines = 0;
-            leftOut = 0;
+            windowStart = now;
+            linesInWindow = 0;
+            omittedLines = 0;
         }
-        if (++lines > MOST_PER_SECOND) {
-            leftOut++;
+        if (++linesInWindow > MAX_LINES_PER_SECOND) {
+            omittedLines++;
             return false;
         }
         return true;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/RequestTimings.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/RequestTimings.java
@@ -11,15 +11,15 @@
  * between two parts.
  */
 final class RequestTimings {
-    private final Instant began;
+    private final Instant arrivedAt;
     private UpstreamId upstream;
     private Instant sentAt;
-    private Instant firstAt;
-    private Instant partAt;
+    private Instant firstPartAt;
+    private Instant lastPartAt;
     private Duration longestPause = Duration.ZERO;
 
-    RequestTimings(Instant began) {
-        this.began = began;
+    RequestTimings(Instant arrivedAt) {
+        this.arrivedAt = arrivedAt;
     }
 
     /** Records that the request was sent, for the first time or as a retry. */
@@ -30,13 +30,13 @@
 
     /** Records that a part of the answer is forwarded to the caller. */
     void recordPart(Instant now) {
-        if (firstAt == null) {
-            firstAt = now;
+        if (firstPartAt == null) {
+            firstPartAt = now;
         } else {
-            Duration pause = Duration.between(partAt, now);
+            Duration pause = Duration.between(lastPartAt, now);
             longestPause = pause.compareTo(longestPause) > 0 ? pause : longestPause;
         }
-        partAt = now;
+        lastPartAt = now;
     }
 
     /**
@@ -44,18 +44,18 @@
      * last send and the first part, and the longest pause between two parts.
      */
     void appendTo(StringBuilder text, Instant now) {
-        text.append(" ms=").append(millis(now));
+        text.append(" ms=").append(millisSinceArrival(now));
         if (sentAt != null) {
             text.append(" upstream=").append(upstream);
-            text.append(" sent_ms=").append(millis(sentAt));
+            text.append(" sent_ms=").append(millisSinceArrival(sentAt));
         }
-        if (firstAt != null) {
-            text.append(" first_ms=").append(millis(firstAt));
+        if (firstPartAt != null) {
+            text.append(" first_ms=").append(millisSinceArrival(firstPartAt));
             text.append(" pause_ms=").append(longestPause.toMillis());
         }
     }
 
-    private long millis(Instant at) {
-        return Duration.between(began, at).toMillis();
+    private long millisSinceArrival(Instant at) {
+        return Duration.between(arrivedAt, at).toMillis();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StartupCallQueue.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StartupCallQueue.java
@@ -18,14 +18,14 @@
  */
 final class StartupCallQueue {
     /** Twice the time that the first read takes on the smallest VMs. */
-    private static final Duration WAIT = Duration.ofMillis(600);
+    private static final Duration MAX_WAIT = Duration.ofMillis(600);
 
     /** Most waiting requests that a small VM can hold; any others are refused at once. */
-    private static final int MOST = 512;
+    private static final int MAX_CALLS = 512;
 
     private final InstantSource clock;
     private final ArrayDeque<HttpCall> calls = new ArrayDeque<>();
-    private Instant until;
+    private Instant expiresAt;
 
     StartupCallQueue(InstantSource clock) {
         this.clock = clock;
@@ -33,29 +33,29 @@
 
     /** Adds a request; {@link #takeExpired} returns it if no configuration is read in time. */
     void add(HttpCall call) {
-        if (until == null) {
-            until = clock.instant().plus(WAIT);
+        if (expiresAt == null) {
+            expiresAt = clock.instant().plus(MAX_WAIT);
         }
         calls.add(call);
     }
 
     /** Removes all requests and returns those whose callers are still connected. */
     List<HttpCall> takeAll() {
-        List<HttpCall> all = new ArrayList<>(calls);
+        List<HttpCall> connected = new ArrayList<>(calls);
         calls.clear();
-        all.removeIf(HttpCall::over);
-        return all;
+        connected.removeIf(HttpCall::over);
+        return connected;
     }
 
     /** Removes and returns the requests to refuse: all after the wait, and those over the limit. */
     List<HttpCall> takeExpired() {
-        if (until != null && !clock.instant().isBefore(until)) {
+        if (expiresAt != null && !clock.instant().isBefore(expiresAt)) {
             return takeAll();
         }
-        List<HttpCall> tooMany = new ArrayList<>();
-        while (calls.size() > MOST) {
-            tooMany.add(calls.removeLast());
+        List<HttpCall> excess = new ArrayList<>();
+        while (calls.size() > MAX_CALLS) {
+            excess.add(calls.removeLast());
         }
-        return tooMany;
+        return excess;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UnservedModels.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UnservedModels.java
@@ -18,28 +18,30 @@
      * Consecutive requests from which a model counts as unserved; one or two may fail during a
      * load.
      */
-    private static final int MANY = 4;
+    private static final int UNSERVED_THRESHOLD = 4;
 
     /** Limits the memory, as callers may request any name; the least recently used is dropped. */
-    private static final int MOST_COUNTED = 4_096;
+    private static final int MAX_MODELS = 4_096;
 
-    private final Map<ModelRef, Integer> inVain = new LruMap<>(MOST_COUNTED);
+    private final Map<ModelRef, Integer> consecutiveMisses = new LruMap<>(MAX_MODELS);
 
     /** Records that a request for the model found no upstream in time. */
     void recordUnserved(ModelRef model) {
-        int count = inVain.merge(model, 1, Integer::sum);
-        if (count == MANY) {
+        int count = consecutiveMisses.merge(model, 1, Integer::sum);
+        if (count == UNSERVED_THRESHOLD) {
             LOG.info("{} consecutive requests for model {} found no upstream", count, model);
         }
     }
 
     /** Records that a request for the model was answered. */
     void recordServed(ModelRef model) {
-        inVain.remove(model);
+        consecutiveMisses.remove(model);
     }
 
     /** Returns how many models and adapters are currently unserved. */
     long unservedCount() {
-        return inVain.values().stream().filter(count -> count >= MANY).count();
+        return consecutiveMisses.values().stream()
+                .filter(count -> count >= UNSERVED_THRESHOLD)
+                .count();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
@@ -26,37 +26,37 @@
      * Longest idle time of a pooled connection for requests that must not be repeated. The upstream
      * has hardly ever closed a connection that was used so recently.
      */
-    private static final Duration FRESH = Duration.ofMillis(300);
+    private static final Duration MAX_IDLE_NON_REPEATABLE = Duration.ofMillis(300);
 
     /**
      * Longest idle time of a pooled connection for repeatable requests. If the upstream has closed
      * it, that costs only a retry.
      */
-    private static final Duration KEPT = Duration.ofSeconds(3);
+    private static final Duration MAX_IDLE_REPEATABLE = Duration.ofSeconds(3);
 
-    private static final int SERVER_ERRORS = 500;
+    private static final int MIN_SERVER_ERROR = 500;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    private final ForwardedRequest flow;
-    private final InFlightRequests flows;
+    private final ForwardedRequest forwarded;
+    private final InFlightRequests inFlight;
     private final Upstream upstream;
-    private final EventSplitter events = new EventSplitter();
+    private final EventSplitter splitter = new EventSplitter();
     private final Instant sentAt;
-    private Instant heardAt;
+    private Instant lastReceivedAt;
     private ClientCall call;
     private UpstreamAnswer answer;
     private HttpHeaders headers;
     private CompositeByteBuf body;
-    private boolean heard;
-    private boolean left;
-    private boolean over;
+    private boolean firstByteReceived;
+    private boolean sent;
+    private boolean finished;
 
-    UpstreamAttempt(ForwardedRequest flow, InFlightRequests flows, Upstream upstream) {
-        this.flow = flow;
-        this.flows = flows;
+    UpstreamAttempt(ForwardedRequest forwarded, InFlightRequests inFlight, Upstream upstream) {
+        this.forwarded = forwarded;
+        this.inFlight = inFlight;
         this.upstream = upstream;
-        this.sentAt = flows.now();
-        this.heardAt = sentAt;
+        this.sentAt = inFlight.now();
+        this.lastReceivedAt = sentAt;
     }
 
     Upstream upstream() {
@@ -64,253 +64,261 @@
     }
 
     void start() {
-        upstream.requestAssigned(flow.model().orElse(null), sentAt);
-        String attempt = flow.request().attemptId();
+        upstream.requestAssigned(forwarded.model().orElse(null), sentAt);
+        String attemptId = forwarded.request().attemptId();
         ClientRequest request =
                 new ClientRequest(
-                        HttpMethod.valueOf(flow.call().method()),
-                        flow.call().target(),
+                        HttpMethod.valueOf(forwarded.call().method()),
+                        forwarded.call().target(),
                         new DefaultHttpHeaders(),
-                        flow.bodyForAttempt(),
-                        got -> flows.dialect().answers(attempt, got),
-                        flow.route().isRepeatable() ? KEPT : FRESH);
-        call = flows.client().send(upstream.facts().endpoint(), request, this);
+                        forwarded.bodyForAttempt(),
+                        answerHeaders -> inFlight.dialect().answers(attemptId, answerHeaders),
+                        forwarded.route().isRepeatable()
+                                ? MAX_IDLE_REPEATABLE
+                                : MAX_IDLE_NON_REPEATABLE);
+        call = inFlight.client().send(upstream.facts().endpoint(), request, this);
     }
 
     /** Returns true if nothing has been received for longer than the given time. */
     boolean isSilent(Instant now, Duration longest) {
-        return !over && Duration.between(heardAt, now).compareTo(longest) > 0;
+        return !finished && Duration.between(lastReceivedAt, now).compareTo(longest) > 0;
     }
 
     void setReading(boolean wanted) {
-        if (!over && call != null) {
+        if (!finished && call != null) {
             call.reading(wanted);
         }
     }
 
     /** Cancels the attempt; the upstream sees its connection close and drops the request. */
-    void cancel(IncompleteRunCause why) {
-        if (over) {
+    void cancel(IncompleteRunCause cause) {
+        if (finished) {
             return;
         }
-        if (left) {
-            cut(why);
+        if (sent) {
+            reportIncompleteRun(cause);
         }
-        callOff();
+        abandon();
         call.cancel();
     }
 
-    private void cut(IncompleteRunCause how) {
-        flows.crashes().cut(upstream, flow.digest(), sentAt, how);
+    private void reportIncompleteRun(IncompleteRunCause cause) {
+        inFlight.crashes().cut(upstream, forwarded.digest(), sentAt, cause);
     }
 
     // The connection may have taken long to open, or the thread may have been delayed. So the
     // upstream's state and the remaining time are checked again when the bytes are written.
     @Override
     public boolean leaves(HttpHeaders headers) {
-        Instant now = flows.now();
-        if (!flow.hasTimeToSend(now)) {
-            callOff();
-            flow.refuseExpired();
+        Instant now = inFlight.now();
+        if (!forwarded.hasTimeToSend(now)) {
+            abandon();
+            forwarded.refuseExpired();
             return false;
         }
         if (!upstream.isOpen(now)) {
-            callOff();
-            flow.requeueUnsent("upstream is leaving");
+            abandon();
+            forwarded.requeueUnsent("upstream is leaving");
             return false;
         }
-        if (!flow.passesQuarantine()) {
-            callOff();
-            flow.refuseQuarantined();
+        if (!forwarded.passesQuarantine()) {
+            abandon();
+            forwarded.refuseQuarantined();
             return false;
         }
-        left = true;
+        sent = true;
         upstream.requestSent(now);
         headers.set(
-                flows.dialect()
+                inFlight.dialect()
                         .toUpstream(
-                                flow.call().headers(),
-                                flow.forwardingMetadata(upstream.facts().id(), now)));
+                                forwarded.call().headers(),
+                                forwarded.forwardingMetadata(upstream.facts().id(), now)));
         return true;
     }
 
-    private void callOff() {
+    private void abandon() {
         upstream.requestCanceled();
         finish();
     }
 
     @Override
     public void head(int status, HttpHeaders fromUpstream) {
-        if (over) {
+        if (finished) {
             return;
         }
-        heardAt = flows.now();
+        lastReceivedAt = inFlight.now();
         headers = fromUpstream;
-        answer = flows.dialect().answer(status, fromUpstream, upstream.facts().id());
+        answer = inFlight.dialect().answer(status, fromUpstream, upstream.facts().id());
         answer.load()
-                .ifPresent(load -> upstream.loadReported(load.running(), load.waiting(), heardAt));
-        flows.limitedUpstreams().heard(upstream, answer.limit(), sentAt);
-        flows.crashes().answers(upstream, sentAt);
+                .ifPresent(
+                        load ->
+                                upstream.loadReported(
+                                        load.running(), load.waiting(), lastReceivedAt));
+        inFlight.limitedUpstreams().heard(upstream, answer.limit(), sentAt);
+        inFlight.crashes().answers(upstream, sentAt);
     }
 
     @Override
     public void part(ByteBuf data) {
-        if (over || answer == null) {
+        if (finished || answer == null) {
             data.release();
             return;
         }
-        firstByte();
-        if (streams()) {
-            events(data);
+        recordFirstByte();
+        if (isStreaming()) {
+            forwardEvents(data);
         } else {
-            gather(data);
+            bufferBody(data);
         }
     }
 
     @Override
     public void end() {
-        if (over) {
+        if (finished) {
             return;
         }
-        firstByte();
+        recordFirstByte();
         if (answer.notRun()) {
             releaseBody();
             finish();
-            flow.retryRejected(answer);
-        } else if (streams()) {
-            streamEnd();
+            forwarded.retryRejected(answer);
+        } else if (isStreaming()) {
+            finishStream();
         } else {
-            wholeAnswer();
+            finishAnswer();
         }
     }
 
     @Override
     public void failed(Failure failure) {
-        if (over) {
+        if (finished) {
             return;
         }
-        upstream.requestFailed(flows.now());
+        upstream.requestFailed(inFlight.now());
         releaseBody();
         finish();
         boolean broke = failure == Failure.BROKEN || failure == Failure.CUT_SHORT;
         if (broke || failure == Failure.NOT_CONNECTED) {
-            flows.lostUpstreams().lost(upstream);
+            inFlight.lostUpstreams().lost(upstream);
         }
         if (failure == Failure.NOT_CONNECTED) {
-            flows.crashes().unreachable(upstream);
+            inFlight.crashes().unreachable(upstream);
         }
         if (failure.mayHaveArrived() && (answer == null || !answer.notRun())) {
-            cut(broke ? IncompleteRunCause.BROKE : IncompleteRunCause.GARBLED);
+            reportIncompleteRun(broke ? IncompleteRunCause.BROKE : IncompleteRunCause.GARBLED);
         }
         if (!failure.mayHaveArrived()) {
-            flow.requeueUnsent("connection to upstream failed");
+            forwarded.requeueUnsent("connection to upstream failed");
         } else if (answer != null && answer.notRun()) {
-            flow.retryRejected(answer);
+            forwarded.retryRejected(answer);
         } else {
-            flow.handleAttemptFailure("upstream " + upstream.facts().id() + ": " + failure, true);
+            forwarded.handleAttemptFailure(
+                    "upstream " + upstream.facts().id() + ": " + failure, true);
         }
     }
 
-    private boolean streams() {
-        return flow.route().kind() == RouteKind.STREAMING && answer.isSuccess();
+    private boolean isStreaming() {
+        return forwarded.route().kind() == RouteKind.STREAMING && answer.isSuccess();
     }
 
-    private void firstByte() {
-        heardAt = flows.now();
-        if (heard || answer.notRun()) {
+    private void recordFirstByte() {
+        lastReceivedAt = inFlight.now();
+        if (firstByteReceived || answer.notRun()) {
             return;
         }
-        heard = true;
-        boolean failing = answer.status() >= SERVER_ERRORS && answer.status() != GATEWAY_TIMEOUT;
-        if (failing) {
-            upstream.requestFailed(heardAt);
+        firstByteReceived = true;
+        boolean serverFailure =
+                answer.status() >= MIN_SERVER_ERROR && answer.status() != GATEWAY_TIMEOUT;
+        if (serverFailure) {
+            upstream.requestFailed(lastReceivedAt);
         } else {
-            upstream.requestAnswered(Duration.between(sentAt, heardAt), heardAt);
+            upstream.requestAnswered(Duration.between(sentAt, lastReceivedAt), lastReceivedAt);
         }
     }
 
-    private void events(ByteBuf data) {
-        if (!acceptable()) {
+    private void forwardEvents(ByteBuf data) {
+        if (!isTrusted()) {
             data.release();
-            spoiled("successful answer without the upstream's seal, or with an encoded body");
+            failInvalid("successful answer without the upstream's seal, or with an encoded body");
             return;
         }
-        for (EventSplitter.StreamEvent event : events.add(data)) {
-            if (over) {
+        for (EventSplitter.StreamEvent event : splitter.add(data)) {
+            if (finished) {
                 event.bytes().release();
                 continue;
             }
-            flow.startStream(answer.status(), flows.dialect().toCaller(headers));
-            flow.forwardEvent(event.bytes(), event.id());
+            forwarded.startStream(answer.status(), inFlight.dialect().toCaller(headers));
+            forwarded.forwardEvent(event.bytes(), event.id());
         }
     }
 
-    private void streamEnd() {
-        if (events.hasIncompleteEvent() || !acceptable()) {
-            spoiled("stream ended within an event, or without the upstream's seal");
+    private void finishStream() {
+        if (splitter.hasIncompleteEvent() || !isTrusted()) {
+            failInvalid("stream ended within an event, or without the upstream's seal");
             return;
         }
         finish();
-        borne();
-        flow.startStream(answer.status(), flows.dialect().toCaller(headers));
-        flow.endStream();
+        recordSurvivedRun();
+        forwarded.startStream(answer.status(), inFlight.dialect().toCaller(headers));
+        forwarded.endStream();
     }
 
-    private void gather(ByteBuf data) {
+    private void bufferBody(ByteBuf data) {
         if (body == null) {
             body = Unpooled.compositeBuffer();
         }
         body.addComponent(true, data);
     }
 
-    private void wholeAnswer() {
-        if (answer.isSuccess() && !acceptable()) {
-            spoiled("successful answer without the upstream's seal, or with an encoded body");
+    private void finishAnswer() {
+        if (answer.isSuccess() && !isTrusted()) {
+            failInvalid("successful answer without the upstream's seal, or with an encoded body");
             return;
         }
-        borne();
-        boolean ownFailure = answer.status() >= SERVER_ERRORS;
-        if (ownFailure && flow.mayRetryFailure()) {
+        recordSurvivedRun();
+        boolean serverError = answer.status() >= MIN_SERVER_ERROR;
+        if (serverError && forwarded.mayRetryFailure()) {
             releaseBody();
             finish();
-            flow.handleAttemptFailure("upstream answered " + answer.status(), true);
+            forwarded.handleAttemptFailure("upstream answered " + answer.status(), true);
             return;
         }
-        ByteBuf whole = body == null ? Unpooled.EMPTY_BUFFER : body;
+        ByteBuf completeBody = body == null ? Unpooled.EMPTY_BUFFER : body;
         body = null;
         finish();
-        if (promises(answer.status())) {
-            whole.release();
-            flow.handleAttemptFailure("upstream answered " + answer.status(), false);
+        if (impliesNotRun(answer.status())) {
+            completeBody.release();
+            forwarded.handleAttemptFailure("upstream answered " + answer.status(), false);
             return;
         }
-        flow.forwardAnswer(answer.status(), flows.dialect().toCaller(headers), whole);
+        forwarded.forwardAnswer(
+                answer.status(), inFlight.dialect().toCaller(headers), completeBody);
     }
 
     // Records that the upstream answered the request and so did not crash on it.
-    private void borne() {
-        if (flows.crashes().awaitsAnswers() && !flow.call().over()) {
-            flows.crashes().answered(flow.digest(), sentAt, answer.status());
+    private void recordSurvivedRun() {
+        if (inFlight.crashes().awaitsAnswers() && !forwarded.call().over()) {
+            inFlight.crashes().answered(forwarded.digest(), sentAt, answer.status());
         }
     }
 
     // These statuses tell a caller that its request has not run, which this upstream does not
     // confirm.
-    private static boolean promises(int status) {
+    private static boolean impliesNotRun(int status) {
         return status == 408 || status == 421 || status == 429 || status == 503;
     }
 
-    private boolean acceptable() {
+    private boolean isTrusted() {
         return answer.sealed() && !answer.contentEncoded();
     }
 
-    private void spoiled(String why) {
-        upstream.requestFailed(flows.now());
-        cut(IncompleteRunCause.GARBLED);
+    private void failInvalid(String reason) {
+        upstream.requestFailed(inFlight.now());
+        reportIncompleteRun(IncompleteRunCause.GARBLED);
         releaseBody();
         finish();
         call.cancel();
-        flow.handleAttemptFailure(why, true);
+        forwarded.handleAttemptFailure(reason, true);
     }
 
     private void releaseBody() {
@@ -321,12 +329,12 @@
     }
 
     private void finish() {
-        over = true;
-        events.clear();
-        if (!left) {
+        finished = true;
+        splitter.clear();
+        if (!sent) {
             upstream.requestNotSent();
         }
-        upstream.requestFinished(flow.model().orElse(null));
-        flows.sendQueued(flow.service());
+        upstream.requestFinished(forwarded.model().orElse(null));
+        inFlight.sendQueued(forwarded.service());
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamDispatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamDispatcher.java
@@ -36,44 +36,45 @@
  */
 final class UpstreamDispatcher {
     /** Requests per slot at an upstream of a plain service; a short queue there keeps it busy. */
-    private static final double PLAIN_QUEUEING = 1.5;
+    private static final double PLAIN_REQUESTS_PER_SLOT = 1.5;
 
     /**
      * Requests per slot at a model engine, which runs its whole batch at once and needs no queue.
      */
-    private static final double ENGINE_QUEUEING = 1.0;
+    private static final double ENGINE_REQUESTS_PER_SLOT = 1.0;
 
     /** The usual time to load a model from an upstream's own memory or disk. */
-    private static final Duration COMING = Duration.ofMillis(800);
+    private static final Duration LOCAL_LOAD_TIME = Duration.ofMillis(800);
 
     private final UpstreamTable upstreams;
     private final InstantSource clock;
-    private final Consumer<Runnable> whenRead;
-    private final UpstreamSelector plain;
-    private final UpstreamSelector engines;
-    private final ArrivalRates rates = new ArrivalRates();
+    private final Consumer<Runnable> afterReads;
+    private final UpstreamSelector plainSelector;
+    private final UpstreamSelector engineSelector;
+    private final ArrivalRates arrivalRates = new ArrivalRates();
     private final Map<String, String> regions;
-    private final Map<String, Map<Group, TreeSet<Place>>> queues = new HashMap<>();
-    private final Set<String> toDrain = new LinkedHashSet<>();
+    private final Map<String, Map<QueueKey, TreeSet<QueueEntry>>> queues = new HashMap<>();
+    private final Set<String> servicesToSend = new LinkedHashSet<>();
     private Set<String> engineServices = Set.of();
-    private Runnable starved = () -> {};
-    private long counter;
+    private Runnable modelUnavailable = () -> {};
+    private long lastSequence;
 
     /** The key of a queue: what its requests have in common. */
-    private record Group(Optional<ModelRef> model, AllowedRegions homes) {
-        static Group of(PendingRequest waiter) {
-            return new Group(waiter.model(), waiter.allowedRegions());
+    private record QueueKey(Optional<ModelRef> model, AllowedRegions allowedRegions) {
+        static QueueKey of(PendingRequest request) {
+            return new QueueKey(request.model(), request.allowedRegions());
         }
     }
 
     /** A queued request with its sequence number, ordered by priority, then by arrival. */
-    private record Place(PendingRequest waiter, long number) implements Comparable<Place> {
-        private static final Comparator<Place> ORDER =
-                Comparator.comparingInt((Place place) -> place.waiter().priority())
-                        .thenComparingLong(Place::number);
+    private record QueueEntry(PendingRequest request, long sequence)
+            implements Comparable<QueueEntry> {
+        private static final Comparator<QueueEntry> ORDER =
+                Comparator.comparingInt((QueueEntry entry) -> entry.request().priority())
+                        .thenComparingLong(QueueEntry::sequence);
 
         @Override
-        public int compareTo(Place other) {
+        public int compareTo(QueueEntry other) {
             return ORDER.compare(this, other);
         }
     }
@@ -85,7 +86,7 @@
      * @param zone the availability zone of this router
      * @param regions the region of each zone
      * @param clock the source of the current time
-     * @param whenRead runs a step after all data received so far, such as disconnects of callers,
+     * @param afterReads runs a step after all data received so far, such as disconnects of callers,
      *     has been processed
      * @param share the share of each upstream's capacity that this router may use
      */
@@ -94,21 +95,22 @@
             String zone,
             Map<String, String> regions,
             InstantSource clock,
-            Consumer<Runnable> whenRead,
+            Consumer<Runnable> afterReads,
             UpstreamShare share) {
         this.upstreams = upstreams;
         this.clock = clock;
-        this.whenRead = whenRead;
+        this.afterReads = afterReads;
         this.regions = Map.copyOf(regions);
-        this.plain = new UpstreamSelector(zone, PLAIN_QUEUEING, share);
-        this.engines = new UpstreamSelector(zone, ENGINE_QUEUEING, share);
+        this.plainSelector = new UpstreamSelector(zone, PLAIN_REQUESTS_PER_SLOT, share);
+        this.engineSelector = new UpstreamSelector(zone, ENGINE_REQUESTS_PER_SLOT, share);
     }
 
     /** Sets the action that runs when a request is queued for a model that no upstream holds. */
     void onModelUnavailable(Runnable action) {
-        starved = action;
+        modelUnavailable = action;
     }
 
+    /** Sets the services whose upstreams are model engines. */
     void setEngineServices(List<ServiceSpec> engineSpecs) {
         Set<String> names = new HashSet<>();
         engineSpecs.forEach(spec -> names.add(spec.name()));
@@ -117,32 +119,33 @@
 
     /** Records that a caller has requested a model. */
     void recordArrival(ModelRef model) {
-        rates.recordArrival(model, clock.instant());
+        arrivalRates.recordArrival(model, clock.instant());
     }
 
     /** Sends the request now, or queues it until an upstream has capacity. */
-    void enqueue(PendingRequest waiter) {
+    void enqueue(PendingRequest request) {
         Instant now = clock.instant();
-        if (closed(waiter, now)) {
-            waiter.handleNoUpstream();
+        if (allZonesClosed(request, now)) {
+            request.handleNoUpstream();
             return;
         }
-        queue(waiter).add(new Place(waiter, ++counter));
-        sendQueued(waiter.service());
-        boolean waits = contains(waiter);
-        if (waits && waiter.model().isPresent() && !held(waiter, now)) {
-            starved.run();
+        queue(request).add(new QueueEntry(request, ++lastSequence));
+        sendQueued(request.service());
+        boolean queued = isQueued(request);
+        if (queued && request.model().isPresent() && !isModelHeld(request, now)) {
+            modelUnavailable.run();
         }
     }
 
     /** Removes a request whose caller has disconnected or that was answered in another way. */
-    void remove(PendingRequest waiter) {
-        Map<Group, TreeSet<Place>> groups = queues.get(waiter.service());
-        TreeSet<Place> queue = groups == null ? null : groups.get(Group.of(waiter));
+    void remove(PendingRequest request) {
+        Map<QueueKey, TreeSet<QueueEntry>> serviceQueues = queues.get(request.service());
+        TreeSet<QueueEntry> queue =
+                serviceQueues == null ? null : serviceQueues.get(QueueKey.of(request));
         if (queue != null) {
-            queue.removeIf(place -> place.waiter() == waiter);
+            queue.removeIf(entry -> entry.request() == request);
             if (queue.isEmpty()) {
-                groups.remove(Group.of(waiter));
+                serviceQueues.remove(QueueKey.of(request));
             }
         }
     }
@@ -159,140 +162,151 @@
         if (queues.getOrDefault(service, Map.of()).isEmpty()) {
             return;
         }
-        toDrain.add(service);
-        if (toDrain.size() == 1) {
-            whenRead.accept(this::drainAll);
+        servicesToSend.add(service);
+        if (servicesToSend.size() == 1) {
+            afterReads.accept(this::sendAllQueued);
         }
     }
 
-    private void drainAll() {
-        List<String> services = List.copyOf(toDrain);
-        toDrain.clear();
-        services.forEach(this::drainNow);
+    private void sendAllQueued() {
+        List<String> services = List.copyOf(servicesToSend);
+        servicesToSend.clear();
+        services.forEach(this::sendQueuedNow);
     }
 
-    private void drainNow(String service) {
-        Map<Group, TreeSet<Place>> groups = queues.get(service);
-        if (groups == null || groups.isEmpty()) {
+    private void sendQueuedNow(String service) {
+        Map<QueueKey, TreeSet<QueueEntry>> serviceQueues = queues.get(service);
+        if (serviceQueues == null || serviceQueues.isEmpty()) {
             return;
         }
-        List<TreeSet<Place>> inOrder = new ArrayList<>(groups.values());
-        inOrder.removeIf(TreeSet::isEmpty);
-        inOrder.sort(Comparator.comparing(TreeSet::first));
-        for (TreeSet<Place> queue : inOrder) {
-            drain(service, queue);
+        List<TreeSet<QueueEntry>> byPriority = new ArrayList<>(serviceQueues.values());
+        byPriority.removeIf(TreeSet::isEmpty);
+        byPriority.sort(Comparator.comparing(TreeSet::first));
+        for (TreeSet<QueueEntry> queue : byPriority) {
+            sendQueue(service, queue);
         }
-        groups.values().removeIf(TreeSet::isEmpty);
+        serviceQueues.values().removeIf(TreeSet::isEmpty);
     }
 
     /** Sends queued requests of all services and refuses those that have waited too long. */
     void tick() {
         Instant now = clock.instant();
-        List<PendingRequest> late = new ArrayList<>();
+        List<PendingRequest> expired = new ArrayList<>();
         for (String service : List.copyOf(queues.keySet())) {
             sendQueued(service);
-            for (TreeSet<Place> queue : queues.get(service).values()) {
-                boolean closed = !queue.isEmpty() && closed(queue.first().waiter(), now);
+            for (TreeSet<QueueEntry> queue : queues.get(service).values()) {
+                boolean unservable =
+                        !queue.isEmpty() && allZonesClosed(queue.first().request(), now);
                 queue.stream()
-                        .map(Place::waiter)
-                        .filter(waiter -> closed || !now.isBefore(waiter.queueDeadline()))
-                        .forEach(late::add);
+                        .map(QueueEntry::request)
+                        .filter(request -> unservable || !now.isBefore(request.queueDeadline()))
+                        .forEach(expired::add);
             }
         }
-        late.forEach(this::remove);
-        late.forEach(PendingRequest::handleNoUpstream);
+        expired.forEach(this::remove);
+        expired.forEach(PendingRequest::handleNoUpstream);
     }
 
     /** Returns this router's demand for models and its view of the upstreams, for the leader. */
     LoadInput.DemandReported demand(VmId self) {
         Instant now = clock.instant();
-        Map<ModelRef, Double> perSecond = rates.ratesPerSecond(now);
-        Map<ModelRef, LoadInput.ModelDemand> wants = new TreeMap<>();
-        perSecond.forEach(
+        Map<ModelRef, Double> arrivalsPerSecond = arrivalRates.ratesPerSecond(now);
+        Map<ModelRef, LoadInput.ModelDemand> demands = new TreeMap<>();
+        arrivalsPerSecond.forEach(
                 (model, rate) ->
-                        wants.put(
+                        demands.put(
                                 model,
                                 new LoadInput.ModelDemand(model, 0, Duration.ZERO, 9, rate)));
-        waitingByModel()
-                .forEach((model, queue) -> wants.put(model, want(model, queue, perSecond, now)));
+        queuedByModel()
+                .forEach(
+                        (model, queue) ->
+                                demands.put(
+                                        model, modelDemand(model, queue, arrivalsPerSecond, now)));
         Map<UpstreamId, Map<ModelRef, Integer>> running = new TreeMap<>();
-        Set<UpstreamId> suspects = new HashSet<>();
+        Set<UpstreamId> ejected = new HashSet<>();
         for (Upstream upstream : upstreams.all()) {
             if (!upstream.runningByModel().isEmpty()) {
                 running.put(upstream.facts().id(), new TreeMap<>(upstream.runningByModel()));
             }
             if (upstream.isEjected()) {
-                suspects.add(upstream.facts().id());
+                ejected.add(upstream.facts().id());
             }
         }
-        return new LoadInput.DemandReported(self, List.copyOf(wants.values()), running, suspects);
+        return new LoadInput.DemandReported(self, List.copyOf(demands.values()), running, ejected);
     }
 
-    private Map<ModelRef, TreeSet<Place>> waitingByModel() {
-        Map<ModelRef, TreeSet<Place>> waiting = new TreeMap<>();
-        for (Map<Group, TreeSet<Place>> groups : queues.values()) {
-            groups.forEach(
-                    (group, queue) ->
-                            group.model()
+    private Map<ModelRef, TreeSet<QueueEntry>> queuedByModel() {
+        Map<ModelRef, TreeSet<QueueEntry>> queued = new TreeMap<>();
+        for (Map<QueueKey, TreeSet<QueueEntry>> serviceQueues : queues.values()) {
+            serviceQueues.forEach(
+                    (key, queue) ->
+                            key.model()
                                     .filter(any -> !queue.isEmpty())
                                     .map(
                                             model ->
-                                                    waiting.computeIfAbsent(
+                                                    queued.computeIfAbsent(
                                                             model, any -> new TreeSet<>()))
                                     .ifPresent(all -> all.addAll(queue)));
         }
-        return waiting;
+        return queued;
     }
 
-    private static LoadInput.ModelDemand want(
-            ModelRef model, TreeSet<Place> queue, Map<ModelRef, Double> rates, Instant now) {
-        Instant oldest = now;
+    private static LoadInput.ModelDemand modelDemand(
+            ModelRef model,
+            TreeSet<QueueEntry> queue,
+            Map<ModelRef, Double> arrivalRates,
+            Instant now) {
+        Instant firstArrival = now;
         int inTime = 0;
-        for (Place place : queue) {
-            Instant since = place.waiter().arrivedAt();
-            oldest = since.isBefore(oldest) ? since : oldest;
-            inTime += now.plus(COMING).isBefore(place.waiter().onTimeSendDeadline()) ? 1 : 0;
+        for (QueueEntry entry : queue) {
+            Instant arrivedAt = entry.request().arrivedAt();
+            firstArrival = arrivedAt.isBefore(firstArrival) ? arrivedAt : firstArrival;
+            inTime +=
+                    now.plus(LOCAL_LOAD_TIME).isBefore(entry.request().onTimeSendDeadline())
+                            ? 1
+                            : 0;
         }
         return new LoadInput.ModelDemand(
                 model,
                 queue.size(),
-                Duration.between(oldest, now),
-                queue.first().waiter().priority(),
-                rates.getOrDefault(model, 0.0),
+                Duration.between(firstArrival, now),
+                queue.first().request().priority(),
+                arrivalRates.getOrDefault(model, 0.0),
                 inTime);
     }
 
-    private void drain(String service, TreeSet<Place> queue) {
-        UpstreamSelector choice = engineServices.contains(service) ? engines : plain;
+    private void sendQueue(String service, TreeSet<QueueEntry> queue) {
+        UpstreamSelector selector =
+                engineServices.contains(service) ? engineSelector : plainSelector;
         while (!queue.isEmpty()) {
-            Place first = queue.first();
-            PendingRequest waiter = first.waiter();
-            Optional<Upstream> to =
-                    choice.pick(
-                            candidates(waiter),
-                            waiter.model().orElse(null),
-                            waiter.excludedUpstreams(),
+            QueueEntry first = queue.first();
+            PendingRequest request = first.request();
+            Optional<Upstream> upstream =
+                    selector.pick(
+                            candidates(request),
+                            request.model().orElse(null),
+                            request.excludedUpstreams(),
                             clock.instant());
-            if (to.isEmpty()) {
+            if (upstream.isEmpty()) {
                 return;
             }
             queue.remove(first);
-            waiter.sendTo(to.get());
+            request.sendTo(upstream.get());
         }
     }
 
     // Drained zones do not reopen within a caller's time, and no upstream moves to another region.
-    private boolean closed(PendingRequest waiter, Instant now) {
-        boolean any = !upstreams.ofService(waiter.service()).isEmpty();
-        return any && candidates(waiter).stream().allMatch(each -> each.isZoneClosed(now));
+    private boolean allZonesClosed(PendingRequest request, Instant now) {
+        boolean any = !upstreams.ofService(request.service()).isEmpty();
+        return any && candidates(request).stream().allMatch(each -> each.isZoneClosed(now));
     }
 
-    private List<Upstream> candidates(PendingRequest waiter) {
-        List<Upstream> all = upstreams.ofService(waiter.service());
-        return waiter.allowedRegions().isUnrestricted()
+    private List<Upstream> candidates(PendingRequest request) {
+        List<Upstream> all = upstreams.ofService(request.service());
+        return request.allowedRegions().isUnrestricted()
                 ? all
                 : all.stream()
-                        .filter(each -> waiter.allowedRegions().allows(region(each)))
+                        .filter(each -> request.allowedRegions().allows(region(each)))
                         .toList();
     }
 
@@ -300,20 +314,20 @@
         return regions.getOrDefault(upstream.facts().zone(), "");
     }
 
-    private boolean held(PendingRequest waiter, Instant now) {
-        return UpstreamSelector.anyHolds(candidates(waiter), waiter.model().orElse(null), now);
+    private boolean isModelHeld(PendingRequest request, Instant now) {
+        return UpstreamSelector.anyHolds(candidates(request), request.model().orElse(null), now);
     }
 
-    private boolean contains(PendingRequest waiter) {
+    private boolean isQueued(PendingRequest request) {
         return queues
-                .getOrDefault(waiter.service(), Map.of())
-                .getOrDefault(Group.of(waiter), new TreeSet<>())
+                .getOrDefault(request.service(), Map.of())
+                .getOrDefault(QueueKey.of(request), new TreeSet<>())
                 .stream()
-                .anyMatch(place -> place.waiter() == waiter);
+                .anyMatch(entry -> entry.request() == request);
     }
 
-    private TreeSet<Place> queue(PendingRequest waiter) {
-        return queues.computeIfAbsent(waiter.service(), any -> new HashMap<>())
-                .computeIfAbsent(Group.of(waiter), any -> new TreeSet<>());
+    private TreeSet<QueueEntry> queue(PendingRequest request) {
+        return queues.computeIfAbsent(request.service(), any -> new HashMap<>())
+                .computeIfAbsent(QueueKey.of(request), any -> new TreeSet<>());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/AllowedRegionsDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/AllowedRegionsDispatchTest.java
@@ -36,42 +36,42 @@
 
     // Guards against a request that is served outside its allowed regions because that is nearest.
     @Test
-    void aRequestIsServedInItsHomesThoughOthersAreNearer() {
-        list("near", "kochi-a");
-        list("far", "jatim-a");
-        ask(AllowedRegions.of(List.of("java")));
-        ask(AllowedRegions.ANYWHERE);
+    void aRequestIsServedInItsAllowedRegionsThoughOthersAreNearer() {
+        addUpstream("near", "kochi-a");
+        addUpstream("far", "jatim-a");
+        enqueue(AllowedRegions.of(List.of("java")));
+        enqueue(AllowedRegions.ANYWHERE);
         assertEquals(List.of("to far", "to near"), outcomes);
     }
 
     // Guards against a request that waits until its deadline for an upstream that cannot appear.
     @Test
-    void aRequestWhoseHomesHaveNoUpstreamIsRefusedAtOnce() {
-        list("near", "kochi-a");
-        list("nowhere", "a zone without a region");
-        ask(AllowedRegions.of(List.of("java")));
-        ask(AllowedRegions.of(List.of("kerala")).intersect(AllowedRegions.of(List.of("goa"))));
+    void aRequestIsRefusedAtOnceIfItsRegionsHaveNoUpstream() {
+        addUpstream("near", "kochi-a");
+        addUpstream("nowhere", "a zone without a region");
+        enqueue(AllowedRegions.of(List.of("java")));
+        enqueue(AllowedRegions.of(List.of("kerala")).intersect(AllowedRegions.of(List.of("goa"))));
         assertEquals(List.of("no upstream", "no upstream"), outcomes);
     }
 
     // Guards against requests that wait behind one whose allowed regions have no capacity.
     @Test
-    void requestsWithOtherHomesDoNotHoldEachOtherUp() {
-        list("far", "jatim-a");
-        list("near", "kochi-a");
+    void requestsWithDifferentRegionsDoNotBlockEachOther() {
+        addUpstream("far", "jatim-a");
+        addUpstream("near", "kochi-a");
         for (int each = 0; each < SLOTS * 2; each++) {
-            ask(AllowedRegions.of(List.of("java")));
+            enqueue(AllowedRegions.of(List.of("java")));
         }
         int sent = outcomes.size();
-        ask(AllowedRegions.of(List.of("kerala")));
+        enqueue(AllowedRegions.of(List.of("kerala")));
         assertEquals("to near", outcomes.get(sent));
     }
 
-    private void ask(AllowedRegions homes) {
-        dispatch.enqueue(new RecordingRequest(now, homes, outcomes));
+    private void enqueue(AllowedRegions allowedRegions) {
+        dispatch.enqueue(new RecordingRequest(now, allowedRegions, outcomes));
     }
 
-    private void list(String id, String zone) {
+    private void addUpstream(String id, String zone) {
         upstreams.put(
                 new UpstreamFacts(
                         UpstreamId.of(id),
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ArrivalRatesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ArrivalRatesTest.java
@@ -13,7 +13,7 @@
     private Instant now = Instant.ofEpochSecond(100);
 
     @Test
-    void aBusyModelThatFallsSilentIsNotBusyFourSecondsLater() {
+    void aBusyModelWithoutRequestsIsNotBusyAfterFourSeconds() {
         // Guards against a model that counts as busy after demand has moved to another one: its
         // replicas would occupy the memory that the other model's callers wait for.
         arrive(200, 50);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
@@ -33,18 +33,18 @@
     private final List<String> outcomes = new ArrayList<>();
 
     @Test
-    void aDrainedZoneIsLeftWhereAnotherCanServe() {
-        list("here", "a");
-        list("there", "b");
+    void aDrainedZoneIsAvoidedIfAnotherCanServe() {
+        addUpstream("here", "a");
+        addUpstream("there", "b");
         upstreams.zones().drain("a", now);
         dispatch.enqueue(request());
         assertEquals(List.of("to there"), outcomes);
     }
 
     @Test
-    void whatOnlyADrainedZoneHoldsIsServedThereUntilItCloses() {
-        list("here", "a");
-        list("closed", "b");
+    void aDrainedZoneServesUntilItClosesIfNoOtherCan() {
+        addUpstream("here", "a");
+        addUpstream("closed", "b");
         upstreams.zones().drain("a", now);
         upstreams.zones().drain("b", Instant.MIN);
         dispatch.enqueue(request());
@@ -53,9 +53,9 @@
 
     // Guards against requests that wait until their deadline although all zones are closed.
     @Test
-    void whereAllZonesAreClosedARequestIsRefusedAtOnce() {
-        list("here", "a");
-        list("there", "b");
+    void aRequestIsRefusedAtOnceIfAllZonesAreClosed() {
+        addUpstream("here", "a");
+        addUpstream("there", "b");
         upstreams.zones().drain("a", Instant.MIN);
         upstreams.zones().drain("b", Instant.MIN);
         dispatch.enqueue(request());
@@ -64,8 +64,8 @@
 
     // Guards against a queued request that waits until its deadline after the last zone has closed.
     @Test
-    void aRequestThatWaitsIsRefusedWhenTheLastZoneCloses() {
-        list("here", "a");
+    void aQueuedRequestIsRefusedWhenTheLastZoneCloses() {
+        addUpstream("here", "a");
         for (int each = 0; each < 6; each++) {
             dispatch.enqueue(request());
         }
@@ -81,7 +81,7 @@
         return new RecordingRequest(now, AllowedRegions.ANYWHERE, outcomes);
     }
 
-    private void list(String id, String zone) {
+    private void addUpstream(String id, String zone) {
         upstreams.put(
                 new UpstreamFacts(
                         UpstreamId.of(id),
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/EventSplitterTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/EventSplitterTest.java
@@ -15,7 +15,7 @@
     private final EventSplitter splitter = new EventSplitter();
 
     @Test
-    void wholeEventsPassAtOnce() {
+    void completeEventsAreReturnedAtOnce() {
         assertEquals(
                 List.of("id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"),
                 texts("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void anEventThatComesInPiecesPassesWhenItIsWhole() {
+    void anEventReceivedInPiecesIsReturnedWhenComplete() {
         List<String> events = new ArrayList<>();
         for (char each : "id: 1\r\ndata: a\r\n\r\nid: 2\r\n".toCharArray()) {
             events.addAll(texts(String.valueOf(each)));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void theIdIsTheLinesOwn() {
+    void theIdIsReadFromTheIdFieldOnly() {
         var events = splitter.add(Unpooled.copiedBuffer("data: id: 7\nid:12 \n\n", ascii()));
         assertEquals(Optional.of("12"), events.get(0).id());
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
@@ -27,12 +27,12 @@
     private final UpstreamId id;
     private final EngineSpec spec;
     private final WeightStore store;
-    private final Set<String> held = new HashSet<>();
-    private final Set<String> disk = new HashSet<>();
-    private final Map<String, Integer> running = new HashMap<>();
+    private final Set<String> loaded = new HashSet<>();
+    private final Set<String> diskCopies = new HashSet<>();
+    private final Map<String, Integer> runCounts = new HashMap<>();
     private String unloading = "";
     private String loading = "";
-    private Instant loadedAt = Instant.MAX;
+    private Instant loadCompletesAt = Instant.MAX;
     private long sequence;
     private long revision;
 
@@ -48,37 +48,37 @@
 
     /** Loads a model before the simulated day, if there is enough memory. */
     boolean preload(String model) {
-        if (held.contains(model) || used() + weight(model) > spec.weightsMb()) {
+        if (loaded.contains(model) || usedMb() + weightMb(model) > spec.weightsMb()) {
             return false;
         }
-        held.add(model);
-        disk.add(model);
+        loaded.add(model);
+        diskCopies.add(model);
         return true;
     }
 
     /** Puts a copy of a model on the disk before the simulated day. */
     void copyToDisk(String model) {
-        disk.add(model);
+        diskCopies.add(model);
     }
 
     boolean serves(String model) {
-        return held.contains(model) && !unloading.equals(model);
+        return loaded.contains(model) && !unloading.equals(model);
     }
 
     void startRun(String model) {
-        running.merge(model, 1, Integer::sum);
+        runCounts.merge(model, 1, Integer::sum);
     }
 
     void finishRun(String model) {
-        running.computeIfPresent(model, (any, count) -> count == 1 ? null : count - 1);
+        runCounts.computeIfPresent(model, (any, count) -> count == 1 ? null : count - 1);
     }
 
     OrderOutcome execute(LoadAction.SendOrder order, Instant now) {
-        if (busy() || order.sequence() != sequence) {
+        if (isBusy() || order.sequence() != sequence) {
             return OrderOutcome.CONFLICT;
         }
         String model = order.model().model();
-        if ((order.operation() == OrderOperation.LOAD) == held.contains(model)) {
+        if ((order.operation() == OrderOperation.LOAD) == loaded.contains(model)) {
             return OrderOutcome.DONE;
         }
         sequence++;
@@ -86,36 +86,40 @@
             unloading = model;
             return OrderOutcome.ACCEPTED;
         }
-        if (used() + weight(model) > spec.weightsMb()) {
+        if (usedMb() + weightMb(model) > spec.weightsMb()) {
             throw new IllegalStateException(id + " has not enough memory for " + model);
         }
         loading = model;
         ModelSpec known = spec.models().get(model);
-        if (disk.contains(model)) {
-            loadedAt = now.plus(known.diskLoadTime());
+        if (diskCopies.contains(model)) {
+            loadCompletesAt = now.plus(known.diskLoadTime());
         } else {
-            store.begin(known.storeLoadTime(), () -> loadedAt = Instant.MIN);
+            store.begin(known.storeLoadTime(), () -> loadCompletesAt = Instant.MIN);
         }
         return OrderOutcome.ACCEPTED;
     }
 
     /** Completes the loads and unloads that are finished by now. */
     void completeOrders(Instant now) {
-        if (!unloading.isEmpty() && !running.containsKey(unloading)) {
-            held.remove(unloading);
+        if (!unloading.isEmpty() && !runCounts.containsKey(unloading)) {
+            loaded.remove(unloading);
             unloading = "";
         }
-        if (!loading.isEmpty() && !now.isBefore(loadedAt)) {
-            held.add(loading);
-            disk.add(loading);
+        if (!loading.isEmpty() && !now.isBefore(loadCompletesAt)) {
+            loaded.add(loading);
+            diskCopies.add(loading);
             loading = "";
-            loadedAt = Instant.MAX;
+            loadCompletesAt = Instant.MAX;
         }
     }
 
     LoadInput.UpstreamReported report() {
         return new LoadInput.UpstreamReported(
-                id, busy(), new HeldModels(1, sequence, models()), Set.of(), Set.copyOf(disk));
+                id,
+                isBusy(),
+                new HeldModels(1, sequence, models()),
+                Set.of(),
+                Set.copyOf(diskCopies));
     }
 
     UpstreamFacts facts() {
@@ -130,28 +134,28 @@
                 Duration.ZERO,
                 new HeldModels(1, HeldModels.UNKNOWN_SEQUENCE, models()),
                 Set.of(),
-                Set.copyOf(disk));
+                Set.copyOf(diskCopies));
     }
 
     boolean hasCopy(String model) {
-        return held.contains(model) || disk.contains(model);
+        return loaded.contains(model) || diskCopies.contains(model);
     }
 
-    private boolean busy() {
+    private boolean isBusy() {
         return !loading.isEmpty() || !unloading.isEmpty();
     }
 
     private Map<String, Set<String>> models() {
         Map<String, Set<String>> models = new TreeMap<>();
-        held.forEach(model -> models.put(model, Set.of()));
+        loaded.forEach(model -> models.put(model, Set.of()));
         return models;
     }
 
-    private double used() {
-        return held.stream().mapToDouble(this::weight).sum();
+    private double usedMb() {
+        return loaded.stream().mapToDouble(this::weightMb).sum();
     }
 
-    private double weight(String model) {
+    private double weightMb(String model) {
         return spec.models().get(model).weightsMb();
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -37,12 +37,12 @@
     private static final double LARGE_MB = 34_300;
     private static final double SMALL_MB = 16_100;
     private static final double ENGINE_MB = 83_000;
-    private static final Duration FROM_STORE = Duration.ofMillis(7_800);
-    private static final Duration FROM_MEMORY = Duration.ofMillis(700);
-    private static final Duration FROM_DISK = Duration.ofMillis(1_000);
+    private static final Duration STORE_LOAD_TIME = Duration.ofMillis(7_800);
+    private static final Duration MEMORY_LOAD_TIME = Duration.ofMillis(700);
+    private static final Duration DISK_LOAD_TIME = Duration.ofMillis(1_000);
     private static final int SLOTS = 64;
     private static final double MODELS_PER_ENGINE = 4.6;
-    private static final double BUSY_PART = 0.15;
+    private static final double BUSY_FRACTION = 0.15;
 
     /** Requests per second and engine for the busy models. */
     private static final double BUSY_PER_SECOND = 2.5;
@@ -51,21 +51,24 @@
     private static final double RARE_PER_SECOND = 0.4;
 
     /** Fraction of the models not loaded at the start of which some engine has a copy on disk. */
-    private static final double ON_A_DISK = 0.75;
+    private static final double DISK_COPY_FRACTION = 0.75;
 
     private static final Duration STEP = Duration.ofMillis(10);
-    private static final Duration DEMAND = Duration.ofMillis(100);
-    private static final Duration HEARTBEAT = Duration.ofMillis(1_200);
-    private static final Duration BUSY_WAIT = Duration.ofMillis(1_900);
-    private static final Duration RARE_WAIT = Duration.ofMillis(8_000);
-    private static final Duration COME_BACK = Duration.ofMillis(1_500);
-    private static final Duration ASK_AGAIN = Duration.ofMillis(120);
-    private static final int LONGEST_RUN_MILLIS = 3_600;
-
-    /** Requests from which a model should have been served, if they span at least {@link #LONG}. */
-    private static final int OFTEN = 4;
-
-    private static final Duration LONG = Duration.ofSeconds(8);
+    private static final Duration DEMAND_INTERVAL = Duration.ofMillis(100);
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(1_200);
+    private static final Duration BUSY_QUEUE_TIMEOUT = Duration.ofMillis(1_900);
+    private static final Duration RARE_QUEUE_TIMEOUT = Duration.ofMillis(8_000);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(1_500);
+    private static final Duration MISSING_MODEL_PAUSE = Duration.ofMillis(120);
+    private static final int MAX_RUN_MILLIS = 3_600;
+
+    /**
+     * Requests from which a model should have been served, if they span at least {@link
+     * #MIN_OFTEN_TIME}.
+     */
+    private static final int MIN_OFTEN_REQUESTS = 4;
+
+    private static final Duration MIN_OFTEN_TIME = Duration.ofSeconds(8);
 
     private final Random random;
     private final EngineSpec spec;
@@ -73,14 +76,14 @@
     private final Map<UpstreamId, RareModelEngine> engines = new TreeMap<>();
     private final UpstreamTable upstreams = new UpstreamTable();
     private final UpstreamDispatcher dispatch;
-    private final Map<String, Count> counts = new TreeMap<>();
+    private final Map<String, RequestCounts> counts = new TreeMap<>();
     private final TestControlThread time = new TestControlThread();
     private LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
-    private boolean led;
+    private boolean hasLeader;
     private int served;
     private int asked;
 
-    private static final class Count {
+    private static final class RequestCounts {
         private int asked;
         private int served;
         private Instant first;
@@ -103,26 +106,29 @@
         }
         placeAtStart();
         engines.values().forEach(engine -> upstreams.put(engine.facts(), now()));
-        time.every(HEARTBEAT, this::beat);
-        time.every(DEMAND, this::demand);
+        time.every(HEARTBEAT_INTERVAL, this::heartbeat);
+        time.every(DEMAND_INTERVAL, this::reportDemand);
     }
 
     private static EngineSpec spec(int models) {
         Map<String, ModelSpec> all = new TreeMap<>();
         for (int each = 0; each < models; each++) {
-            String name = name(each);
+            String name = modelName(each);
             double weight = each % 9 < 5 ? LARGE_MB : SMALL_MB;
-            all.put(name, new ModelSpec(name, weight, FROM_STORE, FROM_MEMORY, FROM_DISK, 40));
+            all.put(
+                    name,
+                    new ModelSpec(
+                            name, weight, STORE_LOAD_TIME, MEMORY_LOAD_TIME, DISK_LOAD_TIME, 40));
         }
         return new EngineSpec(SLOTS, 100_000, ENGINE_MB, 8, 18, all);
     }
 
-    private static String name(int model) {
+    private static String modelName(int model) {
         return String.format("m%03d", model);
     }
 
     private int busyModels() {
-        return Math.max(1, (int) (spec.models().size() * BUSY_PART));
+        return Math.max(1, (int) (spec.models().size() * BUSY_FRACTION));
     }
 
     // Busy models are loaded on three engines each, the others on one while there is memory, and
@@ -135,15 +141,15 @@
             int replicas = model < busyModels() ? Math.min(3, all.size()) : 1;
             boolean placed = false;
             for (int replica = 0; replica < replicas; replica++) {
-                for (int tried = 0; tried < all.size(); tried++) {
-                    if (all.get(next++ % all.size()).preload(name(model))) {
+                for (int candidate = 0; candidate < all.size(); candidate++) {
+                    if (all.get(next++ % all.size()).preload(modelName(model))) {
                         placed = true;
                         break;
                     }
                 }
             }
-            if (!placed && random.nextDouble() < ON_A_DISK) {
-                all.get(next++ % all.size()).copyToDisk(name(model));
+            if (!placed && random.nextDouble() < DISK_COPY_FRACTION) {
+                all.get(next++ % all.size()).copyToDisk(modelName(model));
             }
         }
     }
@@ -163,15 +169,16 @@
     /** Makes another router the leader. */
     void changeLeader() {
         planner = new LoadPlanner(LoadSettings.defaults());
-        led = true;
-        feed(new LoadInput.ServicesConfigured(Map.of(SERVICE, spec)));
-        engines.values().forEach(engine -> feed(new LoadInput.UpstreamListed(engine.facts())));
-        feed(new LoadInput.Elected());
+        hasLeader = true;
+        feedPlanner(new LoadInput.ServicesConfigured(Map.of(SERVICE, spec)));
+        engines.values()
+                .forEach(engine -> feedPlanner(new LoadInput.UpstreamListed(engine.facts())));
+        feedPlanner(new LoadInput.Elected());
     }
 
     /** Leaves the fleet without a leader. */
     void removeLeader() {
-        led = false;
+        hasLeader = false;
     }
 
     /** Starts the arrival of callers, for the given time. */
@@ -189,19 +196,23 @@
                 Duration.ofNanos((long) (seconds * 1e9)),
                 () -> {
                     if (now().isBefore(end)) {
-                        new Caller(model(busy), busy ? BUSY_WAIT : RARE_WAIT, false).ask();
+                        new Caller(
+                                        model(busy),
+                                        busy ? BUSY_QUEUE_TIMEOUT : RARE_QUEUE_TIMEOUT,
+                                        false)
+                                .send();
                         arrivals(perSecond, end, busy);
                     }
                 });
     }
 
     private String model(boolean busy) {
-        int many = busyModels();
+        int busyCount = busyModels();
         if (!busy) {
-            return name(many + random.nextInt(spec.models().size() - many));
+            return modelName(busyCount + random.nextInt(spec.models().size() - busyCount));
         }
-        double place = random.nextDouble();
-        return name((int) (many * place * place));
+        double position = random.nextDouble();
+        return modelName((int) (busyCount * position * position));
     }
 
     void advance(Duration duration) {
@@ -211,7 +222,7 @@
             weights.pass(STEP);
             engines.values().forEach(engine -> engine.completeOrders(now()));
             if (now().toEpochMilli() % 20 == 0) {
-                feed(new LoadInput.Tick());
+                feedPlanner(new LoadInput.Tick());
             }
             if (now().toEpochMilli() % 50 == 0) {
                 dispatch.tick();
@@ -219,49 +230,50 @@
         }
     }
 
-    private void beat() {
+    private void heartbeat() {
         for (RareModelEngine engine : engines.values()) {
             upstreams.put(engine.facts(), now());
-            feed(new LoadInput.UpstreamListed(engine.facts()));
+            feedPlanner(new LoadInput.UpstreamListed(engine.facts()));
         }
     }
 
-    private void demand() {
-        feed(dispatch.demand(VmId.of("router")));
+    private void reportDemand() {
+        feedPlanner(dispatch.demand(VmId.of("router")));
     }
 
-    private void feed(LoadInput input) {
-        if (led) {
-            planner.on(input, now()).forEach(this::carryOut);
+    private void feedPlanner(LoadInput input) {
+        if (hasLeader) {
+            planner.on(input, now()).forEach(this::execute);
         }
     }
 
-    private void carryOut(LoadAction action) {
-        LoadPlanner by = planner;
+    private void execute(LoadAction action) {
+        LoadPlanner sender = planner;
         if (action instanceof LoadAction.SendOrder order) {
             time.after(
                     Duration.ofMillis(2),
                     () -> {
                         var outcome = engines.get(order.upstream()).execute(order, now());
-                        answer(
-                                by,
+                        deliver(
+                                sender,
                                 new LoadInput.OrderAnswered(
                                         order.upstream(), order.number(), outcome));
                     });
-        } else if (action instanceof LoadAction.RequestReport ask) {
+        } else if (action instanceof LoadAction.RequestReport reportRequest) {
             time.after(
-                    Duration.ofMillis(3), () -> answer(by, engines.get(ask.upstream()).report()));
-        } else if (action instanceof LoadAction.AnnounceHeldModels tell) {
+                    Duration.ofMillis(3),
+                    () -> deliver(sender, engines.get(reportRequest.upstream()).report()));
+        } else if (action instanceof LoadAction.AnnounceHeldModels announcement) {
             upstreams
-                    .find(tell.upstream())
-                    .ifPresent(each -> each.leaderAnnounced(tell.held(), now()));
+                    .find(announcement.upstream())
+                    .ifPresent(each -> each.leaderAnnounced(announcement.held(), now()));
             dispatch.tick();
         }
     }
 
-    private void answer(LoadPlanner to, LoadInput input) {
+    private void deliver(LoadPlanner to, LoadInput input) {
         if (to == planner) {
-            feed(input);
+            feedPlanner(input);
         }
     }
 
@@ -272,18 +284,19 @@
     /** Returns the models that were requested often and over a long time but never served. */
     List<String> neverServed() {
         return counts.entrySet().stream()
-                .filter(entry -> often(entry.getValue()) && entry.getValue().served == 0)
+                .filter(entry -> isOftenRequested(entry.getValue()) && entry.getValue().served == 0)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
     /** Returns the number of models that were requested often and over a long time. */
     long oftenRequestedCount() {
-        return counts.values().stream().filter(RareModelWorld::often).count();
+        return counts.values().stream().filter(RareModelWorld::isOftenRequested).count();
     }
 
-    private static boolean often(Count count) {
-        return count.asked >= OFTEN && !count.last.isBefore(count.first.plus(LONG));
+    private static boolean isOftenRequested(RequestCounts count) {
+        return count.asked >= MIN_OFTEN_REQUESTS
+                && !count.last.isBefore(count.first.plus(MIN_OFTEN_TIME));
     }
 
     /** Returns the fraction of callers that were served, at the first attempt or at the retry. */
@@ -308,23 +321,23 @@
     /** One request; when it is refused, its caller retries once. */
     private final class Caller extends SimulatedRequest {
         private final ModelRef model;
-        private final Duration wait;
-        private final boolean again;
-        private final Map<UpstreamId, Instant> tried = new HashMap<>();
+        private final Duration queueTimeout;
+        private final boolean isRetry;
+        private final Map<UpstreamId, Instant> pausedUntil = new HashMap<>();
 
-        Caller(String name, Duration wait, boolean again) {
-            super(SERVICE, now(), wait);
+        Caller(String name, Duration queueTimeout, boolean isRetry) {
+            super(SERVICE, now(), queueTimeout);
             this.model = new ModelRef(name, "");
-            this.wait = wait;
-            this.again = again;
+            this.queueTimeout = queueTimeout;
+            this.isRetry = isRetry;
         }
 
-        void ask() {
-            Count count = counts.computeIfAbsent(model.model(), any -> new Count());
+        void send() {
+            RequestCounts count = counts.computeIfAbsent(model.model(), any -> new RequestCounts());
             count.asked++;
             count.first = count.first == null ? now() : count.first;
             count.last = now();
-            asked += again ? 0 : 1;
+            asked += isRetry ? 0 : 1;
             dispatch.recordArrival(model);
             dispatch.enqueue(this);
         }
@@ -336,13 +349,13 @@
 
         @Override
         public Instant onTimeSendDeadline() {
-            return arrivedAt().plus(wait.dividedBy(4));
+            return arrivedAt().plus(queueTimeout.dividedBy(4));
         }
 
         @Override
         public Set<UpstreamId> excludedUpstreams() {
-            tried.values().removeIf(until -> !now().isBefore(until));
-            return tried.keySet();
+            pausedUntil.values().removeIf(until -> !now().isBefore(until));
+            return pausedUntil.keySet();
         }
 
         @Override
@@ -350,7 +363,7 @@
             RareModelEngine engine = engines.get(upstream.facts().id());
             if (!engine.serves(model.model())) {
                 upstream.leaderContradicted();
-                tried.put(engine.id(), now().plus(ASK_AGAIN));
+                pausedUntil.put(engine.id(), now().plus(MISSING_MODEL_PAUSE));
                 dispatch.enqueue(this);
                 return;
             }
@@ -360,7 +373,7 @@
             counts.get(model.model()).served++;
             served++;
             time.after(
-                    Duration.ofMillis(200 + random.nextInt(LONGEST_RUN_MILLIS)),
+                    Duration.ofMillis(200 + random.nextInt(MAX_RUN_MILLIS)),
                     () -> {
                         engine.finishRun(model.model());
                         upstream.requestFinished(model);
@@ -370,8 +383,8 @@
 
         @Override
         public void handleNoUpstream() {
-            if (!again) {
-                time.after(COME_BACK, () -> new Caller(model.model(), wait, true).ask());
+            if (!isRetry) {
+                time.after(RETRY_DELAY, () -> new Caller(model.model(), queueTimeout, true).send());
             }
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RecordingRequest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RecordingRequest.java
@@ -9,21 +9,21 @@
 /** A request that records its outcome and never finishes. */
 final class RecordingRequest extends SimulatedRequest {
     static final String SERVICE = "service";
-    private static final Duration CALLER_WAITS = Duration.ofSeconds(10);
+    private static final Duration QUEUE_TIMEOUT = Duration.ofSeconds(10);
 
-    private final AllowedRegions homes;
+    private final AllowedRegions allowedRegions;
     private final List<String> outcomes;
 
     /** Creates a request that arrives now and adds its outcome to the list. */
-    RecordingRequest(Instant now, AllowedRegions homes, List<String> outcomes) {
-        super(SERVICE, now, CALLER_WAITS);
-        this.homes = homes;
+    RecordingRequest(Instant now, AllowedRegions allowedRegions, List<String> outcomes) {
+        super(SERVICE, now, QUEUE_TIMEOUT);
+        this.allowedRegions = allowedRegions;
         this.outcomes = outcomes;
     }
 
     @Override
     public AllowedRegions allowedRegions() {
-        return homes;
+        return allowedRegions;
     }
 
     @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedRequest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedRequest.java
@@ -10,17 +10,17 @@
 
 /** A simulated caller's request that by default needs no model and may be served anywhere. */
 abstract class SimulatedRequest implements PendingRequest {
-    private static final Duration IN_TIME = Duration.ofSeconds(1);
+    private static final Duration ON_TIME_LIMIT = Duration.ofSeconds(1);
 
     private final String service;
-    private final Instant since;
-    private final Duration wait;
+    private final Instant arrivedAt;
+    private final Duration queueTimeout;
 
-    /** Creates a request that arrives now and is queued for at most {@code wait}. */
-    SimulatedRequest(String service, Instant now, Duration wait) {
+    /** Creates a request that arrives now and is queued for at most {@code queueTimeout}. */
+    SimulatedRequest(String service, Instant now, Duration queueTimeout) {
         this.service = service;
-        this.since = now;
-        this.wait = wait;
+        this.arrivedAt = now;
+        this.queueTimeout = queueTimeout;
     }
 
     @Override
@@ -45,17 +45,17 @@
 
     @Override
     public Instant arrivedAt() {
-        return since;
+        return arrivedAt;
     }
 
     @Override
     public Instant onTimeSendDeadline() {
-        return since.plus(IN_TIME);
+        return arrivedAt.plus(ON_TIME_LIMIT);
     }
 
     @Override
     public Instant queueDeadline() {
-        return since.plus(wait);
+        return arrivedAt.plus(queueTimeout);
     }
 
     @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UnservedModelsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UnservedModelsTest.java
@@ -13,7 +13,7 @@
 
     // Guards against models that are never served without any metric that shows it.
     @Test
-    void aModelThatIsAskedForManyTimesInVainShowsUntilItIsServed() {
+    void aModelCountsAsUnservedAfterFourMissesUntilItIsServed() {
         for (int each = 0; each < 4; each++) {
             assertEquals(0, models.unservedCount());
             models.recordUnserved(RARE);
@@ -25,12 +25,12 @@
 
     // Guards against callers that fill a router's memory by requesting models that do not exist.
     @Test
-    void namesThatAreAskedForWithoutEndAreForgotten() {
+    void theNumberOfCountedModelsIsLimited() {
         for (int name = 0; name < 10_000; name++) {
             for (int each = 0; each < 4; each++) {
                 models.recordUnserved(ModelRef.parse("name-" + name));
             }
         }
-        assertTrue(models.unservedCount() <= 4_096, models.unservedCount() + " are kept");
+        assertTrue(models.unservedCount() <= 4_096, models.unservedCount() + " models are counted");
     }
 }
