--- a/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Returns false if so little time remains that the upstream would run the request in vain. A
-     * delayed thread may process a request when its caller's time is up.
+     * Returns false if so little time remains that the upstream would run the request for nothing.
+     * A delayed thread may process a request when its caller's time is up.
      */
     boolean allowsSending(Duration remaining) {
         return remaining.compareTo(fractionOf(route.objective(), MIN_OBJECTIVE_FRACTION)) > 0;
