--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReporter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReporter.java
@@ -47,7 +47,7 @@
             PeerRouters peers,
             LeaderLease lease,
             LoadCoordinator coordinator,
-            Dispatch dispatch,
+            UpstreamDispatcher dispatch,
             ConfigurationHolder configuration,
             ZoneDrains drains,
             UpstreamTable upstreams,
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Dialect.java
@@ -52,7 +52,7 @@
     CallerRequest request(HttpHeaders headers);
 
     /** Returns the headers to send to the upstream for a request with these caller headers. */
-    HttpHeaders toUpstream(HttpHeaders fromCaller, Forwarding forwarding);
+    HttpHeaders toUpstream(HttpHeaders fromCaller, ForwardingMetadata forwarding);
 
     /** Returns true if an answer with these headers belongs to this attempt of a request. */
     boolean belongsToAttempt(String attempt, HttpHeaders fromUpstream);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -100,11 +100,11 @@
     private final UpstreamFollower upstreamFollower;
     private final ZoneDrains drains;
     private final OperatorSettingsFollower operatorFollower;
-    private final Dispatch dispatch;
+    private final UpstreamDispatcher dispatch;
     private final CrashWatch crashes;
     private final LostUpstreamAnnouncer lost;
     private final LimitedUpstreams limits;
-    private final Flows flows;
+    private final InFlightRequests flows;
     private final RateAdmission rates;
     private final RatePeers ratePeers;
     private final Ingress ingress;
@@ -228,8 +228,8 @@
         LOG.info("stopped");
     }
 
-    private Dispatch dispatch() {
-        return new Dispatch(
+    private UpstreamDispatcher dispatch() {
+        return new UpstreamDispatcher(
                 upstreams,
                 settings.availabilityZone(),
                 settings.zones().regions(),
@@ -255,11 +255,11 @@
                         lag));
     }
 
-    private Flows flows() {
-        Flows.RetryBounds bounds =
-                new Flows.RetryBounds(
+    private InFlightRequests flows() {
+        InFlightRequests.RetryBounds bounds =
+                new InFlightRequests.RetryBounds(
                         settings.retryWindow(), settings.retryRatio(), settings.retryExtra());
-        return new Flows(
+        return new InFlightRequests(
                 dialect, client, dispatch, clock, bounds, members::size, crashes, lost, limits);
     }
 
@@ -413,7 +413,7 @@
 
     // Starts reading the store before it serves callers, since their requests need what is read.
     private void startServing(ServerSocketChannel socket) {
-        dispatch.onStarved(reports::reportSoon);
+        dispatch.onModelUnavailable(reports::reportSoon);
         operatorFollower.start();
         upstreamFollower.start(new UpstreamListener());
         members.onQuarantined(crashes::toldByStore);
@@ -424,7 +424,7 @@
         new DrainProgress(upstreams).registerGauges(metrics);
         limits.show(metrics);
         leader.registerMetrics(metrics);
-        metrics.gauge("models_unserved", flows.unserved()::many);
+        metrics.gauge("models_unserved", flows.unservedModels()::unservedCount);
         String address = settings.peer().host() + ':' + settings.peer().port();
         rates.start(ratePeers, address, Map.of(), LIST_PERIOD, processStart());
         leader.start(this::replicasChanged);
@@ -447,9 +447,9 @@
             lease.resign("this VM is slow");
         }
         handOver.check();
-        ingress.check();
+        ingress.refuseExpired();
         dispatch.tick();
-        flows.check();
+        flows.enforceTimeouts();
     }
 
     // If all routers are slow, a change of leader would only interrupt orders and gain nothing.
@@ -463,7 +463,7 @@
 
     private void applyConfiguration(DirectConfiguration now) {
         callers.limits(now.limits());
-        dispatch.configured(now.modelServices());
+        dispatch.setEngineServices(now.modelServices());
         upstreams.setColdLimits(ColdLimits.of(now, settings.cold()));
         leader.configurationChanged(now);
         Map<WorkspaceId, Workspace> limited = new HashMap<>();
@@ -473,7 +473,7 @@
             }
         }
         rates.configured(limited);
-        ingress.configured();
+        ingress.serveEarlyCalls();
     }
 
     private void membersChanged() {
@@ -512,7 +512,7 @@
         public void listed(UpstreamFacts facts) {
             crashes.listed(facts);
             leader.upstreamListed(facts);
-            dispatch.drain(facts.service());
+            dispatch.sendQueued(facts.service());
         }
 
         @Override
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/EventSplitter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/EventSplitter.java
@@ -8,30 +8,32 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of events into whole ones.
+ * Splits a stream of server-sent events into complete events.
  *
- * <p>An upstream may break off in the middle of an event. If its beginning had been passed on and
- * the stream went on elsewhere, the caller would get one piece made of two.
+ * <p>An upstream may fail in the middle of an event. If the first part of that event had been
+ * forwarded and another upstream resumed the stream, the caller would get one event made of two.
  */
 final class EventSplitter {
-    private static final byte LINE_END = '\n';
+    private static final byte LINE_FEED = '\n';
     private static final byte CARRIAGE_RETURN = '\r';
-    private static final String ID = "id:";
+    private static final String ID_FIELD = "id:";
 
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
+    private ByteBuf pending = Unpooled.EMPTY_BUFFER;
 
-    /** An event as it came, and its id if it has one. */
+    /** A complete event with its bytes unchanged, and its id if it has one. */
     record StreamEvent(ByteBuf bytes, Optional<String> id) {}
 
-    /** Takes in a part, which it releases, and gives the events that are whole now. */
-    List<StreamEvent> take(ByteBuf part) {
-        ByteBuf all = part;
-        if (held.isReadable()) {
-            all = Unpooled.buffer(held.readableBytes() + part.readableBytes());
-            all.writeBytes(held).writeBytes(part);
-            part.release();
+    /**
+     * Adds received bytes, takes over their buffer, and returns the events that are now complete.
+     */
+    List<StreamEvent> add(ByteBuf data) {
+        ByteBuf all = data;
+        if (pending.isReadable()) {
+            all = Unpooled.buffer(pending.readableBytes() + data.readableBytes());
+            all.writeBytes(pending).writeBytes(data);
+            data.release();
         }
-        held.release();
+        pending.release();
         List<StreamEvent> events = new ArrayList<>();
         int end = endOfEvent(all);
         while (end >= 0) {
@@ -39,29 +41,29 @@
             events.add(new StreamEvent(event, idOf(event)));
             end = endOfEvent(all);
         }
-        held = all.isReadable() ? all : Unpooled.EMPTY_BUFFER;
-        if (held != all) {
+        pending = all.isReadable() ? all : Unpooled.EMPTY_BUFFER;
+        if (pending != all) {
             all.release();
         }
         return events;
     }
 
-    /** True if an event has begun and not ended. */
-    boolean unfinished() {
-        return held.isReadable();
+    /** Returns true if an incomplete event is buffered. */
+    boolean hasIncompleteEvent() {
+        return pending.isReadable();
     }
 
-    /** Drops what is held. */
+    /** Discards the buffered bytes. */
     void clear() {
-        held.release();
-        held = Unpooled.EMPTY_BUFFER;
+        pending.release();
+        pending = Unpooled.EMPTY_BUFFER;
     }
 
     // An event ends with an empty line.
     private static int endOfEvent(ByteBuf bytes) {
         int lineStart = bytes.readerIndex();
         while (true) {
-            int lineEnd = bytes.indexOf(lineStart, bytes.writerIndex(), LINE_END);
+            int lineEnd = bytes.indexOf(lineStart, bytes.writerIndex(), LINE_FEED);
             if (lineEnd < 0) {
                 return -1;
             }
@@ -78,11 +80,11 @@
     private static Optional<String> idOf(ByteBuf event) {
         int lineStart = event.readerIndex();
         while (lineStart < event.writerIndex()) {
-            int lineEnd = event.indexOf(lineStart, event.writerIndex(), LINE_END);
+            int lineEnd = event.indexOf(lineStart, event.writerIndex(), LINE_FEED);
             int length = (lineEnd < 0 ? event.writerIndex() : lineEnd) - lineStart;
-            if (length > ID.length() && startsWithId(event, lineStart)) {
+            if (length > ID_FIELD.length() && startsWithId(event, lineStart)) {
                 String line = event.toString(lineStart, length, StandardCharsets.UTF_8);
-                return Optional.of(line.substring(ID.length()).strip());
+                return Optional.of(line.substring(ID_FIELD.length()).strip());
             }
             if (lineEnd < 0) {
                 break;
@@ -92,9 +94,9 @@
         return Optional.empty();
     }
 
-    private static boolean startsWithId(ByteBuf event, int at) {
-        return event.getByte(at) == 'i'
-                && event.getByte(at + 1) == 'd'
-                && event.getByte(at + 2) == ':';
+    private static boolean startsWithId(ByteBuf event, int position) {
+        return event.getByte(position) == 'i'
+                && event.getByte(position + 1) == 'd'
+                && event.getByte(position + 2) == ':';
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/GracefulShutdown.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/GracefulShutdown.java
@@ -36,9 +36,9 @@
     private final ControlThread control;
     private final HttpServer callers;
     private final Duration grace;
-    private final Flows flows;
+    private final InFlightRequests flows;
 
-    GracefulShutdown(ControlThread control, HttpServer callers, Duration grace, Flows flows) {
+    GracefulShutdown(ControlThread control, HttpServer callers, Duration grace, InFlightRequests flows) {
         this.control = control;
         this.callers = callers;
         this.grace = grace;
--- /dev/null
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/InFlightRequests.java
@@ -0,0 +1,154 @@
+package io.damaskyoke.direct;
+
+import io.damaskyoke.control.routing.SharedRetryBudget;
+import io.damaskyoke.http.HttpClient;
+import java.time.Duration;
+import java.time.Instant;
+import java.time.InstantSource;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.IntSupplier;
+
+/** Keeps the requests in progress and the services they share. Traffic thread only. */
+final class InFlightRequests {
+    private final Dialect dialect;
+    private final HttpClient client;
+    private final UpstreamDispatcher dispatch;
+    private final InstantSource clock;
+    private final RetryBounds retryBounds;
+    private final SlidingMaximum routerCount;
+    private final CrashWatch crashes;
+    private final LostUpstreamAnnouncer lostUpstreams;
+    private final LimitedUpstreams limitedUpstreams;
+    private final RequestLog requestLog;
+    private final UnservedModels unservedModels = new UnservedModels();
+    private final Set<ForwardedRequest> requests = new LinkedHashSet<>();
+    private final Map<String, SharedRetryBudget> retryBudgets = new HashMap<>();
+
+    /**
+     * The limits of the retries that all routers together may send to a service.
+     *
+     * @param window the time over which requests and retries are counted
+     * @param ratio retries allowed for each request
+     * @param extra retries allowed beyond that ratio
+     */
+    record RetryBounds(Duration window, double ratio, double extra) {}
+
+    InFlightRequests(
+            Dialect dialect,
+            HttpClient client,
+            UpstreamDispatcher dispatch,
+            InstantSource clock,
+            RetryBounds retryBounds,
+            IntSupplier routerCount,
+            CrashWatch crashes,
+            LostUpstreamAnnouncer lostUpstreams,
+            LimitedUpstreams limitedUpstreams) {
+        this.dialect = dialect;
+        this.client = client;
+        this.dispatch = dispatch;
+        this.clock = clock;
+        this.retryBounds = retryBounds;
+        this.routerCount = new SlidingMaximum(routerCount, clock, retryBounds.window());
+        this.crashes = crashes;
+        this.lostUpstreams = lostUpstreams;
+        this.limitedUpstreams = limitedUpstreams;
+        this.requestLog = new RequestLog(clock);
+    }
+
+    Dialect dialect() {
+        return dialect;
+    }
+
+    HttpClient client() {
+        return client;
+    }
+
+    UpstreamDispatcher dispatch() {
+        return dispatch;
+    }
+
+    CrashWatch crashes() {
+        return crashes;
+    }
+
+    LostUpstreamAnnouncer lostUpstreams() {
+        return lostUpstreams;
+    }
+
+    LimitedUpstreams limitedUpstreams() {
+        return limitedUpstreams;
+    }
+
+    UnservedModels unservedModels() {
+        return unservedModels;
+    }
+
+    Instant now() {
+        return clock.instant();
+    }
+
+    void start(ForwardedRequest request) {
+        requests.add(request);
+        retryBudget(request.service()).recordRequest(now());
+        request.start();
+    }
+
+    /**
+     * Sends queued requests of the service, as the capacity of one of its upstreams has changed.
+     */
+    void sendQueued(String service) {
+        dispatch.sendQueued(service);
+    }
+
+    boolean takeRetry(String service) {
+        return retryBudget(service).takeRetry(routerCount.value(), now());
+    }
+
+    boolean hasRetryLeft(String service) {
+        return retryBudget(service).hasRetryLeft(routerCount.value(), now());
+    }
+
+    RequestLog log() {
+        return requestLog;
+    }
+
+    void recordFinished(ForwardedRequest request, String outcome) {
+        requests.remove(request);
+        requestLog.logFinished(request, outcome);
+    }
+
+    /** Enforces the deadlines and timeouts of all requests; called a few times a second. */
+    void enforceTimeouts() {
+        Instant now = now();
+        routerCount.value();
+        for (ForwardedRequest request : new ArrayList<>(requests)) {
+            if (!request.isFinished()) {
+                request.enforceTimeouts(now);
+            }
+        }
+    }
+
+    /**
+     * Handles the shutdown of this router: queued requests are refused, and running ones end if
+     * {@code noMoreTime} is set.
+     */
+    void stop(boolean noMoreTime) {
+        new ArrayList<>(requests).forEach(request -> request.stop(noMoreTime));
+    }
+
+    int size() {
+        return requests.size();
+    }
+
+    private SharedRetryBudget retryBudget(String service) {
+        return retryBudgets.computeIfAbsent(
+                service,
+                any ->
+                        new SharedRetryBudget(
+                                retryBounds.window(), retryBounds.ratio(), retryBounds.extra()));
+    }
+}
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
@@ -21,46 +21,46 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Lets callers' requests in: the route, the key, the rate, in this order. What is refused here has
- * not run, and is told so.
+ * Admits callers' requests by route, caller key and rate limit, in this order. The answer to a
+ * request that is refused here says that the request has not run.
  */
 final class Ingress implements HttpHandler {
-    private static final int LEAST_URGENT = 9;
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final int LOWEST_PRIORITY = 9;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final Dialect dialect;
     private final ConfigurationHolder configuration;
-    private final OperatorSettingsFollower followed;
-    private final Denials denials;
+    private final OperatorSettingsFollower operatorFollower;
+    private final DenialConfirmation denialConfirmation;
     private final RateAdmission rates;
-    private final Flows flows;
+    private final InFlightRequests inFlight;
     private final Incarnation self;
     private final InstantSource clock;
     private final RandomGenerator random;
     private final Metrics metrics;
-    private final EarlyCalls early;
-    private long counter;
+    private final StartupCallQueue startupQueue;
+    private long exchangeCounter;
 
     Ingress(
             Dialect dialect,
             ConfigurationHolder configuration,
-            OperatorSettingsFollower followed,
+            OperatorSettingsFollower operatorFollower,
             RateAdmission rates,
-            Flows flows,
+            InFlightRequests inFlight,
             Incarnation self,
             RandomGenerator random,
             Metrics metrics) {
         this.dialect = dialect;
         this.configuration = configuration;
-        this.followed = followed;
+        this.operatorFollower = operatorFollower;
         this.rates = rates;
-        this.flows = flows;
+        this.inFlight = inFlight;
         this.self = self;
-        this.clock = flows::now;
+        this.clock = inFlight::now;
         this.random = random;
         this.metrics = metrics;
-        this.early = new EarlyCalls(clock);
-        this.denials = new Denials(followed, clock, metrics);
+        this.startupQueue = new StartupCallQueue(clock);
+        this.denialConfirmation = new DenialConfirmation(operatorFollower, clock, metrics);
     }
 
     @Override
@@ -69,29 +69,31 @@
         CallerRequest request = request(call);
         Optional<DirectConfiguration> current = configuration.current();
         if (current.isEmpty()) {
-            early.add(call);
+            startupQueue.add(call);
             return;
         }
         serve(call, request, current.get());
     }
 
-    /** Lets in what came before there was a configuration. */
-    void configured() {
-        early.take().forEach(call -> serve(call, request(call), configuration.current().get()));
+    /** Serves the requests that came before the first configuration was read. */
+    void serveEarlyCalls() {
+        startupQueue
+                .takeAll()
+                .forEach(call -> serve(call, request(call), configuration.current().get()));
     }
 
-    /** Refuses what came early and has waited long enough; called a few times a second. */
-    void check() {
-        early.late().forEach(this::refuseUnconfirmed);
+    /** Refuses requests that waited too long for a configuration; called a few times a second. */
+    void refuseExpired() {
+        startupQueue.takeExpired().forEach(this::refuseUnconfirmed);
     }
 
     private void refuseUnconfirmed(HttpCall call) {
         Refusal refusal =
                 Refusal.notRun(
                         RefusalCode.CONFIGURATION_UNCONFIRMED,
-                        "this router doesn't know the newest configuration");
-        String inputs = configuration.current().map(this::by).orElse("");
-        refuse(call, request(call), refusal.retryAfter(COME_BACK), inputs);
+                        "this router could not confirm that its configuration is current");
+        String inputs = configuration.current().map(this::configurationInputs).orElse("");
+        refuse(call, request(call), refusal.retryAfter(RETRY_AFTER), inputs);
     }
 
     private CallerRequest request(HttpCall call) {
@@ -99,130 +101,138 @@
     }
 
     private void serve(HttpCall call, CallerRequest request, DirectConfiguration current) {
-        Verdict verdict = verdict(call, request, current);
-        if (verdict.denial().isPresent()) {
-            denials.decide(call, () -> settle(call, request), () -> refuseUnconfirmed(call));
+        RoutingDecision decision = decide(call, request, current);
+        if (decision.denial().isPresent()) {
+            denialConfirmation.confirm(
+                    call, () -> decideAgain(call, request), () -> refuseUnconfirmed(call));
         } else {
-            admit(call, request, verdict.route().orElseThrow(), verdict.workspace());
+            admit(call, request, decision.route().orElseThrow(), decision.workspace());
         }
     }
 
-    // By what is in force now, which may be newer than when the caller came.
-    private void settle(HttpCall call, CallerRequest request) {
+    // Decides again, as the current configuration may be newer than when the request came.
+    private void decideAgain(HttpCall call, CallerRequest request) {
         DirectConfiguration current = configuration.current().orElseThrow();
-        Verdict verdict = verdict(call, request, current);
-        if (verdict.denial().isPresent()) {
+        RoutingDecision decision = decide(call, request, current);
+        if (decision.denial().isPresent()) {
             String inputs =
-                    verdict.route()
+                    decision.route()
                             .map(route -> "route=" + route.name())
-                            .orElse(target(call, request));
-            refuse(call, request, verdict.denial().get(), inputs + by(current));
+                            .orElse(hostAndTarget(call, request));
+            refuse(call, request, decision.denial().get(), inputs + configurationInputs(current));
         } else {
-            admit(call, request, verdict.route().orElseThrow(), verdict.workspace());
+            admit(call, request, decision.route().orElseThrow(), decision.workspace());
         }
     }
 
-    private Verdict verdict(HttpCall call, CallerRequest request, DirectConfiguration current) {
+    private RoutingDecision decide(
+            HttpCall call, CallerRequest request, DirectConfiguration current) {
         Optional<Route> route = configuration.routes().find(request.host(), call.target());
         if (route.isEmpty()) {
-            return Verdict.denied(route, RefusalCode.UNKNOWN_SERVICE, "no such route");
+            return RoutingDecision.denied(
+                    route, RefusalCode.UNKNOWN_SERVICE, "no route matches the host and path");
         }
         if (route.get().anonymous() || current.workspaces().isEmpty()) {
-            return new Verdict(route, Optional.empty(), Optional.empty());
+            return new RoutingDecision(route, Optional.empty(), Optional.empty());
         }
-        Optional<WorkspaceSpec> workspace = request.key().flatMap(current::workspaceForKey);
+        Optional<WorkspaceSpec> workspace = request.callerKey().flatMap(current::workspaceForKey);
         if (workspace.isEmpty()) {
             RefusalCode code =
-                    request.key().isEmpty() ? RefusalCode.KEY_MISSING : RefusalCode.KEY_UNKNOWN;
-            return Verdict.denied(route, code, "the caller key is missing or unknown");
+                    request.callerKey().isEmpty()
+                            ? RefusalCode.KEY_MISSING
+                            : RefusalCode.KEY_UNKNOWN;
+            return RoutingDecision.denied(route, code, "the caller key is missing or unknown");
         }
-        return new Verdict(route, workspace, Optional.empty());
+        return new RoutingDecision(route, workspace, Optional.empty());
     }
 
-    private static String target(HttpCall call, CallerRequest request) {
+    private static String hostAndTarget(HttpCall call, CallerRequest request) {
         return request.host() + call.target();
     }
 
     private void admit(
             HttpCall call, CallerRequest request, Route route, Optional<WorkspaceSpec> workspace) {
         Instant now = clock.instant();
-        Duration read = Duration.ofNanos(System.nanoTime() - call.arrivedNanos());
-        Instant began = now.minus(read);
+        Duration readTime = Duration.ofNanos(System.nanoTime() - call.arrivedNanos());
+        Instant arrivedAt = now.minus(readTime);
         if (workspace.isEmpty() || !workspace.get().hasRateLimit()) {
-            begin(call, request, route, workspace, began, 0);
+            startForwarding(call, request, route, workspace, arrivedAt, 0);
             return;
         }
         long tokens = request.tokens().orElse(workspace.get().defaultTokens());
-        ExchangeId id = new ExchangeId(self, ++counter);
+        ExchangeId id = new ExchangeId(self, ++exchangeCounter);
         rates.admit(
                 id,
                 workspace.get().workspace().id(),
                 tokens,
-                new TimeBudget(route, request.deadline()).forTokens(read),
+                new TimeBudget(route, request.deadline()).tokenWaitLimits(readTime),
                 refusal -> {
                     if (refusal.isPresent()) {
                         refuse(
                                 call,
                                 request,
                                 refusal.get(),
-                                inputs(route, workspace.get(), tokens));
+                                rateLimitInputs(route, workspace.get(), tokens));
                     } else {
-                        begin(call, request, route, workspace, began, tokens);
+                        startForwarding(call, request, route, workspace, arrivedAt, tokens);
                     }
                 });
     }
 
-    private void begin(
+    private void startForwarding(
             HttpCall call,
             CallerRequest request,
             Route route,
             Optional<WorkspaceSpec> workspace,
-            Instant began,
-            long charged) {
-        Runnable giveBack =
+            Instant arrivedAt,
+            long chargedTokens) {
+        Runnable refundTokens =
                 () ->
                         workspace
-                                .filter(any -> charged > 0)
-                                .ifPresent(each -> rates.settle(each.workspace().id(), charged, 0));
+                                .filter(any -> chargedTokens > 0)
+                                .ifPresent(
+                                        spec ->
+                                                rates.settle(
+                                                        spec.workspace().id(), chargedTokens, 0));
         if (call.over()) {
-            giveBack.run();
+            refundTokens.run();
             return;
         }
-        request.model().ifPresent(flows.dispatch()::arrived);
-        Flow.Admitted admitted =
-                new Flow.Admitted(
-                        workspace.map(each -> each.workspace().id()),
-                        homes(route, workspace),
-                        urgency(route, workspace),
-                        began,
-                        Duration.between(began, clock.instant()),
-                        charged,
-                        giveBack);
+        request.model().ifPresent(inFlight.dispatch()::recordArrival);
+        ForwardedRequest.Admission admission =
+                new ForwardedRequest.Admission(
+                        workspace.map(spec -> spec.workspace().id()),
+                        allowedRegions(route, workspace),
+                        priority(route, workspace),
+                        arrivedAt,
+                        Duration.between(arrivedAt, clock.instant()),
+                        chargedTokens,
+                        refundTokens);
         String service = route.chooseService(random.nextDouble());
-        flows.begin(new Flow(flows, call, request, route, service, admitted));
+        inFlight.start(new ForwardedRequest(inFlight, call, request, route, service, admission));
     }
 
-    private static AllowedRegions homes(Route route, Optional<WorkspaceSpec> workspace) {
+    private static AllowedRegions allowedRegions(Route route, Optional<WorkspaceSpec> workspace) {
         return workspace
                 .map(WorkspaceSpec::allowedRegions)
                 .orElse(AllowedRegions.ANYWHERE)
                 .intersect(route.allowedRegions());
     }
 
-    private static int urgency(Route route, Optional<WorkspaceSpec> workspace) {
+    private static int priority(Route route, Optional<WorkspaceSpec> workspace) {
         OptionalInt own = workspace.map(WorkspaceSpec::priority).orElse(OptionalInt.empty());
-        return Math.max(0, Math.min(LEAST_URGENT, own.orElse(route.priority())));
+        return Math.max(0, Math.min(LOWEST_PRIORITY, own.orElse(route.priority())));
     }
 
-    // What a denial went by, and how old that was: the first question when one was wrong.
-    private String by(DirectConfiguration current) {
+    // The version and age of the configuration behind a denial, to find the cause of a wrong one.
+    private String configurationInputs(DirectConfiguration current) {
         return " configuration="
                 + current.version()
                 + " age_ms="
-                + followed.age().map(Duration::toMillis).orElse(-1L);
+                + operatorFollower.age().map(Duration::toMillis).orElse(-1L);
     }
 
-    private String inputs(Route route, WorkspaceSpec workspace, long tokens) {
+    private String rateLimitInputs(Route route, WorkspaceSpec workspace, long tokens) {
         WorkspaceId id = workspace.workspace().id();
         return "route="
                 + route.name()
@@ -242,15 +252,16 @@
 
     private void refuse(HttpCall call, CallerRequest request, Refusal refusal, String inputs) {
         metrics.count("direct_refused", "code", refusal.code().wireName());
-        flows.log().refused(request, refusal, inputs);
-        Refusals.send(call, dialect.localAnswerHeaders(request.attempt()), refusal);
+        inFlight.log().logRefused(request, refusal, inputs);
+        RefusalWriter.send(call, dialect.localAnswerHeaders(request.attemptId()), refusal);
     }
 
-    /** Where a request goes and for whom, or why it is not let in. */
-    private record Verdict(
+    /** The route and workspace of a request, or the reason why it is not admitted. */
+    private record RoutingDecision(
             Optional<Route> route, Optional<WorkspaceSpec> workspace, Optional<Refusal> denial) {
-        static Verdict denied(Optional<Route> route, RefusalCode code, String message) {
-            return new Verdict(route, Optional.empty(), Optional.of(Refusal.notRun(code, message)));
+        static RoutingDecision denied(Optional<Route> route, RefusalCode code, String message) {
+            return new RoutingDecision(
+                    route, Optional.empty(), Optional.of(Refusal.notRun(code, message)));
         }
     }
 }
--- /dev/null
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
@@ -0,0 +1,340 @@
+package io.damaskyoke.direct;
+
+import io.damaskyoke.control.direct.RouteKind;
+import io.damaskyoke.control.upstreams.Upstream;
+import io.damaskyoke.http.AnswerListener;
+import io.damaskyoke.http.ClientCall;
+import io.damaskyoke.http.ClientRequest;
+import io.damaskyoke.http.Failure;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.CompositeByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultHttpHeaders;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import java.time.Duration;
+import java.time.Instant;
+
+/**
+ * Sends a request once to one upstream and reads the answer.
+ *
+ * <p>The outcome goes to the {@link ForwardedRequest}, which may start another attempt. Crash
+ * detection and the upstream's statistics learn of it too.
+ */
+final class UpstreamAttempt implements AnswerListener {
+    /**
+     * Longest idle time of a pooled connection for requests that must not be repeated. The upstream
+     * has hardly ever closed a connection that was used so recently.
+     */
+    private static final Duration MAX_IDLE_NON_REPEATABLE = Duration.ofMillis(300);
+
+    /**
+     * Longest idle time of a pooled connection for repeatable requests. If the upstream has closed
+     * it, that costs only a retry.
+     */
+    private static final Duration MAX_IDLE_REPEATABLE = Duration.ofSeconds(3);
+
+    private static final int MIN_SERVER_ERROR = 500;
+    private static final int GATEWAY_TIMEOUT = 504;
+
+    private final ForwardedRequest forwarded;
+    private final InFlightRequests inFlight;
+    private final Upstream upstream;
+    private final EventSplitter splitter = new EventSplitter();
+    private final Instant sentAt;
+    private Instant lastReceivedAt;
+    private ClientCall call;
+    private UpstreamAnswer answer;
+    private HttpHeaders headers;
+    private CompositeByteBuf body;
+    private boolean firstByteReceived;
+    private boolean sent;
+    private boolean finished;
+
+    UpstreamAttempt(ForwardedRequest forwarded, InFlightRequests inFlight, Upstream upstream) {
+        this.forwarded = forwarded;
+        this.inFlight = inFlight;
+        this.upstream = upstream;
+        this.sentAt = inFlight.now();
+        this.lastReceivedAt = sentAt;
+    }
+
+    Upstream upstream() {
+        return upstream;
+    }
+
+    void start() {
+        upstream.requestAssigned(forwarded.model().orElse(null), sentAt);
+        String attemptId = forwarded.request().attemptId();
+        ClientRequest request =
+                new ClientRequest(
+                        HttpMethod.valueOf(forwarded.call().method()),
+                        forwarded.call().target(),
+                        new DefaultHttpHeaders(),
+                        forwarded.bodyForAttempt(),
+                        answerHeaders -> inFlight.dialect().belongsToAttempt(attemptId, answerHeaders),
+                        forwarded.route().isRepeatable()
+                                ? MAX_IDLE_REPEATABLE
+                                : MAX_IDLE_NON_REPEATABLE);
+        call = inFlight.client().send(upstream.facts().endpoint(), request, this);
+    }
+
+    /** Returns true if nothing has been received for longer than the given time. */
+    boolean isSilent(Instant now, Duration longest) {
+        return !finished && Duration.between(lastReceivedAt, now).compareTo(longest) > 0;
+    }
+
+    void setReading(boolean wanted) {
+        if (!finished && call != null) {
+            call.reading(wanted);
+        }
+    }
+
+    /** Cancels the attempt; the upstream sees its connection close and drops the request. */
+    void cancel(IncompleteRunCause cause) {
+        if (finished) {
+            return;
+        }
+        if (sent) {
+            reportIncompleteRun(cause);
+        }
+        abandon();
+        call.cancel();
+    }
+
+    private void reportIncompleteRun(IncompleteRunCause cause) {
+        inFlight.crashes().cut(upstream, forwarded.digest(), sentAt, cause);
+    }
+
+    // The connection may have taken long to open, or the thread may have been delayed. So the
+    // upstream's state and the remaining time are checked again when the bytes are written.
+    @Override
+    public boolean leaves(HttpHeaders headers) {
+        Instant now = inFlight.now();
+        if (!forwarded.hasTimeToSend(now)) {
+            abandon();
+            forwarded.refuseExpired();
+            return false;
+        }
+        if (!upstream.isOpen(now)) {
+            abandon();
+            forwarded.requeueUnsent("upstream is leaving");
+            return false;
+        }
+        if (!forwarded.passesQuarantine()) {
+            abandon();
+            forwarded.refuseQuarantined();
+            return false;
+        }
+        sent = true;
+        upstream.requestSent(now);
+        headers.set(
+                inFlight.dialect()
+                        .toUpstream(
+                                forwarded.call().headers(),
+                                forwarded.forwardingMetadata(upstream.facts().id(), now)));
+        return true;
+    }
+
+    private void abandon() {
+        upstream.requestCanceled();
+        finish();
+    }
+
+    @Override
+    public void head(int status, HttpHeaders fromUpstream) {
+        if (finished) {
+            return;
+        }
+        lastReceivedAt = inFlight.now();
+        headers = fromUpstream;
+        answer = inFlight.dialect().answer(status, fromUpstream, upstream.facts().id());
+        answer.load()
+                .ifPresent(
+                        load ->
+                                upstream.loadReported(
+                                        load.running(), load.waiting(), lastReceivedAt));
+        inFlight.limitedUpstreams().heard(upstream, answer.limit(), sentAt);
+        inFlight.crashes().answers(upstream, sentAt);
+    }
+
+    @Override
+    public void part(ByteBuf data) {
+        if (finished || answer == null) {
+            data.release();
+            return;
+        }
+        recordFirstByte();
+        if (isStreaming()) {
+            forwardEvents(data);
+        } else {
+            bufferBody(data);
+        }
+    }
+
+    @Override
+    public void end() {
+        if (finished) {
+            return;
+        }
+        recordFirstByte();
+        if (answer.notRun()) {
+            releaseBody();
+            finish();
+            forwarded.retryRejected(answer);
+        } else if (isStreaming()) {
+            finishStream();
+        } else {
+            finishAnswer();
+        }
+    }
+
+    @Override
+    public void failed(Failure failure) {
+        if (finished) {
+            return;
+        }
+        upstream.requestFailed(inFlight.now());
+        releaseBody();
+        finish();
+        boolean broke = failure == Failure.BROKEN || failure == Failure.CUT_SHORT;
+        if (broke || failure == Failure.NOT_CONNECTED) {
+            inFlight.lostUpstreams().connectionLost(upstream);
+        }
+        if (failure == Failure.NOT_CONNECTED) {
+            inFlight.crashes().unreachable(upstream);
+        }
+        if (failure.mayHaveArrived() && (answer == null || !answer.notRun())) {
+            reportIncompleteRun(broke ? IncompleteRunCause.BROKE : IncompleteRunCause.GARBLED);
+        }
+        if (!failure.mayHaveArrived()) {
+            forwarded.requeueUnsent("connection to upstream failed");
+        } else if (answer != null && answer.notRun()) {
+            forwarded.retryRejected(answer);
+        } else {
+            forwarded.handleAttemptFailure(
+                    "upstream " + upstream.facts().id() + ": " + failure, true);
+        }
+    }
+
+    private boolean isStreaming() {
+        return forwarded.route().kind() == RouteKind.STREAMING && answer.isSuccess();
+    }
+
+    private void recordFirstByte() {
+        lastReceivedAt = inFlight.now();
+        if (firstByteReceived || answer.notRun()) {
+            return;
+        }
+        firstByteReceived = true;
+        boolean serverFailure =
+                answer.status() >= MIN_SERVER_ERROR && answer.status() != GATEWAY_TIMEOUT;
+        if (serverFailure) {
+            upstream.requestFailed(lastReceivedAt);
+        } else {
+            upstream.requestAnswered(Duration.between(sentAt, lastReceivedAt), lastReceivedAt);
+        }
+    }
+
+    private void forwardEvents(ByteBuf data) {
+        if (!isTrusted()) {
+            data.release();
+            failInvalid("successful answer without the upstream's seal, or with an encoded body");
+            return;
+        }
+        for (EventSplitter.StreamEvent event : splitter.add(data)) {
+            if (finished) {
+                event.bytes().release();
+                continue;
+            }
+            forwarded.startStream(answer.status(), inFlight.dialect().toCaller(headers));
+            forwarded.forwardEvent(event.bytes(), event.id());
+        }
+    }
+
+    private void finishStream() {
+        if (splitter.hasIncompleteEvent() || !isTrusted()) {
+            failInvalid("stream ended within an event, or without the upstream's seal");
+            return;
+        }
+        finish();
+        recordSurvivedRun();
+        forwarded.startStream(answer.status(), inFlight.dialect().toCaller(headers));
+        forwarded.endStream();
+    }
+
+    private void bufferBody(ByteBuf data) {
+        if (body == null) {
+            body = Unpooled.compositeBuffer();
+        }
+        body.addComponent(true, data);
+    }
+
+    private void finishAnswer() {
+        if (answer.isSuccess() && !isTrusted()) {
+            failInvalid("successful answer without the upstream's seal, or with an encoded body");
+            return;
+        }
+        recordSurvivedRun();
+        boolean serverError = answer.status() >= MIN_SERVER_ERROR;
+        if (serverError && forwarded.mayRetryFailure()) {
+            releaseBody();
+            finish();
+            forwarded.handleAttemptFailure("upstream answered " + answer.status(), true);
+            return;
+        }
+        ByteBuf completeBody = body == null ? Unpooled.EMPTY_BUFFER : body;
+        body = null;
+        finish();
+        if (impliesNotRun(answer.status())) {
+            completeBody.release();
+            forwarded.handleAttemptFailure("upstream answered " + answer.status(), false);
+            return;
+        }
+        forwarded.forwardAnswer(
+                answer.status(), inFlight.dialect().toCaller(headers), completeBody);
+    }
+
+    // Records that the upstream answered the request and so did not crash on it.
+    private void recordSurvivedRun() {
+        if (inFlight.crashes().awaitsAnswers() && !forwarded.call().over()) {
+            inFlight.crashes().answered(forwarded.digest(), sentAt, answer.status());
+        }
+    }
+
+    // These statuses tell a caller that its request has not run, which this upstream does not
+    // confirm.
+    private static boolean impliesNotRun(int status) {
+        return status == 408 || status == 421 || status == 429 || status == 503;
+    }
+
+    private boolean isTrusted() {
+        return answer.sealed() && !answer.contentEncoded();
+    }
+
+    private void failInvalid(String reason) {
+        upstream.requestFailed(inFlight.now());
+        reportIncompleteRun(IncompleteRunCause.GARBLED);
+        releaseBody();
+        finish();
+        call.cancel();
+        forwarded.handleAttemptFailure(reason, true);
+    }
+
+    private void releaseBody() {
+        if (body != null) {
+            body.release();
+            body = null;
+        }
+    }
+
+    private void finish() {
+        finished = true;
+        splitter.clear();
+        if (!sent) {
+            upstream.requestNotSent();
+        }
+        upstream.requestFinished(forwarded.model().orElse(null));
+        inFlight.sendQueued(forwarded.service());
+    }
+}
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ArrivalRatesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ArrivalRatesTest.java
@@ -13,9 +13,9 @@
     private Instant now = Instant.ofEpochSecond(100);
 
     @Test
-    void aBusyModelThatFallsSilentIsNotBusyFourSecondsLater() {
-        // Demand moves on to another model. As long as the old one counts as busy, its replicas
-        // hold the memory that the new one's callers wait for.
+    void aBusyModelWithoutRequestsIsNotBusyAfterFourSeconds() {
+        // Guards against a model that counts as busy after demand has moved to another one: its
+        // replicas would occupy the memory that the other model's callers wait for.
         arrive(200, 50);
         assertTrue(rate() > 10, "busy " + rate());
         now = now.plusSeconds(4);
@@ -32,11 +32,11 @@
     private void arrive(int times, int gapMillis) {
         for (int i = 0; i < times; i++) {
             now = now.plusMillis(gapMillis);
-            rates.arrived(MODEL, now);
+            rates.recordArrival(MODEL, now);
         }
     }
 
     private double rate() {
-        return rates.all(now).getOrDefault(MODEL, 0.0);
+        return rates.ratesPerSecond(now).getOrDefault(MODEL, 0.0);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
@@ -51,11 +51,11 @@
     private final Map<String, HttpCall> running = new ConcurrentHashMap<>();
     private final TestDialect dialect = new TestDialect();
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final Flows flows =
-            new Flows(
+    private final InFlightRequests flows =
+            new InFlightRequests(
                     dialect,
                     new HttpClient(loop, LIMIT, new Metrics()),
-                    new Dispatch(
+                    new UpstreamDispatcher(
                             upstreams,
                             "a",
                             Map.of(),
@@ -63,7 +63,7 @@
                             loop::whenRead,
                             (upstream, all) -> (int) all),
                     Instant::now,
-                    new Flows.RetryBounds(Duration.ofSeconds(10), 0.2, 10),
+                    new InFlightRequests.RetryBounds(Duration.ofSeconds(10), 0.2, 10),
                     () -> 1,
                     new CrashWatch(
                             new EventLoopControlThread(
@@ -198,8 +198,8 @@
                         false,
                         AllowedRegions.ANYWHERE,
                         List.of(new Route.Target(SERVICE, 1)));
-        Flow.Admitted admitted =
-                new Flow.Admitted(
+        ForwardedRequest.Admission admitted =
+                new ForwardedRequest.Admission(
                         Optional.empty(),
                         AllowedRegions.ANYWHERE,
                         1,
@@ -207,8 +207,9 @@
                         Duration.ZERO,
                         0,
                         () -> {});
-        flows.begin(
-                new Flow(flows, call, dialect.request(call.headers()), route, SERVICE, admitted));
+        flows.start(
+                new ForwardedRequest(
+                        flows, call, dialect.request(call.headers()), route, SERVICE, admitted));
     }
 
     private void recordCall(HttpCall call) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
@@ -17,13 +17,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Where requests go while operators drain a zone. */
+/** Tests which upstreams receive requests while operators drain a zone. */
 class DrainedZoneDispatchTest {
     private final UpstreamTable upstreams =
             new UpstreamTable(new DrainedZones(Duration.ofSeconds(5)));
     private final Instant now = Instant.ofEpochSecond(100);
-    private final Dispatch dispatch =
-            new Dispatch(
+    private final UpstreamDispatcher dispatch =
+            new UpstreamDispatcher(
                     upstreams,
                     "a",
                     Map.of(),
@@ -33,39 +33,39 @@
     private final List<String> outcomes = new ArrayList<>();
 
     @Test
-    void aDrainedZoneIsLeftWhereAnotherCanServe() {
-        list("here", "a");
-        list("there", "b");
+    void aDrainedZoneIsAvoidedIfAnotherCanServe() {
+        addUpstream("here", "a");
+        addUpstream("there", "b");
         upstreams.zones().drain("a", now);
         dispatch.enqueue(request());
         assertEquals(List.of("to there"), outcomes);
     }
 
     @Test
-    void whatOnlyADrainedZoneHoldsIsServedThereUntilItCloses() {
-        list("here", "a");
-        list("closed", "b");
+    void aDrainedZoneServesUntilItClosesIfNoOtherCan() {
+        addUpstream("here", "a");
+        addUpstream("closed", "b");
         upstreams.zones().drain("a", now);
         upstreams.zones().drain("b", Instant.MIN);
         dispatch.enqueue(request());
         assertEquals(List.of("to here"), outcomes);
     }
 
-    // Guards against requests that wait to their end for a service whose zones are all closed.
+    // Guards against requests that wait until their deadline although all zones are closed.
     @Test
-    void whereAllZonesAreClosedARequestIsRefusedAtOnce() {
-        list("here", "a");
-        list("there", "b");
+    void aRequestIsRefusedAtOnceIfAllZonesAreClosed() {
+        addUpstream("here", "a");
+        addUpstream("there", "b");
         upstreams.zones().drain("a", Instant.MIN);
         upstreams.zones().drain("b", Instant.MIN);
         dispatch.enqueue(request());
-        assertEquals(List.of("in vain"), outcomes);
+        assertEquals(List.of("no upstream"), outcomes);
     }
 
-    // Guards against a request that waits when the last zone closes, and is held to its end.
+    // Guards against a queued request that waits until its deadline after the last zone has closed.
     @Test
-    void aRequestThatWaitsIsRefusedWhenTheLastZoneCloses() {
-        list("here", "a");
+    void aQueuedRequestIsRefusedWhenTheLastZoneCloses() {
+        addUpstream("here", "a");
         for (int each = 0; each < 6; each++) {
             dispatch.enqueue(request());
         }
@@ -74,19 +74,19 @@
         assertEquals(6, outcomes.size());
         upstreams.zones().drain("a", Instant.MIN);
         dispatch.tick();
-        assertEquals("in vain", outcomes.get(6));
+        assertEquals("no upstream", outcomes.get(6));
     }
 
-    private NotedRequest request() {
-        return new NotedRequest(now, AllowedRegions.ANYWHERE, outcomes);
+    private RecordingRequest request() {
+        return new RecordingRequest(now, AllowedRegions.ANYWHERE, outcomes);
     }
 
-    private void list(String id, String zone) {
+    private void addUpstream(String id, String zone) {
         upstreams.put(
                 new UpstreamFacts(
                         UpstreamId.of(id),
                         1,
-                        NotedRequest.SERVICE,
+                        RecordingRequest.SERVICE,
                         new Endpoint("127.0.0.1", 1),
                         zone,
                         4,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -25,9 +25,11 @@
 import java.util.TreeMap;
 
 /**
- * The real planner and the real queues of one router for all callers, before engines that hold two
- * thirds of the models, over a day of a minute, with time by hand. Some leaders give the orders one
- * after the other. Who asked for what, and who was served, is counted.
+ * Simulates requests for rare models with the real planner and the real queues of one router.
+ *
+ * <p>The engines hold two thirds of the models, a simulated day takes a minute, and the clock is
+ * advanced by hand. Several leaders may follow each other. The simulation counts the requests and
+ * the served requests for each model.
  */
 final class RareModelWorld {
     static final String SERVICE = "engines";
@@ -35,49 +37,53 @@
     private static final double LARGE_MB = 34_300;
     private static final double SMALL_MB = 16_100;
     private static final double ENGINE_MB = 83_000;
-    private static final Duration FROM_STORE = Duration.ofMillis(7_800);
-    private static final Duration FROM_MEMORY = Duration.ofMillis(700);
-    private static final Duration FROM_DISK = Duration.ofMillis(1_000);
+    private static final Duration STORE_LOAD_TIME = Duration.ofMillis(7_800);
+    private static final Duration MEMORY_LOAD_TIME = Duration.ofMillis(700);
+    private static final Duration DISK_LOAD_TIME = Duration.ofMillis(1_000);
     private static final int SLOTS = 64;
     private static final double MODELS_PER_ENGINE = 4.6;
-    private static final double BUSY_PART = 0.15;
+    private static final double BUSY_FRACTION = 0.15;
 
-    /** Requests a second at an engine: for models that are busy, and for all others evenly. */
+    /** Requests per second and engine for the busy models. */
     private static final double BUSY_PER_SECOND = 2.5;
 
+    /** Requests per second and engine for all other models, evenly distributed. */
     private static final double RARE_PER_SECOND = 0.4;
 
-    /** Of the models that no engine holds at the start, those of which one has a copy. */
-    private static final double ON_A_DISK = 0.75;
+    /** Fraction of the models not loaded at the start of which some engine has a copy on disk. */
+    private static final double DISK_COPY_FRACTION = 0.75;
 
     private static final Duration STEP = Duration.ofMillis(10);
-    private static final Duration DEMAND = Duration.ofMillis(100);
-    private static final Duration HEARTBEAT = Duration.ofMillis(1_200);
-    private static final Duration BUSY_WAIT = Duration.ofMillis(1_900);
-    private static final Duration RARE_WAIT = Duration.ofMillis(8_000);
-    private static final Duration COME_BACK = Duration.ofMillis(1_500);
-    private static final Duration ASK_AGAIN = Duration.ofMillis(120);
-    private static final int LONGEST_RUN_MILLIS = 3_600;
-
-    /** Asked for as often as this over this time, a model should have been served. */
-    private static final int OFTEN = 4;
-
-    private static final Duration LONG = Duration.ofSeconds(8);
+    private static final Duration DEMAND_INTERVAL = Duration.ofMillis(100);
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(1_200);
+    private static final Duration BUSY_QUEUE_TIMEOUT = Duration.ofMillis(1_900);
+    private static final Duration RARE_QUEUE_TIMEOUT = Duration.ofMillis(8_000);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(1_500);
+    private static final Duration MISSING_MODEL_PAUSE = Duration.ofMillis(120);
+    private static final int MAX_RUN_MILLIS = 3_600;
+
+    /**
+     * Requests from which a model should have been served, if they span at least {@link
+     * #MIN_OFTEN_TIME}.
+     */
+    private static final int MIN_OFTEN_REQUESTS = 4;
+
+    private static final Duration MIN_OFTEN_TIME = Duration.ofSeconds(8);
 
     private final Random random;
     private final EngineSpec spec;
     private final WeightStore weights;
     private final Map<UpstreamId, RareModelEngine> engines = new TreeMap<>();
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final Dispatch dispatch;
-    private final Map<String, Count> counts = new TreeMap<>();
+    private final UpstreamDispatcher dispatch;
+    private final Map<String, RequestCounts> counts = new TreeMap<>();
     private final TestControlThread time = new TestControlThread();
     private LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
-    private boolean led;
+    private boolean hasLeader;
     private int served;
     private int asked;
 
-    private static final class Count {
+    private static final class RequestCounts {
         private int asked;
         private int served;
         private Instant first;
@@ -89,9 +95,9 @@
         this.weights = new WeightStore(atFullSpeed);
         this.spec = spec((int) (count * MODELS_PER_ENGINE));
         this.dispatch =
-                new Dispatch(
+                new UpstreamDispatcher(
                         upstreams, "a", Map.of(), this::now, Runnable::run, (id, all) -> (int) all);
-        dispatch.configured(
+        dispatch.setEngineServices(
                 List.of(new ServiceSpec(SERVICE, 1, Duration.ZERO, 0, Optional.of(spec))));
         for (int each = 0; each < count; each++) {
             RareModelEngine engine =
@@ -100,30 +106,34 @@
         }
         placeAtStart();
         engines.values().forEach(engine -> upstreams.put(engine.facts(), now()));
-        time.every(HEARTBEAT, this::beat);
-        time.every(DEMAND, this::demand);
+        time.every(HEARTBEAT_INTERVAL, this::heartbeat);
+        time.every(DEMAND_INTERVAL, this::reportDemand);
     }
 
     private static EngineSpec spec(int models) {
         Map<String, ModelSpec> all = new TreeMap<>();
         for (int each = 0; each < models; each++) {
-            String name = name(each);
+            String name = modelName(each);
             double weight = each % 9 < 5 ? LARGE_MB : SMALL_MB;
-            all.put(name, new ModelSpec(name, weight, FROM_STORE, FROM_MEMORY, FROM_DISK, 40));
+            all.put(
+                    name,
+                    new ModelSpec(
+                            name, weight, STORE_LOAD_TIME, MEMORY_LOAD_TIME, DISK_LOAD_TIME, 40));
         }
         return new EngineSpec(SLOTS, 100_000, ENGINE_MB, 8, 18, all);
     }
 
-    private static String name(int model) {
+    private static String modelName(int model) {
         return String.format("m%03d", model);
     }
 
     private int busyModels() {
-        return Math.max(1, (int) (spec.models().size() * BUSY_PART));
+        return Math.max(1, (int) (spec.models().size() * BUSY_FRACTION));
     }
 
-    // Busy models are on three engines each, the others on one as far as there is room, and most of
-    // the rest on a disk.
+    // Busy models are loaded on three engines each, the others on one while there is memory, and
+    // most
+    // of the rest have a copy on a disk.
     private void placeAtStart() {
         List<RareModelEngine> all = new ArrayList<>(engines.values());
         int next = 0;
@@ -131,47 +141,48 @@
             int replicas = model < busyModels() ? Math.min(3, all.size()) : 1;
             boolean placed = false;
             for (int replica = 0; replica < replicas; replica++) {
-                for (int tried = 0; tried < all.size(); tried++) {
-                    if (all.get(next++ % all.size()).place(name(model))) {
+                for (int candidate = 0; candidate < all.size(); candidate++) {
+                    if (all.get(next++ % all.size()).preload(modelName(model))) {
                         placed = true;
                         break;
                     }
                 }
             }
-            if (!placed && random.nextDouble() < ON_A_DISK) {
-                all.get(next++ % all.size()).copy(name(model));
+            if (!placed && random.nextDouble() < DISK_COPY_FRACTION) {
+                all.get(next++ % all.size()).copyToDisk(modelName(model));
             }
         }
     }
 
-    /** The most loads from the store that ran beside each other. */
-    int mostLoadsAtOnce() {
+    /** Returns the largest number of concurrent loads from the store. */
+    int maxConcurrentLoads() {
         return weights.mostAtOnce();
     }
 
-    /** Models that no engine has a copy of. */
+    /** Returns the number of models of which no engine has a copy. */
     private long withoutCopy() {
         return spec.models().keySet().stream()
                 .filter(model -> engines.values().stream().noneMatch(e -> e.hasCopy(model)))
                 .count();
     }
 
-    /** Another router gives the orders from now on. */
-    void lead() {
+    /** Makes another router the leader. */
+    void changeLeader() {
         planner = new LoadPlanner(LoadSettings.defaults());
-        led = true;
-        feed(new LoadInput.ServicesConfigured(Map.of(SERVICE, spec)));
-        engines.values().forEach(engine -> feed(new LoadInput.UpstreamListed(engine.facts())));
-        feed(new LoadInput.Elected());
+        hasLeader = true;
+        feedPlanner(new LoadInput.ServicesConfigured(Map.of(SERVICE, spec)));
+        engines.values()
+                .forEach(engine -> feedPlanner(new LoadInput.UpstreamListed(engine.facts())));
+        feedPlanner(new LoadInput.Elected());
     }
 
-    /** Nobody gives orders. */
-    void leaderless() {
-        led = false;
+    /** Leaves the fleet without a leader. */
+    void removeLeader() {
+        hasLeader = false;
     }
 
-    /** Callers come from now on. */
-    void open(Duration day) {
+    /** Starts the arrival of callers, for the given time. */
+    void startArrivals(Duration day) {
         Instant end = now().plus(day);
         double busy = BUSY_PER_SECOND * engines.size();
         double rare = RARE_PER_SECOND * engines.size();
@@ -185,29 +196,33 @@
                 Duration.ofNanos((long) (seconds * 1e9)),
                 () -> {
                     if (now().isBefore(end)) {
-                        new Caller(model(busy), busy ? BUSY_WAIT : RARE_WAIT, false).ask();
+                        new Caller(
+                                        model(busy),
+                                        busy ? BUSY_QUEUE_TIMEOUT : RARE_QUEUE_TIMEOUT,
+                                        false)
+                                .send();
                         arrivals(perSecond, end, busy);
                     }
                 });
     }
 
     private String model(boolean busy) {
-        int many = busyModels();
+        int busyCount = busyModels();
         if (!busy) {
-            return name(many + random.nextInt(spec.models().size() - many));
+            return modelName(busyCount + random.nextInt(spec.models().size() - busyCount));
         }
-        double place = random.nextDouble();
-        return name((int) (many * place * place));
+        double position = random.nextDouble();
+        return modelName((int) (busyCount * position * position));
     }
 
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         Instant end = now().plus(duration);
         while (now().isBefore(end)) {
             time.advance(STEP);
             weights.pass(STEP);
-            engines.values().forEach(engine -> engine.pass(now()));
+            engines.values().forEach(engine -> engine.completeOrders(now()));
             if (now().toEpochMilli() % 20 == 0) {
-                feed(new LoadInput.Tick());
+                feedPlanner(new LoadInput.Tick());
             }
             if (now().toEpochMilli() % 50 == 0) {
                 dispatch.tick();
@@ -215,49 +230,50 @@
         }
     }
 
-    private void beat() {
+    private void heartbeat() {
         for (RareModelEngine engine : engines.values()) {
             upstreams.put(engine.facts(), now());
-            feed(new LoadInput.UpstreamListed(engine.facts()));
+            feedPlanner(new LoadInput.UpstreamListed(engine.facts()));
         }
     }
 
-    private void demand() {
-        feed(dispatch.demand(VmId.of("router")));
+    private void reportDemand() {
+        feedPlanner(dispatch.demand(VmId.of("router")));
     }
 
-    private void feed(LoadInput input) {
-        if (led) {
-            planner.on(input, now()).forEach(this::carryOut);
+    private void feedPlanner(LoadInput input) {
+        if (hasLeader) {
+            planner.on(input, now()).forEach(this::execute);
         }
     }
 
-    private void carryOut(LoadAction action) {
-        LoadPlanner by = planner;
+    private void execute(LoadAction action) {
+        LoadPlanner sender = planner;
         if (action instanceof LoadAction.SendOrder order) {
             time.after(
                     Duration.ofMillis(2),
                     () -> {
-                        var outcome = engines.get(order.upstream()).take(order, now());
-                        answer(
-                                by,
+                        var outcome = engines.get(order.upstream()).execute(order, now());
+                        deliver(
+                                sender,
                                 new LoadInput.OrderAnswered(
                                         order.upstream(), order.number(), outcome));
                     });
-        } else if (action instanceof LoadAction.RequestReport ask) {
+        } else if (action instanceof LoadAction.RequestReport reportRequest) {
             time.after(
-                    Duration.ofMillis(3), () -> answer(by, engines.get(ask.upstream()).report()));
-        } else if (action instanceof LoadAction.AnnounceHeldModels tell) {
+                    Duration.ofMillis(3),
+                    () -> deliver(sender, engines.get(reportRequest.upstream()).report()));
+        } else if (action instanceof LoadAction.AnnounceHeldModels announcement) {
             upstreams
-                    .find(tell.upstream())
-                    .ifPresent(each -> each.leaderAnnounced(tell.held(), now()));
+                    .find(announcement.upstream())
+                    .ifPresent(each -> each.leaderAnnounced(announcement.held(), now()));
             dispatch.tick();
         }
     }
 
-    private void answer(LoadPlanner to, LoadInput input) {
+    private void deliver(LoadPlanner to, LoadInput input) {
         if (to == planner) {
-            feed(input);
+            feedPlanner(input);
         }
     }
 
@@ -265,25 +281,26 @@
         return time.clock().instant();
     }
 
-    /** Models that were asked for often and long, and never served. */
+    /** Returns the models that were requested often and over a long time but never served. */
     List<String> neverServed() {
         return counts.entrySet().stream()
-                .filter(entry -> often(entry.getValue()) && entry.getValue().served == 0)
+                .filter(entry -> isOftenRequested(entry.getValue()) && entry.getValue().served == 0)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    /** Models that were asked for often and long. */
-    long askedForOften() {
-        return counts.values().stream().filter(RareModelWorld::often).count();
+    /** Returns the number of models that were requested often and over a long time. */
+    long oftenRequestedCount() {
+        return counts.values().stream().filter(RareModelWorld::isOftenRequested).count();
     }
 
-    private static boolean often(Count count) {
-        return count.asked >= OFTEN && !count.last.isBefore(count.first.plus(LONG));
+    private static boolean isOftenRequested(RequestCounts count) {
+        return count.asked >= MIN_OFTEN_REQUESTS
+                && !count.last.isBefore(count.first.plus(MIN_OFTEN_TIME));
     }
 
-    /** The part of all callers that were served, at once or when they came back. */
-    double served() {
+    /** Returns the fraction of callers that were served, at the first attempt or at the retry. */
+    double servedFraction() {
         return served / (double) asked;
     }
 
@@ -293,35 +310,35 @@
                 "%d of %d models never served, %.3f of %d callers served, %d loads from the"
                         + " store, %d at once, %d models without a copy",
                 neverServed().size(),
-                askedForOften(),
-                served(),
+                oftenRequestedCount(),
+                servedFraction(),
                 asked,
                 weights.begun(),
-                mostLoadsAtOnce(),
+                maxConcurrentLoads(),
                 withoutCopy());
     }
 
-    /** One request; refused, its caller comes back once. */
-    private final class Caller extends PlainRequest {
+    /** One request; when it is refused, its caller retries once. */
+    private final class Caller extends SimulatedRequest {
         private final ModelRef model;
-        private final Duration wait;
-        private final boolean again;
-        private final Map<UpstreamId, Instant> tried = new HashMap<>();
+        private final Duration queueTimeout;
+        private final boolean isRetry;
+        private final Map<UpstreamId, Instant> pausedUntil = new HashMap<>();
 
-        Caller(String name, Duration wait, boolean again) {
-            super(SERVICE, now(), wait);
+        Caller(String name, Duration queueTimeout, boolean isRetry) {
+            super(SERVICE, now(), queueTimeout);
             this.model = new ModelRef(name, "");
-            this.wait = wait;
-            this.again = again;
+            this.queueTimeout = queueTimeout;
+            this.isRetry = isRetry;
         }
 
-        void ask() {
-            Count count = counts.computeIfAbsent(model.model(), any -> new Count());
+        void send() {
+            RequestCounts count = counts.computeIfAbsent(model.model(), any -> new RequestCounts());
             count.asked++;
             count.first = count.first == null ? now() : count.first;
             count.last = now();
-            asked += again ? 0 : 1;
-            dispatch.arrived(model);
+            asked += isRetry ? 0 : 1;
+            dispatch.recordArrival(model);
             dispatch.enqueue(this);
         }
 
@@ -331,14 +348,14 @@
         }
 
         @Override
-        public Instant inTimeUntil() {
-            return since().plus(wait.dividedBy(4));
+        public Instant onTimeSendDeadline() {
+            return arrivedAt().plus(queueTimeout.dividedBy(4));
         }
 
         @Override
-        public Set<UpstreamId> tried() {
-            tried.values().removeIf(until -> !now().isBefore(until));
-            return tried.keySet();
+        public Set<UpstreamId> excludedUpstreams() {
+            pausedUntil.values().removeIf(until -> !now().isBefore(until));
+            return pausedUntil.keySet();
         }
 
         @Override
@@ -346,28 +363,28 @@
             RareModelEngine engine = engines.get(upstream.facts().id());
             if (!engine.serves(model.model())) {
                 upstream.leaderContradicted();
-                tried.put(engine.id(), now().plus(ASK_AGAIN));
+                pausedUntil.put(engine.id(), now().plus(MISSING_MODEL_PAUSE));
                 dispatch.enqueue(this);
                 return;
             }
             upstream.requestAssigned(model, now());
             upstream.requestSent(now());
-            engine.begins(model.model());
+            engine.startRun(model.model());
             counts.get(model.model()).served++;
             served++;
             time.after(
-                    Duration.ofMillis(200 + random.nextInt(LONGEST_RUN_MILLIS)),
+                    Duration.ofMillis(200 + random.nextInt(MAX_RUN_MILLIS)),
                     () -> {
-                        engine.ends(model.model());
+                        engine.finishRun(model.model());
                         upstream.requestFinished(model);
-                        dispatch.drain(SERVICE);
+                        dispatch.sendQueued(SERVICE);
                     });
         }
 
         @Override
-        public void waitedInVain() {
-            if (!again) {
-                time.after(COME_BACK, () -> new Caller(model.model(), wait, true).ask());
+        public void handleNoUpstream() {
+            if (!isRetry) {
+                time.after(RETRY_DELAY, () -> new Caller(model.model(), queueTimeout, true).send());
             }
         }
     }
