--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DenialConfirmation.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DenialConfirmation.java
@@ -32,7 +32,8 @@
     private final Metrics metrics;
     private int waitingCount;
 
-    DenialConfirmation(OperatorSettingsFollower operatorFollower, InstantSource clock, Metrics metrics) {
+    DenialConfirmation(
+            OperatorSettingsFollower operatorFollower, InstantSource clock, Metrics metrics) {
         this.operatorFollower = operatorFollower;
         this.clock = clock;
         this.metrics = metrics;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/GracefulShutdown.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/GracefulShutdown.java
@@ -38,7 +38,8 @@
     private final Duration grace;
     private final InFlightRequests flows;
 
-    GracefulShutdown(ControlThread control, HttpServer callers, Duration grace, InFlightRequests flows) {
+    GracefulShutdown(
+            ControlThread control, HttpServer callers, Duration grace, InFlightRequests flows) {
         this.control = control;
         this.callers = callers;
         this.grace = grace;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
@@ -72,7 +72,8 @@
                         forwarded.call().target(),
                         new DefaultHttpHeaders(),
                         forwarded.bodyForAttempt(),
-                        answerHeaders -> inFlight.dialect().belongsToAttempt(attemptId, answerHeaders),
+                        answerHeaders ->
+                                inFlight.dialect().belongsToAttempt(attemptId, answerHeaders),
                         forwarded.route().isRepeatable()
                                 ? MAX_IDLE_REPEATABLE
                                 : MAX_IDLE_NON_REPEATABLE);
