--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ColdLimits.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ColdLimits.java
@@ -7,7 +7,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What cold upstreams of each service bear, by the configuration and what the settings add. */
+/**
+ * Computes the rate limits of cold upstreams of each service, from the configuration and the
+ * overage and slack of the settings.
+ */
 final class ColdLimits {
     private ColdLimits() {}
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashNews.java
@@ -6,35 +6,37 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** What routers tell each other of requests under which upstreams end. */
+/** Announces crashes of upstreams and poison requests to the other routers. */
 interface CrashNews {
-    /** Tells those that count that an upstream ended so long ago, and how long these had run. */
+    /** Announces to the counting routers a crash so long ago and how long each request had run. */
     void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
-    /** Tells all others that an upstream has ended, through those that pass it on. */
+    /** Announces to all others that an upstream has crashed, through those that pass it on. */
     void found(UpstreamCrash end);
 
-    /** Tells all others so, if this router is one of those that pass it on. */
+    /** Passes a crash on to all others, if this router is one of those that do so. */
     void passEndOn(UpstreamCrash end);
 
-    /** Tells all others that one more end is enough, and that a success would clear it. */
+    /**
+     * Announces to all others that a further crash quarantines the request; a success clears it.
+     */
     void watched(RequestDigest request);
 
-    /** Tells all others that the request is kept out. */
+    /** Announces to all others that the request is quarantined. */
     void keptOut(Quarantine.Entry entry);
 
-    /** Tells those that count that this router refuses the request, in case they know better. */
+    /** Announces to the counting routers that this one refuses the request; they may correct it. */
     void refused(Quarantine.Entry entry);
 
-    /** Tells all others that the request, sent so long ago, was answered with a success now. */
+    /** Announces to all others that the request, sent so long ago, has now succeeded. */
     void cleared(RequestDigest request, Duration sentAgo);
 
-    /** Takes it out of what outlives the routers: it is kept out no longer. */
+    /** Removes the request from the durable quarantine. */
     void released(RequestDigest request);
 
-    /** Tells those that count that the request was answered with a success so long ago. */
+    /** Announces to the counting routers that the request succeeded so long ago. */
     void succeededBefore(RequestDigest request, Duration ago);
 
-    /** Tells those that count that an upstream took the request so often and did not end. */
+    /** Announces to the counting routers the number of runs that did not crash their upstream. */
     void borne(RequestDigest request, int times);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
@@ -23,38 +23,39 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps requests from upstreams under which several of them have ended: {@code
- * watch.broke(upstream, digest)} when a connection breaks, {@code watch.refused(digest)} before a
- * send. Control thread only.
+ * Detects poison requests, which crash the upstreams that they are sent to, and quarantines them:
+ * {@code watch.cut(upstream, digest, sentAt, how)} when a run is cut off, {@code
+ * watch.refused(digest)} before a request is sent. Control thread only.
  *
- * <p>What ran at an upstream when it ended ({@link UpstreamEnds}) is told to the routers that
- * count. They hold a request to be the cause by what several ends have in common.
+ * <p>{@link UpstreamEnds} finds out which requests ran at an upstream when it crashed. That is
+ * announced to the counting routers, which suspect the requests that several crashes have in
+ * common.
  */
 final class CrashWatch {
     private static final Logger LOG = LogManager.getLogger(CrashWatch.class);
 
     /**
-     * A request under which enough upstreams have ended is kept out after this, unless somebody
-     * answers it in full meanwhile. All routers have to know three seconds after the third end.
+     * How long a suspect may still be cleared by a success before it is quarantined. All routers
+     * have to know of the quarantine three seconds after the third crash.
      */
     private static final Duration HOLD = Duration.ofSeconds(2);
 
-    /** So long each answer to a watched request is told; another end makes it begin anew. */
+    /** How long the answers to a watched request are announced; a further crash restarts it. */
     private static final Duration WATCH = Duration.ofSeconds(30);
 
-    /** A router that refuses a request asks so often whether it should. */
+    /** How often a router that refuses a request announces this, in case it missed a success. */
     private static final Duration REMIND = Duration.ofSeconds(5);
 
-    /** After an end, what becomes of requests is remembered for so long. */
+    /** How long after a crash the outcomes of requests are recorded. */
     private static final Duration ALERT = Duration.ofSeconds(10);
 
-    /** Requests whose answers are remembered. */
+    /** The most requests whose outcomes are recorded. */
     private static final int MOST_ANSWERED = 512;
 
-    /** At least so long, for what other routers remember of it. */
+    /** The shortest hold, which leaves other routers time to announce recent successes. */
     private static final Duration SHORTEST_HOLD = Duration.ofMillis(500);
 
-    /** Watched requests beyond this are not remembered. */
+    /** The most requests that are watched at a time; further ones are not recorded. */
     private static final int MOST_WATCHED = 512;
 
     private final ControlThread control;
@@ -73,8 +74,10 @@
     private final Map<RequestDigest, ControlThread.Cancellable> held = new HashMap<>();
 
     /**
-     * {@code counts} tells whether this router is one of those that count for all, and {@code
-     * tries} whether it is the one that tries again.
+     * Creates a watch without any known crash.
+     *
+     * @param counts whether this router is one of those that count crashes for the fleet
+     * @param tries whether this router is the one that sends quarantined requests as a trial
      */
     CrashWatch(
             ControlThread control,
@@ -91,12 +94,12 @@
         this.tries = tries;
     }
 
-    /** True if a request need not be looked at before it is sent. */
+    /** Returns true if no request is quarantined, so that none need be checked before a send. */
     boolean idle() {
         return quarantine.isEmpty();
     }
 
-    /** How long the request is kept from all upstreams; empty if it may go, perhaps as a trial. */
+    /** Returns how long the request stays quarantined; empty if it may be sent, or as a trial. */
     Optional<Duration> refused(RequestDigest request) {
         Optional<Duration> left = quarantine.tryAdmit(request, tries.getAsBoolean(), now());
         if (left.isPresent()) {
@@ -105,7 +108,8 @@
         return left;
     }
 
-    // Word that it is cleared may not have come here, and would be missed for minutes.
+    // The announcement that cleared the request may have been lost, and the request would stay
+    // quarantined here for minutes.
     private void remind(RequestDigest request) {
         Instant last = reminded.getOrDefault(request, Instant.MIN);
         if (now().isAfter(last.plus(REMIND))) {
@@ -114,29 +118,29 @@
         }
     }
 
-    /** Shows how many requests are watched, held until that is decided, and kept out. */
+    /** Registers gauges of the watched, the undecided and the quarantined requests. */
     void show() {
         metrics.gauge("requests_watched", watched::size);
         metrics.gauge("requests_held", held::size);
         metrics.gauge("requests_kept_out", quarantine::size);
     }
 
-    /** True if it is kept from all upstreams; a request that waited may be so by now. */
+    /** Returns true if the request is quarantined, as a queued one may be by now. */
     boolean keepsOut(RequestDigest request) {
         return quarantine.isQuarantined(request, now());
     }
 
-    /** True if it has ended upstreams before, so that letting it go is a trial. */
+    /** Returns true if the request has crashed upstreams before, so that sending it is a trial. */
     boolean knows(RequestDigest request) {
         return quarantine.contains(request);
     }
 
-    /** True if an answer to some request would be news. */
+    /** Returns true if the outcome of some request matters, so that answers must be recorded. */
     boolean awaitsAnswers() {
         return !watched.isEmpty() || !quarantine.isEmpty() || now().isBefore(alertUntil);
     }
 
-    /** The request, sent at that time, was answered in full with this status. */
+    /** Records that the request sent at that time was answered in full with this status. */
     void answered(RequestDigest request, Instant sentAt, int status) {
         watched.removeExpired(now());
         if (success(status)) {
@@ -152,7 +156,7 @@
         boolean keptOut = quarantine.contains(request);
         if (matters(request) && toldCleared(request, ago)) {
             metrics.count("requests_cleared", "status", Integer.toString(status));
-            LOG.info("request {} is cleared, answered with {}", request, status);
+            LOG.info("request {} is no longer suspect: answered with status {}", request, status);
             news.cleared(request, ago);
             if (keptOut) {
                 news.released(request);
@@ -173,37 +177,41 @@
         return watched.contains(request) || quarantine.contains(request);
     }
 
-    // Only a success proves that the request has run; an upstream may fail it before it does.
+    // Only a success proves that the request ran; an upstream may fail a request before running it.
     private static boolean success(int status) {
         return status >= 200 && status < 300;
     }
 
-    /** The request, sent at that time, ran at the upstream and came to no whole answer there. */
+    /** Records that the request sent at that time ran at the upstream without a complete answer. */
     void cut(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
         ends.cut(upstream, request, sentAt, how);
     }
 
-    /** The upstream has answered something that was sent then. */
+    /** Records that the upstream answered a request that was sent at that time. */
     void answers(Upstream upstream, Instant sentAt) {
         ends.answered(upstream, sentAt);
     }
 
-    /** No connection to the upstream could be made. */
+    /** Records that no connection to the upstream could be made. */
     void unreachable(Upstream upstream) {
         ends.unreachable(upstream);
     }
 
-    /** The list has the upstream no longer. */
+    /** Records that the upstream has been removed from the list. */
     void gone(UpstreamId upstream) {
         ends.gone(upstream);
     }
 
-    /** The list says something of the upstream, perhaps of its next life. */
+    /** Records an entry of the list, which may be of a newer incarnation of the upstream. */
     void listed(UpstreamFacts facts) {
         ends.listed(facts);
     }
 
-    /** Another router has found out that an upstream has ended; {@code passOn} if others wait. */
+    /**
+     * Records a crash that another router announced.
+     *
+     * @param passOn whether this router passes the announcement on to the others
+     */
     void toldEnd(UpstreamCrash end, boolean passOn) {
         if (ends.told(end)) {
             alert();
@@ -225,7 +233,7 @@
         news.ended(end, ago, ran);
     }
 
-    /** A router tells of an upstream's end, to this one that counts. */
+    /** Counts a crash that a router announced to this counting router, and what ran then. */
     void told(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         Instant now = now();
         int before = known(ran, now);
@@ -254,8 +262,8 @@
         toldWatched(request);
     }
 
-    // A request that is asked again and again may run at several upstreams that end for one reason.
-    // Then it runs at others too, and one of them answers it in this time.
+    // A request that is repeated may run at several upstreams that crash for one unrelated reason.
+    // Then it runs at others too, and one of them answers it within the hold.
     private void suspect(RequestDigest request) {
         if (quarantine.contains(request)) {
             keepOut(request);
@@ -265,7 +273,8 @@
         }
     }
 
-    // Where the ends first looked like those of a rack, it has gone without a success for long.
+    // If the crashes first looked like the failure of a rack, the request has already gone without
+    // a success for part of the hold.
     private Duration hold(RequestDigest request) {
         Instant now = now();
         Duration left =
@@ -288,13 +297,13 @@
 
     private void keepOut(Quarantine.Entry entry) {
         LOG.warn(
-                "request {} is kept from all upstreams: {} have ended under it",
+                "request {} is quarantined from all upstreams: it crashed {} of them",
                 entry.request(),
                 suspects.countedCrashes(entry.request(), now()));
         news.keptOut(entry);
     }
 
-    /** Another router keeps a request out. */
+    /** Merges a quarantine entry that another router announced. */
     void told(Quarantine.Entry entry) {
         Optional<Instant> success = successAfter(entry);
         if (success.isEmpty()) {
@@ -307,12 +316,12 @@
 
     private void take(Quarantine.Entry entry) {
         if (quarantine.merge(entry)) {
-            LOG.warn("request {} is kept from all upstreams, as is told", entry.request());
+            LOG.warn("request {} is quarantined, as another router reports", entry.request());
         }
     }
 
-    // When the run was sent whose success the other router does not know of. What is kept out here
-    // is so in spite of earlier successes.
+    // Returns when the successful run was sent that the other router does not know of. A request
+    // that is quarantined here is so in spite of earlier successes.
     private Optional<Instant> successAfter(Quarantine.Entry entry) {
         if (quarantine.contains(entry.request())) {
             return Optional.empty();
@@ -323,7 +332,7 @@
                 .filter(sentAt -> sentAt.isAfter(entry.lastCrashAt()));
     }
 
-    /** The store holds that the request is kept out; when that began, it does not tell. */
+    /** Merges a quarantine that the store holds; the store does not say when it began. */
     void toldByStore(RequestDigest request, int trials) {
         Instant until = now().plus(settings.firstQuarantine());
         Quarantine.Entry entry = new Quarantine.Entry(request, until, trials, Instant.EPOCH);
@@ -332,7 +341,7 @@
         }
     }
 
-    /** Another router says that one more end would be enough. */
+    /** Watches a request that another router announced as one crash short of quarantine. */
     void toldWatched(RequestDigest request) {
         if (watched.add(request, now())) {
             tellRecent(request);
@@ -357,9 +366,9 @@
     }
 
     /**
-     * The request, sent so long ago, has just been answered with a success somewhere.
+     * Records that the request, sent so long ago, has just been answered with a success somewhere.
      *
-     * @return true unless it stays kept out
+     * @return true unless the request stays quarantined
      */
     boolean toldCleared(RequestDigest request, Duration sentAgo) {
         if (!quarantine.recordSuccess(request, now().minus(sentAgo))) {
@@ -371,7 +380,7 @@
         return true;
     }
 
-    /** The request was answered with a success so long ago, somewhere, before it was watched. */
+    /** Records a success so long ago at any router, from before the request was watched. */
     void toldSucceededBefore(RequestDigest request, Duration ago) {
         suspects.recordSuccess(request, now().minus(ago));
         if (!suspects.isPoisonRequest(request, now())) {
@@ -379,12 +388,12 @@
         }
     }
 
-    /** Upstreams took the request so often and did not end, somewhere. */
+    /** Records this number of runs, at any router, that did not crash their upstream. */
     void toldBorne(RequestDigest request, int times) {
         suspects.addSurvivedRuns(request, times);
     }
 
-    /** Tells all that is kept out, to routers that have just come. */
+    /** Announces all quarantined requests, for routers that have just joined. */
     void tellAll() {
         quarantine.entries().forEach(news::keptOut);
     }
@@ -393,7 +402,7 @@
         return control.clock().instant();
     }
 
-    /** Passes on what is known of ends. */
+    /** Announces the crashes and survived runs that this router detects. */
     private final class EndListener implements UpstreamEnds.Listener {
         @Override
         public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LimitedUpstreams.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LimitedUpstreams.java
@@ -13,35 +13,33 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Takes in how many requests a second upstreams say they take, and tells the other routers, most of
- * which hear nothing of it themselves while there is little to send there. Control thread only.
+ * Records the request rate limits that upstreams declare in their answers, and announces them to
+ * the other routers, most of which see no such answer while they send little. Control thread only.
  */
 final class LimitedUpstreams {
     private static final Logger LOG = LogManager.getLogger(LimitedUpstreams.class);
 
-    /**
-     * The end of a limit is told again for so long, for those whom the first message didn't reach.
-     */
+    /** How long the end of a limit is announced again, for routers that missed the first one. */
     private static final Duration END_TOLD = Duration.ofSeconds(4);
 
     private final InstantSource clock;
     private final UpstreamTable upstreams;
     private final Wire wire;
 
-    /** Takes news to other routers. */
+    /** Sends announcements to other routers. */
     interface Wire {
-        /** To those that pass it on to all. */
+        /** Announces a limit to the routers that pass it on to all others. */
         void tellLimit(News news);
 
-        /** To all, if this router is one of those that pass it on. */
+        /** Announces a limit to all, if this router is one of those that pass announcements on. */
         void passLimitOn(News news);
     }
 
     /**
-     * What an upstream has said.
+     * A limit that an upstream declared, or its end.
      *
-     * @param startedAt in which of its lives, by its start
-     * @param age how long ago the limit was heard, or the request left whose answer had none
+     * @param startedAt which incarnation of the upstream declared it, by its start
+     * @param age how long ago the limit was received, or the request was sent whose answer had none
      */
     record News(UpstreamId upstream, long startedAt, RequestLimit limit, Duration age) {}
 
@@ -51,22 +49,26 @@
         this.wire = wire;
     }
 
-    /** An answer to a request that left at that time says this. */
+    /** Records the limit in an answer to a request that was sent at that time. */
     void heard(Upstream upstream, RequestLimit limit, Instant sentAt) {
         if (limit.kind() == RequestLimit.Kind.INVALID) {
             if (upstream.limitGate().markInvalid()) {
-                LOG.warn("upstream {} names a limit that is none", upstream.facts().id());
+                LOG.warn("upstream {} declares an invalid limit", upstream.facts().id());
             }
             return;
         }
         Instant now = clock.instant();
         if (upstream.limitGate().limitReceived(limit, limit.isDeclared() ? now : sentAt, now)) {
-            log(upstream, "it says");
+            log(upstream, "declared by the upstream");
             wire.tellLimit(news(upstream, now));
         }
     }
 
-    /** Another router has heard this; {@code passOn} if others wait for it. */
+    /**
+     * Records a limit that another router announced.
+     *
+     * @param passOn whether this router passes the announcement on to the others
+     */
     void told(News news, boolean passOn) {
         Instant now = clock.instant();
         upstreams
@@ -78,14 +80,17 @@
                                         .limitReceived(news.limit(), now.minus(news.age()), now))
                 .ifPresent(
                         upstream -> {
-                            log(upstream, "another router says");
+                            log(upstream, "announced by another router");
                             if (passOn) {
                                 wire.passLimitOn(news);
                             }
                         });
     }
 
-    /** Tells again what is known: messages get lost, and routers start. Called once a second. */
+    /**
+     * Announces all current limits again, as messages get lost and routers start. Called once a
+     * second.
+     */
     void tellAgain() {
         Instant now = clock.instant();
         for (Upstream upstream : upstreams.all()) {
@@ -98,7 +103,7 @@
         }
     }
 
-    /** Shows how many upstreams are limited, and how often that held a request back. */
+    /** Registers gauges of the limited upstreams and of the requests that limits held back. */
     void show(Metrics metrics) {
         metrics.gauge("upstreams_limited", this::limited);
         metrics.gauge("upstream_limit_held_back", this::heldBack);
@@ -127,12 +132,12 @@
         RequestLimit limit = upstream.limitGate().limit();
         if (limit.isDeclared()) {
             LOG.info(
-                    "upstream {} takes {} requests a second from all routers, as {}",
+                    "upstream {} accepts {} requests a second from all routers, {}",
                     upstream.facts().id(),
                     limit.perSecond(),
                     source);
         } else {
-            LOG.info("upstream {} names no limit any more, as {}", upstream.facts().id(), source);
+            LOG.info("upstream {} declares no limit any more, {}", upstream.facts().id(), source);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourCrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourCrashNews.java
@@ -11,25 +11,27 @@
 import java.util.function.Function;
 
 /**
- * Tells the other routers what is known of requests under which upstreams end. In a large fleet
- * only those that follow the store for all have a link to every other router.
+ * Announces crashes and poison requests to the peer routers. In a large fleet only the watchers,
+ * which follow the store for all, have a link to every other router.
  */
 final class NeighbourCrashNews implements CrashNews {
     private final InstantSource clock;
     private final Wire wire;
 
-    /** Takes frames to other routers. */
+    /** Sends frames to other routers. */
     interface Wire {
-        /** To all others that this router has a link to, or opens one. */
+        /** Sends to all others to which this router has a link or opens one. */
         void toAll(Frame frame);
 
-        /** To those that follow the store for all, which count the ends. */
+        /** Sends to the watchers, which follow the store for all and count the crashes. */
         void toWatchers(Frame frame);
 
-        /** To all others, through those if need be; the frame says whether to pass it on. */
+        /**
+         * Sends to all others, if need be through watchers; the frame says whether to pass it on.
+         */
         void throughWatchers(Function<Boolean, Frame> frame);
 
-        /** True if this router is one of them, and passes on what it hears. */
+        /** Returns true if this router is a watcher, and passes on what it receives. */
         boolean passesOn();
     }
 
@@ -67,7 +69,7 @@
 
     @Override
     public void released(RequestDigest request) {
-        // Routers are told with the answer that cleared it.
+        // The other routers learn this from the announced success that cleared the request.
     }
 
     @Override
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/QuarantineStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/QuarantineStore.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * Writes down which requests are kept out, so that it outlives the routers that know: all of them
- * may be killed at once, and would let the same request end upstreams again. Control thread only.
+ * Stores the quarantined requests so that they outlive the routers: all routers may be killed at
+ * once, and would let the same request crash upstreams again. Control thread only.
  */
 final class QuarantineStore {
     private static final Duration RETRY = Duration.ofSeconds(1);
@@ -25,14 +25,14 @@
     private final KeyValueStore store;
     private final String prefix;
 
-    /** Writes each entry under the prefix and its digest. */
+    /** Creates a store that writes each entry under the prefix and the request's digest. */
     QuarantineStore(ControlThread control, KeyValueStore store, String prefix) {
         this.control = control;
         this.store = store;
         this.prefix = prefix;
     }
 
-    /** Writes it down unless another router has, now or when the store is back. */
+    /** Writes the entry unless another router has; retried while the store is unavailable. */
     void write(Quarantine.Entry entry) {
         Duration left = Duration.between(now(), entry.until());
         if (left.compareTo(RETRY) <= 0) {
@@ -58,7 +58,7 @@
                         });
     }
 
-    /** Takes it out, now or when the store is back. */
+    /** Removes the request; retried while the store is unavailable. */
     void remove(RequestDigest request) {
         store.commit(List.of(), List.of(new Write.Delete(key(request))))
                 .whenComplete(
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/SlidingMaximum.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/SlidingMaximum.java
@@ -6,10 +6,11 @@
 import java.util.function.IntSupplier;
 
 /**
- * The largest that a number has been within a window.
+ * The maximum of a number over a sliding time window.
  *
- * <p>The entries of all routers may lapse in an outage of the store. Each then counts itself alone
- * until the others are back, and would take the whole of what all of them share.
+ * <p>It is used for the number of routers. All of their entries may expire in an outage of the
+ * store; each router would then count only itself until the others are back, and take the whole of
+ * what all of them share.
  */
 final class SlidingMaximum {
     private final IntSupplier number;
@@ -24,7 +25,7 @@
         this.window = window;
     }
 
-    /** The largest; call it often, for it sees the number only then. */
+    /** Returns the maximum; the number is read only in these calls, so call it often. */
     int value() {
         int now = number.getAsInt();
         Instant at = clock.instant();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StoredCrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StoredCrashNews.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** Tells the other routers at once, and writes down what has to outlive them all. */
+/** Announces to the other routers at once, and stores the quarantine, which must outlive them. */
 final class StoredCrashNews implements CrashNews {
     private final CrashNews routers;
     private final QuarantineStore store;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
@@ -17,16 +17,16 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Orders to upstreams and reports from them, over the traffic's own client. */
+/** Sends orders to upstreams and fetches their reports, with the HTTP client of the traffic. */
 final class UpstreamCalls implements OrderCalls {
     private static final Logger LOG = LogManager.getLogger(UpstreamCalls.class);
 
-    /** Upstreams answer reports within a few milliseconds. */
+    /** The timeout of a report, which upstreams answer within a few milliseconds. */
     private static final Duration LIMIT = Duration.ofMillis(400);
 
     /**
-     * They answer orders as fast, or never: then each moment of waiting is one without the model.
-     * Given up too early, an order is only given again, and accepted once.
+     * The timeout of an order. Upstreams answer as fast as for reports, or never, and then waiting
+     * only delays the model. An order that is given up too early is sent again, and accepted once.
      */
     private static final Duration ORDER_LIMIT = Duration.ofMillis(150);
 
@@ -80,7 +80,7 @@
         try {
             return Optional.of(dialect.report(from.id(), answer.body()));
         } catch (DirectException e) {
-            LOG.warn("the report of {} can't be read: {}", from.id(), e.getMessage());
+            LOG.warn("the report of upstream {} is unreadable: {}", from.id(), e.getMessage());
             return Optional.empty();
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
@@ -22,44 +22,46 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Joins the end of an upstream with what ran there: {@code ends.cut(upstream, request, sentAt,
- * how)}. Control thread only.
+ * Detects crashes of upstreams and reports the requests that ran there: {@code ends.cut(upstream,
+ * request, sentAt, how)}. Control thread only.
  *
- * <p>An upstream that ends under a request need not break its connection: the caller may have left
- * a moment before, the time may have been up, the connection may have been silent. So a router
- * remembers for some seconds what came to no whole answer, for whatever reason, and tells of it
- * when it knows that this life of the upstream has ended: the address refuses, or the list has it
- * no longer or in another life.
+ * <p>An upstream that crashes on a request need not break its connection: the caller may have left
+ * a moment before, the request may have timed out, the connection may have been silent. So a router
+ * records for some seconds the runs without a complete answer, for whatever reason, and reports
+ * them when it knows that this incarnation of the upstream has crashed: its address refuses
+ * connections, or the list no longer has it or has another incarnation.
  */
 final class UpstreamEnds {
     private static final Logger LOG = LogManager.getLogger(UpstreamEnds.class);
 
-    /** Connections that break together are looked into together; the address refuses by then. */
+    /** Connections that break together cause one probe; the address refuses by then. */
     private static final Duration GATHER = Duration.ofMillis(30);
 
     /**
-     * After a look that shows no end, the next ones come so much later: another zone's word of the
-     * end may be under way, or the upstream's successor is there already.
+     * The delays of further probes after one that shows no crash: news of it may still be on its
+     * way from another zone, or the upstream's successor may be up already.
      */
     private static final List<Duration> AGAIN =
             List.of(Duration.ofMillis(220), Duration.ofMillis(450));
 
-    /** An upstream that is told to drop a request has done so by then, or ends under it. */
+    /**
+     * An upstream whose connection was closed has dropped the request by then, or crashes on it.
+     */
     private static final Duration AFTER_CLOSING = Duration.ofMillis(600);
 
-    /** The list has an upstream no longer some heartbeats after its end. */
+    /** How long cut runs are recorded; the list drops a crashed upstream after some heartbeats. */
     private static final Duration REMEMBERED = Duration.ofSeconds(10);
 
-    /** A run that was called off so long before is not what ends an upstream. */
+    /** A run that was canceled this long before a crash did not cause it. */
     private static final Duration CALLED_OFF_BEFORE = Duration.ofSeconds(1);
 
-    /** An upstream that has ended is not back sooner. */
+    /** A crashed upstream is not back sooner than this. */
     private static final Duration NOT_BACK_BEFORE = Duration.ofSeconds(2);
 
-    /** Ends that are remembered for runs that come to their end later, as they were silent. */
+    /** The most crashes recorded, for runs that are cut off later because they were silent. */
     private static final int MOST_ENDS = 256;
 
-    /** What runs at an upstream at a time, and a few that were called off. */
+    /** The most runs recorded per upstream: those in progress and a few that were canceled. */
     private static final int MOST_RUNS = 512;
 
     private final ControlThread control;
@@ -71,35 +73,39 @@
     private final Set<UpstreamCrash> looks = new HashSet<>();
     private final Set<UpstreamCrash> laterLooks = new HashSet<>();
 
-    /** What a look at an upstream shows. */
+    /** The result of a probe of an upstream. */
     enum Sign {
-        /** It has ended: its address refuses connections. */
+        /** The upstream has crashed: its address refuses connections. */
         ENDED,
-        /** It has not: it takes connections, or has kept some. */
+        /** The upstream is up: it accepts connections, or has kept some open. */
         ALIVE,
-        /** No answer either way. */
+        /** The probe has no result either way. */
         NONE
     }
 
-    /** Looks whether an upstream has ended. */
+    /** Probes whether an upstream has crashed. */
     interface Prober {
-        /** Connects to it, unless a connection that is still open may {@code vouch} for it. */
+        /**
+         * Connects to the upstream and passes on the result.
+         *
+         * @param vouch whether a connection that is still open proves the upstream up instead
+         */
         void look(Upstream upstream, boolean vouch, Consumer<Sign> then);
     }
 
-    /** Takes what ran at upstreams that have ended. */
+    /** Receives the crashes of upstreams and the requests that ran there. */
     interface Listener {
-        /** These had run there for so long when it ended, so long ago. */
+        /** Reports how long each request had run at the upstream when it crashed, so long ago. */
         void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
-        /** This router has found out that the upstream has ended, and others may not know. */
+        /** Reports that this router detected the crash, of which others may not know. */
         void found(UpstreamCrash end);
 
-        /** The upstream has answered since, so that it bore the run that was called off. */
+        /** Reports that the upstream has answered since, so that it survived the canceled run. */
         void survived(RequestDigest request);
     }
 
-    /** A run without a whole answer. */
+    /** A run of a request without a complete answer. */
     private record Run(Instant sentAt, Instant cutAt) {
         Duration ranUntil(Instant end) {
             return sentAt.isBefore(end) ? Duration.between(sentAt, end) : Duration.ZERO;
@@ -110,7 +116,7 @@
         }
     }
 
-    /** One life of an upstream, and what came to no whole answer in it. */
+    /** One incarnation of an upstream, with its runs without a complete answer. */
     private static final class Life {
         private final UpstreamCrash end;
         private final Map<RequestDigest, Run> runs = new TreeMap<>();
@@ -130,7 +136,7 @@
         this.metrics = metrics;
     }
 
-    /** The request, sent at that time, ran at the upstream and came to no whole answer there. */
+    /** Records that the request sent at that time ran at the upstream without a complete answer. */
     void cut(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
         metrics.count("runs_cut", "how", how.label());
         Life life = lives.computeIfAbsent(lifeOf(upstream.facts()), this::begin);
@@ -214,7 +220,7 @@
         return life != null && life.lastBreak != null;
     }
 
-    /** The upstream has answered a request that was sent then. */
+    /** Records that the upstream answered a request that was sent at that time. */
     void answered(Upstream upstream, Instant sentAt) {
         if (lives.isEmpty() && known.isEmpty()) {
             return;
@@ -224,7 +230,7 @@
         if (life != null) {
             survived(life, sentAt);
         }
-        // One with all its connections in use refuses more, and is there all the same.
+        // An upstream with all its connections in use refuses further ones, but has not crashed.
         Instant endedAt = known.get(end);
         if (endedAt != null && sentAt.isAfter(endedAt)) {
             known.remove(end);
@@ -244,7 +250,7 @@
         }
     }
 
-    /** No connection to the upstream could be made. */
+    /** Records that no connection to the upstream could be made, and probes it soon. */
     void unreachable(Upstream upstream) {
         UpstreamCrash end = lifeOf(upstream.facts());
         if (!known.containsKey(end)) {
@@ -252,17 +258,17 @@
         }
     }
 
-    /** Another router has found out that the upstream has ended; true if that is news. */
+    /** Records a crash that another router detected; true if it was not known here. */
     boolean told(UpstreamCrash end) {
         return ended(end, "is gone for another router");
     }
 
-    /** The list has the upstream no longer. */
+    /** Records that the upstream was removed from the list, as a crash of its incarnations. */
     void gone(UpstreamId upstream) {
         livesOf(upstream).forEach(life -> ended(life.end, "is off the list"));
     }
 
-    /** The list says something of the upstream, perhaps of its next life. */
+    /** Records an entry of the list; an entry of a new incarnation shows a crash of the old one. */
     void listed(UpstreamFacts facts) {
         UpstreamCrash now = lifeOf(facts);
         livesOf(facts.id()).stream()
@@ -284,7 +290,7 @@
         Life life = lives.get(end);
         int runs = life == null ? 0 : life.runs.size();
         LOG.info(
-                "upstream {} has ended under {} requests of this router: it {}",
+                "upstream {} has crashed with {} requests of this router running: it {}",
                 end.upstream(),
                 runs,
                 how);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
@@ -24,23 +24,24 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Keeps the table of upstreams up with the platform's list. Control thread only. */
+/** Updates the table of upstreams from the platform's list. Control thread only. */
 final class UpstreamFollower implements ChangeListener {
     private static final Logger LOG = LogManager.getLogger(UpstreamFollower.class);
 
     /**
-     * Entries may lapse while the store is out, and are back within two seconds of its return if
-     * their upstream lives. Dropped at once, a whole fleet that still answers would be refused.
+     * How long an entry that expired in an outage of the store may take to return. Entries of live
+     * upstreams are back within two seconds of the store's return; if they were dropped at once,
+     * the requests to a whole fleet that still answers would be refused.
      */
     private static final Duration RETURN_TIME = Duration.ofMillis(2_100);
 
-    /** How long the store is asked whether an entry is back, before it is asked again. */
+    /** The timeout of a question to the store whether an entry is back; it is then asked again. */
     private static final Duration KNOWN_LIMIT = Duration.ofMillis(500);
 
-    /** Older than any view is while the store answers. */
+    /** An age of the list that is never reached while the store answers. */
     private static final Duration OUT_OF_TOUCH = Duration.ofSeconds(2);
 
-    /** Entries lapse after three heartbeats of silence; a shorter outage takes none away. */
+    /** Entries expire after three missed heartbeats; a shorter outage removes none. */
     private static final Duration SHORTEST_OUTAGE = Duration.ofSeconds(2);
 
     private final ControlThread control;
@@ -52,12 +53,12 @@
     private long heardUpTo;
     private Listener listener;
 
-    /** Hears what the list says, after the table has it. */
+    /** Is notified of changes of the list, after the table has them. */
     interface Listener {
-        /** An upstream has come or says something new. */
+        /** Reports that an upstream was added or its entry changed. */
         void listed(UpstreamFacts facts);
 
-        /** An upstream is gone. */
+        /** Reports that an upstream was removed; {@code last} is its last entry. */
         void gone(UpstreamFacts last);
     }
 
@@ -89,8 +90,9 @@
     }
 
     /**
-     * True if another router, which knows the list up to this revision, should be asked who leaves:
-     * the store hasn't told this router of late, or not whether somebody is back.
+     * Returns true if another router, which knows the list up to this revision, should be asked for
+     * departures: the store has not answered this router recently, or not said whether an entry is
+     * back.
      */
     boolean needsTelling(long theirs) {
         boolean old = follower.age().filter(age -> age.compareTo(OUT_OF_TOUCH) > 0).isPresent();
@@ -98,8 +100,9 @@
     }
 
     /**
-     * The revision up to which the store has told this router who left, and it doesn't wait for
-     * some of them. What other routers tell is no more than a part of what comes after.
+     * Returns the revision up to which this router has read all departures from the store and waits
+     * for none of the entries to return. Announcements of other routers do not advance it, as they
+     * cover only a part of the later changes.
      */
     long knownUpTo() {
         long awaitedFrom =
@@ -107,7 +110,7 @@
         return Math.min(heardUpTo, awaitedFrom - 1);
     }
 
-    /** Another router says who leaves. */
+    /** Applies departures that another router announced. */
     void told(List<UpstreamDeparture> departures) {
         for (UpstreamDeparture each : departures) {
             if (each.removed()) {
@@ -124,11 +127,11 @@
     }
 
     private void leaves(UpstreamFacts facts) {
-        LOG.info("upstream {} drains, another router says", facts.id());
+        LOG.info("upstream {} drains, as another router announced", facts.id());
         listener.listed(facts);
     }
 
-    /** What follows the list, for others that follow it through this router. */
+    /** Returns the follower of the list, for others that follow it through this router. */
     Follower follower() {
         return follower;
     }
@@ -171,7 +174,8 @@
         }
     }
 
-    // What lapsed in an outage is missing from the first answer after it. What goes later leaves.
+    // Entries that expired in an outage are missing from the first answer after it. Later removals
+    // are real departures.
     private static boolean afterOutage(Duration silence) {
         return silence.compareTo(SHORTEST_OUTAGE) > 0;
     }
@@ -180,7 +184,7 @@
         Optional<UpstreamFacts> facts =
                 dialect.upstream(entry.key(), entry.value(), entry.modRevision());
         if (facts.isEmpty()) {
-            LOG.warn("the entry {} names no upstream and is left out", entry.key());
+            LOG.warn("the entry {} describes no upstream and is ignored", entry.key());
             return;
         }
         awaited.remove(facts.get().id());
@@ -209,20 +213,21 @@
         }
     }
 
-    // A second outage begins the time anew.
+    // A second outage restarts the wait.
     private void await(UpstreamId id, long revision) {
         awaited.put(id, revision);
         LOG.info(
-                "upstream {} is off the list, revision {}, and kept for {} ms: it may return",
+                "upstream {} was removed at revision {} after an outage, and is kept for {} ms: it"
+                        + " may return",
                 id,
                 revision,
                 RETURN_TIME.toMillis());
         control.after(RETURN_TIME, () -> removeUnlessBack(id, revision));
     }
 
-    // An entry that came back in time may not be heard of yet. Dropped now, an upstream that lives
-    // would get nothing until then; with the store out again, nobody knows. A reading, since
-    // changes are told late about the time at which the store drops its history.
+    // An entry that returned in time may not have been received yet. If it were dropped now, a live
+    // upstream would get no requests until then; with the store out again, nobody knows. The list
+    // is read in full, since changes arrive late around the time the store compacts its history.
     private void removeUnlessBack(UpstreamId id, long revision) {
         if (!awaited.getOrDefault(id, 0L).equals(revision)) {
             return;
@@ -251,7 +256,7 @@
     private void removeNow(UpstreamId id, long revision) {
         Optional<UpstreamFacts> last = table.find(id).map(known -> known.facts());
         if (table.remove(id, revision)) {
-            LOG.info("upstream {} is gone, revision {}", id, revision);
+            LOG.info("upstream {} is removed, revision {}", id, revision);
             listener.gone(last.orElseThrow());
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdEngine.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** An upstream of a {@link ColdWorld} as it really is; routers see only its entry and answers. */
+/** The true state of a simulated upstream; routers see only its list entry and its answers. */
 final class ColdEngine {
     private static final Duration HEARTBEAT = Duration.ofMillis(1_200);
     private static final Duration SECOND = Duration.ofSeconds(1);
@@ -40,7 +40,7 @@
         return up;
     }
 
-    /** True if it says nothing at all while it is down. */
+    /** Returns true if connections time out while it is down, instead of being refused. */
     boolean dark() {
         return dark;
     }
@@ -49,7 +49,7 @@
         return life;
     }
 
-    /** Starts; what starts with the world is warm. */
+    /** Starts the upstream, cold; the first start, with the simulation, is warm. */
     void start() {
         up = true;
         dark = false;
@@ -64,13 +64,13 @@
         world.time.after(Duration.ofMillis(phase), () -> beat(own));
     }
 
-    /** Becomes cold without a start, and says so with its next heartbeat. */
+    /** Makes the upstream cold without a start, which it reports with its next heartbeat. */
     void turnCold() {
         coldUntil = world.now().plus(ColdWorld.COLD_TIME);
         came.clear();
     }
 
-    /** Ends, and starts again after so long. */
+    /** Crashes the upstream, and starts it again after the given time. */
     void fail(Duration length, boolean silently) {
         if (!up) {
             return;
@@ -106,7 +106,7 @@
                         Set.of()));
     }
 
-    /** A request arrives. */
+    /** Counts an arriving request, and crashes if a cold upstream gets far too many. */
     void arrives() {
         if (!world.now().isBefore(coldUntil)) {
             return;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdPromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdPromisesTest.java
@@ -10,24 +10,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What upstreams that come back cold get from all routers together. */
+/** Tests the request rate that cold upstreams get from all routers together. */
 class ColdPromisesTest {
-    /** Others by hand: -Dcold.first=1000 -Dcold.count=10000. */
+    /** Other seeds can be run with {@code -Dcold.first=1000 -Dcold.count=10000}. */
     private static final long FIRST = Long.getLong("cold.first", 1);
 
     private static final int SEEDS = Integer.getInteger("cold.count", 60);
 
-    /** A fifth of what cold ones bear; when others are lost, the rest have up to what they bear. */
+    /**
+     * Requests a second: a fifth of the limit of all upstreams when cold. When others are lost, the
+     * rest get up to their limit.
+     */
     private static final double USUAL = 60;
 
-    /** So much that two zones of three can't carry it while they are cold. */
+    /** Requests a second: more than two zones of three can serve while they are cold. */
     private static final double HEAVY = 110;
 
     private static final Duration CALM = Duration.ofSeconds(30);
 
-    // Guards against the requests of all routers that waited for a zone and reach it as one, when
-    // it
-    // is back and cold.
+    // Guards against a burst on a zone that is back and cold, from the requests that were queued
+    // for it at all routers.
     @ParameterizedTest
     @CsvSource({"4", "22", "300"})
     void aZoneThatIsBackAtOnceGetsNoMoreThanItBears(int routers) {
@@ -41,7 +43,7 @@
         assertEquals(List.of(), broken);
     }
 
-    // Guards against a world that would find no fault: without the shares upstreams end.
+    // Guards against a simulation that detects nothing: without shares, upstreams are overloaded.
     @ParameterizedTest
     @CsvSource({"4", "22", "300"})
     void withoutSharesUpstreamsEnd(int routers) {
@@ -50,7 +52,7 @@
         assertTrue(exceeded(routers, rules) > 0);
     }
 
-    // Guards against relying on the list alone, whose word of a start comes late.
+    // Guards against relying on the list alone, which reports a restart late.
     @Test
     void withoutDoubtOfWhatWasLostUpstreamsGetTooMuch() {
         ColdWorld.Rules rules =
@@ -58,7 +60,7 @@
         assertTrue(exceeded(22, rules) > 0);
     }
 
-    // Guards against relying on a list that may lag for longer than is assumed.
+    // Guards against a list that lags for longer than is assumed.
     @Test
     void withALaterListUpstreamsGetTooMuch() {
         ColdWorld.Rules rules =
@@ -66,8 +68,8 @@
         assertTrue(exceeded(22, rules) > 0);
     }
 
-    // Guards against a world that would not miss it: in a large fleet most routers have not used an
-    // upstream when it is lost, and need the others' word.
+    // Guards against a simulation that does not need announcements: in a large fleet most routers
+    // have not used an upstream when it is lost, and depend on the others to announce the loss.
     @Test
     void withoutTheWordOfOtherRoutersUpstreamsGetTooMuch() {
         ColdWorld.Rules rules =
@@ -97,7 +99,7 @@
         return sum;
     }
 
-    // A world of hundreds of routers takes as long as a dozen small ones.
+    // Simulating hundreds of routers takes as long as a dozen small fleets.
     private static int seeds(int routers) {
         return routers > 100 ? Math.max(1, SEEDS / 12) : SEEDS;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdRouter.java
@@ -12,14 +12,15 @@
 import java.util.Map;
 
 /**
- * A router of a {@link ColdWorld}: the real table, choice and queue, before simulated upstreams.
+ * A router of a {@link ColdWorld}, with the real upstream table, upstream selection and queue in
+ * front of simulated upstreams.
  */
 final class ColdRouter {
     private static final Duration CHECK = Duration.ofMillis(50);
     private static final Duration WAY = Duration.ofMillis(1);
     private static final Duration DARK = Duration.ofMillis(250);
 
-    /** A process that is killed listens again after this, and reads the list then. */
+    /** How long a killed router process is down before it listens again and reads the list. */
     private static final Duration DOWN = Duration.ofMillis(1_200);
 
     private static final Duration FIRST_READING = Duration.ofMillis(150);
@@ -47,7 +48,7 @@
         return name;
     }
 
-    /** Is killed, and is back later with all forgotten. */
+    /** Kills the router; it starts again later without its state. */
     void restart() {
         life++;
         upstreams = new UpstreamTable();
@@ -61,7 +62,7 @@
                 });
     }
 
-    /** Starts, and has only the list to go by. */
+    /** Starts the router, which knows only the list. */
     void begin() {
         int own = ++life;
         upstreams = new UpstreamTable();
@@ -96,12 +97,12 @@
                 });
     }
 
-    /** Hears nothing of the list for so long. */
+    /** Cuts the router off from the list and from announcements for the given time. */
     void cut(Duration length) {
         cutUntil = world.now().plus(length);
     }
 
-    /** Hears of an entry after this time; words keep their order. */
+    /** Receives an entry after this time; entries keep their order. */
     void hear(UpstreamFacts facts, Duration after) {
         later(after, () -> upstreams.put(facts, world.now()));
     }
@@ -154,14 +155,14 @@
         }
     }
 
-    /** Another router has lost an upstream. */
+    /** Receives the announcement that another router lost its connection to an upstream. */
     void hearLost(UpstreamId upstream) {
         if (!world.now().isBefore(cutUntil)) {
             upstreams.find(upstream).ifPresent(each -> each.connectionLost(world.now()));
         }
     }
 
-    /** A request, from its caller to an upstream. */
+    /** A request on its way from a caller to an upstream. */
     private final class Request extends PlainRequest {
         private final int ownLife = life;
         private boolean sent;
@@ -177,7 +178,7 @@
             world.time.after(WAY, () -> leave(upstream));
         }
 
-        // The connection opens, or does not.
+        // Opens the connection, or fails to.
         private void leave(Upstream upstream) {
             ColdEngine engine = world.engine(upstream.facts().id().value());
             if (ownLife != life) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdTroubles.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdTroubles.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import java.util.Random;
 
-/** Half a minute of a {@link ColdWorld} in which zones are lost and back, drawn by its seed. */
+/** Plays half a minute of random zone outages and restarts, drawn from the world's seed. */
 final class ColdTroubles {
     private static final int ZONES = 3;
     private static final int ROUNDS = 3;
 
-    /** An upstream that ends is away for a second at least. */
+    /** A crashed upstream is down for at least a second. */
     private static final int SHORTEST_MILLIS = 1_000;
 
     private final ColdWorld world;
@@ -29,7 +29,8 @@
     }
 
     private void round(double usual) {
-        // As many as a busy day has come on top, and wait while two zones of three are dark.
+        // Demand grows up to twofold, as on a busy day; it queues while two of three zones are
+        // down.
         world.demand(usual * (1 + random.nextDouble()));
         int zone = random.nextInt(ZONES);
         Duration length = millis(SHORTEST_MILLIS, random.nextBoolean() ? 1_800 : 5_000);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdWorld.java
@@ -14,20 +14,20 @@
 import java.util.TreeMap;
 
 /**
- * Routers that share upstreams of three zones, with time by hand: zones that lose power and are
- * back at one moment, cold; requests that wait for them at all routers meanwhile; upstreams that
- * become cold without a start; routers that are new, cut off or hear late. An upstream that gets
- * more in a second than a cold one bears is noted, and ends if it is far more.
+ * A simulation, in virtual time, of routers that share upstreams in three zones. Whole zones lose
+ * power and return at once, cold, while requests for them queue at all routers; upstreams become
+ * cold without a restart; routers are new, cut off or informed late. A cold upstream that gets more
+ * requests in a second than its limit is counted, and crashes if it gets far more.
  */
 final class ColdWorld {
     static final String SERVICE = "engines";
     static final Duration COLD_TIME = Duration.ofSeconds(3);
     static final double BEARS = 48.5;
 
-    /** The list's own words come a heartbeat and the way through a relay late, at most. */
+    /** Changes of the list arrive late by at most a heartbeat and the way through a relay. */
     static final Duration USUAL_NEWS = Duration.ofMillis(2_000);
 
-    /** A loss is told by way of a router that passes it on. */
+    /** The most time an announced loss takes, through a router that passes it on. */
     static final Duration USUAL_WORD = Duration.ofMillis(60);
 
     private static final double FAR_ABOVE = 1.5;
@@ -50,12 +50,12 @@
     private long refused;
 
     /**
-     * What holds in a world.
+     * The settings of a simulation.
      *
-     * @param shared whether routers keep to their share of what a cold upstream bears
+     * @param shared whether routers keep to their share of a cold upstream's limit
      * @param doubting whether a lost upstream counts as cold before the list says so
-     * @param news how late the list's words may come
-     * @param word how late routers' words of a loss may come
+     * @param news the largest delay of changes of the list
+     * @param word the largest delay of announcements of a loss
      */
     record Rules(boolean shared, boolean doubting, Duration news, Duration word) {
         static Rules usual() {
@@ -118,7 +118,7 @@
         return list;
     }
 
-    /** So many requests come in a second, to all routers together. */
+    /** Sets how many requests a second arrive at all routers together. */
     void demand(double requestsPerSecond) {
         perSecond = requestsPerSecond;
     }
@@ -150,20 +150,20 @@
         return routers.get(at);
     }
 
-    /** All of a zone are down for so long, dark or refusing, and back together. */
+    /** Takes a whole zone down for the given time, either silent or refusing connections. */
     void lose(int zone, Duration length, boolean dark) {
         for (int each = zone; each < UPSTREAMS; each += ZONES) {
             engines.get(each).fail(length, dark);
         }
     }
 
-    /** An upstream's entry is written: routers hear of it later, each at its own time. */
+    /** Writes an upstream's entry, which each router receives after its own delay. */
     void write(UpstreamFacts facts) {
         list.put(facts.id().value(), facts);
         routers.forEach(each -> each.hear(facts, newsTime()));
     }
 
-    /** The entry of an upstream that has been silent for too long is removed. */
+    /** Removes the entry of an upstream that has been silent for too long. */
     void lapse(ColdEngine engine) {
         time.after(
                 LAPSE,
@@ -175,7 +175,7 @@
                 });
     }
 
-    /** A router has lost an upstream and tells the others. */
+    /** Announces to the other routers that one has lost its connection to an upstream. */
     void tellLost(ColdRouter from, UpstreamId upstream) {
         for (ColdRouter each : routers) {
             if (each != from) {
@@ -189,7 +189,7 @@
         return Duration.ofMillis(5 + random.nextInt((int) rules.news().toMillis()));
     }
 
-    /** A cold upstream has had more within a second than it bears. */
+    /** Counts a second with more requests than the limit; true if it is far exceeded. */
     boolean exceededBy(int inSecond) {
         if (inSecond > BEARS) {
             exceeded++;
@@ -205,7 +205,7 @@
         refused++;
     }
 
-    /** How often a cold upstream got a request beyond what it bears in a second. */
+    /** Returns how many requests a cold upstream got beyond its limit for a second. */
     int exceeded() {
         return exceeded;
     }
@@ -214,7 +214,7 @@
         return asked;
     }
 
-    /** Requests that did not leave at once. */
+    /** Returns how many requests were queued rather than sent at once. */
     long waited() {
         return waited;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashHardshipsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashHardshipsTest.java
@@ -8,171 +8,171 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A deadly request in a world that is less kind, one hardship at a time and several together. */
+/** Tests the detection of poison requests under single faults, and several together. */
 class CrashHardshipsTest {
     private static final long SEEDS = Long.getLong("crashes.count", 10);
     private static final int ALLOWED = 3;
     private static final Duration TIME = Duration.ofSeconds(30);
 
-    // Guards against a failure as answer that clears what had ended several.
+    // Guards against an answer with an error status that clears a poison request.
     @Test
     void aDeadlyRequestThatIsAnsweredByFailuresInBetweenReachesFew() {
         assertReachesFew(Hardship.FAILURES);
     }
 
-    // Guards against ends that break no connection, as the caller had left before.
+    // Guards against crashes that break no connection, as the caller had left before.
     @Test
     void aDeadlyRequestWhoseCallersLeaveReachesFew() {
         assertReachesFew(Hardship.CALLERS_LEAVE);
     }
 
-    // Guards against a look at an ended upstream that seems to be taken.
+    // Guards against a probe that shows a crashed upstream as up.
     @Test
     void aDeadlyRequestReachesFewThoughLooksAreWrong() {
         assertReachesFew(Hardship.WRONG_LOOKS);
     }
 
-    // Guards against copies side by side, of which one end is counted.
+    // Guards against concurrent copies, of which only one crash is counted.
     @Test
     void aDeadlyRequestThatComesInCopiesReachesFew() {
         assertReachesFew(Hardship.COPIES);
     }
 
-    // Guards against ends that are taken for planned ones.
+    // Guards against crashes that are mistaken for planned departures.
     @Test
     void aDeadlyRequestReachesFewThoughUpstreamsAreAboutToLeave() {
         assertReachesFew(Hardship.DRAINING);
     }
 
-    // Guards against runs that were on their way when the third upstream ended.
+    // Guards against runs that were in progress when the third upstream crashed.
     @Test
     void aDeadlyRequestThatRunsLongBeforeReachesFew() {
         assertReachesFew(Hardship.LONG_RUNS);
     }
 
-    // Guards against an upstream that is back before anybody looks.
+    // Guards against an upstream that has restarted before it is probed.
     @Test
     void aDeadlyRequestReachesFewThoughUpstreamsAreBackAtOnce() {
         assertReachesFew(Hardship.REBORN);
     }
 
-    // Guards against words of routers that come late.
+    // Guards against announcements that arrive late.
     @Test
     void aDeadlyRequestReachesFewThoughNewsIsLate() {
         assertReachesFew(Hardship.NEWS_LATE);
     }
 
-    // Guards against words of routers that never come.
+    // Guards against announcements that are lost.
     @Test
     void aDeadlyRequestReachesFewThoughNewsGetsLost() {
         assertReachesFew(Hardship.NEWS_LOST);
     }
 
-    // Guards against routers that count, and forget.
+    // Guards against counting routers that restart without their state.
     @Test
     void aDeadlyRequestReachesFewThoughRoutersEnd() {
         assertReachesFew(Hardship.ROUTERS_END);
     }
 
-    // Guards against routers that see an end and can't tell.
+    // Guards against routers that detect a crash but cannot announce it.
     @Test
     void aDeadlyRequestReachesFewThoughRoutersAreCutOff() {
         assertReachesFew(Hardship.ROUTERS_CUT);
     }
 
-    // Guards against failures of others that hide the cause.
+    // Guards against failures of other requests that hide the cause.
     @Test
     void aDeadlyRequestReachesFewBesidePollsThatFail() {
         assertReachesFew(Hardship.FAILING_POLLS);
     }
 
-    // Guards against racks that hide the cause.
+    // Guards against failures of whole racks that hide the cause.
     @Test
     void aDeadlyRequestReachesFewBesideRacksThatFail() {
         assertReachesFew(Hardship.RACKS);
     }
 
-    // Guards against hardships that one by one do no harm.
+    // Guards against faults that are harmless one at a time.
     @Test
     void aDeadlyRequestReachesFewUpstreamsUnderSeveralHardshipsTogether() {
         assertReachesFew(
                 Hardship.FAILURES, Hardship.CALLERS_LEAVE, Hardship.COPIES, Hardship.WRONG_LOOKS);
     }
 
-    // Guards against failures beside ends.
+    // Guards against answers with an error status besides crashes.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndFailuresAreAnswered() {
         assertInnocentsAreServed(Hardship.FAILURES);
     }
 
-    // Guards against callers that leave, whose requests look unanswered.
+    // Guards against callers that leave, so that their requests seem unanswered.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndCallersLeave() {
         assertInnocentsAreServed(Hardship.CALLERS_LEAVE);
     }
 
-    // Guards against ends that come to be known late.
+    // Guards against crashes that are detected late.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndLooksAreWrong() {
         assertInnocentsAreServed(Hardship.WRONG_LOOKS);
     }
 
-    // Guards against polls that run at several upstreams when these end.
+    // Guards against polls that run at several upstreams when these crash.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndRequestsComeInCopies() {
         assertInnocentsAreServed(Hardship.COPIES);
     }
 
-    // Guards against planned ends.
+    // Guards against planned departures.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndUpstreamsAreAboutToLeave() {
         assertInnocentsAreServed(Hardship.DRAINING);
     }
 
-    // Guards against ends that only the list shows.
+    // Guards against crashes that only the list shows.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndAreBackAtOnce() {
         assertInnocentsAreServed(Hardship.REBORN);
     }
 
-    // Guards against an answer that is told late.
+    // Guards against a success that is announced late.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndNewsIsLate() {
         assertInnocentsAreServed(Hardship.NEWS_LATE);
     }
 
-    // Guards against an answer that some router is never told of.
+    // Guards against a success whose announcement some router never receives.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndNewsGetsLost() {
         assertInnocentsAreServed(Hardship.NEWS_LOST);
     }
 
-    // Guards against a router that starts and reads what was cleared long ago.
+    // Guards against a starting router that reads a quarantine that was cleared long ago.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndRoutersEndToo() {
         assertInnocentsAreServed(Hardship.ROUTERS_END);
     }
 
-    // Guards against an answer that a router can't tell of.
+    // Guards against a success that a router cannot announce.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndRoutersAreCutOff() {
         assertInnocentsAreServed(Hardship.ROUTERS_CUT);
     }
 
-    // Guards against a request that never succeeds and ends nothing.
+    // Guards against a request that never succeeds but crashes nothing.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndPollsAlwaysFail() {
         assertInnocentsAreServed(Hardship.FAILING_POLLS);
     }
 
-    // Guards against racks whose ends are counted one by one.
+    // Guards against counting the crashes of one rack separately.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAsWholeRacks() {
         assertInnocentsAreServed(Hardship.RACKS);
     }
 
-    // Guards against two copies beside an upstream that ends by itself at the same moment, which
-    // looked like a rack until the request came again, and was then held anew.
+    // Guards against a second full hold for a request whose two copies crashed upstreams just when
+    // another crashed by itself, which looked like the failure of a rack until the next crash.
     @Test
     void aDeadlyRequestThatFirstLookedLikeARackIsNotHeldTwice() {
         CrashWorld world = new CrashWorld(421, 6, 13, Hardship.RACKS);
@@ -180,7 +180,7 @@
         assertTrue(world.deadlySendsTooMany() <= ALLOWED, world.deadlySendsTooMany() + " sends");
     }
 
-    // Guards against an innocent request that ran wherever a deadly one ended an upstream.
+    // Guards against an innocent request that ran wherever a poison request crashed an upstream.
     @Test
     void noInnocentRequestIsKeptOutBesideADeadlyOne() {
         assertEquals(List.of(), innocentsRefused(4, 13, 60, 0.5, 1.2));
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWatchTest.java
@@ -7,12 +7,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Both errors, in fleets of all sizes: an innocent kept out, and a deadly one let through. */
+/**
+ * Tests for both errors in fleets of several sizes: an innocent request that is quarantined, and a
+ * poison request that is not.
+ */
 class CrashWatchTest {
     private static final long SEEDS = Long.getLong("crashes.count", 4);
     private static final int ALLOWED = 3;
 
-    // Guards against an innocent request that is refused because upstreams ended while it ran.
+    // Guards against refusing an innocent request because upstreams crashed while it ran.
     @ParameterizedTest
     @CsvSource({"4, 13, 60, 0.5", "33, 42, 150, 1.5", "300, 200, 400, 4"})
     void noInnocentRequestIsKeptOutWhileUpstreamsEndForOtherReasons(
@@ -27,7 +30,7 @@
         assertTrue(ends > 20 * SEEDS, ends + " ends");
     }
 
-    // Guards against routers that send a request on which others know to end upstreams.
+    // Guards against routers that send a request that others know to crash upstreams.
     @ParameterizedTest
     @CsvSource({"4, 13, 60, 0.1", "33, 42, 150, 0.3", "300, 200, 400, 1"})
     void aDeadlyRequestReachesFewUpstreamsOnceThreeHaveEnded(
@@ -40,7 +43,7 @@
         }
     }
 
-    // Guards against a restart of all routers, after which nobody knows.
+    // Guards against a restart of all routers that loses the quarantine.
     @ParameterizedTest
     @CsvSource({"4, 13", "33, 42"})
     void whatIsKeptOutIsKnownAfterAllRoutersHaveStartedAgain(int routers, int workers) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
@@ -23,12 +23,12 @@
 import java.util.function.Consumer;
 
 /**
- * Some routers before some upstreams that end for many reasons, with time by hand: single ones,
- * several at once, some again and again. Callers send innocent requests, some of them the same ones
- * over and over, and perhaps one under which each upstream ends.
+ * A simulation, in virtual time, of routers in front of upstreams that crash for many reasons: one
+ * at a time, several at once, some repeatedly. Callers send innocent requests, some of them
+ * repeatedly, and perhaps a poison request, which crashes each upstream that runs it.
  */
 final class CrashWorld {
-    /** Those that count for all, in a large fleet. */
+    /** The number of routers that count crashes for all, in a large fleet. */
     private static final int MOST_COUNTING = 12;
 
     private static final Duration TICK = Duration.ofMillis(10);
@@ -73,7 +73,7 @@
     private long innocents;
     private long revision;
 
-    /** One upstream: what runs there now, in which life. */
+    /** The true state of one upstream: its incarnation and the runs in progress. */
     private static final class Worker {
         private final UpstreamId id;
         private final List<Run> runs = new ArrayList<>();
@@ -126,7 +126,7 @@
         world.after(CUT_FOR, () -> cutOff.remove(index));
     }
 
-    /** All routers end and start again; what they knew is gone but for what the store holds. */
+    /** Restarts all routers, which keep only what the store holds. */
     void startAll() {
         for (int each = 0; each < routers.size(); each++) {
             start(each);
@@ -152,37 +152,37 @@
         stored.forEach((request, trials) -> router.toldByStore(request, trials));
     }
 
-    /** How many innocent requests were kept out. */
+    /** Returns how many innocent requests were refused. */
     int innocentsRefused() {
         return innocentsRefused;
     }
 
-    /** Sends of the deadly one beyond the time by which all should know. */
+    /** Returns how often the poison request was sent after all routers should know of it. */
     int deadlySendsTooMany() {
         return deadlySendsTooMany;
     }
 
-    /** How often the deadly one was refused. */
+    /** Returns how often the poison request was refused. */
     int deadlyRefused() {
         return deadlyRefused;
     }
 
-    /** How many upstreams have ended, for whatever reason. */
+    /** Returns how many upstreams have crashed, for whatever reason. */
     int ends() {
         return ends;
     }
 
-    /** How many messages routers have sent. */
+    /** Returns how many messages the routers have sent. */
     int messages() {
         return messages;
     }
 
     /**
-     * Lets time pass.
+     * Advances the time.
      *
-     * @param perSecond innocent requests
-     * @param endsPerSecond upstreams that end by themselves, some of them several at once
-     * @param deadlyPerSecond how often the deadly request comes
+     * @param perSecond innocent requests a second
+     * @param endsPerSecond unrelated crashes a second, some of them of several upstreams at once
+     * @param deadlyPerSecond sends of the poison request a second
      */
     void pass(Duration time, double perSecond, double endsPerSecond, double deadlyPerSecond) {
         double seconds = TICK.toMillis() / 1000.0;
@@ -207,7 +207,7 @@
         }
     }
 
-    // Some callers ask the same again and again; the others never the same.
+    // One request in four repeats one of a few polls; the others are sent only once.
     private RequestDigest innocent() {
         return random.nextInt(4) == 0
                 ? new RequestDigest("poll-" + random.nextInt(POLLERS))
@@ -221,7 +221,7 @@
         for (int each = 0; each < together; each++) {
             end(workers.get((first + each) % workers.size()));
         }
-        // Some go down and up by turns.
+        // One in four crashes again soon after its restart.
         if (random.nextInt(4) == 0) {
             world.after(DOWN.plusSeconds(1), () -> end(workers.get(first)));
         }
@@ -387,7 +387,7 @@
 
             @Override
             public void passEndOn(UpstreamCrash end) {
-                throw new IllegalStateException("each router tells all in this world");
+                throw new IllegalStateException("each router announces to all in this simulation");
             }
 
             @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/Hardship.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/Hardship.java
@@ -1,31 +1,31 @@
 package io.damaskyoke.direct;
 
-/** What a {@link CrashWorld} spares its routers, unless a test asks for it. */
+/** A fault that a {@link CrashWorld} injects only if a test asks for it. */
 enum Hardship {
-    /** One in ten sends of the deadly request is answered by a failure, and not run. */
+    /** One in ten sends of the poison request is answered with an error status and not run. */
     FAILURES,
-    /** One in three callers of the deadly request leaves before the upstream ends. */
+    /** One in three callers of the poison request leaves before the upstream crashes. */
     CALLERS_LEAVE,
-    /** One in three looks at an ended upstream shows that it takes connections. */
+    /** One in three probes of a crashed upstream shows that it accepts connections. */
     WRONG_LOOKS,
-    /** Each request comes three times at once. */
+    /** Each request is sent three times at once. */
     COPIES,
-    /** Half of the upstreams say that they leave while the deadly request runs there. */
+    /** Half of the upstreams start to drain while the poison request runs there. */
     DRAINING,
-    /** The deadly request runs up to two seconds before its upstream ends. */
+    /** The poison request runs up to two seconds before its upstream crashes. */
     LONG_RUNS,
-    /** An upstream is back within a second under its old address, and takes connections. */
+    /** A crashed upstream accepts connections at its old address within a second. */
     REBORN,
-    /** Word of another router takes up to 0.3 s. */
+    /** Announcements take up to 0.3 s. */
     NEWS_LATE,
-    /** One in four words of another router gets lost. */
+    /** One in four announcements is lost. */
     NEWS_LOST,
-    /** A router ends each second and starts again at once, and knows nothing. */
+    /** Each second a router restarts without its state. */
     ROUTERS_END,
-    /** For two seconds of three some router neither tells the others anything nor is told. */
+    /** For two seconds of three some router is cut off from all others. */
     ROUTERS_CUT,
-    /** What is asked over and over is always answered by a failure. */
+    /** Repeated requests are always answered with an error status. */
     FAILING_POLLS,
-    /** Each upstream ends with three neighbours at the same moment, as those of a rack do. */
+    /** Each upstream crashes together with three others, as those of a rack do. */
     RACKS,
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitPromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitPromisesTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What upstreams that name a limit get from all routers together. */
+/** Tests the request rate that upstreams with a declared limit get from all routers together. */
 class LimitPromisesTest {
-    /** Others by hand: -Dlimit.first=1000 -Dlimit.count=10000. */
+    /** Other seeds can be run with {@code -Dlimit.first=1000 -Dlimit.count=10000}. */
     private static final long FIRST = Long.getLong("limit.first", 1);
 
     private static final int SEEDS = Integer.getInteger("limit.count", 40);
@@ -19,10 +19,10 @@
     private static final double[] LIMITS = {0, 0.3, 1.6, 2.1, 7, 45};
     private static final Duration CONTACT = Duration.ofSeconds(3);
 
-    /** What a limited upstream is to be used to while requests wait. */
+    /** The part of its limit to which an upstream must be used while requests are queued. */
     private static final double USED = 0.8;
 
-    // Guards against limits that each router keeps for itself, or hears of only by itself.
+    // Guards against routers that each use the whole limit, or that know only limits they received.
     @ParameterizedTest
     @CsvSource({"4", "22", "300"})
     void aLimitedUpstreamGetsNoMoreThanItMayFromThoseThatKnow(int routers) {
@@ -36,7 +36,7 @@
         assertEquals(List.of(), broken);
     }
 
-    // Guards against a world that would find no fault.
+    // Guards against a simulation that detects nothing: without shares, limits are exceeded.
     @ParameterizedTest
     @CsvSource({"22", "300"})
     void withoutSharesUpstreamsGetTooMuch(int routers) {
@@ -47,7 +47,7 @@
         assertTrue(broken > 0);
     }
 
-    // Guards against an upstream that is left idle though it takes some, and requests wait.
+    // Guards against an upstream that is left idle below its limit while requests are queued.
     @ParameterizedTest
     @CsvSource({"4, 0.3", "4, 1.6", "22, 2.1", "22, 10", "300, 1.6", "300, 45"})
     void whatALimitAllowsIsUsedWhileRequestsWait(int routers, double limit) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitRouter.java
@@ -9,7 +9,7 @@
 import java.time.Instant;
 import java.util.Map;
 
-/** A router of a {@link LimitWorld}: the real table, choice, queue and news. */
+/** A router of a {@link LimitWorld}, with the real table, selection, queue and announcements. */
 final class LimitRouter {
     private static final Duration CHECK = Duration.ofMillis(50);
     private static final Duration AGAIN = Duration.ofSeconds(1);
@@ -37,7 +37,7 @@
         return name;
     }
 
-    /** Is killed, and is back later with all forgotten. */
+    /** Kills the router; it starts again later without its state. */
     void restart() {
         life++;
         dispatch = null;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
@@ -18,10 +18,11 @@
 import java.util.Set;
 
 /**
- * Routers that share three upstreams, with time by hand, of which two name how many requests a
- * second they take, change it and take it back; messages between routers come late or never,
- * routers restart. The promise is that of the page: what a limited upstream gets in four seconds
- * from those that have passed on an answer with it.
+ * A simulation, in virtual time, of routers that share three upstreams. Two of these declare how
+ * many requests a second they accept, change the limit and withdraw it; messages between routers
+ * are late or lost, and routers restart. It checks the documented bound on the requests that a
+ * limited upstream gets within four seconds from routers that have passed on an answer with the
+ * limit.
  */
 final class LimitWorld {
     static final String SERVICE = "engines";
@@ -36,7 +37,7 @@
     private static final double SLACK = 5;
     private static final int LONGEST_NEWS_MILLIS = 60;
 
-    /** Those that pass news on to all others. */
+    /** The number of routers that pass announcements on to all others. */
     private static final int WATCHERS = 2;
 
     final TestControlThread time = new TestControlThread();
@@ -50,10 +51,10 @@
     private int refused;
 
     /**
-     * What holds in a world.
+     * The settings of a simulation.
      *
-     * @param shared whether routers keep to their part of a limit, and not each to all of it
-     * @param lost the part of messages between routers that is lost
+     * @param shared whether routers keep to their share of a limit, instead of using all of it
+     * @param lost the fraction of messages between routers that is lost
      */
     record Rules(boolean shared, double lost) {
         static Rules usual() {
@@ -61,7 +62,7 @@
         }
     }
 
-    /** An upstream as it really is. */
+    /** The true state of an upstream. */
     final class Engine {
         private final UpstreamId id;
         private RequestLimit limit = RequestLimit.NO_LIMIT;
@@ -97,7 +98,9 @@
             return limit;
         }
 
-        /** Requests that came while it named a limit and routers had time to know. */
+        /**
+         * Returns the requests received under a declared limit, once routers had time to know it.
+         */
         int whileLimited() {
             return whileLimited;
         }
@@ -181,7 +184,7 @@
         return routers.stream().map(LimitRouter::name).toList();
     }
 
-    /** So many requests come in a second, to all routers together. */
+    /** Sets how many requests a second arrive at all routers together. */
     void demand(double requestsPerSecond) {
         perSecond = requestsPerSecond;
     }
@@ -198,7 +201,7 @@
         }
     }
 
-    /** Takes a router's news to those that it reaches: watchers reach all, the others watchers. */
+    /** Sends an announcement: watchers reach all routers, the others only the watchers. */
     void tell(LimitRouter from, LimitedUpstreams.News news) {
         boolean watches = routers.indexOf(from) < WATCHERS;
         for (int each = 0; each < routers.size(); each++) {
@@ -222,7 +225,7 @@
         refused++;
     }
 
-    /** How often a limited upstream got a request beyond what it may. */
+    /** Returns how many requests limited upstreams got beyond the bound. */
     int broken() {
         return broken;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashNews.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashNews.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** Tells nobody. */
+/** Discards all announcements. */
 final class SilentCrashNews implements CrashNews {
     @Override
     public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {}
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SlidingMaximumTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SlidingMaximumTest.java
@@ -13,8 +13,8 @@
     private int routers = 4;
     private final SlidingMaximum most = new SlidingMaximum(() -> routers, control.clock(), WINDOW);
 
-    // Guards against routers whose entries lapsed in an outage, and that each retry for all of
-    // them.
+    // Guards against routers whose entries expired in an outage: each then takes the whole of what
+    // all of them share, such as retries.
     @Test
     void routersThatAreAwayForAMomentStillCount() {
         assertEquals(4, most.value());
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
@@ -39,7 +39,7 @@
             new UpstreamEnds(control, this::look, new Noting(), new Metrics());
     private final Upstream upstream = list(1);
 
-    // Guards against a connection that is kept open here and whose end is not noticed yet.
+    // Guards against a connection that is still open here, as its break is not noticed yet.
     @Test
     void aLookThatIsWrongTwiceIsRepeated() {
         Collections.addAll(signs, Sign.ALIVE, Sign.ALIVE, Sign.ENDED);
@@ -49,7 +49,7 @@
         assertEquals(1, found.size());
     }
 
-    // Guards against callers that leave a moment before the end and take the connection along.
+    // Guards against callers that leave just before the crash, so that no connection breaks.
     @Test
     void aRunWhoseCallerLeftJustBeforeTheEndIsTold() {
         signs.add(Sign.ENDED);
@@ -58,7 +58,7 @@
         assertEquals(List.of(ONE), ran);
     }
 
-    // Guards against an innocent request whose caller left long before the upstream ended.
+    // Guards against an innocent request whose caller left long before the upstream crashed.
     @Test
     void aRunThatWasCalledOffLongBeforeTheEndIsNotTold() {
         Collections.addAll(signs, Sign.ALIVE, Sign.ENDED);
@@ -69,7 +69,7 @@
         assertEquals(List.of(OTHER), ran);
     }
 
-    // Guards against a look for a caller that has left, which holds up the one for a break.
+    // Guards against a later probe, for a caller that left, that delays the one for a break.
     @Test
     void aBreakIsLookedIntoAtOnceThoughACallerHasJustLeft() {
         signs.add(Sign.ENDED);
@@ -89,7 +89,7 @@
         assertEquals(List.of(), ran);
     }
 
-    // Guards against upstreams that end without a word, under requests that wait for their time.
+    // Guards against crashes that break no connection, so that requests run into their timeout.
     @Test
     void aRunThatComesToItsEndAfterTheUpstreamIsTold() {
         ends.told(new UpstreamCrash(upstream.facts().id(), 1));
@@ -97,7 +97,7 @@
         assertEquals(List.of(ONE), ran);
     }
 
-    // Guards against an upstream whose connections are all in use, and that refuses more.
+    // Guards against mistaking an upstream whose connections are all in use for a crashed one.
     @Test
     void anUpstreamThatRefusesAndAnswersLaterHasNotEnded() {
         ends.told(new UpstreamCrash(upstream.facts().id(), 1));
@@ -115,7 +115,7 @@
         assertEquals(List.of(ONE), ran);
     }
 
-    // Guards against memory that grows with each run that was called off.
+    // Guards against memory that grows with each canceled run.
     @Test
     void whatWasCutLongAgoIsForgotten() {
         ends.cut(upstream, ONE, now(), Cut.BROKE);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
@@ -38,9 +38,9 @@
 
     @Test
     void anEntryThatLapsedInAnOutageIsKeptUntilItHadTimeToReturn() {
-        // The store is down for some seconds, and the entries of all upstreams lapse. Their
-        // upstreams answer all the while and write themselves anew soon after; a router that drops
-        // them at once refuses everything in between.
+        // Guards against dropping upstreams whose entries expired in an outage of the store: they
+        // answer all the while and write their entries again soon after, and a router that dropped
+        // them at once would refuse all requests in between.
         start();
         put("i-1", "ready");
         put("i-2", "ready");
@@ -60,8 +60,8 @@
 
     @Test
     void anUpstreamThatLeavesSoonAfterAnOutageIsDroppedAtOnce() {
-        // A router was cut off from the store and is back. An upstream leaves half a second later;
-        // kept like one whose entry lapsed, it would get requests beyond the time that it may.
+        // Guards against keeping an upstream that leaves half a second after an outage like one
+        // whose entry expired in it: it would get requests after its departure.
         start();
         put("i-1", "ready");
         store.down(true);
@@ -73,7 +73,7 @@
         assertEquals("i-1 gone", events.get(events.size() - 1));
     }
 
-    // Guards against dropping an upstream whose entry went and came back between two answers.
+    // Guards against dropping an upstream whose entry was removed and restored between answers.
     @Test
     void anEntryThatWentAndCameBackInOneAnswerStays() {
         start();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/WeightStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/WeightStore.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A store of weights that runs so many loads at full speed, and more of them slower together. */
+/** A simulated store of model weights, whose loads slow down when too many run at once. */
 final class WeightStore {
     private static final double NANOS = 1e9;
 
@@ -38,12 +38,12 @@
         return begun;
     }
 
-    /** The most loads that ran beside each other. */
+    /** Returns the largest number of loads that ran at the same time. */
     int mostAtOnce() {
         return mostAtOnce;
     }
 
-    /** Time goes by. */
+    /** Advances the running loads by the given time. */
     void pass(Duration step) {
         double speed = Math.min(1, atFullSpeed / (double) Math.max(1, running.size()));
         double seconds = step.toNanos() / NANOS * speed;
