--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
@@ -90,7 +90,7 @@
     }
 
     private void cut(Cut how) {
-        flows.crashes().cut(upstream, flow.digest(), sentAt, how);
+        flows.crashes().recordCutRun(upstream, flow.digest(), sentAt, how);
     }
 
     // A connection may have taken long to open, or the thread was held: whether the upstream may
@@ -138,8 +138,8 @@
         answer = flows.dialect().answer(status, fromUpstream, upstream.facts().id());
         answer.load()
                 .ifPresent(load -> upstream.loadReported(load.running(), load.waiting(), heardAt));
-        flows.limits().heard(upstream, answer.limit(), sentAt);
-        flows.crashes().answers(upstream, sentAt);
+        flows.limits().limitReceived(upstream, answer.limit(), sentAt);
+        flows.crashes().upstreamAnswered(upstream, sentAt);
     }
 
     @Override
@@ -186,7 +186,7 @@
             flows.lost().lost(upstream);
         }
         if (failure == Failure.NOT_CONNECTED) {
-            flows.crashes().unreachable(upstream);
+            flows.crashes().upstreamUnreachable(upstream);
         }
         if (failure.mayHaveArrived() && (answer == null || !answer.notRun())) {
             cut(broke ? Cut.BROKE : Cut.GARBLED);
@@ -278,8 +278,8 @@
 
     // The upstream has taken the request and has not ended.
     private void borne() {
-        if (flows.crashes().awaitsAnswers() && !flow.call().over()) {
-            flows.crashes().answered(flow.digest(), sentAt, answer.status());
+        if (flows.crashes().needsOutcomes() && !flow.call().over()) {
+            flows.crashes().recordAnswer(flow.digest(), sentAt, answer.status());
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashNews.java
@@ -9,34 +9,34 @@
 /** Announces crashes of upstreams and poison requests to the other routers. */
 interface CrashNews {
     /** Announces to the counting routers a crash so long ago and how long each request had run. */
-    void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
+    void announceRunsAtCrash(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
     /** Announces to all others that an upstream has crashed, through those that pass it on. */
-    void found(UpstreamCrash end);
+    void announceCrash(UpstreamCrash end);
 
     /** Passes a crash on to all others, if this router is one of those that do so. */
-    void passEndOn(UpstreamCrash end);
+    void forwardCrash(UpstreamCrash end);
 
     /**
      * Announces to all others that a further crash quarantines the request; a success clears it.
      */
-    void watched(RequestDigest request);
+    void announceWatched(RequestDigest request);
 
     /** Announces to all others that the request is quarantined. */
-    void keptOut(Quarantine.Entry entry);
+    void announceQuarantined(Quarantine.Entry entry);
 
     /** Announces to the counting routers that this one refuses the request; they may correct it. */
-    void refused(Quarantine.Entry entry);
+    void announceRefused(Quarantine.Entry entry);
 
     /** Announces to all others that the request, sent so long ago, has now succeeded. */
-    void cleared(RequestDigest request, Duration sentAgo);
+    void announceCleared(RequestDigest request, Duration sentAgo);
 
     /** Removes the request from the durable quarantine. */
-    void released(RequestDigest request);
+    void removeStored(RequestDigest request);
 
     /** Announces to the counting routers that the request succeeded so long ago. */
-    void succeededBefore(RequestDigest request, Duration ago);
+    void announceEarlierSuccess(RequestDigest request, Duration ago);
 
     /** Announces to the counting routers the number of runs that did not crash their upstream. */
-    void borne(RequestDigest request, int times);
+    void announceSurvivedRuns(RequestDigest request, int times);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
@@ -95,12 +95,12 @@
     }
 
     /** Returns true if no request is quarantined, so that none need be checked before a send. */
-    boolean idle() {
+    boolean isQuarantineEmpty() {
         return quarantine.isEmpty();
     }
 
     /** Returns how long the request stays quarantined; empty if it may be sent, or as a trial. */
-    Optional<Duration> refused(RequestDigest request) {
+    Optional<Duration> tryAdmit(RequestDigest request) {
         Optional<Duration> left = quarantine.tryAdmit(request, tries.getAsBoolean(), now());
         if (left.isPresent()) {
             remind(request);
@@ -114,34 +114,34 @@
         Instant last = reminded.getOrDefault(request, Instant.MIN);
         if (now().isAfter(last.plus(REMIND))) {
             reminded.put(request, now());
-            quarantine.find(request).ifPresent(news::refused);
+            quarantine.find(request).ifPresent(news::announceRefused);
         }
     }
 
     /** Registers gauges of the watched, the undecided and the quarantined requests. */
-    void show() {
+    void registerGauges() {
         metrics.gauge("requests_watched", watched::size);
         metrics.gauge("requests_held", held::size);
         metrics.gauge("requests_kept_out", quarantine::size);
     }
 
     /** Returns true if the request is quarantined, as a queued one may be by now. */
-    boolean keepsOut(RequestDigest request) {
+    boolean isQuarantined(RequestDigest request) {
         return quarantine.isQuarantined(request, now());
     }
 
     /** Returns true if the request has crashed upstreams before, so that sending it is a trial. */
-    boolean knows(RequestDigest request) {
+    boolean hasQuarantineEntry(RequestDigest request) {
         return quarantine.contains(request);
     }
 
     /** Returns true if the outcome of some request matters, so that answers must be recorded. */
-    boolean awaitsAnswers() {
+    boolean needsOutcomes() {
         return !watched.isEmpty() || !quarantine.isEmpty() || now().isBefore(alertUntil);
     }
 
     /** Records that the request sent at that time was answered in full with this status. */
-    void answered(RequestDigest request, Instant sentAt, int status) {
+    void recordAnswer(RequestDigest request, Instant sentAt, int status) {
         watched.removeExpired(now());
         if (success(status)) {
             recent.recordSuccess(request, sentAt, now());
@@ -154,12 +154,12 @@
     private void succeeded(RequestDigest request, Instant sentAt, int status) {
         Duration ago = Duration.between(sentAt, now());
         boolean keptOut = quarantine.contains(request);
-        if (matters(request) && toldCleared(request, ago)) {
+        if (matters(request) && clearRequest(request, ago)) {
             metrics.count("requests_cleared", "status", Integer.toString(status));
             LOG.info("request {} is no longer suspect: answered with status {}", request, status);
-            news.cleared(request, ago);
+            news.announceCleared(request, ago);
             if (keptOut) {
-                news.released(request);
+                news.removeStored(request);
             }
         }
     }
@@ -168,8 +168,8 @@
         recent.recordSurvivedRun(request);
         if (matters(request)) {
             metrics.count("requests_borne", "status", status);
-            toldBorne(request, 1);
-            news.borne(request, 1);
+            addSurvivedRuns(request, 1);
+            news.announceSurvivedRuns(request, 1);
         }
     }
 
@@ -183,28 +183,28 @@
     }
 
     /** Records that the request sent at that time ran at the upstream without a complete answer. */
-    void cut(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
-        ends.cut(upstream, request, sentAt, how);
+    void recordCutRun(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
+        ends.recordCutRun(upstream, request, sentAt, how);
     }
 
     /** Records that the upstream answered a request that was sent at that time. */
-    void answers(Upstream upstream, Instant sentAt) {
-        ends.answered(upstream, sentAt);
+    void upstreamAnswered(Upstream upstream, Instant sentAt) {
+        ends.upstreamAnswered(upstream, sentAt);
     }
 
     /** Records that no connection to the upstream could be made. */
-    void unreachable(Upstream upstream) {
-        ends.unreachable(upstream);
+    void upstreamUnreachable(Upstream upstream) {
+        ends.upstreamUnreachable(upstream);
     }
 
     /** Records that the upstream has been removed from the list. */
-    void gone(UpstreamId upstream) {
-        ends.gone(upstream);
+    void upstreamRemoved(UpstreamId upstream) {
+        ends.upstreamRemoved(upstream);
     }
 
     /** Records an entry of the list, which may be of a newer incarnation of the upstream. */
-    void listed(UpstreamFacts facts) {
-        ends.listed(facts);
+    void upstreamListed(UpstreamFacts facts) {
+        ends.upstreamListed(facts);
     }
 
     /**
@@ -212,11 +212,11 @@
      *
      * @param passOn whether this router passes the announcement on to the others
      */
-    void toldEnd(UpstreamCrash end, boolean passOn) {
-        if (ends.told(end)) {
+    void crashReceived(UpstreamCrash end, boolean passOn) {
+        if (ends.crashReceived(end)) {
             alert();
             if (passOn) {
-                news.passEndOn(end);
+                news.forwardCrash(end);
             }
         }
     }
@@ -228,13 +228,13 @@
     private void tell(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         alert();
         if (counts.getAsBoolean()) {
-            told(end, ago, ran);
+            countCrash(end, ago, ran);
         }
-        news.ended(end, ago, ran);
+        news.announceRunsAtCrash(end, ago, ran);
     }
 
     /** Counts a crash that a router announced to this counting router, and what ran then. */
-    void told(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+    void countCrash(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
         Instant now = now();
         int before = known(ran, now);
         suspects.recordCrash(end, ran, now.minus(ago), now).forEach(this::suspect);
@@ -258,8 +258,8 @@
     }
 
     private void watch(RequestDigest request) {
-        news.watched(request);
-        toldWatched(request);
+        news.announceWatched(request);
+        startWatching(request);
     }
 
     // A request that is repeated may run at several upstreams that crash for one unrelated reason.
@@ -300,17 +300,17 @@
                 "request {} is quarantined from all upstreams: it crashed {} of them",
                 entry.request(),
                 suspects.countedCrashes(entry.request(), now()));
-        news.keptOut(entry);
+        news.announceQuarantined(entry);
     }
 
     /** Merges a quarantine entry that another router announced. */
-    void told(Quarantine.Entry entry) {
+    void quarantineReceived(Quarantine.Entry entry) {
         Optional<Instant> success = successAfter(entry);
         if (success.isEmpty()) {
             take(entry);
         } else if (counts.getAsBoolean()) {
-            news.cleared(entry.request(), Duration.between(success.get(), now()));
-            news.released(entry.request());
+            news.announceCleared(entry.request(), Duration.between(success.get(), now()));
+            news.removeStored(entry.request());
         }
     }
 
@@ -333,7 +333,7 @@
     }
 
     /** Merges a quarantine that the store holds; the store does not say when it began. */
-    void toldByStore(RequestDigest request, int trials) {
+    void quarantineReadFromStore(RequestDigest request, int trials) {
         Instant until = now().plus(settings.firstQuarantine());
         Quarantine.Entry entry = new Quarantine.Entry(request, until, trials, Instant.EPOCH);
         if (!quarantine.contains(request) && successAfter(entry).isEmpty()) {
@@ -342,7 +342,7 @@
     }
 
     /** Watches a request that another router announced as one crash short of quarantine. */
-    void toldWatched(RequestDigest request) {
+    void startWatching(RequestDigest request) {
         if (watched.add(request, now())) {
             tellRecent(request);
         }
@@ -355,14 +355,14 @@
                 .map(success -> Duration.between(success.answeredAt(), now))
                 .ifPresent(ago -> tellSucceededBefore(request, ago));
         if (answers.survivedRuns() > 0) {
-            toldBorne(request, answers.survivedRuns());
-            news.borne(request, answers.survivedRuns());
+            addSurvivedRuns(request, answers.survivedRuns());
+            news.announceSurvivedRuns(request, answers.survivedRuns());
         }
     }
 
     private void tellSucceededBefore(RequestDigest request, Duration ago) {
-        toldSucceededBefore(request, ago);
-        news.succeededBefore(request, ago);
+        recordEarlierSuccess(request, ago);
+        news.announceEarlierSuccess(request, ago);
     }
 
     /**
@@ -370,18 +370,18 @@
      *
      * @return true unless the request stays quarantined
      */
-    boolean toldCleared(RequestDigest request, Duration sentAgo) {
+    boolean clearRequest(RequestDigest request, Duration sentAgo) {
         if (!quarantine.recordSuccess(request, now().minus(sentAgo))) {
             return false;
         }
         watched.remove(request);
         recent.recordSuccess(request, now().minus(sentAgo), now());
-        toldSucceededBefore(request, Duration.ZERO);
+        recordEarlierSuccess(request, Duration.ZERO);
         return true;
     }
 
     /** Records a success so long ago at any router, from before the request was watched. */
-    void toldSucceededBefore(RequestDigest request, Duration ago) {
+    void recordEarlierSuccess(RequestDigest request, Duration ago) {
         suspects.recordSuccess(request, now().minus(ago));
         if (!suspects.isPoisonRequest(request, now())) {
             Optional.ofNullable(held.remove(request)).ifPresent(ControlThread.Cancellable::cancel);
@@ -389,13 +389,13 @@
     }
 
     /** Records this number of runs, at any router, that did not crash their upstream. */
-    void toldBorne(RequestDigest request, int times) {
+    void addSurvivedRuns(RequestDigest request, int times) {
         suspects.addSurvivedRuns(request, times);
     }
 
     /** Announces all quarantined requests, for routers that have just joined. */
-    void tellAll() {
-        quarantine.entries().forEach(news::keptOut);
+    void announceQuarantine() {
+        quarantine.entries().forEach(news::announceQuarantined);
     }
 
     private Instant now() {
@@ -405,18 +405,18 @@
     /** Announces the crashes and survived runs that this router detects. */
     private final class EndListener implements UpstreamEnds.Listener {
         @Override
-        public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+        public void runsCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
             tell(end, ago, ran);
         }
 
         @Override
-        public void found(UpstreamCrash end) {
+        public void crashDetected(UpstreamCrash end) {
             alert();
-            news.found(end);
+            news.announceCrash(end);
         }
 
         @Override
-        public void survived(RequestDigest request) {
+        public void runSurvived(RequestDigest request) {
             borne(request, "none");
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -258,10 +258,10 @@
                 new QuarantineStore(control, store, members.keptOutPrefix()));
     }
 
-    private void look(Upstream upstream, boolean vouch, Consumer<UpstreamEnds.Sign> then) {
+    private void look(Upstream upstream, boolean vouch, Consumer<UpstreamEnds.ProbeResult> then) {
         Endpoint endpoint = upstream.facts().endpoint();
         if (vouch && client.keeps(endpoint)) {
-            then.accept(UpstreamEnds.Sign.ALIVE);
+            then.accept(UpstreamEnds.ProbeResult.ALIVE);
             return;
         }
         client.reach(
@@ -271,9 +271,9 @@
                                 reached.map(
                                                 open ->
                                                         open
-                                                                ? UpstreamEnds.Sign.ALIVE
-                                                                : UpstreamEnds.Sign.ENDED)
-                                        .orElse(UpstreamEnds.Sign.NONE)));
+                                                                ? UpstreamEnds.ProbeResult.ALIVE
+                                                                : UpstreamEnds.ProbeResult.ENDED)
+                                        .orElse(UpstreamEnds.ProbeResult.NONE)));
     }
 
     // One router that all agree on, unless the list is new to one of them.
@@ -398,13 +398,13 @@
         dispatch.onStarved(reports::soon);
         operatorFollower.start();
         upstreamFollower.start(new UpstreamListener());
-        members.onKeptOut(crashes::toldByStore);
+        members.onKeptOut(crashes::quarantineReadFromStore);
         members.start(this::membersChanged);
         callers = HttpServer.adopt(loop, socket, HttpLimits.usual(), ingress);
         metrics.gauge("direct_left_before_served", callers::leftUnserved);
-        crashes.show();
+        crashes.registerGauges();
         new DrainProgress(upstreams).show(metrics);
-        limits.show(metrics);
+        limits.registerGauges(metrics);
         leader.show(metrics);
         metrics.gauge("models_unserved", flows.unserved()::many);
         String address = settings.peer().host() + ':' + settings.peer().port();
@@ -413,7 +413,7 @@
         control.every(CHECK, this::check);
         control.every(REPORT, reports::report);
         control.every(GOSSIP, reports::gossip);
-        control.every(GOSSIP, limits::tellAgain);
+        control.every(GOSSIP, limits::announceAgain);
         control.every(SWEEP, client::sweep);
     }
 
@@ -488,15 +488,15 @@
     /** Listens to what becomes of upstreams, after the table has it. */
     private final class UpstreamListener implements UpstreamFollower.Listener {
         @Override
-        public void listed(UpstreamFacts facts) {
-            crashes.listed(facts);
+        public void upstreamListed(UpstreamFacts facts) {
+            crashes.upstreamListed(facts);
             leader.listed(facts);
             dispatch.drain(facts.service());
         }
 
         @Override
-        public void gone(UpstreamFacts last) {
-            crashes.gone(last.id());
+        public void upstreamRemoved(UpstreamFacts last) {
+            crashes.upstreamRemoved(last.id());
             leader.gone(last.id());
             client.forget(last.endpoint());
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
@@ -103,9 +103,9 @@
     void start() {
         call.onGone(this::callerGone);
         call.onWritable(this::callerReads);
-        if (!flows.crashes().idle()) {
-            boolean known = flows.crashes().knows(digest());
-            Optional<Duration> keptOut = flows.crashes().refused(digest());
+        if (!flows.crashes().isQuarantineEmpty()) {
+            boolean known = flows.crashes().hasQuarantineEntry(digest());
+            Optional<Duration> keptOut = flows.crashes().tryAdmit(digest());
             if (keptOut.isPresent()) {
                 refuseForCrashes(keptOut.get());
                 return;
@@ -126,7 +126,9 @@
 
     // What it was let in for may have changed while it waited, or it has just ended one itself.
     private boolean keptOutByNow() {
-        return !trial && !flows.crashes().idle() && flows.crashes().keepsOut(digest());
+        return !trial
+                && !flows.crashes().isQuarantineEmpty()
+                && flows.crashes().isQuarantined(digest());
     }
 
     /**
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LimitedUpstreams.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/LimitedUpstreams.java
@@ -24,15 +24,15 @@
 
     private final InstantSource clock;
     private final UpstreamTable upstreams;
-    private final Wire wire;
+    private final Announcer wire;
 
     /** Sends announcements to other routers. */
-    interface Wire {
+    interface Announcer {
         /** Announces a limit to the routers that pass it on to all others. */
-        void tellLimit(News news);
+        void announceLimit(Announcement news);
 
         /** Announces a limit to all, if this router is one of those that pass announcements on. */
-        void passLimitOn(News news);
+        void forwardLimit(Announcement news);
     }
 
     /**
@@ -41,16 +41,16 @@
      * @param startedAt which incarnation of the upstream declared it, by its start
      * @param age how long ago the limit was received, or the request was sent whose answer had none
      */
-    record News(UpstreamId upstream, long startedAt, RequestLimit limit, Duration age) {}
+    record Announcement(UpstreamId upstream, long startedAt, RequestLimit limit, Duration age) {}
 
-    LimitedUpstreams(InstantSource clock, UpstreamTable upstreams, Wire wire) {
+    LimitedUpstreams(InstantSource clock, UpstreamTable upstreams, Announcer wire) {
         this.clock = clock;
         this.upstreams = upstreams;
         this.wire = wire;
     }
 
     /** Records the limit in an answer to a request that was sent at that time. */
-    void heard(Upstream upstream, RequestLimit limit, Instant sentAt) {
+    void limitReceived(Upstream upstream, RequestLimit limit, Instant sentAt) {
         if (limit.kind() == RequestLimit.Kind.INVALID) {
             if (upstream.limitGate().markInvalid()) {
                 LOG.warn("upstream {} declares an invalid limit", upstream.facts().id());
@@ -60,7 +60,7 @@
         Instant now = clock.instant();
         if (upstream.limitGate().limitReceived(limit, limit.isDeclared() ? now : sentAt, now)) {
             log(upstream, "declared by the upstream");
-            wire.tellLimit(news(upstream, now));
+            wire.announceLimit(news(upstream, now));
         }
     }
 
@@ -69,7 +69,7 @@
      *
      * @param passOn whether this router passes the announcement on to the others
      */
-    void told(News news, boolean passOn) {
+    void announcementReceived(Announcement news, boolean passOn) {
         Instant now = clock.instant();
         upstreams
                 .find(news.upstream())
@@ -82,7 +82,7 @@
                         upstream -> {
                             log(upstream, "announced by another router");
                             if (passOn) {
-                                wire.passLimitOn(news);
+                                wire.forwardLimit(news);
                             }
                         });
     }
@@ -91,20 +91,20 @@
      * Announces all current limits again, as messages get lost and routers start. Called once a
      * second.
      */
-    void tellAgain() {
+    void announceAgain() {
         Instant now = clock.instant();
         for (Upstream upstream : upstreams.all()) {
             LimitGate gate = upstream.limitGate();
             boolean ended = !gate.liftedAt().equals(Instant.MIN);
             boolean endedOfLate = ended && now.isBefore(gate.liftedAt().plus(END_TOLD));
             if (gate.isLimited(now) || endedOfLate) {
-                wire.tellLimit(news(upstream, now));
+                wire.announceLimit(news(upstream, now));
             }
         }
     }
 
     /** Registers gauges of the limited upstreams and of the requests that limits held back. */
-    void show(Metrics metrics) {
+    void registerGauges(Metrics metrics) {
         metrics.gauge("upstreams_limited", this::limited);
         metrics.gauge("upstream_limit_held_back", this::heldBack);
     }
@@ -118,10 +118,10 @@
         return upstreams.all().stream().mapToLong(each -> each.limitGate().heldBackCount()).sum();
     }
 
-    private static News news(Upstream upstream, Instant now) {
+    private static Announcement news(Upstream upstream, Instant now) {
         LimitGate gate = upstream.limitGate();
         Instant at = gate.limit().isDeclared() ? gate.declaredAt() : gate.liftedAt();
-        return new News(
+        return new Announcement(
                 upstream.facts().id(),
                 upstream.facts().held().startedAt(),
                 gate.limit(),
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourCrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourCrashNews.java
@@ -16,79 +16,80 @@
  */
 final class NeighbourCrashNews implements CrashNews {
     private final InstantSource clock;
-    private final Wire wire;
+    private final FrameSender wire;
 
     /** Sends frames to other routers. */
-    interface Wire {
+    interface FrameSender {
         /** Sends to all others to which this router has a link or opens one. */
-        void toAll(Frame frame);
+        void sendToAll(Frame frame);
 
         /** Sends to the watchers, which follow the store for all and count the crashes. */
-        void toWatchers(Frame frame);
+        void sendToWatchers(Frame frame);
 
         /**
          * Sends to all others, if need be through watchers; the frame says whether to pass it on.
          */
-        void throughWatchers(Function<Boolean, Frame> frame);
+        void sendThroughWatchers(Function<Boolean, Frame> frame);
 
         /** Returns true if this router is a watcher, and passes on what it receives. */
-        boolean passesOn();
+        boolean isWatcher();
     }
 
-    NeighbourCrashNews(InstantSource clock, Wire wire) {
+    NeighbourCrashNews(InstantSource clock, FrameSender wire) {
         this.clock = clock;
         this.wire = wire;
     }
 
     @Override
-    public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-        wire.toWatchers(NeighbourFrames.ended(end, ago, ran));
+    public void announceRunsAtCrash(
+            UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+        wire.sendToWatchers(NeighbourFrames.ended(end, ago, ran));
     }
 
     @Override
-    public void found(UpstreamCrash end) {
-        wire.throughWatchers(passOn -> NeighbourFrames.found(end, passOn));
+    public void announceCrash(UpstreamCrash end) {
+        wire.sendThroughWatchers(passOn -> NeighbourFrames.found(end, passOn));
     }
 
     @Override
-    public void passEndOn(UpstreamCrash end) {
-        if (wire.passesOn()) {
-            wire.toAll(NeighbourFrames.found(end, false));
+    public void forwardCrash(UpstreamCrash end) {
+        if (wire.isWatcher()) {
+            wire.sendToAll(NeighbourFrames.found(end, false));
         }
     }
 
     @Override
-    public void watched(RequestDigest request) {
-        wire.toAll(NeighbourFrames.suspect(request, SuspectRequest.State.WATCHED));
+    public void announceWatched(RequestDigest request) {
+        wire.sendToAll(NeighbourFrames.suspect(request, SuspectRequest.State.WATCHED));
     }
 
     @Override
-    public void keptOut(Quarantine.Entry entry) {
-        wire.toAll(NeighbourFrames.keptOut(entry, clock.instant()));
+    public void announceQuarantined(Quarantine.Entry entry) {
+        wire.sendToAll(NeighbourFrames.keptOut(entry, clock.instant()));
     }
 
     @Override
-    public void released(RequestDigest request) {
+    public void removeStored(RequestDigest request) {
         // The other routers learn this from the announced success that cleared the request.
     }
 
     @Override
-    public void refused(Quarantine.Entry entry) {
-        wire.toWatchers(NeighbourFrames.keptOut(entry, clock.instant()));
+    public void announceRefused(Quarantine.Entry entry) {
+        wire.sendToWatchers(NeighbourFrames.keptOut(entry, clock.instant()));
     }
 
     @Override
-    public void cleared(RequestDigest request, Duration sentAgo) {
-        wire.toAll(NeighbourFrames.cleared(request, sentAgo));
+    public void announceCleared(RequestDigest request, Duration sentAgo) {
+        wire.sendToAll(NeighbourFrames.cleared(request, sentAgo));
     }
 
     @Override
-    public void succeededBefore(RequestDigest request, Duration ago) {
-        wire.toWatchers(NeighbourFrames.succeededBefore(request, ago));
+    public void announceEarlierSuccess(RequestDigest request, Duration ago) {
+        wire.sendToWatchers(NeighbourFrames.succeededBefore(request, ago));
     }
 
     @Override
-    public void borne(RequestDigest request, int times) {
-        wire.toWatchers(NeighbourFrames.borne(request, times));
+    public void announceSurvivedRuns(RequestDigest request, int times) {
+        wire.sendToWatchers(NeighbourFrames.borne(request, times));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
@@ -148,7 +148,7 @@
         return ran;
     }
 
-    static Frame limit(LimitedUpstreams.News news, boolean passOn) {
+    static Frame limit(LimitedUpstreams.Announcement news, boolean passOn) {
         UpstreamLimit limit =
                 UpstreamLimit.newBuilder()
                         .setUpstream(news.upstream().value())
@@ -161,8 +161,8 @@
         return Frame.newBuilder().setUpstreamLimit(limit).build();
     }
 
-    static LimitedUpstreams.News limit(UpstreamLimit limit) {
-        return new LimitedUpstreams.News(
+    static LimitedUpstreams.Announcement limit(UpstreamLimit limit) {
+        return new LimitedUpstreams.Announcement(
                 UpstreamId.of(limit.getUpstream()),
                 limit.getStartedAt(),
                 limit.getNamed()
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
@@ -55,9 +55,10 @@
         if (standing.configuration() > parts.configuration().revision()) {
             parts.neighbours().ask(demanded.router(), parts.configuration().revision());
         }
-        if (parts.upstreamFollower().needsTelling(standing.upstreams())) {
+        if (parts.upstreamFollower().needsDepartures(standing.upstreams())) {
             parts.neighbours()
-                    .askDepartures(demanded.router(), parts.upstreamFollower().knownUpTo());
+                    .askDepartures(
+                            demanded.router(), parts.upstreamFollower().departuresReadUpTo());
         }
     }
 
@@ -71,23 +72,23 @@
 
     @Override
     public void departures(List<UpstreamDeparture> departures) {
-        parts.upstreamFollower().told(departures);
+        parts.upstreamFollower().applyDepartures(departures);
     }
 
     @Override
     public void linked() {
         parts.reports().tellAll();
-        parts.crashes().tellAll();
+        parts.crashes().announceQuarantine();
     }
 
     @Override
     public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-        parts.crashes().told(end, ago, ran);
+        parts.crashes().countCrash(end, ago, ran);
     }
 
     @Override
     public void found(UpstreamCrash end, boolean passOn) {
-        parts.crashes().toldEnd(end, passOn);
+        parts.crashes().crashReceived(end, passOn);
     }
 
     @Override
@@ -96,33 +97,33 @@
     }
 
     @Override
-    public void limited(LimitedUpstreams.News news, boolean passOn) {
-        parts.limits().told(news, passOn);
+    public void limited(LimitedUpstreams.Announcement news, boolean passOn) {
+        parts.limits().announcementReceived(news, passOn);
     }
 
     @Override
     public void watched(RequestDigest request) {
-        parts.crashes().toldWatched(request);
+        parts.crashes().startWatching(request);
     }
 
     @Override
     public void keptOut(Quarantine.Entry entry) {
-        parts.crashes().told(entry);
+        parts.crashes().quarantineReceived(entry);
     }
 
     @Override
     public void cleared(RequestDigest request, Duration sentAgo) {
-        parts.crashes().toldCleared(request, sentAgo);
+        parts.crashes().clearRequest(request, sentAgo);
     }
 
     @Override
     public void succeededBefore(RequestDigest request, Duration ago) {
-        parts.crashes().toldSucceededBefore(request, ago);
+        parts.crashes().recordEarlierSuccess(request, ago);
     }
 
     @Override
     public void borne(RequestDigest request, int times) {
-        parts.crashes().toldBorne(request, times);
+        parts.crashes().addSurvivedRuns(request, times);
     }
 
     @Override
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
@@ -42,7 +42,7 @@
 
 /** What direct routers tell each other, as frames. Its methods belong to the control thread. */
 final class Neighbours
-        implements PeerListener, LeaderNews, LostUpstreams.Wire, LimitedUpstreams.Wire {
+        implements PeerListener, LeaderNews, LostUpstreams.Wire, LimitedUpstreams.Announcer {
     /** Routers report to the leader every 0.6 s at least. */
     private static final Duration STORE_SEEN = Duration.ofMillis(1_200);
 
@@ -108,7 +108,7 @@
         void lost(UpstreamId upstream, long startedAt, boolean passOn);
 
         /** An upstream says how many requests it takes; all others are to be told or are. */
-        void limited(LimitedUpstreams.News news, boolean passOn);
+        void limited(LimitedUpstreams.Announcement news, boolean passOn);
 
         /** A router gave the orders under this lease and can't tell the store that it stopped. */
         void leaseEnded(VmId by, long lease);
@@ -208,24 +208,24 @@
     CrashNews crashNews() {
         return new NeighbourCrashNews(
                 control.clock(),
-                new NeighbourCrashNews.Wire() {
+                new NeighbourCrashNews.FrameSender() {
                     @Override
-                    public void toAll(Frame frame) {
+                    public void sendToAll(Frame frame) {
                         sendAll(frame);
                     }
 
                     @Override
-                    public void toWatchers(Frame frame) {
+                    public void sendToWatchers(Frame frame) {
                         sendToWatchers(frame);
                     }
 
                     @Override
-                    public void throughWatchers(Function<Boolean, Frame> frame) {
+                    public void sendThroughWatchers(Function<Boolean, Frame> frame) {
                         tellThroughWatchers(frame);
                     }
 
                     @Override
-                    public boolean passesOn() {
+                    public boolean isWatcher() {
                         return members.watches();
                     }
                 });
@@ -244,12 +244,12 @@
     }
 
     @Override
-    public void tellLimit(LimitedUpstreams.News news) {
+    public void announceLimit(LimitedUpstreams.Announcement news) {
         tellThroughWatchers(passOn -> NeighbourFrames.limit(news, passOn));
     }
 
     @Override
-    public void passLimitOn(LimitedUpstreams.News news) {
+    public void forwardLimit(LimitedUpstreams.Announcement news) {
         if (members.watches()) {
             sendAll(NeighbourFrames.limit(news, false));
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StoredCrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StoredCrashNews.java
@@ -17,53 +17,54 @@
     }
 
     @Override
-    public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-        routers.ended(end, ago, ran);
+    public void announceRunsAtCrash(
+            UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+        routers.announceRunsAtCrash(end, ago, ran);
     }
 
     @Override
-    public void found(UpstreamCrash end) {
-        routers.found(end);
+    public void announceCrash(UpstreamCrash end) {
+        routers.announceCrash(end);
     }
 
     @Override
-    public void passEndOn(UpstreamCrash end) {
-        routers.passEndOn(end);
+    public void forwardCrash(UpstreamCrash end) {
+        routers.forwardCrash(end);
     }
 
     @Override
-    public void watched(RequestDigest request) {
-        routers.watched(request);
+    public void announceWatched(RequestDigest request) {
+        routers.announceWatched(request);
     }
 
     @Override
-    public void keptOut(Quarantine.Entry entry) {
-        routers.keptOut(entry);
+    public void announceQuarantined(Quarantine.Entry entry) {
+        routers.announceQuarantined(entry);
         store.write(entry);
     }
 
     @Override
-    public void refused(Quarantine.Entry entry) {
-        routers.refused(entry);
+    public void announceRefused(Quarantine.Entry entry) {
+        routers.announceRefused(entry);
     }
 
     @Override
-    public void cleared(RequestDigest request, Duration sentAgo) {
-        routers.cleared(request, sentAgo);
+    public void announceCleared(RequestDigest request, Duration sentAgo) {
+        routers.announceCleared(request, sentAgo);
     }
 
     @Override
-    public void released(RequestDigest request) {
+    public void removeStored(RequestDigest request) {
         store.remove(request);
     }
 
     @Override
-    public void succeededBefore(RequestDigest request, Duration ago) {
-        routers.succeededBefore(request, ago);
+    public void announceEarlierSuccess(RequestDigest request, Duration ago) {
+        routers.announceEarlierSuccess(request, ago);
     }
 
     @Override
-    public void borne(RequestDigest request, int times) {
-        routers.borne(request, times);
+    public void announceSurvivedRuns(RequestDigest request, int times) {
+        routers.announceSurvivedRuns(request, times);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
@@ -74,7 +74,7 @@
     private final Set<UpstreamCrash> laterLooks = new HashSet<>();
 
     /** The result of a probe of an upstream. */
-    enum Sign {
+    enum ProbeResult {
         /** The upstream has crashed: its address refuses connections. */
         ENDED,
         /** The upstream is up: it accepts connections, or has kept some open. */
@@ -90,19 +90,19 @@
          *
          * @param vouch whether a connection that is still open proves the upstream up instead
          */
-        void look(Upstream upstream, boolean vouch, Consumer<Sign> then);
+        void probe(Upstream upstream, boolean vouch, Consumer<ProbeResult> then);
     }
 
     /** Receives the crashes of upstreams and the requests that ran there. */
     interface Listener {
         /** Reports how long each request had run at the upstream when it crashed, so long ago. */
-        void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
+        void runsCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
         /** Reports that this router detected the crash, of which others may not know. */
-        void found(UpstreamCrash end);
+        void crashDetected(UpstreamCrash end);
 
         /** Reports that the upstream has answered since, so that it survived the canceled run. */
-        void survived(RequestDigest request);
+        void runSurvived(RequestDigest request);
     }
 
     /** A run of a request without a complete answer. */
@@ -137,7 +137,7 @@
     }
 
     /** Records that the request sent at that time ran at the upstream without a complete answer. */
-    void cut(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
+    void recordCutRun(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
         metrics.count("runs_cut", "how", how.label());
         Life life = lives.computeIfAbsent(lifeOf(upstream.facts()), this::begin);
         life.lastCut = now();
@@ -199,14 +199,14 @@
             looks.remove(end);
             return;
         }
-        prober.look(upstream, before == 0, sign -> looked(upstream, end, sign, before));
+        prober.probe(upstream, before == 0, sign -> looked(upstream, end, sign, before));
     }
 
-    private void looked(Upstream upstream, UpstreamCrash end, Sign sign, int before) {
-        if (sign == Sign.ENDED) {
+    private void looked(Upstream upstream, UpstreamCrash end, ProbeResult sign, int before) {
+        if (sign == ProbeResult.ENDED) {
             looks.remove(end);
             if (ended(end, "refuses connections")) {
-                listener.found(end);
+                listener.crashDetected(end);
             }
         } else if (before < AGAIN.size() && brokeOf(end)) {
             control.after(AGAIN.get(before), () -> look(upstream, end, before + 1));
@@ -221,7 +221,7 @@
     }
 
     /** Records that the upstream answered a request that was sent at that time. */
-    void answered(Upstream upstream, Instant sentAt) {
+    void upstreamAnswered(Upstream upstream, Instant sentAt) {
         if (lives.isEmpty() && known.isEmpty()) {
             return;
         }
@@ -245,13 +245,13 @@
             boolean sameLife = sentAt.isBefore(run.cutAt.plus(NOT_BACK_BEFORE));
             if (run.calledOffBefore(sentAt) && sameLife) {
                 each.remove();
-                listener.survived(entry.getKey());
+                listener.runSurvived(entry.getKey());
             }
         }
     }
 
     /** Records that no connection to the upstream could be made, and probes it soon. */
-    void unreachable(Upstream upstream) {
+    void upstreamUnreachable(Upstream upstream) {
         UpstreamCrash end = lifeOf(upstream.facts());
         if (!known.containsKey(end)) {
             lookSoon(upstream, end);
@@ -259,17 +259,17 @@
     }
 
     /** Records a crash that another router detected; true if it was not known here. */
-    boolean told(UpstreamCrash end) {
+    boolean crashReceived(UpstreamCrash end) {
         return ended(end, "is gone for another router");
     }
 
     /** Records that the upstream was removed from the list, as a crash of its incarnations. */
-    void gone(UpstreamId upstream) {
+    void upstreamRemoved(UpstreamId upstream) {
         livesOf(upstream).forEach(life -> ended(life.end, "is off the list"));
     }
 
     /** Records an entry of the list; an entry of a new incarnation shows a crash of the old one. */
-    void listed(UpstreamFacts facts) {
+    void upstreamListed(UpstreamFacts facts) {
         UpstreamCrash now = lifeOf(facts);
         livesOf(facts.id()).stream()
                 .filter(life -> !life.end.equals(now))
@@ -321,7 +321,7 @@
                 });
         life.runs.clear();
         if (!ran.isEmpty()) {
-            listener.ended(life.end, Duration.between(end, now()), ran);
+            listener.runsCrashed(life.end, Duration.between(end, now()), ran);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
@@ -56,10 +56,10 @@
     /** Is notified of changes of the list, after the table has them. */
     interface Listener {
         /** Reports that an upstream was added or its entry changed. */
-        void listed(UpstreamFacts facts);
+        void upstreamListed(UpstreamFacts facts);
 
         /** Reports that an upstream was removed; {@code last} is its last entry. */
-        void gone(UpstreamFacts last);
+        void upstreamRemoved(UpstreamFacts last);
     }
 
     UpstreamFollower(
@@ -94,9 +94,9 @@
      * departures: the store has not answered this router recently, or not said whether an entry is
      * back.
      */
-    boolean needsTelling(long theirs) {
+    boolean needsDepartures(long theirs) {
         boolean old = follower.age().filter(age -> age.compareTo(OUT_OF_TOUCH) > 0).isPresent();
-        return (old || unanswered) && theirs > knownUpTo();
+        return (old || unanswered) && theirs > departuresReadUpTo();
     }
 
     /**
@@ -104,14 +104,14 @@
      * for none of the entries to return. Announcements of other routers do not advance it, as they
      * cover only a part of the later changes.
      */
-    long knownUpTo() {
+    long departuresReadUpTo() {
         long awaitedFrom =
                 awaited.values().stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
         return Math.min(heardUpTo, awaitedFrom - 1);
     }
 
     /** Applies departures that another router announced. */
-    void told(List<UpstreamDeparture> departures) {
+    void applyDepartures(List<UpstreamDeparture> departures) {
         for (UpstreamDeparture each : departures) {
             if (each.removed()) {
                 awaited.computeIfPresent(
@@ -128,7 +128,7 @@
 
     private void leaves(UpstreamFacts facts) {
         LOG.info("upstream {} drains, as another router announced", facts.id());
-        listener.listed(facts);
+        listener.upstreamListed(facts);
     }
 
     /** Returns the follower of the list, for others that follow it through this router. */
@@ -202,7 +202,7 @@
                     facts.get().draining(),
                     facts.get().held().adapters().keySet());
         }
-        listener.listed(facts.get());
+        listener.upstreamListed(facts.get());
     }
 
     private void remove(UpstreamId id, long revision, boolean afterOutage) {
@@ -257,7 +257,7 @@
         Optional<UpstreamFacts> last = table.find(id).map(known -> known.facts());
         if (table.remove(id, revision)) {
             LOG.info("upstream {} is removed, revision {}", id, revision);
-            listener.gone(last.orElseThrow());
+            listener.upstreamRemoved(last.orElseThrow());
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdEngine.java
@@ -36,16 +36,16 @@
         return id;
     }
 
-    boolean up() {
+    boolean isUp() {
         return up;
     }
 
     /** Returns true if connections time out while it is down, instead of being refused. */
-    boolean dark() {
+    boolean isSilent() {
         return dark;
     }
 
-    long life() {
+    long incarnation() {
         return life;
     }
 
@@ -71,13 +71,13 @@
     }
 
     /** Crashes the upstream, and starts it again after the given time. */
-    void fail(Duration length, boolean silently) {
+    void crash(Duration length, boolean silently) {
         if (!up) {
             return;
         }
         up = false;
         dark = silently;
-        world.lapse(this);
+        world.expireEntry(this);
         world.time.after(length, this::start);
     }
 
@@ -107,7 +107,7 @@
     }
 
     /** Counts an arriving request, and crashes if a cold upstream gets far too many. */
-    void arrives() {
+    void requestArrived() {
         if (!world.now().isBefore(coldUntil)) {
             return;
         }
@@ -115,8 +115,8 @@
         while (!came.peek().isAfter(world.now().minus(SECOND))) {
             came.remove();
         }
-        if (world.exceededBy(came.size())) {
-            fail(Duration.ofMillis(1_500), false);
+        if (world.recordRate(came.size())) {
+            crash(Duration.ofMillis(1_500), false);
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdPromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdPromisesTest.java
@@ -82,13 +82,13 @@
     @CsvSource({"4", "22", "300"})
     void onACalmDayNothingWaits(int routers) {
         ColdWorld world = new ColdWorld(routers, FIRST, ColdWorld.Rules.usual());
-        world.pass(Duration.ofSeconds(1));
+        world.advance(Duration.ofSeconds(1));
         world.demand(USUAL);
-        world.pass(CALM);
+        world.advance(CALM);
         assertTrue(
-                world.waited() * 1_000 < world.asked(),
-                world.waited() + " of " + world.asked() + " waited");
-        assertEquals(0, world.refused());
+                world.queuedRequests() * 1_000 < world.requests(),
+                world.queuedRequests() + " of " + world.requests() + " waited");
+        assertEquals(0, world.refusedRequests());
     }
 
     private static int exceeded(int routers, ColdWorld.Rules rules) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdRouter.java
@@ -57,13 +57,13 @@
                 DOWN,
                 () -> {
                     if (life == own) {
-                        begin();
+                        start();
                     }
                 });
     }
 
     /** Starts the router, which knows only the list. */
-    void begin() {
+    void start() {
         int own = ++life;
         upstreams = new UpstreamTable();
         upstreams.setColdLimits(Map.of(ColdWorld.SERVICE, world.limit()));
@@ -98,16 +98,16 @@
     }
 
     /** Cuts the router off from the list and from announcements for the given time. */
-    void cut(Duration length) {
+    void cutOff(Duration length) {
         cutUntil = world.now().plus(length);
     }
 
     /** Receives an entry after this time; entries keep their order. */
-    void hear(UpstreamFacts facts, Duration after) {
+    void entryWritten(UpstreamFacts facts, Duration after) {
         later(after, () -> upstreams.put(facts, world.now()));
     }
 
-    void hearGone(String id, Duration after) {
+    void entryRemoved(String id, Duration after) {
         later(
                 after,
                 () ->
@@ -137,26 +137,26 @@
         return one.isAfter(other) ? one : other;
     }
 
-    void ask() {
+    void sendRequest() {
         if (upstreams.all().isEmpty()) {
-            world.noteRefused();
+            world.recordRefused();
             return;
         }
         Request request = new Request();
         dispatch.enqueue(request);
         if (!request.sent) {
-            world.noteWaited();
+            world.recordQueued();
         }
     }
 
     private void lost(Upstream upstream) {
         if (world.rules().doubting() && upstream.connectionLost(world.now())) {
-            world.tellLost(this, upstream.facts().id());
+            world.announceLoss(this, upstream.facts().id());
         }
     }
 
     /** Receives the announcement that another router lost its connection to an upstream. */
-    void hearLost(UpstreamId upstream) {
+    void lossReceived(UpstreamId upstream) {
         if (!world.now().isBefore(cutUntil)) {
             upstreams.find(upstream).ifPresent(each -> each.connectionLost(world.now()));
         }
@@ -184,13 +184,13 @@
             if (ownLife != life) {
                 return;
             }
-            if (!engine.up()) {
-                world.time.after(engine.dark() ? DARK : WAY, () -> notConnected(upstream));
+            if (!engine.isUp()) {
+                world.time.after(engine.isSilent() ? DARK : WAY, () -> notConnected(upstream));
                 return;
             }
-            long engineLife = engine.life();
+            long engineLife = engine.incarnation();
             upstream.requestSent(world.now());
-            world.time.after(WAY, engine::arrives);
+            world.time.after(WAY, engine::requestArrived);
             long takes = 30 + world.random.nextInt(60);
             world.time.after(Duration.ofMillis(takes), () -> ends(upstream, engine, engineLife));
         }
@@ -210,12 +210,12 @@
             if (ownLife != life) {
                 return;
             }
-            if (engine.up() && engine.life() == engineLife) {
+            if (engine.isUp() && engine.incarnation() == engineLife) {
                 upstream.requestAnswered(Duration.ofMillis(40), world.now());
             } else {
                 upstream.requestFailed(world.now());
                 lost(upstream);
-                world.noteRefused();
+                world.recordRefused();
             }
             upstream.requestFinished(null);
             dispatch.drain(ColdWorld.SERVICE);
@@ -223,7 +223,7 @@
 
         @Override
         public void waitedInVain() {
-            world.noteRefused();
+            world.recordRefused();
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdTroubles.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdTroubles.java
@@ -20,9 +20,9 @@
     }
 
     void play(double usual) {
-        world.pass(Duration.ofSeconds(1));
+        world.advance(Duration.ofSeconds(1));
         world.demand(usual);
-        world.pass(Duration.ofSeconds(2));
+        world.advance(Duration.ofSeconds(2));
         for (int each = 0; each < ROUNDS; each++) {
             round(usual);
         }
@@ -34,27 +34,29 @@
         world.demand(usual * (1 + random.nextDouble()));
         int zone = random.nextInt(ZONES);
         Duration length = millis(SHORTEST_MILLIS, random.nextBoolean() ? 1_800 : 5_000);
-        world.lose(zone, length, random.nextBoolean());
+        world.failZone(zone, length, random.nextBoolean());
         if (random.nextInt(3) > 0) {
             Duration later = millis(0, (int) length.toMillis());
             world.time.after(
-                    later, () -> world.lose((zone + 1) % ZONES, length, random.nextBoolean()));
+                    later, () -> world.failZone((zone + 1) % ZONES, length, random.nextBoolean()));
         }
         if (random.nextInt(4) == 0) {
             world.time.after(
                     later(length),
-                    () -> world.lose((zone + 2) % ZONES, millis(SHORTEST_MILLIS, 1_600), false));
+                    () ->
+                            world.failZone(
+                                    (zone + 2) % ZONES, millis(SHORTEST_MILLIS, 1_600), false));
         }
         routers(length);
-        world.pass(length.plusMillis(500));
+        world.advance(length.plusMillis(500));
         world.demand(usual);
-        world.pass(Duration.ofSeconds(5));
+        world.advance(Duration.ofSeconds(5));
     }
 
     private void routers(Duration length) {
         for (ColdRouter router : world.routers()) {
             if (random.nextInt(8) == 0) {
-                world.time.after(later(length), () -> router.cut(millis(500, 6_000)));
+                world.time.after(later(length), () -> router.cutOff(millis(500, 6_000)));
             }
         }
         int share = random.nextInt(4);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdWorld.java
@@ -73,7 +73,7 @@
         for (int each = 0; each < count; each++) {
             routers.add(new ColdRouter(this, VmId.of("router-" + each)));
         }
-        routers.forEach(ColdRouter::begin);
+        routers.forEach(ColdRouter::start);
         weights = weights(count);
     }
 
@@ -123,7 +123,7 @@
         perSecond = requestsPerSecond;
     }
 
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         Instant end = now().plus(duration);
         while (now().isBefore(end)) {
             arrivals();
@@ -136,7 +136,7 @@
         while (random.nextDouble() < expected) {
             expected -= 1;
             asked++;
-            drawRouter().ask();
+            drawRouter().sendRequest();
         }
     }
 
@@ -151,36 +151,36 @@
     }
 
     /** Takes a whole zone down for the given time, either silent or refusing connections. */
-    void lose(int zone, Duration length, boolean dark) {
+    void failZone(int zone, Duration length, boolean dark) {
         for (int each = zone; each < UPSTREAMS; each += ZONES) {
-            engines.get(each).fail(length, dark);
+            engines.get(each).crash(length, dark);
         }
     }
 
     /** Writes an upstream's entry, which each router receives after its own delay. */
     void write(UpstreamFacts facts) {
         list.put(facts.id().value(), facts);
-        routers.forEach(each -> each.hear(facts, newsTime()));
+        routers.forEach(each -> each.entryWritten(facts, newsTime()));
     }
 
     /** Removes the entry of an upstream that has been silent for too long. */
-    void lapse(ColdEngine engine) {
+    void expireEntry(ColdEngine engine) {
         time.after(
                 LAPSE,
                 () -> {
-                    if (!engine.up()) {
+                    if (!engine.isUp()) {
                         list.remove(engine.id());
-                        routers.forEach(each -> each.hearGone(engine.id(), newsTime()));
+                        routers.forEach(each -> each.entryRemoved(engine.id(), newsTime()));
                     }
                 });
     }
 
     /** Announces to the other routers that one has lost its connection to an upstream. */
-    void tellLost(ColdRouter from, UpstreamId upstream) {
+    void announceLoss(ColdRouter from, UpstreamId upstream) {
         for (ColdRouter each : routers) {
             if (each != from) {
                 Duration way = Duration.ofMillis(2 + random.nextInt((int) rules.word().toMillis()));
-                time.after(way, () -> each.hearLost(upstream));
+                time.after(way, () -> each.lossReceived(upstream));
             }
         }
     }
@@ -190,18 +190,18 @@
     }
 
     /** Counts a second with more requests than the limit; true if it is far exceeded. */
-    boolean exceededBy(int inSecond) {
+    boolean recordRate(int inSecond) {
         if (inSecond > BEARS) {
             exceeded++;
         }
         return inSecond > BEARS * FAR_ABOVE;
     }
 
-    void noteWaited() {
+    void recordQueued() {
         waited++;
     }
 
-    void noteRefused() {
+    void recordRefused() {
         refused++;
     }
 
@@ -210,16 +210,16 @@
         return exceeded;
     }
 
-    long asked() {
+    long requests() {
         return asked;
     }
 
     /** Returns how many requests were queued rather than sent at once. */
-    long waited() {
+    long queuedRequests() {
         return waited;
     }
 
-    long refused() {
+    long refusedRequests() {
         return refused;
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashHardshipsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashHardshipsTest.java
@@ -176,8 +176,10 @@
     @Test
     void aDeadlyRequestThatFirstLookedLikeARackIsNotHeldTwice() {
         CrashWorld world = new CrashWorld(421, 6, 13, Hardship.RACKS);
-        world.pass(TIME, 60, 0.1, 1.2);
-        assertTrue(world.deadlySendsTooMany() <= ALLOWED, world.deadlySendsTooMany() + " sends");
+        world.advance(TIME, 60, 0.1, 1.2);
+        assertTrue(
+                world.lateSendsOfPoisonRequest() <= ALLOWED,
+                world.lateSendsOfPoisonRequest() + " sends");
     }
 
     // Guards against an innocent request that ran wherever a poison request crashed an upstream.
@@ -202,11 +204,11 @@
         List<String> over = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             CrashWorld world = new CrashWorld(seed, routers, workers, all);
-            world.pass(TIME, perSecond, endsPerSecond, 1.2);
-            if (world.deadlySendsTooMany() > ALLOWED) {
-                over.add("seed " + seed + ": " + world.deadlySendsTooMany());
+            world.advance(TIME, perSecond, endsPerSecond, 1.2);
+            if (world.lateSendsOfPoisonRequest() > ALLOWED) {
+                over.add("seed " + seed + ": " + world.lateSendsOfPoisonRequest());
             }
-            assertTrue(world.deadlyRefused() > 0, "seed " + seed + ": never refused");
+            assertTrue(world.poisonRequestsRefused() > 0, "seed " + seed + ": never refused");
         }
         return over;
     }
@@ -221,7 +223,7 @@
         List<String> refused = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             CrashWorld world = new CrashWorld(seed, routers, workers, all);
-            world.pass(TIME, perSecond, endsPerSecond, deadlyPerSecond);
+            world.advance(TIME, perSecond, endsPerSecond, deadlyPerSecond);
             if (world.innocentsRefused() > 0) {
                 refused.add("seed " + seed + ": " + world.innocentsRefused());
             }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWatchTest.java
@@ -23,9 +23,9 @@
         int ends = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             CrashWorld world = new CrashWorld(seed, routers, workers);
-            world.pass(Duration.ofSeconds(60), perSecond, endsPerSecond, 0);
+            world.advance(Duration.ofSeconds(60), perSecond, endsPerSecond, 0);
             assertEquals(0, world.innocentsRefused(), "seed " + seed);
-            ends += world.ends();
+            ends += world.crashes();
         }
         assertTrue(ends > 20 * SEEDS, ends + " ends");
     }
@@ -37,9 +37,9 @@
             int routers, int workers, double perSecond, double endsPerSecond) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             CrashWorld world = new CrashWorld(seed, routers, workers);
-            world.pass(Duration.ofSeconds(30), perSecond, endsPerSecond, 1.2);
-            assertTrue(world.deadlySendsTooMany() <= ALLOWED, "seed " + seed);
-            assertTrue(world.deadlyRefused() > 0, "seed " + seed);
+            world.advance(Duration.ofSeconds(30), perSecond, endsPerSecond, 1.2);
+            assertTrue(world.lateSendsOfPoisonRequest() <= ALLOWED, "seed " + seed);
+            assertTrue(world.poisonRequestsRefused() > 0, "seed " + seed);
         }
     }
 
@@ -49,12 +49,12 @@
     void whatIsKeptOutIsKnownAfterAllRoutersHaveStartedAgain(int routers, int workers) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             CrashWorld world = new CrashWorld(seed, routers, workers);
-            world.pass(Duration.ofSeconds(15), 60, 0.1, 1.2);
-            int before = world.deadlySendsTooMany();
-            world.startAll();
-            world.pass(Duration.ofSeconds(3), 60, 0.1, 0);
-            world.pass(Duration.ofSeconds(20), 60, 0.1, 1.2);
-            assertEquals(before, world.deadlySendsTooMany(), "seed " + seed);
+            world.advance(Duration.ofSeconds(15), 60, 0.1, 1.2);
+            int before = world.lateSendsOfPoisonRequest();
+            world.restartAllRouters();
+            world.advance(Duration.ofSeconds(3), 60, 0.1, 0);
+            world.advance(Duration.ofSeconds(20), 60, 0.1, 1.2);
+            assertEquals(before, world.lateSendsOfPoisonRequest(), "seed " + seed);
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
@@ -99,7 +99,7 @@
         for (int each = 0; each < routerCount; each++) {
             routers.add(null);
         }
-        startAll();
+        restartAllRouters();
         if (has(Hardship.ROUTERS_END)) {
             world.every(ROUTER_ENDS_EACH, () -> startAgain(trouble.nextInt(routers.size())));
         }
@@ -127,7 +127,7 @@
     }
 
     /** Restarts all routers, which keep only what the store holds. */
-    void startAll() {
+    void restartAllRouters() {
         for (int each = 0; each < routers.size(); each++) {
             start(each);
         }
@@ -149,7 +149,7 @@
 
     private void readStore(int index, CrashWatch router) {
         startedNow.remove(index);
-        stored.forEach((request, trials) -> router.toldByStore(request, trials));
+        stored.forEach((request, trials) -> router.quarantineReadFromStore(request, trials));
     }
 
     /** Returns how many innocent requests were refused. */
@@ -158,17 +158,17 @@
     }
 
     /** Returns how often the poison request was sent after all routers should know of it. */
-    int deadlySendsTooMany() {
+    int lateSendsOfPoisonRequest() {
         return deadlySendsTooMany;
     }
 
     /** Returns how often the poison request was refused. */
-    int deadlyRefused() {
+    int poisonRequestsRefused() {
         return deadlyRefused;
     }
 
     /** Returns how many upstreams have crashed, for whatever reason. */
-    int ends() {
+    int crashes() {
         return ends;
     }
 
@@ -184,7 +184,7 @@
      * @param endsPerSecond unrelated crashes a second, some of them of several upstreams at once
      * @param deadlyPerSecond sends of the poison request a second
      */
-    void pass(Duration time, double perSecond, double endsPerSecond, double deadlyPerSecond) {
+    void advance(Duration time, double perSecond, double endsPerSecond, double deadlyPerSecond) {
         double seconds = TICK.toMillis() / 1000.0;
         for (Instant end = now().plus(time); now().isBefore(end); world.advance(TICK)) {
             for (double left = perSecond * seconds; chance(left); left--) {
@@ -230,14 +230,14 @@
     private void send(RequestDigest request, int retries) {
         int index = random.nextInt(routers.size());
         CrashWatch router = routers.get(index);
-        if (!router.idle() && router.refused(request).isPresent()) {
+        if (!router.isQuarantineEmpty() && router.tryAdmit(request).isPresent()) {
             innocentsRefused += request.equals(deadly) ? 0 : 1;
             deadlyRefused += request.equals(deadly) ? 1 : 0;
             return;
         }
         Worker worker = workers.get(random.nextInt(workers.size()));
         if (!worker.up) {
-            router.unreachable(table.find(worker.id).orElseThrow());
+            router.upstreamUnreachable(table.find(worker.id).orElseThrow());
             return;
         }
         Run run = new Run(request, index, retries, worker.life, now());
@@ -273,7 +273,7 @@
     private void callerLeaves(Worker worker, Run run) {
         if (worker.life == run.life() && worker.runs.remove(run)) {
             routers.get(run.router())
-                    .cut(
+                    .recordCutRun(
                             table.find(worker.id).orElseThrow(),
                             run.request(),
                             run.sentAt(),
@@ -306,8 +306,8 @@
     private void answer(Worker worker, Run run) {
         if (worker.life == run.life() && worker.runs.remove(run)) {
             CrashWatch router = routers.get(run.router());
-            if (router.awaitsAnswers()) {
-                router.answered(run.request(), run.sentAt(), status(run.request()));
+            if (router.needsOutcomes()) {
+                router.recordAnswer(run.request(), run.sentAt(), status(run.request()));
             }
         }
     }
@@ -332,13 +332,16 @@
                     WAY_MILLIS,
                     () ->
                             routers.get(run.router())
-                                    .cut(upstream, run.request(), run.sentAt(), Cut.BROKE));
+                                    .recordCutRun(
+                                            upstream, run.request(), run.sentAt(), Cut.BROKE));
             if (run.retries() > 0) {
                 soon(500, () -> send(run.request(), run.retries() - 1));
             }
         }
         world.after(has(Hardship.REBORN) ? REBORN_AFTER : DOWN, () -> start(worker));
-        world.after(LAPSES_AFTER, () -> routers.forEach(each -> each.listed(list(worker, false))));
+        world.after(
+                LAPSES_AFTER,
+                () -> routers.forEach(each -> each.upstreamListed(list(worker, false))));
     }
 
     private void start(Worker worker) {
@@ -364,66 +367,73 @@
         return facts;
     }
 
-    private void look(Upstream upstream, boolean vouch, Consumer<UpstreamEnds.Sign> then) {
+    private void look(Upstream upstream, boolean vouch, Consumer<UpstreamEnds.ProbeResult> then) {
         boolean wrong = has(Hardship.WRONG_LOOKS) && oneIn(3);
         boolean up =
                 wrong
                         || workers.stream()
                                 .anyMatch(each -> each.id.equals(upstream.facts().id()) && each.up);
-        soon(WAY_MILLIS, () -> then.accept(up ? UpstreamEnds.Sign.ALIVE : UpstreamEnds.Sign.ENDED));
+        soon(
+                WAY_MILLIS,
+                () ->
+                        then.accept(
+                                up
+                                        ? UpstreamEnds.ProbeResult.ALIVE
+                                        : UpstreamEnds.ProbeResult.ENDED));
     }
 
     private CrashNews newsOf(int from) {
         return new CrashNews() {
             @Override
-            public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-                tell(from, MOST_COUNTING, router -> router.told(end, ago, ran));
+            public void announceRunsAtCrash(
+                    UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+                tell(from, MOST_COUNTING, router -> router.countCrash(end, ago, ran));
             }
 
             @Override
-            public void found(UpstreamCrash end) {
-                tell(from, routers.size(), router -> router.toldEnd(end, false));
+            public void announceCrash(UpstreamCrash end) {
+                tell(from, routers.size(), router -> router.crashReceived(end, false));
             }
 
             @Override
-            public void passEndOn(UpstreamCrash end) {
+            public void forwardCrash(UpstreamCrash end) {
                 throw new IllegalStateException("each router announces to all in this simulation");
             }
 
             @Override
-            public void watched(RequestDigest request) {
-                tell(from, routers.size(), router -> router.toldWatched(request));
+            public void announceWatched(RequestDigest request) {
+                tell(from, routers.size(), router -> router.startWatching(request));
             }
 
             @Override
-            public void keptOut(Quarantine.Entry entry) {
+            public void announceQuarantined(Quarantine.Entry entry) {
                 stored.putIfAbsent(entry.request(), entry.trials());
-                tell(from, routers.size(), router -> router.told(entry));
+                tell(from, routers.size(), router -> router.quarantineReceived(entry));
             }
 
             @Override
-            public void refused(Quarantine.Entry entry) {
-                tell(from, MOST_COUNTING, router -> router.told(entry));
+            public void announceRefused(Quarantine.Entry entry) {
+                tell(from, MOST_COUNTING, router -> router.quarantineReceived(entry));
             }
 
             @Override
-            public void released(RequestDigest request) {
+            public void removeStored(RequestDigest request) {
                 stored.remove(request);
             }
 
             @Override
-            public void cleared(RequestDigest request, Duration sentAgo) {
-                tell(from, routers.size(), router -> router.toldCleared(request, sentAgo));
+            public void announceCleared(RequestDigest request, Duration sentAgo) {
+                tell(from, routers.size(), router -> router.clearRequest(request, sentAgo));
             }
 
             @Override
-            public void succeededBefore(RequestDigest request, Duration ago) {
-                tell(from, MOST_COUNTING, router -> router.toldSucceededBefore(request, ago));
+            public void announceEarlierSuccess(RequestDigest request, Duration ago) {
+                tell(from, MOST_COUNTING, router -> router.recordEarlierSuccess(request, ago));
             }
 
             @Override
-            public void borne(RequestDigest request, int times) {
-                tell(from, MOST_COUNTING, router -> router.toldBorne(request, times));
+            public void announceSurvivedRuns(RequestDigest request, int times) {
+                tell(from, MOST_COUNTING, router -> router.addSurvivedRuns(request, times));
             }
         };
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -97,8 +97,8 @@
                     other.configuration.value(), other.configuration.revision(), other.name);
         }
         drains.told(other.drains.known());
-        if (follower.needsTelling(other.upstreams.revision())) {
-            follower.told(other.upstreams.departures(follower.knownUpTo()));
+        if (follower.needsDepartures(other.upstreams.revision())) {
+            follower.applyDepartures(other.upstreams.departures(follower.departuresReadUpTo()));
         }
     }
 
@@ -169,9 +169,9 @@
     /** Needs no telling. */
     private static final class Nobody implements UpstreamFollower.Listener {
         @Override
-        public void listed(UpstreamFacts facts) {}
+        public void upstreamListed(UpstreamFacts facts) {}
 
         @Override
-        public void gone(UpstreamFacts last) {}
+        public void upstreamRemoved(UpstreamFacts last) {}
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
@@ -71,7 +71,7 @@
                                     InstantSource.system(),
                                     new LoopHolds(new Metrics())),
                             new SilentCrashNews(),
-                            (upstream, vouch, then) -> then.accept(UpstreamEnds.Sign.NONE),
+                            (upstream, vouch, then) -> then.accept(UpstreamEnds.ProbeResult.NONE),
                             () -> true,
                             () -> true,
                             new Metrics()),
@@ -259,12 +259,12 @@
         return caller;
     }
 
-    private static final class SilentLimits implements LimitedUpstreams.Wire {
+    private static final class SilentLimits implements LimitedUpstreams.Announcer {
         @Override
-        public void tellLimit(LimitedUpstreams.News word) {}
+        public void announceLimit(LimitedUpstreams.Announcement word) {}
 
         @Override
-        public void passLimitOn(LimitedUpstreams.News word) {}
+        public void forwardLimit(LimitedUpstreams.Announcement word) {}
     }
 
     /** No other router is there to be told. */
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitPromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitPromisesTest.java
@@ -29,7 +29,7 @@
         List<String> broken = new ArrayList<>();
         for (long seed = FIRST; seed < FIRST + seeds(routers); seed++) {
             LimitWorld world = played(routers, seed, LimitWorld.Rules.usual());
-            if (world.broken() > 0) {
+            if (world.violations() > 0) {
                 broken.add("seed " + seed + ": " + world);
             }
         }
@@ -42,7 +42,7 @@
     void withoutSharesUpstreamsGetTooMuch(int routers) {
         int broken = 0;
         for (long seed = 1; seed <= 2; seed++) {
-            broken += played(routers, seed, new LimitWorld.Rules(false, 0.1)).broken();
+            broken += played(routers, seed, new LimitWorld.Rules(false, 0.1)).violations();
         }
         assertTrue(broken > 0);
     }
@@ -52,13 +52,13 @@
     @CsvSource({"4, 0.3", "4, 1.6", "22, 2.1", "22, 10", "300, 1.6", "300, 45"})
     void whatALimitAllowsIsUsedWhileRequestsWait(int routers, double limit) {
         LimitWorld world = new LimitWorld(routers, 1, LimitWorld.Rules.usual());
-        world.engines().forEach(engine -> engine.names(limit));
+        world.engines().forEach(engine -> engine.declareLimit(limit));
         world.demand(DEMAND * 3);
-        world.pass(CONTACT);
+        world.advance(CONTACT);
         Duration time = Duration.ofSeconds(40);
-        world.pass(time);
-        for (LimitWorld.Engine engine : world.engines()) {
-            double used = engine.whileLimited() / (limit * time.toSeconds());
+        world.advance(time);
+        for (LimitWorld.SimulatedUpstream engine : world.engines()) {
+            double used = engine.requestsWhileLimited() / (limit * time.toSeconds());
             assertTrue(used >= USED, engine.id() + " is used to " + used);
         }
     }
@@ -70,19 +70,19 @@
     private static LimitWorld played(int routers, long seed, LimitWorld.Rules rules) {
         LimitWorld world = new LimitWorld(routers, seed, rules);
         world.demand(DEMAND);
-        world.pass(Duration.ofSeconds(2));
+        world.advance(Duration.ofSeconds(2));
         for (int round = 0; round < 3; round++) {
-            LimitWorld.Engine one = world.engines().get(0);
-            LimitWorld.Engine two = world.engines().get(1);
-            one.names(LIMITS[world.random.nextInt(LIMITS.length)]);
-            world.pass(Duration.ofMillis(world.random.nextInt(3_000)));
-            two.names(LIMITS[world.random.nextInt(LIMITS.length)]);
+            LimitWorld.SimulatedUpstream one = world.engines().get(0);
+            LimitWorld.SimulatedUpstream two = world.engines().get(1);
+            one.declareLimit(LIMITS[world.random.nextInt(LIMITS.length)]);
+            world.advance(Duration.ofMillis(world.random.nextInt(3_000)));
+            two.declareLimit(LIMITS[world.random.nextInt(LIMITS.length)]);
             troubles(world);
-            world.pass(Duration.ofSeconds(9));
-            one.namesNone();
-            world.pass(Duration.ofSeconds(2));
-            two.namesNone();
-            world.pass(Duration.ofSeconds(4));
+            world.advance(Duration.ofSeconds(9));
+            one.withdrawLimit();
+            world.advance(Duration.ofSeconds(2));
+            two.withdrawLimit();
+            world.advance(Duration.ofSeconds(4));
         }
         return world;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitRouter.java
@@ -41,18 +41,18 @@
     void restart() {
         life++;
         dispatch = null;
-        world.engines().forEach(engine -> engine.forgets(name));
-        world.time.after(DOWN, this::begin);
+        world.engines().forEach(engine -> engine.routerRestarted(name));
+        world.time.after(DOWN, this::start);
     }
 
-    void begin() {
+    void start() {
         int own = ++life;
         upstreams = new UpstreamTable();
         world.engines().forEach(engine -> upstreams.put(engine.facts(), world.now()));
         dispatch = new Dispatch(upstreams, "a", Map.of(), world::now, Runnable::run, share);
         limits = new LimitedUpstreams(world::now, upstreams, new Wire());
         every(own, CHECK, () -> dispatch.tick());
-        every(own, AGAIN, () -> limits.tellAgain());
+        every(own, AGAIN, () -> limits.announceAgain());
     }
 
     private void every(int own, Duration period, Runnable step) {
@@ -66,29 +66,29 @@
                 });
     }
 
-    void ask() {
+    void sendRequest() {
         if (dispatch != null) {
             dispatch.enqueue(new Request());
         }
     }
 
-    void told(LimitedUpstreams.News news, boolean passOn) {
+    void announcementReceived(LimitedUpstreams.Announcement news, boolean passOn) {
         if (dispatch != null) {
-            limits.told(news, passOn);
+            limits.announcementReceived(news, passOn);
             dispatch.tick();
         }
     }
 
-    private final class Wire implements LimitedUpstreams.Wire {
+    private final class Wire implements LimitedUpstreams.Announcer {
         @Override
-        public void tellLimit(LimitedUpstreams.News news) {
-            world.tell(LimitRouter.this, news);
+        public void announceLimit(LimitedUpstreams.Announcement news) {
+            world.announce(LimitRouter.this, news);
         }
 
         @Override
-        public void passLimitOn(LimitedUpstreams.News news) {
-            if (world.watches(LimitRouter.this)) {
-                world.tell(LimitRouter.this, news);
+        public void forwardLimit(LimitedUpstreams.Announcement news) {
+            if (world.isWatcher(LimitRouter.this)) {
+                world.announce(LimitRouter.this, news);
             }
         }
     }
@@ -102,10 +102,10 @@
         public void sendTo(Upstream upstream) {
             int own = life;
             Instant sentAt = world.now();
-            LimitWorld.Engine engine = world.engine(upstream.facts().id());
+            LimitWorld.SimulatedUpstream engine = world.engine(upstream.facts().id());
             upstream.requestAssigned(null, sentAt);
             upstream.requestSent(sentAt);
-            world.time.after(Duration.ofMillis(1), () -> engine.arrives(name));
+            world.time.after(Duration.ofMillis(1), () -> engine.requestArrived(name));
             Duration takes = Duration.ofMillis(20 + world.random.nextInt(300));
             world.time.after(
                     takes,
@@ -117,18 +117,21 @@
         }
 
         private void answered(
-                Upstream upstream, LimitWorld.Engine engine, Instant sentAt, Duration took) {
+                Upstream upstream,
+                LimitWorld.SimulatedUpstream engine,
+                Instant sentAt,
+                Duration took) {
             upstream.requestAnswered(took, world.now());
             upstream.requestFinished(null);
-            engine.passedOn(name);
-            limits.heard(upstream, engine.limit(), sentAt);
-            world.noteServed();
+            engine.answerPassedOnBy(name);
+            limits.limitReceived(upstream, engine.limit(), sentAt);
+            world.recordServed();
             dispatch.drain(LimitWorld.SERVICE);
         }
 
         @Override
         public void waitedInVain() {
-            world.noteRefused();
+            world.recordRefused();
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
@@ -44,7 +44,7 @@
     final Random random;
     private final Rules rules;
     private final List<LimitRouter> routers = new ArrayList<>();
-    private final List<Engine> engines = new ArrayList<>();
+    private final List<SimulatedUpstream> engines = new ArrayList<>();
     private double perSecond;
     private int broken;
     private int served;
@@ -63,7 +63,7 @@
     }
 
     /** The true state of an upstream. */
-    final class Engine {
+    final class SimulatedUpstream {
         private final UpstreamId id;
         private RequestLimit limit = RequestLimit.NO_LIMIT;
         private Instant limitedAt = Instant.MAX;
@@ -72,7 +72,7 @@
         private final ArrayDeque<Instant> came = new ArrayDeque<>();
         private int whileLimited;
 
-        private Engine(int number) {
+        private SimulatedUpstream(int number) {
             this.id = UpstreamId.of("i-" + number);
         }
 
@@ -80,13 +80,13 @@
             return id;
         }
 
-        void names(double given) {
+        void declareLimit(double given) {
             limit = RequestLimit.declared(given);
             limitedAt = limitedAt.equals(Instant.MAX) ? now() : limitedAt;
             highest = Math.max(highest, given);
         }
 
-        void namesNone() {
+        void withdrawLimit() {
             limit = RequestLimit.NO_LIMIT;
             limitedAt = Instant.MAX;
             highest = 0;
@@ -101,21 +101,21 @@
         /**
          * Returns the requests received under a declared limit, once routers had time to know it.
          */
-        int whileLimited() {
+        int requestsWhileLimited() {
             return whileLimited;
         }
 
-        void passedOn(VmId router) {
+        void answerPassedOnBy(VmId router) {
             if (limit.isDeclared()) {
                 passedOn.putIfAbsent(router, now());
             }
         }
 
-        void forgets(VmId router) {
+        void routerRestarted(VmId router) {
             passedOn.remove(router);
         }
 
-        void arrives(VmId router) {
+        void requestArrived(VmId router) {
             if (limitedAt.equals(Instant.MAX) || now().isBefore(limitedAt.plus(CONTACT))) {
                 return;
             }
@@ -152,12 +152,12 @@
         this.random = new Random(seed);
         this.rules = rules;
         for (int each = 0; each < UPSTREAMS; each++) {
-            engines.add(new Engine(each));
+            engines.add(new SimulatedUpstream(each));
         }
         for (int each = 0; each < count; each++) {
             routers.add(new LimitRouter(this, VmId.of("router-" + each)));
         }
-        routers.forEach(LimitRouter::begin);
+        routers.forEach(LimitRouter::start);
     }
 
     Rules rules() {
@@ -168,11 +168,11 @@
         return time.clock().instant();
     }
 
-    List<Engine> engines() {
+    List<SimulatedUpstream> engines() {
         return engines;
     }
 
-    Engine engine(UpstreamId id) {
+    SimulatedUpstream engine(UpstreamId id) {
         return engines.stream().filter(each -> each.id().equals(id)).findFirst().orElseThrow();
     }
 
@@ -189,44 +189,44 @@
         perSecond = requestsPerSecond;
     }
 
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         Instant end = now().plus(duration);
         while (now().isBefore(end)) {
             double expected = perSecond * STEP.toMillis() / 1000.0;
             while (random.nextDouble() < expected) {
                 expected -= 1;
-                routers.get(random.nextInt(routers.size())).ask();
+                routers.get(random.nextInt(routers.size())).sendRequest();
             }
             time.advance(STEP);
         }
     }
 
     /** Sends an announcement: watchers reach all routers, the others only the watchers. */
-    void tell(LimitRouter from, LimitedUpstreams.News news) {
+    void announce(LimitRouter from, LimitedUpstreams.Announcement news) {
         boolean watches = routers.indexOf(from) < WATCHERS;
         for (int each = 0; each < routers.size(); each++) {
             LimitRouter to = routers.get(each);
             if (to != from && (watches || each < WATCHERS) && random.nextDouble() >= rules.lost()) {
                 Duration way = Duration.ofMillis(2 + random.nextInt(LONGEST_NEWS_MILLIS));
-                time.after(way, () -> to.told(news, !watches));
+                time.after(way, () -> to.announcementReceived(news, !watches));
             }
         }
     }
 
-    boolean watches(LimitRouter router) {
+    boolean isWatcher(LimitRouter router) {
         return routers.indexOf(router) < WATCHERS;
     }
 
-    void noteServed() {
+    void recordServed() {
         served++;
     }
 
-    void noteRefused() {
+    void recordRefused() {
         refused++;
     }
 
     /** Returns how many requests limited upstreams got beyond the bound. */
-    int broken() {
+    int violations() {
         return broken;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
@@ -93,7 +93,7 @@
         if (disk.contains(model)) {
             loadedAt = now.plus(known.diskLoadTime());
         } else {
-            store.begin(known.storeLoadTime(), () -> loadedAt = Instant.MIN);
+            store.startLoad(known.storeLoadTime(), () -> loadedAt = Instant.MIN);
         }
         return OrderOutcome.ACCEPTED;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -146,7 +146,7 @@
 
     /** The most loads from the store that ran beside each other. */
     int mostLoadsAtOnce() {
-        return weights.mostAtOnce();
+        return weights.maxConcurrentLoads();
     }
 
     /** Models that no engine has a copy of. */
@@ -204,7 +204,7 @@
         Instant end = now().plus(duration);
         while (now().isBefore(end)) {
             time.advance(STEP);
-            weights.pass(STEP);
+            weights.advance(STEP);
             engines.values().forEach(engine -> engine.pass(now()));
             if (now().toEpochMilli() % 20 == 0) {
                 feed(new LoadInput.Tick());
@@ -296,7 +296,7 @@
                 askedForOften(),
                 served(),
                 asked,
-                weights.begun(),
+                weights.loadsStarted(),
                 mostLoadsAtOnce(),
                 withoutCopy());
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashNews.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashNews.java
@@ -9,32 +9,33 @@
 /** Discards all announcements. */
 final class SilentCrashNews implements CrashNews {
     @Override
-    public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {}
+    public void announceRunsAtCrash(
+            UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {}
 
     @Override
-    public void found(UpstreamCrash end) {}
+    public void announceCrash(UpstreamCrash end) {}
 
     @Override
-    public void passEndOn(UpstreamCrash end) {}
+    public void forwardCrash(UpstreamCrash end) {}
 
     @Override
-    public void watched(RequestDigest request) {}
+    public void announceWatched(RequestDigest request) {}
 
     @Override
-    public void keptOut(Quarantine.Entry entry) {}
+    public void announceQuarantined(Quarantine.Entry entry) {}
 
     @Override
-    public void refused(Quarantine.Entry entry) {}
+    public void announceRefused(Quarantine.Entry entry) {}
 
     @Override
-    public void released(RequestDigest request) {}
+    public void removeStored(RequestDigest request) {}
 
     @Override
-    public void cleared(RequestDigest request, Duration sentAgo) {}
+    public void announceCleared(RequestDigest request, Duration sentAgo) {}
 
     @Override
-    public void succeededBefore(RequestDigest request, Duration ago) {}
+    public void announceEarlierSuccess(RequestDigest request, Duration ago) {}
 
     @Override
-    public void borne(RequestDigest request, int times) {}
+    public void announceSurvivedRuns(RequestDigest request, int times) {}
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
@@ -10,7 +10,7 @@
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.control.upstreams.UpstreamTable;
-import io.damaskyoke.direct.UpstreamEnds.Sign;
+import io.damaskyoke.direct.UpstreamEnds.ProbeResult;
 import io.damaskyoke.http.Endpoint;
 import io.damaskyoke.metrics.Metrics;
 import java.time.Duration;
@@ -31,7 +31,7 @@
 
     private final TestControlThread control = new TestControlThread();
     private final UpstreamTable table = new UpstreamTable();
-    private final Deque<Sign> signs = new ArrayDeque<>();
+    private final Deque<ProbeResult> signs = new ArrayDeque<>();
     private final List<RequestDigest> ran = new ArrayList<>();
     private final List<RequestDigest> survived = new ArrayList<>();
     private final List<UpstreamCrash> found = new ArrayList<>();
@@ -42,8 +42,8 @@
     // Guards against a connection that is still open here, as its break is not noticed yet.
     @Test
     void aLookThatIsWrongTwiceIsRepeated() {
-        Collections.addAll(signs, Sign.ALIVE, Sign.ALIVE, Sign.ENDED);
-        ends.cut(upstream, ONE, now(), Cut.BROKE);
+        Collections.addAll(signs, ProbeResult.ALIVE, ProbeResult.ALIVE, ProbeResult.ENDED);
+        ends.recordCutRun(upstream, ONE, now(), Cut.BROKE);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(ONE), ran);
         assertEquals(1, found.size());
@@ -52,8 +52,8 @@
     // Guards against callers that leave just before the crash, so that no connection breaks.
     @Test
     void aRunWhoseCallerLeftJustBeforeTheEndIsTold() {
-        signs.add(Sign.ENDED);
-        ends.cut(upstream, ONE, now(), Cut.CALLER_GONE);
+        signs.add(ProbeResult.ENDED);
+        ends.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(ONE), ran);
     }
@@ -61,10 +61,10 @@
     // Guards against an innocent request whose caller left long before the upstream crashed.
     @Test
     void aRunThatWasCalledOffLongBeforeTheEndIsNotTold() {
-        Collections.addAll(signs, Sign.ALIVE, Sign.ENDED);
-        ends.cut(upstream, ONE, now(), Cut.CALLER_GONE);
+        Collections.addAll(signs, ProbeResult.ALIVE, ProbeResult.ENDED);
+        ends.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
         pass(Duration.ofSeconds(3));
-        ends.cut(upstream, OTHER, now(), Cut.BROKE);
+        ends.recordCutRun(upstream, OTHER, now(), Cut.BROKE);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(OTHER), ran);
     }
@@ -72,9 +72,9 @@
     // Guards against a later probe, for a caller that left, that delays the one for a break.
     @Test
     void aBreakIsLookedIntoAtOnceThoughACallerHasJustLeft() {
-        signs.add(Sign.ENDED);
-        ends.cut(upstream, ONE, now(), Cut.CALLER_GONE);
-        ends.cut(upstream, OTHER, now(), Cut.BROKE);
+        signs.add(ProbeResult.ENDED);
+        ends.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
+        ends.recordCutRun(upstream, OTHER, now(), Cut.BROKE);
         pass(Duration.ofMillis(50));
         assertEquals(List.of(ONE, OTHER), ran);
     }
@@ -82,50 +82,50 @@
     @Test
     void aRunWhoseUpstreamAnswersLaterHasBeenBorne() {
         Instant sentAt = now();
-        ends.cut(upstream, ONE, sentAt, Cut.TIME_UP);
-        ends.answered(upstream, sentAt.plusMillis(1_500));
+        ends.recordCutRun(upstream, ONE, sentAt, Cut.TIME_UP);
+        ends.upstreamAnswered(upstream, sentAt.plusMillis(1_500));
         assertEquals(List.of(ONE), survived);
-        ends.gone(upstream.facts().id());
+        ends.upstreamRemoved(upstream.facts().id());
         assertEquals(List.of(), ran);
     }
 
     // Guards against crashes that break no connection, so that requests run into their timeout.
     @Test
     void aRunThatComesToItsEndAfterTheUpstreamIsTold() {
-        ends.told(new UpstreamCrash(upstream.facts().id(), 1));
-        ends.cut(upstream, ONE, now(), Cut.TIME_UP);
+        ends.crashReceived(new UpstreamCrash(upstream.facts().id(), 1));
+        ends.recordCutRun(upstream, ONE, now(), Cut.TIME_UP);
         assertEquals(List.of(ONE), ran);
     }
 
     // Guards against mistaking an upstream whose connections are all in use for a crashed one.
     @Test
     void anUpstreamThatRefusesAndAnswersLaterHasNotEnded() {
-        ends.told(new UpstreamCrash(upstream.facts().id(), 1));
+        ends.crashReceived(new UpstreamCrash(upstream.facts().id(), 1));
         pass(Duration.ofSeconds(1));
-        ends.answered(upstream, now());
-        ends.cut(upstream, ONE, now(), Cut.CALLER_GONE);
+        ends.upstreamAnswered(upstream, now());
+        ends.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
         pass(Duration.ofSeconds(2));
         assertEquals(List.of(), ran);
     }
 
     @Test
     void anUpstreamThatStartsAgainHasEnded() {
-        ends.cut(upstream, ONE, now(), Cut.BROKE);
-        ends.listed(list(2).facts());
+        ends.recordCutRun(upstream, ONE, now(), Cut.BROKE);
+        ends.upstreamListed(list(2).facts());
         assertEquals(List.of(ONE), ran);
     }
 
     // Guards against memory that grows with each canceled run.
     @Test
     void whatWasCutLongAgoIsForgotten() {
-        ends.cut(upstream, ONE, now(), Cut.BROKE);
+        ends.recordCutRun(upstream, ONE, now(), Cut.BROKE);
         pass(Duration.ofSeconds(11));
-        ends.gone(upstream.facts().id());
+        ends.upstreamRemoved(upstream.facts().id());
         assertEquals(List.of(), ran);
     }
 
-    private void look(Upstream looked, boolean vouch, Consumer<Sign> then) {
-        then.accept(signs.isEmpty() ? Sign.NONE : signs.remove());
+    private void look(Upstream looked, boolean vouch, Consumer<ProbeResult> then) {
+        then.accept(signs.isEmpty() ? ProbeResult.NONE : signs.remove());
     }
 
     private void pass(Duration time) {
@@ -157,17 +157,17 @@
 
     private final class Noting implements UpstreamEnds.Listener {
         @Override
-        public void ended(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> all) {
+        public void runsCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> all) {
             ran.addAll(all.keySet());
         }
 
         @Override
-        public void found(UpstreamCrash end) {
+        public void crashDetected(UpstreamCrash end) {
             found.add(end);
         }
 
         @Override
-        public void survived(RequestDigest request) {
+        public void runSurvived(RequestDigest request) {
             survived.add(request);
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
@@ -116,12 +116,12 @@
         follower.start(
                 new UpstreamFollower.Listener() {
                     @Override
-                    public void listed(UpstreamFacts facts) {
+                    public void upstreamListed(UpstreamFacts facts) {
                         events.add(facts.id() + (facts.draining() ? " draining" : " ready"));
                     }
 
                     @Override
-                    public void gone(UpstreamFacts last) {
+                    public void upstreamRemoved(UpstreamFacts last) {
                         events.add(last.id() + " gone");
                     }
                 });
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/WeightStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/WeightStore.java
@@ -27,24 +27,24 @@
         this.atFullSpeed = atFullSpeed;
     }
 
-    void begin(Duration time, Runnable done) {
+    void startLoad(Duration time, Runnable done) {
         begun++;
         Load load = new Load(time, done);
         running.add(load);
         mostAtOnce = Math.max(mostAtOnce, running.size());
     }
 
-    int begun() {
+    int loadsStarted() {
         return begun;
     }
 
     /** Returns the largest number of loads that ran at the same time. */
-    int mostAtOnce() {
+    int maxConcurrentLoads() {
         return mostAtOnce;
     }
 
     /** Advances the running loads by the given time. */
-    void pass(Duration step) {
+    void advance(Duration step) {
         double speed = Math.min(1, atFullSpeed / (double) Math.max(1, running.size()));
         double seconds = step.toNanos() / NANOS * speed;
         running.forEach(load -> load.secondsLeft -= seconds);
