--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashAnnouncer.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** Announces crashes of upstreams and poison requests to the other routers. */
-interface CrashNews {
+interface CrashAnnouncer {
     /** Announces to the counting routers a crash so long ago and how long each request had run. */
     void announceRunsAtCrash(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/LimitedUpstreams.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DeclaredLimits.java
@@ -16,8 +16,8 @@
  * Records the request rate limits that upstreams declare in their answers, and announces them to
  * the other routers, most of which see no such answer while they send little. Control thread only.
  */
-final class LimitedUpstreams {
-    private static final Logger LOG = LogManager.getLogger(LimitedUpstreams.class);
+final class DeclaredLimits {
+    private static final Logger LOG = LogManager.getLogger(DeclaredLimits.class);
 
     /** How long the end of a limit is announced again, for routers that missed the first one. */
     private static final Duration END_TOLD = Duration.ofSeconds(4);
@@ -43,7 +43,7 @@
      */
     record Announcement(UpstreamId upstream, long startedAt, RequestLimit limit, Duration age) {}
 
-    LimitedUpstreams(InstantSource clock, UpstreamTable upstreams, Announcer wire) {
+    DeclaredLimits(InstantSource clock, UpstreamTable upstreams, Announcer wire) {
         this.clock = clock;
         this.upstreams = upstreams;
         this.wire = wire;
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -97,9 +97,9 @@
     private final ZoneDrains drains;
     private final OperatorFollower operatorFollower;
     private final Dispatch dispatch;
-    private final CrashWatch crashes;
+    private final PoisonRequestDetector crashes;
     private final LostUpstreams lost;
-    private final LimitedUpstreams limits;
+    private final DeclaredLimits limits;
     private final Flows flows;
     private final RateAdmission rates;
     private final RatePeers ratePeers;
@@ -130,7 +130,7 @@
         this.neighbours = new Neighbours(control, members);
         this.lease = new OrderLease(control, store, members, self, lag);
         this.handOver = new OrderHandOver(control, store, lease, neighbours, members);
-        UpstreamCalls calls = new UpstreamCalls(client, dialect, control);
+        UpstreamClient calls = new UpstreamClient(client, dialect, control);
         this.leader = new OrderLeader(control, upstreams, lease, calls, self, neighbours);
         this.configuration = new ConfigurationHolder(dialect, this::configured);
         this.upstreamFollower = upstreamFollower();
@@ -139,10 +139,10 @@
         this.dispatch = dispatch();
         this.reports = reports();
         this.crashes =
-                new CrashWatch(
+                new PoisonRequestDetector(
                         control, crashNews(), this::look, members::watches, this::first, metrics);
         this.lost = new LostUpstreams(clock, upstreams, neighbours);
-        this.limits = new LimitedUpstreams(clock, upstreams, neighbours);
+        this.limits = new DeclaredLimits(clock, upstreams, neighbours);
         this.flows = flows();
         Timeline timeline = Timeline.of(settings.vm(), HybridClock.over(clock), TIMELINE_EVENTS);
         this.rates = rates(timeline);
@@ -252,16 +252,17 @@
                 dialect, client, dispatch, clock, bounds, members::size, crashes, lost, limits);
     }
 
-    private CrashNews crashNews() {
-        return new StoredCrashNews(
+    private CrashAnnouncer crashNews() {
+        return new StoringCrashAnnouncer(
                 neighbours.crashNews(),
                 new QuarantineStore(control, store, members.keptOutPrefix()));
     }
 
-    private void look(Upstream upstream, boolean vouch, Consumer<UpstreamEnds.ProbeResult> then) {
+    private void look(
+            Upstream upstream, boolean vouch, Consumer<UpstreamCrashDetector.ProbeResult> then) {
         Endpoint endpoint = upstream.facts().endpoint();
         if (vouch && client.keeps(endpoint)) {
-            then.accept(UpstreamEnds.ProbeResult.ALIVE);
+            then.accept(UpstreamCrashDetector.ProbeResult.ALIVE);
             return;
         }
         client.reach(
@@ -271,9 +272,11 @@
                                 reached.map(
                                                 open ->
                                                         open
-                                                                ? UpstreamEnds.ProbeResult.ALIVE
-                                                                : UpstreamEnds.ProbeResult.ENDED)
-                                        .orElse(UpstreamEnds.ProbeResult.NONE)));
+                                                                ? UpstreamCrashDetector.ProbeResult
+                                                                        .ALIVE
+                                                                : UpstreamCrashDetector.ProbeResult
+                                                                        .ENDED)
+                                        .orElse(UpstreamCrashDetector.ProbeResult.NONE)));
     }
 
     // One router that all agree on, unless the list is new to one of them.
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flows.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flows.java
@@ -20,9 +20,9 @@
     private final InstantSource clock;
     private final RetryBounds bounds;
     private final SlidingMaximum routers;
-    private final CrashWatch crashes;
+    private final PoisonRequestDetector crashes;
     private final LostUpstreams lost;
-    private final LimitedUpstreams limits;
+    private final DeclaredLimits limits;
     private final DecisionLog log;
     private final UnservedModels unserved = new UnservedModels();
     private final Set<Flow> open = new LinkedHashSet<>();
@@ -44,9 +44,9 @@
             InstantSource clock,
             RetryBounds bounds,
             IntSupplier routers,
-            CrashWatch crashes,
+            PoisonRequestDetector crashes,
             LostUpstreams lost,
-            LimitedUpstreams limits) {
+            DeclaredLimits limits) {
         this.dialect = dialect;
         this.client = client;
         this.dispatch = dispatch;
@@ -71,7 +71,7 @@
         return dispatch;
     }
 
-    CrashWatch crashes() {
+    PoisonRequestDetector crashes() {
         return crashes;
     }
 
@@ -79,7 +79,7 @@
         return lost;
     }
 
-    LimitedUpstreams limits() {
+    DeclaredLimits limits() {
         return limits;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourFrames.java
@@ -148,7 +148,7 @@
         return ran;
     }
 
-    static Frame limit(LimitedUpstreams.Announcement news, boolean passOn) {
+    static Frame limit(DeclaredLimits.Announcement news, boolean passOn) {
         UpstreamLimit limit =
                 UpstreamLimit.newBuilder()
                         .setUpstream(news.upstream().value())
@@ -161,8 +161,8 @@
         return Frame.newBuilder().setUpstreamLimit(limit).build();
     }
 
-    static LimitedUpstreams.Announcement limit(UpstreamLimit limit) {
-        return new LimitedUpstreams.Announcement(
+    static DeclaredLimits.Announcement limit(UpstreamLimit limit) {
+        return new DeclaredLimits.Announcement(
                 UpstreamId.of(limit.getUpstream()),
                 limit.getStartedAt(),
                 limit.getNamed()
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourNews.java
@@ -32,9 +32,9 @@
             Membership members,
             OrderLeader leader,
             OrderHandOver handOver,
-            CrashWatch crashes,
+            PoisonRequestDetector crashes,
             LostUpstreams lost,
-            LimitedUpstreams limits,
+            DeclaredLimits limits,
             DemandReports reports,
             ConfigurationHolder configuration,
             ZoneDrains drains,
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void limited(LimitedUpstreams.Announcement news, boolean passOn) {
+    public void limited(DeclaredLimits.Announcement news, boolean passOn) {
         parts.limits().announcementReceived(news, passOn);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Neighbours.java
@@ -42,7 +42,7 @@
 
 /** What direct routers tell each other, as frames. Its methods belong to the control thread. */
 final class Neighbours
-        implements PeerListener, LeaderNews, LostUpstreams.Wire, LimitedUpstreams.Announcer {
+        implements PeerListener, LeaderNews, LostUpstreams.Wire, DeclaredLimits.Announcer {
     /** Routers report to the leader every 0.6 s at least. */
     private static final Duration STORE_SEEN = Duration.ofMillis(1_200);
 
@@ -108,7 +108,7 @@
         void lost(UpstreamId upstream, long startedAt, boolean passOn);
 
         /** An upstream says how many requests it takes; all others are to be told or are. */
-        void limited(LimitedUpstreams.Announcement news, boolean passOn);
+        void limited(DeclaredLimits.Announcement news, boolean passOn);
 
         /** A router gave the orders under this lease and can't tell the store that it stopped. */
         void leaseEnded(VmId by, long lease);
@@ -205,10 +205,10 @@
     }
 
     /** Tells the other routers of requests under which upstreams end. */
-    CrashNews crashNews() {
-        return new NeighbourCrashNews(
+    CrashAnnouncer crashNews() {
+        return new PeerCrashAnnouncer(
                 control.clock(),
-                new NeighbourCrashNews.FrameSender() {
+                new PeerCrashAnnouncer.FrameSender() {
                     @Override
                     public void sendToAll(Frame frame) {
                         sendAll(frame);
@@ -244,12 +244,12 @@
     }
 
     @Override
-    public void announceLimit(LimitedUpstreams.Announcement news) {
+    public void announceLimit(DeclaredLimits.Announcement news) {
         tellThroughWatchers(passOn -> NeighbourFrames.limit(news, passOn));
     }
 
     @Override
-    public void forwardLimit(LimitedUpstreams.Announcement news) {
+    public void forwardLimit(DeclaredLimits.Announcement news) {
         if (members.watches()) {
             sendAll(NeighbourFrames.limit(news, false));
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/NeighbourCrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerCrashAnnouncer.java
@@ -14,7 +14,7 @@
  * Announces crashes and poison requests to the peer routers. In a large fleet only the watchers,
  * which follow the store for all, have a link to every other router.
  */
-final class NeighbourCrashNews implements CrashNews {
+final class PeerCrashAnnouncer implements CrashAnnouncer {
     private final InstantSource clock;
     private final FrameSender wire;
 
@@ -35,7 +35,7 @@
         boolean isWatcher();
     }
 
-    NeighbourCrashNews(InstantSource clock, FrameSender wire) {
+    PeerCrashAnnouncer(InstantSource clock, FrameSender wire) {
         this.clock = clock;
         this.wire = wire;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashWatch.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PoisonRequestDetector.java
@@ -27,12 +27,12 @@
  * {@code watch.cut(upstream, digest, sentAt, how)} when a run is cut off, {@code
  * watch.refused(digest)} before a request is sent. Control thread only.
  *
- * <p>{@link UpstreamEnds} finds out which requests ran at an upstream when it crashed. That is
- * announced to the counting routers, which suspect the requests that several crashes have in
- * common.
+ * <p>{@link UpstreamCrashDetector} finds out which requests ran at an upstream when it crashed.
+ * That is announced to the counting routers, which suspect the requests that several crashes have
+ * in common.
  */
-final class CrashWatch {
-    private static final Logger LOG = LogManager.getLogger(CrashWatch.class);
+final class PoisonRequestDetector {
+    private static final Logger LOG = LogManager.getLogger(PoisonRequestDetector.class);
 
     /**
      * How long a suspect may still be cleared by a success before it is quarantined. All routers
@@ -60,14 +60,14 @@
 
     private final ControlThread control;
     private final Metrics metrics;
-    private final CrashNews news;
+    private final CrashAnnouncer news;
     private final BooleanSupplier counts;
     private final BooleanSupplier tries;
     private final CrashSettings settings = CrashSettings.defaults();
     private final SuspectRequests suspects = new SuspectRequests(settings);
     private final Quarantine quarantine = new Quarantine(settings);
     private final WatchedRequests watched = new WatchedRequests(MOST_WATCHED, WATCH);
-    private final UpstreamEnds ends;
+    private final UpstreamCrashDetector ends;
     private final RecentOutcomes recent = new RecentOutcomes(MOST_ANSWERED);
     private final Map<RequestDigest, Instant> reminded = new LruMap<>(MOST_WATCHED);
     private Instant alertUntil = Instant.MIN;
@@ -79,17 +79,17 @@
      * @param counts whether this router is one of those that count crashes for the fleet
      * @param tries whether this router is the one that sends quarantined requests as a trial
      */
-    CrashWatch(
+    PoisonRequestDetector(
             ControlThread control,
-            CrashNews news,
-            UpstreamEnds.Prober prober,
+            CrashAnnouncer news,
+            UpstreamCrashDetector.Prober prober,
             BooleanSupplier counts,
             BooleanSupplier tries,
             Metrics metrics) {
         this.control = control;
         this.metrics = metrics;
         this.news = news;
-        this.ends = new UpstreamEnds(control, prober, new EndListener(), metrics);
+        this.ends = new UpstreamCrashDetector(control, prober, new EndListener(), metrics);
         this.counts = counts;
         this.tries = tries;
     }
@@ -403,7 +403,7 @@
     }
 
     /** Announces the crashes and survived runs that this router detects. */
-    private final class EndListener implements UpstreamEnds.Listener {
+    private final class EndListener implements UpstreamCrashDetector.Listener {
         @Override
         public void runsCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
             tell(end, ago, ran);
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StoredCrashNews.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StoringCrashAnnouncer.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /** Announces to the other routers at once, and stores the quarantine, which must outlive them. */
-final class StoredCrashNews implements CrashNews {
-    private final CrashNews routers;
+final class StoringCrashAnnouncer implements CrashAnnouncer {
+    private final CrashAnnouncer routers;
     private final QuarantineStore store;
 
-    StoredCrashNews(CrashNews routers, QuarantineStore store) {
+    StoringCrashAnnouncer(CrashAnnouncer routers, QuarantineStore store) {
         this.routers = routers;
         this.store = store;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamClient.java
@@ -18,8 +18,8 @@
 import org.apache.logging.log4j.Logger;
 
 /** Sends orders to upstreams and fetches their reports, with the HTTP client of the traffic. */
-final class UpstreamCalls implements OrderCalls {
-    private static final Logger LOG = LogManager.getLogger(UpstreamCalls.class);
+final class UpstreamClient implements OrderCalls {
+    private static final Logger LOG = LogManager.getLogger(UpstreamClient.class);
 
     /** The timeout of a report, which upstreams answer within a few milliseconds. */
     private static final Duration LIMIT = Duration.ofMillis(400);
@@ -37,7 +37,7 @@
     private final Dialect dialect;
     private final ControlThread control;
 
-    UpstreamCalls(HttpClient client, Dialect dialect, ControlThread control) {
+    UpstreamClient(HttpClient client, Dialect dialect, ControlThread control) {
         this.client = client;
         this.dialect = dialect;
         this.control = control;
@@ -57,7 +57,7 @@
                 answer ->
                         then.accept(
                                 answer.failure()
-                                        .map(UpstreamCalls::outcome)
+                                        .map(UpstreamClient::outcome)
                                         .orElseGet(() -> dialect.outcome(answer.status()))));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamEnds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCrashDetector.java
@@ -31,8 +31,8 @@
  * them when it knows that this incarnation of the upstream has crashed: its address refuses
  * connections, or the list no longer has it or has another incarnation.
  */
-final class UpstreamEnds {
-    private static final Logger LOG = LogManager.getLogger(UpstreamEnds.class);
+final class UpstreamCrashDetector {
+    private static final Logger LOG = LogManager.getLogger(UpstreamCrashDetector.class);
 
     /** Connections that break together cause one probe; the address refuses by then. */
     private static final Duration GATHER = Duration.ofMillis(30);
@@ -129,7 +129,8 @@
         }
     }
 
-    UpstreamEnds(ControlThread control, Prober prober, Listener listener, Metrics metrics) {
+    UpstreamCrashDetector(
+            ControlThread control, Prober prober, Listener listener, Metrics metrics) {
         this.control = control;
         this.prober = prober;
         this.listener = listener;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdPromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartLimitTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Tests the request rate that cold upstreams get from all routers together. */
-class ColdPromisesTest {
+class ColdStartLimitTest {
     /** Other seeds can be run with {@code -Dcold.first=1000 -Dcold.count=10000}. */
     private static final long FIRST = Long.getLong("cold.first", 1);
 
@@ -35,7 +35,8 @@
     void aZoneThatIsBackAtOnceGetsNoMoreThanItBears(int routers) {
         List<String> broken = new ArrayList<>();
         for (long seed = FIRST; seed < FIRST + seeds(routers); seed++) {
-            ColdWorld world = played(routers, seed, USUAL, ColdWorld.Rules.usual());
+            ColdStartSimulation world =
+                    played(routers, seed, USUAL, ColdStartSimulation.Rules.usual());
             if (world.exceeded() > 0) {
                 broken.add("seed " + seed + ": " + world.exceeded());
             }
@@ -47,24 +48,33 @@
     @ParameterizedTest
     @CsvSource({"4", "22", "300"})
     void withoutSharesUpstreamsEnd(int routers) {
-        ColdWorld.Rules rules =
-                new ColdWorld.Rules(false, true, ColdWorld.USUAL_NEWS, ColdWorld.USUAL_WORD);
+        ColdStartSimulation.Rules rules =
+                new ColdStartSimulation.Rules(
+                        false,
+                        true,
+                        ColdStartSimulation.USUAL_NEWS,
+                        ColdStartSimulation.USUAL_WORD);
         assertTrue(exceeded(routers, rules) > 0);
     }
 
     // Guards against relying on the list alone, which reports a restart late.
     @Test
     void withoutDoubtOfWhatWasLostUpstreamsGetTooMuch() {
-        ColdWorld.Rules rules =
-                new ColdWorld.Rules(true, false, ColdWorld.USUAL_NEWS, ColdWorld.USUAL_WORD);
+        ColdStartSimulation.Rules rules =
+                new ColdStartSimulation.Rules(
+                        true,
+                        false,
+                        ColdStartSimulation.USUAL_NEWS,
+                        ColdStartSimulation.USUAL_WORD);
         assertTrue(exceeded(22, rules) > 0);
     }
 
     // Guards against a list that lags for longer than is assumed.
     @Test
     void withALaterListUpstreamsGetTooMuch() {
-        ColdWorld.Rules rules =
-                new ColdWorld.Rules(true, true, Duration.ofSeconds(9), ColdWorld.USUAL_WORD);
+        ColdStartSimulation.Rules rules =
+                new ColdStartSimulation.Rules(
+                        true, true, Duration.ofSeconds(9), ColdStartSimulation.USUAL_WORD);
         assertTrue(exceeded(22, rules) > 0);
     }
 
@@ -72,8 +82,9 @@
     // have not used an upstream when it is lost, and depend on the others to announce the loss.
     @Test
     void withoutTheWordOfOtherRoutersUpstreamsGetTooMuch() {
-        ColdWorld.Rules rules =
-                new ColdWorld.Rules(true, true, ColdWorld.USUAL_NEWS, Duration.ofSeconds(9));
+        ColdStartSimulation.Rules rules =
+                new ColdStartSimulation.Rules(
+                        true, true, ColdStartSimulation.USUAL_NEWS, Duration.ofSeconds(9));
         assertTrue(exceeded(300, rules) > 0);
     }
 
@@ -81,7 +92,8 @@
     @ParameterizedTest
     @CsvSource({"4", "22", "300"})
     void onACalmDayNothingWaits(int routers) {
-        ColdWorld world = new ColdWorld(routers, FIRST, ColdWorld.Rules.usual());
+        ColdStartSimulation world =
+                new ColdStartSimulation(routers, FIRST, ColdStartSimulation.Rules.usual());
         world.advance(Duration.ofSeconds(1));
         world.demand(USUAL);
         world.advance(CALM);
@@ -91,7 +103,7 @@
         assertEquals(0, world.refusedRequests());
     }
 
-    private static int exceeded(int routers, ColdWorld.Rules rules) {
+    private static int exceeded(int routers, ColdStartSimulation.Rules rules) {
         int sum = 0;
         for (long seed = FIRST; seed < FIRST + seeds(routers); seed++) {
             sum += played(routers, seed, HEAVY, rules).exceeded();
@@ -104,10 +116,10 @@
         return routers > 100 ? Math.max(1, SEEDS / 12) : SEEDS;
     }
 
-    private static ColdWorld played(
-            int routers, long seed, double perSecond, ColdWorld.Rules rules) {
-        ColdWorld world = new ColdWorld(routers, seed, rules);
-        new ColdTroubles(world).play(perSecond);
+    private static ColdStartSimulation played(
+            int routers, long seed, double perSecond, ColdStartSimulation.Rules rules) {
+        ColdStartSimulation world = new ColdStartSimulation(routers, seed, rules);
+        new ColdStartScenario(world).play(perSecond);
         return world;
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartRouter.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 
 /**
- * A router of a {@link ColdWorld}, with the real upstream table, upstream selection and queue in
- * front of simulated upstreams.
+ * A router of a {@link ColdStartSimulation}, with the real upstream table, upstream selection and
+ * queue in front of simulated upstreams.
  */
-final class ColdRouter {
+final class ColdStartRouter {
     private static final Duration CHECK = Duration.ofMillis(50);
     private static final Duration WAY = Duration.ofMillis(1);
     private static final Duration DARK = Duration.ofMillis(250);
@@ -26,7 +26,7 @@
     private static final Duration FIRST_READING = Duration.ofMillis(150);
     private static final Duration CALLER_WAITS = Duration.ofSeconds(4);
 
-    private final ColdWorld world;
+    private final ColdStartSimulation world;
     private final VmId name;
     private final UpstreamShare share;
     private UpstreamTable upstreams;
@@ -35,7 +35,7 @@
     private Instant cutUntil = Instant.MIN;
     private Instant toldUntil = Instant.MIN;
 
-    ColdRouter(ColdWorld world, VmId name) {
+    ColdStartRouter(ColdStartSimulation world, VmId name) {
         this.world = world;
         this.name = name;
         this.share =
@@ -66,7 +66,7 @@
     void start() {
         int own = ++life;
         upstreams = new UpstreamTable();
-        upstreams.setColdLimits(Map.of(ColdWorld.SERVICE, world.limit()));
+        upstreams.setColdLimits(Map.of(ColdStartSimulation.SERVICE, world.limit()));
         dispatch = new Dispatch(upstreams, "zone-0", Map.of(), world::now, Runnable::run, share);
         Map<String, UpstreamFacts> read = Map.copyOf(world.list());
         world.time.after(
@@ -168,7 +168,7 @@
         private boolean sent;
 
         Request() {
-            super(ColdWorld.SERVICE, world.now(), CALLER_WAITS);
+            super(ColdStartSimulation.SERVICE, world.now(), CALLER_WAITS);
         }
 
         @Override
@@ -180,7 +180,7 @@
 
         // Opens the connection, or fails to.
         private void leave(Upstream upstream) {
-            ColdEngine engine = world.engine(upstream.facts().id().value());
+            ColdStartUpstream engine = world.engine(upstream.facts().id().value());
             if (ownLife != life) {
                 return;
             }
@@ -206,7 +206,7 @@
             dispatch.enqueue(this);
         }
 
-        private void ends(Upstream upstream, ColdEngine engine, long engineLife) {
+        private void ends(Upstream upstream, ColdStartUpstream engine, long engineLife) {
             if (ownLife != life) {
                 return;
             }
@@ -218,7 +218,7 @@
                 world.recordRefused();
             }
             upstream.requestFinished(null);
-            dispatch.drain(ColdWorld.SERVICE);
+            dispatch.drain(ColdStartSimulation.SERVICE);
         }
 
         @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdTroubles.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartScenario.java
@@ -4,17 +4,17 @@
 import java.util.Random;
 
 /** Plays half a minute of random zone outages and restarts, drawn from the world's seed. */
-final class ColdTroubles {
+final class ColdStartScenario {
     private static final int ZONES = 3;
     private static final int ROUNDS = 3;
 
     /** A crashed upstream is down for at least a second. */
     private static final int SHORTEST_MILLIS = 1_000;
 
-    private final ColdWorld world;
+    private final ColdStartSimulation world;
     private final Random random;
 
-    ColdTroubles(ColdWorld world) {
+    ColdStartScenario(ColdStartSimulation world) {
         this.world = world;
         this.random = world.random;
     }
@@ -54,7 +54,7 @@
     }
 
     private void routers(Duration length) {
-        for (ColdRouter router : world.routers()) {
+        for (ColdStartRouter router : world.routers()) {
             if (random.nextInt(8) == 0) {
                 world.time.after(later(length), () -> router.cutOff(millis(500, 6_000)));
             }
@@ -62,7 +62,7 @@
         int share = random.nextInt(4);
         if (share == 0) {
             Duration at = later(length);
-            world.time.after(at, () -> world.routers().forEach(ColdRouter::restart));
+            world.time.after(at, () -> world.routers().forEach(ColdStartRouter::restart));
         } else if (share == 1) {
             Duration at = later(length);
             world.time.after(
@@ -70,7 +70,7 @@
                     () ->
                             world.routers().stream()
                                     .filter(any -> random.nextBoolean())
-                                    .forEach(ColdRouter::restart));
+                                    .forEach(ColdStartRouter::restart));
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartSimulation.java
@@ -19,7 +19,7 @@
  * cold without a restart; routers are new, cut off or informed late. A cold upstream that gets more
  * requests in a second than its limit is counted, and crashes if it gets far more.
  */
-final class ColdWorld {
+final class ColdStartSimulation {
     static final String SERVICE = "engines";
     static final Duration COLD_TIME = Duration.ofSeconds(3);
     static final double BEARS = 48.5;
@@ -39,8 +39,8 @@
     final TestControlThread time = new TestControlThread();
     final Random random;
     private final Rules rules;
-    private final List<ColdEngine> engines = new ArrayList<>();
-    private final List<ColdRouter> routers = new ArrayList<>();
+    private final List<ColdStartUpstream> engines = new ArrayList<>();
+    private final List<ColdStartRouter> routers = new ArrayList<>();
     private final Map<String, UpstreamFacts> list = new TreeMap<>();
     private final double[] weights;
     private double perSecond;
@@ -63,17 +63,17 @@
         }
     }
 
-    ColdWorld(int count, long seed, Rules rules) {
+    ColdStartSimulation(int count, long seed, Rules rules) {
         this.random = new Random(seed);
         this.rules = rules;
         for (int each = 0; each < UPSTREAMS; each++) {
-            engines.add(new ColdEngine(this, "i-" + each, "zone-" + each % ZONES));
+            engines.add(new ColdStartUpstream(this, "i-" + each, "zone-" + each % ZONES));
         }
-        engines.forEach(ColdEngine::start);
+        engines.forEach(ColdStartUpstream::start);
         for (int each = 0; each < count; each++) {
-            routers.add(new ColdRouter(this, VmId.of("router-" + each)));
+            routers.add(new ColdStartRouter(this, VmId.of("router-" + each)));
         }
-        routers.forEach(ColdRouter::start);
+        routers.forEach(ColdStartRouter::start);
         weights = weights(count);
     }
 
@@ -103,14 +103,14 @@
     }
 
     List<VmId> routerNames() {
-        return routers.stream().map(ColdRouter::name).toList();
+        return routers.stream().map(ColdStartRouter::name).toList();
     }
 
-    List<ColdRouter> routers() {
+    List<ColdStartRouter> routers() {
         return routers;
     }
 
-    ColdEngine engine(String id) {
+    ColdStartUpstream engine(String id) {
         return engines.get(Integer.parseInt(id.substring(2)));
     }
 
@@ -140,7 +140,7 @@
         }
     }
 
-    private ColdRouter drawRouter() {
+    private ColdStartRouter drawRouter() {
         double place = random.nextDouble();
         int at = 0;
         while (at < weights.length - 1 && place >= weights[at]) {
@@ -164,7 +164,7 @@
     }
 
     /** Removes the entry of an upstream that has been silent for too long. */
-    void expireEntry(ColdEngine engine) {
+    void expireEntry(ColdStartUpstream engine) {
         time.after(
                 LAPSE,
                 () -> {
@@ -176,8 +176,8 @@
     }
 
     /** Announces to the other routers that one has lost its connection to an upstream. */
-    void announceLoss(ColdRouter from, UpstreamId upstream) {
-        for (ColdRouter each : routers) {
+    void announceLoss(ColdStartRouter from, UpstreamId upstream) {
+        for (ColdStartRouter each : routers) {
             if (each != from) {
                 Duration way = Duration.ofMillis(2 + random.nextInt((int) rules.word().toMillis()));
                 time.after(way, () -> each.lossReceived(upstream));
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartUpstream.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 
 /** The true state of a simulated upstream; routers see only its list entry and its answers. */
-final class ColdEngine {
+final class ColdStartUpstream {
     private static final Duration HEARTBEAT = Duration.ofMillis(1_200);
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final int SLOTS = 48;
 
-    private final ColdWorld world;
+    private final ColdStartSimulation world;
     private final String id;
     private final String zone;
     private final ArrayDeque<Instant> came = new ArrayDeque<>();
@@ -26,7 +26,7 @@
     private long revision;
     private Instant coldUntil = Instant.MIN;
 
-    ColdEngine(ColdWorld world, String id, String zone) {
+    ColdStartUpstream(ColdStartSimulation world, String id, String zone) {
         this.world = world;
         this.id = id;
         this.zone = zone;
@@ -56,7 +56,7 @@
         life++;
         came.clear();
         if (life > 1) {
-            coldUntil = world.now().plus(ColdWorld.COLD_TIME);
+            coldUntil = world.now().plus(ColdStartSimulation.COLD_TIME);
         }
         long own = life;
         long phase = world.random.nextInt((int) HEARTBEAT.toMillis());
@@ -66,7 +66,7 @@
 
     /** Makes the upstream cold without a start, which it reports with its next heartbeat. */
     void turnCold() {
-        coldUntil = world.now().plus(ColdWorld.COLD_TIME);
+        coldUntil = world.now().plus(ColdStartSimulation.COLD_TIME);
         came.clear();
     }
 
@@ -95,7 +95,7 @@
                 new UpstreamFacts(
                         UpstreamId.of(id),
                         ++revision,
-                        ColdWorld.SERVICE,
+                        ColdStartSimulation.SERVICE,
                         new Endpoint("10.0.0.1", 80),
                         zone,
                         SLOTS,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashHardshipsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashHardshipsTest.java
@@ -17,165 +17,168 @@
     // Guards against an answer with an error status that clears a poison request.
     @Test
     void aDeadlyRequestThatIsAnsweredByFailuresInBetweenReachesFew() {
-        assertReachesFew(Hardship.FAILURES);
+        assertReachesFew(InjectedFault.FAILURES);
     }
 
     // Guards against crashes that break no connection, as the caller had left before.
     @Test
     void aDeadlyRequestWhoseCallersLeaveReachesFew() {
-        assertReachesFew(Hardship.CALLERS_LEAVE);
+        assertReachesFew(InjectedFault.CALLERS_LEAVE);
     }
 
     // Guards against a probe that shows a crashed upstream as up.
     @Test
     void aDeadlyRequestReachesFewThoughLooksAreWrong() {
-        assertReachesFew(Hardship.WRONG_LOOKS);
+        assertReachesFew(InjectedFault.WRONG_LOOKS);
     }
 
     // Guards against concurrent copies, of which only one crash is counted.
     @Test
     void aDeadlyRequestThatComesInCopiesReachesFew() {
-        assertReachesFew(Hardship.COPIES);
+        assertReachesFew(InjectedFault.COPIES);
     }
 
     // Guards against crashes that are mistaken for planned departures.
     @Test
     void aDeadlyRequestReachesFewThoughUpstreamsAreAboutToLeave() {
-        assertReachesFew(Hardship.DRAINING);
+        assertReachesFew(InjectedFault.DRAINING);
     }
 
     // Guards against runs that were in progress when the third upstream crashed.
     @Test
     void aDeadlyRequestThatRunsLongBeforeReachesFew() {
-        assertReachesFew(Hardship.LONG_RUNS);
+        assertReachesFew(InjectedFault.LONG_RUNS);
     }
 
     // Guards against an upstream that has restarted before it is probed.
     @Test
     void aDeadlyRequestReachesFewThoughUpstreamsAreBackAtOnce() {
-        assertReachesFew(Hardship.REBORN);
+        assertReachesFew(InjectedFault.REBORN);
     }
 
     // Guards against announcements that arrive late.
     @Test
     void aDeadlyRequestReachesFewThoughNewsIsLate() {
-        assertReachesFew(Hardship.NEWS_LATE);
+        assertReachesFew(InjectedFault.NEWS_LATE);
     }
 
     // Guards against announcements that are lost.
     @Test
     void aDeadlyRequestReachesFewThoughNewsGetsLost() {
-        assertReachesFew(Hardship.NEWS_LOST);
+        assertReachesFew(InjectedFault.NEWS_LOST);
     }
 
     // Guards against counting routers that restart without their state.
     @Test
     void aDeadlyRequestReachesFewThoughRoutersEnd() {
-        assertReachesFew(Hardship.ROUTERS_END);
+        assertReachesFew(InjectedFault.ROUTERS_END);
     }
 
     // Guards against routers that detect a crash but cannot announce it.
     @Test
     void aDeadlyRequestReachesFewThoughRoutersAreCutOff() {
-        assertReachesFew(Hardship.ROUTERS_CUT);
+        assertReachesFew(InjectedFault.ROUTERS_CUT);
     }
 
     // Guards against failures of other requests that hide the cause.
     @Test
     void aDeadlyRequestReachesFewBesidePollsThatFail() {
-        assertReachesFew(Hardship.FAILING_POLLS);
+        assertReachesFew(InjectedFault.FAILING_POLLS);
     }
 
     // Guards against failures of whole racks that hide the cause.
     @Test
     void aDeadlyRequestReachesFewBesideRacksThatFail() {
-        assertReachesFew(Hardship.RACKS);
+        assertReachesFew(InjectedFault.RACKS);
     }
 
     // Guards against faults that are harmless one at a time.
     @Test
     void aDeadlyRequestReachesFewUpstreamsUnderSeveralHardshipsTogether() {
         assertReachesFew(
-                Hardship.FAILURES, Hardship.CALLERS_LEAVE, Hardship.COPIES, Hardship.WRONG_LOOKS);
+                InjectedFault.FAILURES,
+                InjectedFault.CALLERS_LEAVE,
+                InjectedFault.COPIES,
+                InjectedFault.WRONG_LOOKS);
     }
 
     // Guards against answers with an error status besides crashes.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndFailuresAreAnswered() {
-        assertInnocentsAreServed(Hardship.FAILURES);
+        assertInnocentsAreServed(InjectedFault.FAILURES);
     }
 
     // Guards against callers that leave, so that their requests seem unanswered.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndCallersLeave() {
-        assertInnocentsAreServed(Hardship.CALLERS_LEAVE);
+        assertInnocentsAreServed(InjectedFault.CALLERS_LEAVE);
     }
 
     // Guards against crashes that are detected late.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndLooksAreWrong() {
-        assertInnocentsAreServed(Hardship.WRONG_LOOKS);
+        assertInnocentsAreServed(InjectedFault.WRONG_LOOKS);
     }
 
     // Guards against polls that run at several upstreams when these crash.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndRequestsComeInCopies() {
-        assertInnocentsAreServed(Hardship.COPIES);
+        assertInnocentsAreServed(InjectedFault.COPIES);
     }
 
     // Guards against planned departures.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndUpstreamsAreAboutToLeave() {
-        assertInnocentsAreServed(Hardship.DRAINING);
+        assertInnocentsAreServed(InjectedFault.DRAINING);
     }
 
     // Guards against crashes that only the list shows.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndAreBackAtOnce() {
-        assertInnocentsAreServed(Hardship.REBORN);
+        assertInnocentsAreServed(InjectedFault.REBORN);
     }
 
     // Guards against a success that is announced late.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndNewsIsLate() {
-        assertInnocentsAreServed(Hardship.NEWS_LATE);
+        assertInnocentsAreServed(InjectedFault.NEWS_LATE);
     }
 
     // Guards against a success whose announcement some router never receives.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndNewsGetsLost() {
-        assertInnocentsAreServed(Hardship.NEWS_LOST);
+        assertInnocentsAreServed(InjectedFault.NEWS_LOST);
     }
 
     // Guards against a starting router that reads a quarantine that was cleared long ago.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndRoutersEndToo() {
-        assertInnocentsAreServed(Hardship.ROUTERS_END);
+        assertInnocentsAreServed(InjectedFault.ROUTERS_END);
     }
 
     // Guards against a success that a router cannot announce.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndRoutersAreCutOff() {
-        assertInnocentsAreServed(Hardship.ROUTERS_CUT);
+        assertInnocentsAreServed(InjectedFault.ROUTERS_CUT);
     }
 
     // Guards against a request that never succeeds but crashes nothing.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndPollsAlwaysFail() {
-        assertInnocentsAreServed(Hardship.FAILING_POLLS);
+        assertInnocentsAreServed(InjectedFault.FAILING_POLLS);
     }
 
     // Guards against counting the crashes of one rack separately.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAsWholeRacks() {
-        assertInnocentsAreServed(Hardship.RACKS);
+        assertInnocentsAreServed(InjectedFault.RACKS);
     }
 
     // Guards against a second full hold for a request whose two copies crashed upstreams just when
     // another crashed by itself, which looked like the failure of a rack until the next crash.
     @Test
     void aDeadlyRequestThatFirstLookedLikeARackIsNotHeldTwice() {
-        CrashWorld world = new CrashWorld(421, 6, 13, Hardship.RACKS);
+        CrashSimulation world = new CrashSimulation(421, 6, 13, InjectedFault.RACKS);
         world.advance(TIME, 60, 0.1, 1.2);
         assertTrue(
                 world.lateSendsOfPoisonRequest() <= ALLOWED,
@@ -189,21 +192,25 @@
         assertEquals(List.of(), innocentsRefused(33, 42, 150, 1.5, 1.2));
     }
 
-    private static void assertReachesFew(Hardship... hardships) {
+    private static void assertReachesFew(InjectedFault... hardships) {
         assertEquals(List.of(), over(6, 13, 60, 0.1, hardships));
         assertEquals(List.of(), over(33, 42, 150, 0.3, hardships));
     }
 
-    private static void assertInnocentsAreServed(Hardship... hardships) {
+    private static void assertInnocentsAreServed(InjectedFault... hardships) {
         assertEquals(List.of(), innocentsRefused(4, 13, 60, 0.5, 0, hardships));
         assertEquals(List.of(), innocentsRefused(33, 42, 150, 1.5, 0, hardships));
     }
 
     private static List<String> over(
-            int routers, int workers, double perSecond, double endsPerSecond, Hardship... all) {
+            int routers,
+            int workers,
+            double perSecond,
+            double endsPerSecond,
+            InjectedFault... all) {
         List<String> over = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashWorld world = new CrashWorld(seed, routers, workers, all);
+            CrashSimulation world = new CrashSimulation(seed, routers, workers, all);
             world.advance(TIME, perSecond, endsPerSecond, 1.2);
             if (world.lateSendsOfPoisonRequest() > ALLOWED) {
                 over.add("seed " + seed + ": " + world.lateSendsOfPoisonRequest());
@@ -219,10 +226,10 @@
             double perSecond,
             double endsPerSecond,
             double deadlyPerSecond,
-            Hardship... all) {
+            InjectedFault... all) {
         List<String> refused = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashWorld world = new CrashWorld(seed, routers, workers, all);
+            CrashSimulation world = new CrashSimulation(seed, routers, workers, all);
             world.advance(TIME, perSecond, endsPerSecond, deadlyPerSecond);
             if (world.innocentsRefused() > 0) {
                 refused.add("seed " + seed + ": " + world.innocentsRefused());
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashSimulation.java
@@ -27,7 +27,7 @@
  * at a time, several at once, some repeatedly. Callers send innocent requests, some of them
  * repeatedly, and perhaps a poison request, which crashes each upstream that runs it.
  */
-final class CrashWorld {
+final class CrashSimulation {
     /** The number of routers that count crashes for all, in a large fleet. */
     private static final int MOST_COUNTING = 12;
 
@@ -56,12 +56,12 @@
     private final TestControlThread world = new TestControlThread();
     private final Random random;
     private final Random trouble;
-    private final Set<Hardship> hardships;
+    private final Set<InjectedFault> hardships;
     private final Set<Integer> cutOff = new HashSet<>();
     private final Set<Integer> startedNow = new HashSet<>();
     private final UpstreamTable table = new UpstreamTable();
     private final List<Worker> workers = new ArrayList<>();
-    private final List<CrashWatch> routers = new ArrayList<>();
+    private final List<PoisonRequestDetector> routers = new ArrayList<>();
     private final Map<RequestDigest, Integer> stored = new HashMap<>();
     private final RequestDigest deadly = new RequestDigest("deadly");
     private final List<Instant> deadlyEnds = new ArrayList<>();
@@ -87,7 +87,7 @@
 
     private record Run(RequestDigest request, int router, int retries, long life, Instant sentAt) {}
 
-    CrashWorld(long seed, int routerCount, int workerCount, Hardship... hardships) {
+    CrashSimulation(long seed, int routerCount, int workerCount, InjectedFault... hardships) {
         this.random = new Random(seed);
         this.trouble = new Random(~seed);
         this.hardships = Set.of(hardships);
@@ -100,15 +100,15 @@
             routers.add(null);
         }
         restartAllRouters();
-        if (has(Hardship.ROUTERS_END)) {
+        if (has(InjectedFault.ROUTERS_END)) {
             world.every(ROUTER_ENDS_EACH, () -> startAgain(trouble.nextInt(routers.size())));
         }
-        if (has(Hardship.ROUTERS_CUT)) {
+        if (has(InjectedFault.ROUTERS_CUT)) {
             world.every(CUT_EACH, () -> cut(trouble.nextInt(routers.size())));
         }
     }
 
-    private boolean has(Hardship hardship) {
+    private boolean has(InjectedFault hardship) {
         return hardships.contains(hardship);
     }
 
@@ -135,8 +135,8 @@
 
     private void start(int index) {
         boolean counts = index < MOST_COUNTING;
-        CrashWatch router =
-                new CrashWatch(
+        PoisonRequestDetector router =
+                new PoisonRequestDetector(
                         world,
                         newsOf(index),
                         this::look,
@@ -147,7 +147,7 @@
         soon(STORE_LAG_MILLIS, () -> readStore(index, router));
     }
 
-    private void readStore(int index, CrashWatch router) {
+    private void readStore(int index, PoisonRequestDetector router) {
         startedNow.remove(index);
         stored.forEach((request, trials) -> router.quarantineReadFromStore(request, trials));
     }
@@ -201,7 +201,7 @@
 
     private void sendAll(RequestDigest request) {
         send(request, RETRIES);
-        if (has(Hardship.COPIES)) {
+        if (has(InjectedFault.COPIES)) {
             send(request, RETRIES);
             send(request, RETRIES);
         }
@@ -217,7 +217,7 @@
     private void endSome() {
         int first = random.nextInt(workers.size());
         int together = random.nextInt(4) == 0 ? 3 : 1;
-        together = has(Hardship.RACKS) ? RACK : together;
+        together = has(InjectedFault.RACKS) ? RACK : together;
         for (int each = 0; each < together; each++) {
             end(workers.get((first + each) % workers.size()));
         }
@@ -229,7 +229,7 @@
 
     private void send(RequestDigest request, int retries) {
         int index = random.nextInt(routers.size());
-        CrashWatch router = routers.get(index);
+        PoisonRequestDetector router = routers.get(index);
         if (!router.isQuarantineEmpty() && router.tryAdmit(request).isPresent()) {
             innocentsRefused += request.equals(deadly) ? 0 : 1;
             deadlyRefused += request.equals(deadly) ? 1 : 0;
@@ -251,20 +251,20 @@
     }
 
     private void runDeadly(Worker worker, Run run) {
-        if (has(Hardship.FAILURES) && oneIn(10)) {
+        if (has(InjectedFault.FAILURES) && oneIn(10)) {
             soon(WAY_MILLIS, () -> answer(worker, run));
             return;
         }
         int runs = DEADLY_AFTER_MILLIS;
-        if (has(Hardship.LONG_RUNS)) {
+        if (has(InjectedFault.LONG_RUNS)) {
             runs += trouble.nextInt(LONG_DEADLY_MILLIS);
         }
-        if (has(Hardship.CALLERS_LEAVE) && oneIn(3)) {
+        if (has(InjectedFault.CALLERS_LEAVE) && oneIn(3)) {
             world.after(
                     Duration.ofMillis(runs - LEAVES_BEFORE_MILLIS),
                     () -> callerLeaves(worker, run));
         }
-        if (has(Hardship.DRAINING) && oneIn(2)) {
+        if (has(InjectedFault.DRAINING) && oneIn(2)) {
             soon(LEAVES_BEFORE_MILLIS, () -> drain(worker));
         }
         world.after(Duration.ofMillis(runs), () -> kill(worker, run));
@@ -305,7 +305,7 @@
 
     private void answer(Worker worker, Run run) {
         if (worker.life == run.life() && worker.runs.remove(run)) {
-            CrashWatch router = routers.get(run.router());
+            PoisonRequestDetector router = routers.get(run.router());
             if (router.needsOutcomes()) {
                 router.recordAnswer(run.request(), run.sentAt(), status(run.request()));
             }
@@ -314,7 +314,7 @@
 
     private int status(RequestDigest request) {
         boolean poll = request.value().startsWith("poll-");
-        boolean fails = request.equals(deadly) || (poll && has(Hardship.FAILING_POLLS));
+        boolean fails = request.equals(deadly) || (poll && has(InjectedFault.FAILING_POLLS));
         return fails ? FAILED : ANSWERED;
     }
 
@@ -338,7 +338,7 @@
                 soon(500, () -> send(run.request(), run.retries() - 1));
             }
         }
-        world.after(has(Hardship.REBORN) ? REBORN_AFTER : DOWN, () -> start(worker));
+        world.after(has(InjectedFault.REBORN) ? REBORN_AFTER : DOWN, () -> start(worker));
         world.after(
                 LAPSES_AFTER,
                 () -> routers.forEach(each -> each.upstreamListed(list(worker, false))));
@@ -367,8 +367,9 @@
         return facts;
     }
 
-    private void look(Upstream upstream, boolean vouch, Consumer<UpstreamEnds.ProbeResult> then) {
-        boolean wrong = has(Hardship.WRONG_LOOKS) && oneIn(3);
+    private void look(
+            Upstream upstream, boolean vouch, Consumer<UpstreamCrashDetector.ProbeResult> then) {
+        boolean wrong = has(InjectedFault.WRONG_LOOKS) && oneIn(3);
         boolean up =
                 wrong
                         || workers.stream()
@@ -378,12 +379,12 @@
                 () ->
                         then.accept(
                                 up
-                                        ? UpstreamEnds.ProbeResult.ALIVE
-                                        : UpstreamEnds.ProbeResult.ENDED));
+                                        ? UpstreamCrashDetector.ProbeResult.ALIVE
+                                        : UpstreamCrashDetector.ProbeResult.ENDED));
     }
 
-    private CrashNews newsOf(int from) {
-        return new CrashNews() {
+    private CrashAnnouncer newsOf(int from) {
+        return new CrashAnnouncer() {
             @Override
             public void announceRunsAtCrash(
                     UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
@@ -438,7 +439,7 @@
         };
     }
 
-    private void tell(int from, int most, Consumer<CrashWatch> what) {
+    private void tell(int from, int most, Consumer<PoisonRequestDetector> what) {
         for (int each = 0; each < Math.min(most, routers.size()); each++) {
             if (each != from) {
                 messages++;
@@ -447,10 +448,10 @@
         }
     }
 
-    private void tellOne(int from, int to, Consumer<CrashWatch> what) {
-        boolean lost = has(Hardship.NEWS_LOST) && oneIn(4);
+    private void tellOne(int from, int to, Consumer<PoisonRequestDetector> what) {
+        boolean lost = has(InjectedFault.NEWS_LOST) && oneIn(4);
         if (!lost && !cutOff.contains(from) && !cutOff.contains(to)) {
-            int way = has(Hardship.NEWS_LATE) ? LATE_MILLIS : WAY_MILLIS;
+            int way = has(InjectedFault.NEWS_LATE) ? LATE_MILLIS : WAY_MILLIS;
             soon(way, () -> what.accept(routers.get(to)));
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitPromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DeclaredLimitsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Tests the request rate that upstreams with a declared limit get from all routers together. */
-class LimitPromisesTest {
+class DeclaredLimitsTest {
     /** Other seeds can be run with {@code -Dlimit.first=1000 -Dlimit.count=10000}. */
     private static final long FIRST = Long.getLong("limit.first", 1);
 
@@ -28,7 +28,7 @@
     void aLimitedUpstreamGetsNoMoreThanItMayFromThoseThatKnow(int routers) {
         List<String> broken = new ArrayList<>();
         for (long seed = FIRST; seed < FIRST + seeds(routers); seed++) {
-            LimitWorld world = played(routers, seed, LimitWorld.Rules.usual());
+            LimitSimulation world = played(routers, seed, LimitSimulation.Rules.usual());
             if (world.violations() > 0) {
                 broken.add("seed " + seed + ": " + world);
             }
@@ -42,7 +42,7 @@
     void withoutSharesUpstreamsGetTooMuch(int routers) {
         int broken = 0;
         for (long seed = 1; seed <= 2; seed++) {
-            broken += played(routers, seed, new LimitWorld.Rules(false, 0.1)).violations();
+            broken += played(routers, seed, new LimitSimulation.Rules(false, 0.1)).violations();
         }
         assertTrue(broken > 0);
     }
@@ -51,13 +51,13 @@
     @ParameterizedTest
     @CsvSource({"4, 0.3", "4, 1.6", "22, 2.1", "22, 10", "300, 1.6", "300, 45"})
     void whatALimitAllowsIsUsedWhileRequestsWait(int routers, double limit) {
-        LimitWorld world = new LimitWorld(routers, 1, LimitWorld.Rules.usual());
+        LimitSimulation world = new LimitSimulation(routers, 1, LimitSimulation.Rules.usual());
         world.engines().forEach(engine -> engine.declareLimit(limit));
         world.demand(DEMAND * 3);
         world.advance(CONTACT);
         Duration time = Duration.ofSeconds(40);
         world.advance(time);
-        for (LimitWorld.SimulatedUpstream engine : world.engines()) {
+        for (LimitSimulation.SimulatedUpstream engine : world.engines()) {
             double used = engine.requestsWhileLimited() / (limit * time.toSeconds());
             assertTrue(used >= USED, engine.id() + " is used to " + used);
         }
@@ -67,13 +67,13 @@
         return routers >= 100 ? Math.max(1, SEEDS / 20) : SEEDS;
     }
 
-    private static LimitWorld played(int routers, long seed, LimitWorld.Rules rules) {
-        LimitWorld world = new LimitWorld(routers, seed, rules);
+    private static LimitSimulation played(int routers, long seed, LimitSimulation.Rules rules) {
+        LimitSimulation world = new LimitSimulation(routers, seed, rules);
         world.demand(DEMAND);
         world.advance(Duration.ofSeconds(2));
         for (int round = 0; round < 3; round++) {
-            LimitWorld.SimulatedUpstream one = world.engines().get(0);
-            LimitWorld.SimulatedUpstream two = world.engines().get(1);
+            LimitSimulation.SimulatedUpstream one = world.engines().get(0);
+            LimitSimulation.SimulatedUpstream two = world.engines().get(1);
             one.declareLimit(LIMITS[world.random.nextInt(LIMITS.length)]);
             world.advance(Duration.ofMillis(world.random.nextInt(3_000)));
             two.declareLimit(LIMITS[world.random.nextInt(LIMITS.length)]);
@@ -87,8 +87,8 @@
         return world;
     }
 
-    private static void troubles(LimitWorld world) {
-        for (LimitRouter router : world.routers()) {
+    private static void troubles(LimitSimulation world) {
+        for (LimitSimulationRouter router : world.routers()) {
             if (world.random.nextInt(6) == 0) {
                 Duration later = Duration.ofMillis(world.random.nextInt(6_000));
                 world.time.after(later, router::restart);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
@@ -65,18 +65,19 @@
                     Instant::now,
                     new Flows.RetryBounds(Duration.ofSeconds(10), 0.2, 10),
                     () -> 1,
-                    new CrashWatch(
+                    new PoisonRequestDetector(
                             new LoopControl(
                                     loop.events(),
                                     InstantSource.system(),
                                     new LoopHolds(new Metrics())),
-                            new SilentCrashNews(),
-                            (upstream, vouch, then) -> then.accept(UpstreamEnds.ProbeResult.NONE),
+                            new SilentCrashAnnouncer(),
+                            (upstream, vouch, then) ->
+                                    then.accept(UpstreamCrashDetector.ProbeResult.NONE),
                             () -> true,
                             () -> true,
                             new Metrics()),
                     new LostUpstreams(Instant::now, upstreams, new SilentWire()),
-                    new LimitedUpstreams(Instant::now, upstreams, new SilentLimits()));
+                    new DeclaredLimits(Instant::now, upstreams, new SilentLimits()));
     private final HttpServer upstream = server(upstreamLoop, this::run);
     private final HttpServer router = server(loop, this::begin);
 
@@ -259,12 +260,12 @@
         return caller;
     }
 
-    private static final class SilentLimits implements LimitedUpstreams.Announcer {
+    private static final class SilentLimits implements DeclaredLimits.Announcer {
         @Override
-        public void announceLimit(LimitedUpstreams.Announcement word) {}
+        public void announceLimit(DeclaredLimits.Announcement word) {}
 
         @Override
-        public void forwardLimit(LimitedUpstreams.Announcement word) {}
+        public void forwardLimit(DeclaredLimits.Announcement word) {}
     }
 
     /** No other router is there to be told. */
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/Hardship.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/InjectedFault.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.direct;
 
-/** A fault that a {@link CrashWorld} injects only if a test asks for it. */
-enum Hardship {
+/** A fault that a {@link CrashSimulation} injects only if a test asks for it. */
+enum InjectedFault {
     /** One in ten sends of the poison request is answered with an error status and not run. */
     FAILURES,
     /** One in three callers of the poison request leaves before the upstream crashes. */
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitSimulation.java
@@ -24,7 +24,7 @@
  * limited upstream gets within four seconds from routers that have passed on an answer with the
  * limit.
  */
-final class LimitWorld {
+final class LimitSimulation {
     static final String SERVICE = "engines";
 
     private static final int UPSTREAMS = 3;
@@ -43,7 +43,7 @@
     final TestControlThread time = new TestControlThread();
     final Random random;
     private final Rules rules;
-    private final List<LimitRouter> routers = new ArrayList<>();
+    private final List<LimitSimulationRouter> routers = new ArrayList<>();
     private final List<SimulatedUpstream> engines = new ArrayList<>();
     private double perSecond;
     private int broken;
@@ -148,16 +148,16 @@
         }
     }
 
-    LimitWorld(int count, long seed, Rules rules) {
+    LimitSimulation(int count, long seed, Rules rules) {
         this.random = new Random(seed);
         this.rules = rules;
         for (int each = 0; each < UPSTREAMS; each++) {
             engines.add(new SimulatedUpstream(each));
         }
         for (int each = 0; each < count; each++) {
-            routers.add(new LimitRouter(this, VmId.of("router-" + each)));
+            routers.add(new LimitSimulationRouter(this, VmId.of("router-" + each)));
         }
-        routers.forEach(LimitRouter::start);
+        routers.forEach(LimitSimulationRouter::start);
     }
 
     Rules rules() {
@@ -176,12 +176,12 @@
         return engines.stream().filter(each -> each.id().equals(id)).findFirst().orElseThrow();
     }
 
-    List<LimitRouter> routers() {
+    List<LimitSimulationRouter> routers() {
         return routers;
     }
 
     List<VmId> routerNames() {
-        return routers.stream().map(LimitRouter::name).toList();
+        return routers.stream().map(LimitSimulationRouter::name).toList();
     }
 
     /** Sets how many requests a second arrive at all routers together. */
@@ -202,10 +202,10 @@
     }
 
     /** Sends an announcement: watchers reach all routers, the others only the watchers. */
-    void announce(LimitRouter from, LimitedUpstreams.Announcement news) {
+    void announce(LimitSimulationRouter from, DeclaredLimits.Announcement news) {
         boolean watches = routers.indexOf(from) < WATCHERS;
         for (int each = 0; each < routers.size(); each++) {
-            LimitRouter to = routers.get(each);
+            LimitSimulationRouter to = routers.get(each);
             if (to != from && (watches || each < WATCHERS) && random.nextDouble() >= rules.lost()) {
                 Duration way = Duration.ofMillis(2 + random.nextInt(LONGEST_NEWS_MILLIS));
                 time.after(way, () -> to.announcementReceived(news, !watches));
@@ -213,7 +213,7 @@
         }
     }
 
-    boolean isWatcher(LimitRouter router) {
+    boolean isWatcher(LimitSimulationRouter router) {
         return routers.indexOf(router) < WATCHERS;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitSimulationRouter.java
@@ -9,22 +9,24 @@
 import java.time.Instant;
 import java.util.Map;
 
-/** A router of a {@link LimitWorld}, with the real table, selection, queue and announcements. */
-final class LimitRouter {
+/**
+ * A router of a {@link LimitSimulation}, with the real table, selection, queue and announcements.
+ */
+final class LimitSimulationRouter {
     private static final Duration CHECK = Duration.ofMillis(50);
     private static final Duration AGAIN = Duration.ofSeconds(1);
     private static final Duration DOWN = Duration.ofMillis(1_200);
     private static final Duration CALLER_WAITS = Duration.ofSeconds(2);
 
-    private final LimitWorld world;
+    private final LimitSimulation world;
     private final VmId name;
     private final UpstreamShare share;
     private UpstreamTable upstreams;
     private Dispatch dispatch;
-    private LimitedUpstreams limits;
+    private DeclaredLimits limits;
     private int life;
 
-    LimitRouter(LimitWorld world, VmId name) {
+    LimitSimulationRouter(LimitSimulation world, VmId name) {
         this.world = world;
         this.name = name;
         this.share =
@@ -50,7 +52,7 @@
         upstreams = new UpstreamTable();
         world.engines().forEach(engine -> upstreams.put(engine.facts(), world.now()));
         dispatch = new Dispatch(upstreams, "a", Map.of(), world::now, Runnable::run, share);
-        limits = new LimitedUpstreams(world::now, upstreams, new Wire());
+        limits = new DeclaredLimits(world::now, upstreams, new Wire());
         every(own, CHECK, () -> dispatch.tick());
         every(own, AGAIN, () -> limits.announceAgain());
     }
@@ -72,37 +74,37 @@
         }
     }
 
-    void announcementReceived(LimitedUpstreams.Announcement news, boolean passOn) {
+    void announcementReceived(DeclaredLimits.Announcement news, boolean passOn) {
         if (dispatch != null) {
             limits.announcementReceived(news, passOn);
             dispatch.tick();
         }
     }
 
-    private final class Wire implements LimitedUpstreams.Announcer {
+    private final class Wire implements DeclaredLimits.Announcer {
         @Override
-        public void announceLimit(LimitedUpstreams.Announcement news) {
-            world.announce(LimitRouter.this, news);
+        public void announceLimit(DeclaredLimits.Announcement news) {
+            world.announce(LimitSimulationRouter.this, news);
         }
 
         @Override
-        public void forwardLimit(LimitedUpstreams.Announcement news) {
-            if (world.isWatcher(LimitRouter.this)) {
-                world.announce(LimitRouter.this, news);
+        public void forwardLimit(DeclaredLimits.Announcement news) {
+            if (world.isWatcher(LimitSimulationRouter.this)) {
+                world.announce(LimitSimulationRouter.this, news);
             }
         }
     }
 
     private final class Request extends PlainRequest {
         Request() {
-            super(LimitWorld.SERVICE, world.now(), CALLER_WAITS);
+            super(LimitSimulation.SERVICE, world.now(), CALLER_WAITS);
         }
 
         @Override
         public void sendTo(Upstream upstream) {
             int own = life;
             Instant sentAt = world.now();
-            LimitWorld.SimulatedUpstream engine = world.engine(upstream.facts().id());
+            LimitSimulation.SimulatedUpstream engine = world.engine(upstream.facts().id());
             upstream.requestAssigned(null, sentAt);
             upstream.requestSent(sentAt);
             world.time.after(Duration.ofMillis(1), () -> engine.requestArrived(name));
@@ -118,7 +120,7 @@
 
         private void answered(
                 Upstream upstream,
-                LimitWorld.SimulatedUpstream engine,
+                LimitSimulation.SimulatedUpstream engine,
                 Instant sentAt,
                 Duration took) {
             upstream.requestAnswered(took, world.now());
@@ -126,7 +128,7 @@
             engine.answerPassedOnBy(name);
             limits.limitReceived(upstream, engine.limit(), sentAt);
             world.recordServed();
-            dispatch.drain(LimitWorld.SERVICE);
+            dispatch.drain(LimitSimulation.SERVICE);
         }
 
         @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashWatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/PoisonRequestDetectorTest.java
@@ -11,7 +11,7 @@
  * Tests for both errors in fleets of several sizes: an innocent request that is quarantined, and a
  * poison request that is not.
  */
-class CrashWatchTest {
+class PoisonRequestDetectorTest {
     private static final long SEEDS = Long.getLong("crashes.count", 4);
     private static final int ALLOWED = 3;
 
@@ -22,7 +22,7 @@
             int routers, int workers, double perSecond, double endsPerSecond) {
         int ends = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashWorld world = new CrashWorld(seed, routers, workers);
+            CrashSimulation world = new CrashSimulation(seed, routers, workers);
             world.advance(Duration.ofSeconds(60), perSecond, endsPerSecond, 0);
             assertEquals(0, world.innocentsRefused(), "seed " + seed);
             ends += world.crashes();
@@ -36,7 +36,7 @@
     void aDeadlyRequestReachesFewUpstreamsOnceThreeHaveEnded(
             int routers, int workers, double perSecond, double endsPerSecond) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashWorld world = new CrashWorld(seed, routers, workers);
+            CrashSimulation world = new CrashSimulation(seed, routers, workers);
             world.advance(Duration.ofSeconds(30), perSecond, endsPerSecond, 1.2);
             assertTrue(world.lateSendsOfPoisonRequest() <= ALLOWED, "seed " + seed);
             assertTrue(world.poisonRequestsRefused() > 0, "seed " + seed);
@@ -48,7 +48,7 @@
     @CsvSource({"4, 13", "33, 42"})
     void whatIsKeptOutIsKnownAfterAllRoutersHaveStartedAgain(int routers, int workers) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashWorld world = new CrashWorld(seed, routers, workers);
+            CrashSimulation world = new CrashSimulation(seed, routers, workers);
             world.advance(Duration.ofSeconds(15), 60, 0.1, 1.2);
             int before = world.lateSendsOfPoisonRequest();
             world.restartAllRouters();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
@@ -25,7 +25,7 @@
 final class RareModelEngine {
     private final UpstreamId id;
     private final EngineSpec spec;
-    private final WeightStore store;
+    private final SimulatedWeightStore store;
     private final Set<String> held = new HashSet<>();
     private final Set<String> disk = new HashSet<>();
     private final Map<String, Integer> running = new HashMap<>();
@@ -35,7 +35,7 @@
     private long sequence;
     private long revision;
 
-    RareModelEngine(String name, EngineSpec spec, WeightStore store) {
+    RareModelEngine(String name, EngineSpec spec, SimulatedWeightStore store) {
         this.id = UpstreamId.of(name);
         this.spec = spec;
         this.store = store;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -66,7 +66,7 @@
 
     private final Random random;
     private final EngineSpec spec;
-    private final WeightStore weights;
+    private final SimulatedWeightStore weights;
     private final Map<UpstreamId, RareModelEngine> engines = new TreeMap<>();
     private final UpstreamTable upstreams = new UpstreamTable();
     private final Dispatch dispatch;
@@ -86,7 +86,7 @@
 
     RareModelWorld(int count, int atFullSpeed, long seed) {
         this.random = new Random(seed);
-        this.weights = new WeightStore(atFullSpeed);
+        this.weights = new SimulatedWeightStore(atFullSpeed);
         this.spec = spec((int) (count * MODELS_PER_ENGINE));
         this.dispatch =
                 new Dispatch(
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashNews.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashAnnouncer.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** Discards all announcements. */
-final class SilentCrashNews implements CrashNews {
+final class SilentCrashAnnouncer implements CrashAnnouncer {
     @Override
     public void announceRunsAtCrash(
             UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {}
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/WeightStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedWeightStore.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** A simulated store of model weights, whose loads slow down when too many run at once. */
-final class WeightStore {
+final class SimulatedWeightStore {
     private static final double NANOS = 1e9;
 
     private final int atFullSpeed;
@@ -23,7 +23,7 @@
         }
     }
 
-    WeightStore(int atFullSpeed) {
+    SimulatedWeightStore(int atFullSpeed) {
         this.atFullSpeed = atFullSpeed;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamEndsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamCrashDetectorTest.java
@@ -10,7 +10,7 @@
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.control.upstreams.UpstreamTable;
-import io.damaskyoke.direct.UpstreamEnds.ProbeResult;
+import io.damaskyoke.direct.UpstreamCrashDetector.ProbeResult;
 import io.damaskyoke.http.Endpoint;
 import io.damaskyoke.metrics.Metrics;
 import java.time.Duration;
@@ -25,7 +25,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-class UpstreamEndsTest {
+class UpstreamCrashDetectorTest {
     private static final RequestDigest ONE = new RequestDigest("01");
     private static final RequestDigest OTHER = new RequestDigest("02");
 
@@ -35,8 +35,8 @@
     private final List<RequestDigest> ran = new ArrayList<>();
     private final List<RequestDigest> survived = new ArrayList<>();
     private final List<UpstreamCrash> found = new ArrayList<>();
-    private final UpstreamEnds ends =
-            new UpstreamEnds(control, this::look, new Noting(), new Metrics());
+    private final UpstreamCrashDetector ends =
+            new UpstreamCrashDetector(control, this::look, new Noting(), new Metrics());
     private final Upstream upstream = list(1);
 
     // Guards against a connection that is still open here, as its break is not noticed yet.
@@ -155,7 +155,7 @@
         return table.find(id).orElseThrow();
     }
 
-    private final class Noting implements UpstreamEnds.Listener {
+    private final class Noting implements UpstreamCrashDetector.Listener {
         @Override
         public void runsCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> all) {
             ran.addAll(all.keySet());
