--- a/damaskyoke/src/main/java/io/damaskyoke/direct/CrashAnnouncer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/CrashAnnouncer.java
@@ -9,13 +9,14 @@
 /** Announces crashes of upstreams and poison requests to the other routers. */
 interface CrashAnnouncer {
     /** Announces to the counting routers a crash so long ago and how long each request had run. */
-    void announceRunsAtCrash(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
+    void announceRunsAtCrash(
+            UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes);
 
     /** Announces to all others that an upstream has crashed, through those that pass it on. */
-    void announceCrash(UpstreamCrash end);
+    void announceCrash(UpstreamCrash crash);
 
     /** Passes a crash on to all others, if this router is one of those that do so. */
-    void forwardCrash(UpstreamCrash end);
+    void forwardCrash(UpstreamCrash crash);
 
     /**
      * Announces to all others that a further crash quarantines the request; a success clears it.
@@ -38,5 +39,5 @@
     void announceEarlierSuccess(RequestDigest request, Duration ago);
 
     /** Announces to the counting routers the number of runs that did not crash their upstream. */
-    void announceSurvivedRuns(RequestDigest request, int times);
+    void announceSurvivedRuns(RequestDigest request, int runs);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DeclaredLimits.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DeclaredLimits.java
@@ -20,19 +20,19 @@
     private static final Logger LOG = LogManager.getLogger(DeclaredLimits.class);
 
     /** How long the end of a limit is announced again, for routers that missed the first one. */
-    private static final Duration END_TOLD = Duration.ofSeconds(4);
+    private static final Duration END_ANNOUNCED_FOR = Duration.ofSeconds(4);
 
     private final InstantSource clock;
     private final UpstreamTable upstreams;
-    private final Announcer wire;
+    private final Announcer announcer;
 
     /** Sends announcements to other routers. */
     interface Announcer {
         /** Announces a limit to the routers that pass it on to all others. */
-        void announceLimit(Announcement news);
+        void announceLimit(Announcement announcement);
 
         /** Announces a limit to all, if this router is one of those that pass announcements on. */
-        void forwardLimit(Announcement news);
+        void forwardLimit(Announcement announcement);
     }
 
     /**
@@ -43,10 +43,10 @@
      */
     record Announcement(UpstreamId upstream, long startedAt, RequestLimit limit, Duration age) {}
 
-    DeclaredLimits(InstantSource clock, UpstreamTable upstreams, Announcer wire) {
+    DeclaredLimits(InstantSource clock, UpstreamTable upstreams, Announcer announcer) {
         this.clock = clock;
         this.upstreams = upstreams;
-        this.wire = wire;
+        this.announcer = announcer;
     }
 
     /** Records the limit in an answer to a request that was sent at that time. */
@@ -60,7 +60,7 @@
         Instant now = clock.instant();
         if (upstream.limitGate().limitReceived(limit, limit.isDeclared() ? now : sentAt, now)) {
             log(upstream, "declared by the upstream");
-            wire.announceLimit(news(upstream, now));
+            announcer.announceLimit(announcementOf(upstream, now));
         }
     }
 
@@ -69,20 +69,23 @@
      *
      * @param passOn whether this router passes the announcement on to the others
      */
-    void announcementReceived(Announcement news, boolean passOn) {
+    void announcementReceived(Announcement announcement, boolean passOn) {
         Instant now = clock.instant();
         upstreams
-                .find(news.upstream())
-                .filter(upstream -> upstream.facts().held().startedAt() == news.startedAt())
+                .find(announcement.upstream())
+                .filter(upstream -> upstream.facts().held().startedAt() == announcement.startedAt())
                 .filter(
                         upstream ->
                                 upstream.limitGate()
-                                        .limitReceived(news.limit(), now.minus(news.age()), now))
+                                        .limitReceived(
+                                                announcement.limit(),
+                                                now.minus(announcement.age()),
+                                                now))
                 .ifPresent(
                         upstream -> {
                             log(upstream, "announced by another router");
                             if (passOn) {
-                                wire.forwardLimit(news);
+                                announcer.forwardLimit(announcement);
                             }
                         });
     }
@@ -95,10 +98,11 @@
         Instant now = clock.instant();
         for (Upstream upstream : upstreams.all()) {
             LimitGate gate = upstream.limitGate();
-            boolean ended = !gate.liftedAt().equals(Instant.MIN);
-            boolean endedOfLate = ended && now.isBefore(gate.liftedAt().plus(END_TOLD));
-            if (gate.isLimited(now) || endedOfLate) {
-                wire.announceLimit(news(upstream, now));
+            boolean lifted = !gate.liftedAt().equals(Instant.MIN);
+            boolean liftedRecently =
+                    lifted && now.isBefore(gate.liftedAt().plus(END_ANNOUNCED_FOR));
+            if (gate.isLimited(now) || liftedRecently) {
+                announcer.announceLimit(announcementOf(upstream, now));
             }
         }
     }
@@ -118,7 +122,7 @@
         return upstreams.all().stream().mapToLong(each -> each.limitGate().heldBackCount()).sum();
     }
 
-    private static Announcement news(Upstream upstream, Instant now) {
+    private static Announcement announcementOf(Upstream upstream, Instant now) {
         LimitGate gate = upstream.limitGate();
         Instant at = gate.limit().isDeclared() ? gate.declaredAt() : gate.liftedAt();
         return new Announcement(
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -275,8 +275,8 @@
                                                                 ? UpstreamCrashDetector.ProbeResult
                                                                         .ALIVE
                                                                 : UpstreamCrashDetector.ProbeResult
-                                                                        .ENDED)
-                                        .orElse(UpstreamCrashDetector.ProbeResult.NONE)));
+                                                                        .CRASHED)
+                                        .orElse(UpstreamCrashDetector.ProbeResult.UNKNOWN)));
     }
 
     // One router that all agree on, unless the list is new to one of them.
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerCrashAnnouncer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerCrashAnnouncer.java
@@ -16,7 +16,7 @@
  */
 final class PeerCrashAnnouncer implements CrashAnnouncer {
     private final InstantSource clock;
-    private final FrameSender wire;
+    private final FrameSender sender;
 
     /** Sends frames to other routers. */
     interface FrameSender {
@@ -35,37 +35,37 @@
         boolean isWatcher();
     }
 
-    PeerCrashAnnouncer(InstantSource clock, FrameSender wire) {
+    PeerCrashAnnouncer(InstantSource clock, FrameSender sender) {
         this.clock = clock;
-        this.wire = wire;
+        this.sender = sender;
     }
 
     @Override
     public void announceRunsAtCrash(
-            UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-        wire.sendToWatchers(NeighbourFrames.ended(end, ago, ran));
+            UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes) {
+        sender.sendToWatchers(NeighbourFrames.ended(crash, ago, runTimes));
     }
 
     @Override
-    public void announceCrash(UpstreamCrash end) {
-        wire.sendThroughWatchers(passOn -> NeighbourFrames.found(end, passOn));
+    public void announceCrash(UpstreamCrash crash) {
+        sender.sendThroughWatchers(passOn -> NeighbourFrames.found(crash, passOn));
     }
 
     @Override
-    public void forwardCrash(UpstreamCrash end) {
-        if (wire.isWatcher()) {
-            wire.sendToAll(NeighbourFrames.found(end, false));
+    public void forwardCrash(UpstreamCrash crash) {
+        if (sender.isWatcher()) {
+            sender.sendToAll(NeighbourFrames.found(crash, false));
         }
     }
 
     @Override
     public void announceWatched(RequestDigest request) {
-        wire.sendToAll(NeighbourFrames.suspect(request, SuspectRequest.State.WATCHED));
+        sender.sendToAll(NeighbourFrames.suspect(request, SuspectRequest.State.WATCHED));
     }
 
     @Override
     public void announceQuarantined(Quarantine.Entry entry) {
-        wire.sendToAll(NeighbourFrames.keptOut(entry, clock.instant()));
+        sender.sendToAll(NeighbourFrames.keptOut(entry, clock.instant()));
     }
 
     @Override
@@ -75,21 +75,21 @@
 
     @Override
     public void announceRefused(Quarantine.Entry entry) {
-        wire.sendToWatchers(NeighbourFrames.keptOut(entry, clock.instant()));
+        sender.sendToWatchers(NeighbourFrames.keptOut(entry, clock.instant()));
     }
 
     @Override
     public void announceCleared(RequestDigest request, Duration sentAgo) {
-        wire.sendToAll(NeighbourFrames.cleared(request, sentAgo));
+        sender.sendToAll(NeighbourFrames.cleared(request, sentAgo));
     }
 
     @Override
     public void announceEarlierSuccess(RequestDigest request, Duration ago) {
-        wire.sendToWatchers(NeighbourFrames.succeededBefore(request, ago));
+        sender.sendToWatchers(NeighbourFrames.succeededBefore(request, ago));
     }
 
     @Override
-    public void announceSurvivedRuns(RequestDigest request, int times) {
-        wire.sendToWatchers(NeighbourFrames.borne(request, times));
+    public void announceSurvivedRuns(RequestDigest request, int runs) {
+        sender.sendToWatchers(NeighbourFrames.borne(request, runs));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PoisonRequestDetector.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PoisonRequestDetector.java
@@ -24,8 +24,8 @@
 
 /**
  * Detects poison requests, which crash the upstreams that they are sent to, and quarantines them:
- * {@code watch.cut(upstream, digest, sentAt, how)} when a run is cut off, {@code
- * watch.refused(digest)} before a request is sent. Control thread only.
+ * {@code detector.recordCutRun(upstream, digest, sentAt, how)} when a run is cut off, {@code
+ * detector.tryAdmit(digest)} before a request is sent. Control thread only.
  *
  * <p>{@link UpstreamCrashDetector} finds out which requests ran at an upstream when it crashed.
  * That is announced to the counting routers, which suspect the requests that several crashes have
@@ -38,60 +38,61 @@
      * How long a suspect may still be cleared by a success before it is quarantined. All routers
      * have to know of the quarantine three seconds after the third crash.
      */
-    private static final Duration HOLD = Duration.ofSeconds(2);
+    private static final Duration CLEARING_TIME = Duration.ofSeconds(2);
 
     /** How long the answers to a watched request are announced; a further crash restarts it. */
-    private static final Duration WATCH = Duration.ofSeconds(30);
+    private static final Duration WATCH_TIME = Duration.ofSeconds(30);
 
     /** How often a router that refuses a request announces this, in case it missed a success. */
-    private static final Duration REMIND = Duration.ofSeconds(5);
+    private static final Duration REFUSAL_ANNOUNCEMENT_INTERVAL = Duration.ofSeconds(5);
 
     /** How long after a crash the outcomes of requests are recorded. */
-    private static final Duration ALERT = Duration.ofSeconds(10);
+    private static final Duration OUTCOME_RECORDING_TIME = Duration.ofSeconds(10);
 
     /** The most requests whose outcomes are recorded. */
-    private static final int MOST_ANSWERED = 512;
+    private static final int MAX_RECORDED_OUTCOMES = 512;
 
-    /** The shortest hold, which leaves other routers time to announce recent successes. */
-    private static final Duration SHORTEST_HOLD = Duration.ofMillis(500);
+    /** The shortest clearing time, which leaves other routers time to announce recent successes. */
+    private static final Duration MIN_CLEARING_TIME = Duration.ofMillis(500);
 
     /** The most requests that are watched at a time; further ones are not recorded. */
-    private static final int MOST_WATCHED = 512;
+    private static final int MAX_WATCHED = 512;
 
     private final ControlThread control;
     private final Metrics metrics;
-    private final CrashAnnouncer news;
-    private final BooleanSupplier counts;
-    private final BooleanSupplier tries;
+    private final CrashAnnouncer announcer;
+    private final BooleanSupplier countsCrashes;
+    private final BooleanSupplier sendsTrials;
     private final CrashSettings settings = CrashSettings.defaults();
     private final SuspectRequests suspects = new SuspectRequests(settings);
     private final Quarantine quarantine = new Quarantine(settings);
-    private final WatchedRequests watched = new WatchedRequests(MOST_WATCHED, WATCH);
-    private final UpstreamCrashDetector ends;
-    private final RecentOutcomes recent = new RecentOutcomes(MOST_ANSWERED);
-    private final Map<RequestDigest, Instant> reminded = new LruMap<>(MOST_WATCHED);
-    private Instant alertUntil = Instant.MIN;
-    private final Map<RequestDigest, ControlThread.Cancellable> held = new HashMap<>();
+    private final WatchedRequests watched = new WatchedRequests(MAX_WATCHED, WATCH_TIME);
+    private final UpstreamCrashDetector crashDetector;
+    private final RecentOutcomes recentOutcomes = new RecentOutcomes(MAX_RECORDED_OUTCOMES);
+    private final Map<RequestDigest, Instant> lastRefusalAnnouncements = new LruMap<>(MAX_WATCHED);
+    private Instant recordOutcomesUntil = Instant.MIN;
+    private final Map<RequestDigest, ControlThread.Cancellable> clearingTimers = new HashMap<>();
 
     /**
-     * Creates a watch without any known crash.
+     * Creates a detector without any known crash.
      *
-     * @param counts whether this router is one of those that count crashes for the fleet
-     * @param tries whether this router is the one that sends quarantined requests as a trial
+     * @param countsCrashes whether this router is one of those that count crashes for the fleet
+     * @param sendsTrials whether this router is the one that sends quarantined requests as a trial
      */
     PoisonRequestDetector(
             ControlThread control,
-            CrashAnnouncer news,
+            CrashAnnouncer announcer,
             UpstreamCrashDetector.Prober prober,
-            BooleanSupplier counts,
-            BooleanSupplier tries,
+            BooleanSupplier countsCrashes,
+            BooleanSupplier sendsTrials,
             Metrics metrics) {
         this.control = control;
         this.metrics = metrics;
-        this.news = news;
-        this.ends = new UpstreamCrashDetector(control, prober, new EndListener(), metrics);
-        this.counts = counts;
-        this.tries = tries;
+        this.announcer = announcer;
+        this.crashDetector =
+                new UpstreamCrashDetector(control, prober, new CrashListener(), metrics);
+        this.countsCrashes = countsCrashes;
+        this.sendsTrials = sendsTrials;
     }
 
     /** Returns true if no request is quarantined, so that none need be checked before a send. */
@@ -101,27 +102,27 @@
 
     /** Returns how long the request stays quarantined; empty if it may be sent, or as a trial. */
     Optional<Duration> tryAdmit(RequestDigest request) {
-        Optional<Duration> left = quarantine.tryAdmit(request, tries.getAsBoolean(), now());
+        Optional<Duration> left = quarantine.tryAdmit(request, sendsTrials.getAsBoolean(), now());
         if (left.isPresent()) {
-            remind(request);
+            announceRefusal(request);
         }
         return left;
     }
 
     // The announcement that cleared the request may have been lost, and the request would stay
     // quarantined here for minutes.
-    private void remind(RequestDigest request) {
-        Instant last = reminded.getOrDefault(request, Instant.MIN);
-        if (now().isAfter(last.plus(REMIND))) {
-            reminded.put(request, now());
-            quarantine.find(request).ifPresent(news::announceRefused);
+    private void announceRefusal(RequestDigest request) {
+        Instant last = lastRefusalAnnouncements.getOrDefault(request, Instant.MIN);
+        if (now().isAfter(last.plus(REFUSAL_ANNOUNCEMENT_INTERVAL))) {
+            lastRefusalAnnouncements.put(request, now());
+            quarantine.find(request).ifPresent(announcer::announceRefused);
         }
     }
 
     /** Registers gauges of the watched, the undecided and the quarantined requests. */
     void registerGauges() {
         metrics.gauge("requests_watched", watched::size);
-        metrics.gauge("requests_held", held::size);
+        metrics.gauge("requests_held", clearingTimers::size);
         metrics.gauge("requests_kept_out", quarantine::size);
     }
 
@@ -137,74 +138,74 @@
 
     /** Returns true if the outcome of some request matters, so that answers must be recorded. */
     boolean needsOutcomes() {
-        return !watched.isEmpty() || !quarantine.isEmpty() || now().isBefore(alertUntil);
+        return !watched.isEmpty() || !quarantine.isEmpty() || now().isBefore(recordOutcomesUntil);
     }
 
     /** Records that the request sent at that time was answered in full with this status. */
     void recordAnswer(RequestDigest request, Instant sentAt, int status) {
         watched.removeExpired(now());
-        if (success(status)) {
-            recent.recordSuccess(request, sentAt, now());
-            succeeded(request, sentAt, status);
+        if (isSuccess(status)) {
+            recentOutcomes.recordSuccess(request, sentAt, now());
+            recordSuccess(request, sentAt, status);
         } else {
-            borne(request, Integer.toString(status));
+            recordSurvivedRun(request, Integer.toString(status));
         }
     }
 
-    private void succeeded(RequestDigest request, Instant sentAt, int status) {
+    private void recordSuccess(RequestDigest request, Instant sentAt, int status) {
         Duration ago = Duration.between(sentAt, now());
-        boolean keptOut = quarantine.contains(request);
-        if (matters(request) && clearRequest(request, ago)) {
+        boolean quarantined = quarantine.contains(request);
+        if (isTracked(request) && clearRequest(request, ago)) {
             metrics.count("requests_cleared", "status", Integer.toString(status));
             LOG.info("request {} is no longer suspect: answered with status {}", request, status);
-            news.announceCleared(request, ago);
-            if (keptOut) {
-                news.removeStored(request);
+            announcer.announceCleared(request, ago);
+            if (quarantined) {
+                announcer.removeStored(request);
             }
         }
     }
 
-    private void borne(RequestDigest request, String status) {
-        recent.recordSurvivedRun(request);
-        if (matters(request)) {
+    private void recordSurvivedRun(RequestDigest request, String status) {
+        recentOutcomes.recordSurvivedRun(request);
+        if (isTracked(request)) {
             metrics.count("requests_borne", "status", status);
             addSurvivedRuns(request, 1);
-            news.announceSurvivedRuns(request, 1);
+            announcer.announceSurvivedRuns(request, 1);
         }
     }
 
-    private boolean matters(RequestDigest request) {
+    private boolean isTracked(RequestDigest request) {
         return watched.contains(request) || quarantine.contains(request);
     }
 
     // Only a success proves that the request ran; an upstream may fail a request before running it.
-    private static boolean success(int status) {
+    private static boolean isSuccess(int status) {
         return status >= 200 && status < 300;
     }
 
     /** Records that the request sent at that time ran at the upstream without a complete answer. */
     void recordCutRun(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
-        ends.recordCutRun(upstream, request, sentAt, how);
+        crashDetector.recordCutRun(upstream, request, sentAt, how);
     }
 
     /** Records that the upstream answered a request that was sent at that time. */
     void upstreamAnswered(Upstream upstream, Instant sentAt) {
-        ends.upstreamAnswered(upstream, sentAt);
+        crashDetector.upstreamAnswered(upstream, sentAt);
     }
 
     /** Records that no connection to the upstream could be made. */
     void upstreamUnreachable(Upstream upstream) {
-        ends.upstreamUnreachable(upstream);
+        crashDetector.upstreamUnreachable(upstream);
     }
 
     /** Records that the upstream has been removed from the list. */
     void upstreamRemoved(UpstreamId upstream) {
-        ends.upstreamRemoved(upstream);
+        crashDetector.upstreamRemoved(upstream);
     }
 
     /** Records an entry of the list, which may be of a newer incarnation of the upstream. */
     void upstreamListed(UpstreamFacts facts) {
-        ends.upstreamListed(facts);
+        crashDetector.upstreamListed(facts);
     }
 
     /**
@@ -212,109 +213,117 @@
      *
      * @param passOn whether this router passes the announcement on to the others
      */
-    void crashReceived(UpstreamCrash end, boolean passOn) {
-        if (ends.crashReceived(end)) {
-            alert();
+    void crashReceived(UpstreamCrash crash, boolean passOn) {
+        if (crashDetector.crashReceived(crash)) {
+            startRecordingOutcomes();
             if (passOn) {
-                news.forwardCrash(end);
+                announcer.forwardCrash(crash);
             }
         }
     }
 
-    private void alert() {
-        alertUntil = now().plus(ALERT);
+    private void startRecordingOutcomes() {
+        recordOutcomesUntil = now().plus(OUTCOME_RECORDING_TIME);
     }
 
-    private void tell(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-        alert();
-        if (counts.getAsBoolean()) {
-            countCrash(end, ago, ran);
+    private void reportCrash(
+            UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes) {
+        startRecordingOutcomes();
+        if (countsCrashes.getAsBoolean()) {
+            countCrash(crash, ago, runTimes);
         }
-        news.announceRunsAtCrash(end, ago, ran);
+        announcer.announceRunsAtCrash(crash, ago, runTimes);
     }
 
     /** Counts a crash that a router announced to this counting router, and what ran then. */
-    void countCrash(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
+    void countCrash(UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes) {
         Instant now = now();
-        int before = known(ran, now);
-        suspects.recordCrash(end, ran, now.minus(ago), now).forEach(this::suspect);
-        notCounted("together_with_others", ran.size() - (known(ran, now) - before));
-        for (RequestDigest each : ran.keySet()) {
+        int before = countedCrashes(runTimes, now);
+        suspects.recordCrash(crash, runTimes, now.minus(ago), now).forEach(this::suspectRequest);
+        countIgnoredRuns(
+                "together_with_others", runTimes.size() - (countedCrashes(runTimes, now) - before));
+        for (RequestDigest each : runTimes.keySet()) {
             boolean nearly = suspects.countedCrashes(each, now) >= settings.crashThreshold() - 1;
             if (nearly && !watched.contains(each)) {
-                watch(each);
+                watchRequest(each);
             }
         }
     }
 
-    private int known(Map<RequestDigest, Duration> ran, Instant now) {
-        return ran.keySet().stream().mapToInt(each -> suspects.countedCrashes(each, now)).sum();
+    private int countedCrashes(Map<RequestDigest, Duration> runTimes, Instant now) {
+        return runTimes.keySet().stream()
+                .mapToInt(each -> suspects.countedCrashes(each, now))
+                .sum();
     }
 
-    private void notCounted(String why, int runs) {
+    private void countIgnoredRuns(String why, int runs) {
         if (runs > 0) {
             metrics.count("ends_not_counted", "why", why, runs);
         }
     }
 
-    private void watch(RequestDigest request) {
-        news.announceWatched(request);
+    private void watchRequest(RequestDigest request) {
+        announcer.announceWatched(request);
         startWatching(request);
     }
 
     // A request that is repeated may run at several upstreams that crash for one unrelated reason.
-    // Then it runs at others too, and one of them answers it within the hold.
-    private void suspect(RequestDigest request) {
+    // Then it runs at others too, and one of them answers it within the clearing time.
+    private void suspectRequest(RequestDigest request) {
         if (quarantine.contains(request)) {
-            keepOut(request);
-        } else if (!held.containsKey(request)) {
-            watch(request);
-            held.put(request, control.after(hold(request), () -> decide(request)));
+            quarantineRequest(request);
+        } else if (!clearingTimers.containsKey(request)) {
+            watchRequest(request);
+            clearingTimers.put(
+                    request,
+                    control.after(clearingTime(request), () -> decideAfterClearingTime(request)));
         }
     }
 
     // If the crashes first looked like the failure of a rack, the request has already gone without
-    // a success for part of the hold.
-    private Duration hold(RequestDigest request) {
+    // a success for part of the clearing time.
+    private Duration clearingTime(RequestDigest request) {
         Instant now = now();
         Duration left =
                 suspects.thresholdReachedAt(request)
-                        .map(at -> Duration.between(now, at.plus(HOLD)))
-                        .orElse(HOLD);
-        return left.compareTo(SHORTEST_HOLD) > 0 ? left : SHORTEST_HOLD;
+                        .map(at -> Duration.between(now, at.plus(CLEARING_TIME)))
+                        .orElse(CLEARING_TIME);
+        return left.compareTo(MIN_CLEARING_TIME) > 0 ? left : MIN_CLEARING_TIME;
     }
 
-    private void decide(RequestDigest request) {
-        held.remove(request);
+    private void decideAfterClearingTime(RequestDigest request) {
+        clearingTimers.remove(request);
         if (suspects.isPoisonRequest(request, now())) {
-            keepOut(request);
+            quarantineRequest(request);
         }
     }
 
-    private void keepOut(RequestDigest request) {
-        quarantine.add(request, suspects.lastCrashAt(request), now()).ifPresent(this::keepOut);
+    private void quarantineRequest(RequestDigest request) {
+        quarantine
+                .add(request, suspects.lastCrashAt(request), now())
+                .ifPresent(this::quarantineRequest);
     }
 
-    private void keepOut(Quarantine.Entry entry) {
+    private void quarantineRequest(Quarantine.Entry entry) {
         LOG.warn(
                 "request {} is quarantined from all upstreams: it crashed {} of them",
                 entry.request(),
                 suspects.countedCrashes(entry.request(), now()));
-        news.announceQuarantined(entry);
+        announcer.announceQuarantined(entry);
     }
 
     /** Merges a quarantine entry that another router announced. */
     void quarantineReceived(Quarantine.Entry entry) {
         Optional<Instant> success = successAfter(entry);
         if (success.isEmpty()) {
-            take(entry);
-        } else if (counts.getAsBoolean()) {
-            news.announceCleared(entry.request(), Duration.between(success.get(), now()));
-            news.removeStored(entry.request());
+            mergeAnnounced(entry);
+        } else if (countsCrashes.getAsBoolean()) {
+            announcer.announceCleared(entry.request(), Duration.between(success.get(), now()));
+            announcer.removeStored(entry.request());
         }
     }
 
-    private void take(Quarantine.Entry entry) {
+    private void mergeAnnounced(Quarantine.Entry entry) {
         if (quarantine.merge(entry)) {
             LOG.warn("request {} is quarantined, as another router reports", entry.request());
         }
@@ -326,7 +335,8 @@
         if (quarantine.contains(entry.request())) {
             return Optional.empty();
         }
-        return recent.outcomeOf(entry.request())
+        return recentOutcomes
+                .outcomeOf(entry.request())
                 .lastSuccess()
                 .map(RecentOutcomes.Success::sentAt)
                 .filter(sentAt -> sentAt.isAfter(entry.lastCrashAt()));
@@ -337,32 +347,32 @@
         Instant until = now().plus(settings.firstQuarantine());
         Quarantine.Entry entry = new Quarantine.Entry(request, until, trials, Instant.EPOCH);
         if (!quarantine.contains(request) && successAfter(entry).isEmpty()) {
-            take(entry);
+            mergeAnnounced(entry);
         }
     }
 
     /** Watches a request that another router announced as one crash short of quarantine. */
     void startWatching(RequestDigest request) {
         if (watched.add(request, now())) {
-            tellRecent(request);
+            announceRecentOutcome(request);
         }
     }
 
-    private void tellRecent(RequestDigest request) {
-        RecentOutcomes.Outcome answers = recent.outcomeOf(request);
+    private void announceRecentOutcome(RequestDigest request) {
+        RecentOutcomes.Outcome answers = recentOutcomes.outcomeOf(request);
         Instant now = now();
         answers.lastSuccess()
                 .map(success -> Duration.between(success.answeredAt(), now))
-                .ifPresent(ago -> tellSucceededBefore(request, ago));
+                .ifPresent(ago -> announceEarlierSuccess(request, ago));
         if (answers.survivedRuns() > 0) {
             addSurvivedRuns(request, answers.survivedRuns());
-            news.announceSurvivedRuns(request, answers.survivedRuns());
+            announcer.announceSurvivedRuns(request, answers.survivedRuns());
         }
     }
 
-    private void tellSucceededBefore(RequestDigest request, Duration ago) {
+    private void announceEarlierSuccess(RequestDigest request, Duration ago) {
         recordEarlierSuccess(request, ago);
-        news.announceEarlierSuccess(request, ago);
+        announcer.announceEarlierSuccess(request, ago);
     }
 
     /**
@@ -375,7 +385,7 @@
             return false;
         }
         watched.remove(request);
-        recent.recordSuccess(request, now().minus(sentAgo), now());
+        recentOutcomes.recordSuccess(request, now().minus(sentAgo), now());
         recordEarlierSuccess(request, Duration.ZERO);
         return true;
     }
@@ -384,7 +394,8 @@
     void recordEarlierSuccess(RequestDigest request, Duration ago) {
         suspects.recordSuccess(request, now().minus(ago));
         if (!suspects.isPoisonRequest(request, now())) {
-            Optional.ofNullable(held.remove(request)).ifPresent(ControlThread.Cancellable::cancel);
+            Optional.ofNullable(clearingTimers.remove(request))
+                    .ifPresent(ControlThread.Cancellable::cancel);
         }
     }
 
@@ -395,7 +406,7 @@
 
     /** Announces all quarantined requests, for routers that have just joined. */
     void announceQuarantine() {
-        quarantine.entries().forEach(news::announceQuarantined);
+        quarantine.entries().forEach(announcer::announceQuarantined);
     }
 
     private Instant now() {
@@ -403,21 +414,22 @@
     }
 
     /** Announces the crashes and survived runs that this router detects. */
-    private final class EndListener implements UpstreamCrashDetector.Listener {
+    private final class CrashListener implements UpstreamCrashDetector.Listener {
         @Override
-        public void runsCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-            tell(end, ago, ran);
+        public void runsCrashed(
+                UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes) {
+            reportCrash(crash, ago, runTimes);
         }
 
         @Override
-        public void crashDetected(UpstreamCrash end) {
-            alert();
-            news.announceCrash(end);
+        public void crashDetected(UpstreamCrash crash) {
+            startRecordingOutcomes();
+            announcer.announceCrash(crash);
         }
 
         @Override
         public void runSurvived(RequestDigest request) {
-            borne(request, "none");
+            recordSurvivedRun(request, "none");
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/QuarantineStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/QuarantineStore.java
@@ -16,10 +16,10 @@
  * once, and would let the same request crash upstreams again. Control thread only.
  */
 final class QuarantineStore {
-    private static final Duration RETRY = Duration.ofSeconds(1);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     /** The longest lease that the store grants. */
-    private static final Duration LONGEST = Duration.ofMinutes(10);
+    private static final Duration MAX_LEASE = Duration.ofMinutes(10);
 
     private final ControlThread control;
     private final KeyValueStore store;
@@ -35,10 +35,10 @@
     /** Writes the entry unless another router has; retried while the store is unavailable. */
     void write(Quarantine.Entry entry) {
         Duration left = Duration.between(now(), entry.until());
-        if (left.compareTo(RETRY) <= 0) {
+        if (left.compareTo(RETRY_DELAY) <= 0) {
             return;
         }
-        Duration term = left.compareTo(LONGEST) < 0 ? left : LONGEST;
+        Duration term = left.compareTo(MAX_LEASE) < 0 ? left : MAX_LEASE;
         store.grantLease(term)
                 .thenCompose(
                         lease -> {
@@ -53,7 +53,7 @@
                 .whenComplete(
                         (done, failure) -> {
                             if (failure != null) {
-                                control.run(() -> control.after(RETRY, () -> write(entry)));
+                                control.run(() -> control.after(RETRY_DELAY, () -> write(entry)));
                             }
                         });
     }
@@ -64,7 +64,8 @@
                 .whenComplete(
                         (done, failure) -> {
                             if (failure != null) {
-                                control.run(() -> control.after(RETRY, () -> remove(request)));
+                                control.run(
+                                        () -> control.after(RETRY_DELAY, () -> remove(request)));
                             }
                         });
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/SlidingMaximum.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/SlidingMaximum.java
@@ -16,7 +16,7 @@
     private final IntSupplier number;
     private final InstantSource clock;
     private final Duration window;
-    private int most;
+    private int maximum;
     private Instant until = Instant.MIN;
 
     SlidingMaximum(IntSupplier number, InstantSource clock, Duration window) {
@@ -29,10 +29,10 @@
     int value() {
         int now = number.getAsInt();
         Instant at = clock.instant();
-        if (now >= most || !at.isBefore(until)) {
-            most = now;
+        if (now >= maximum || !at.isBefore(until)) {
+            maximum = now;
             until = at.plus(window);
         }
-        return most;
+        return maximum;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StoringCrashAnnouncer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StoringCrashAnnouncer.java
@@ -18,18 +18,18 @@
 
     @Override
     public void announceRunsAtCrash(
-            UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-        routers.announceRunsAtCrash(end, ago, ran);
+            UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes) {
+        routers.announceRunsAtCrash(crash, ago, runTimes);
     }
 
     @Override
-    public void announceCrash(UpstreamCrash end) {
-        routers.announceCrash(end);
+    public void announceCrash(UpstreamCrash crash) {
+        routers.announceCrash(crash);
     }
 
     @Override
-    public void forwardCrash(UpstreamCrash end) {
-        routers.forwardCrash(end);
+    public void forwardCrash(UpstreamCrash crash) {
+        routers.forwardCrash(crash);
     }
 
     @Override
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void announceSurvivedRuns(RequestDigest request, int times) {
-        routers.announceSurvivedRuns(request, times);
+    public void announceSurvivedRuns(RequestDigest request, int runs) {
+        routers.announceSurvivedRuns(request, runs);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamClient.java
@@ -22,15 +22,15 @@
     private static final Logger LOG = LogManager.getLogger(UpstreamClient.class);
 
     /** The timeout of a report, which upstreams answer within a few milliseconds. */
-    private static final Duration LIMIT = Duration.ofMillis(400);
+    private static final Duration REPORT_TIMEOUT = Duration.ofMillis(400);
 
     /**
      * The timeout of an order. Upstreams answer as fast as for reports, or never, and then waiting
      * only delays the model. An order that is given up too early is sent again, and accepted once.
      */
-    private static final Duration ORDER_LIMIT = Duration.ofMillis(150);
+    private static final Duration ORDER_TIMEOUT = Duration.ofMillis(150);
 
-    private static final Duration KEPT = Duration.ofSeconds(2);
+    private static final Duration MAX_IDLE = Duration.ofSeconds(2);
     private static final int OK = 200;
 
     private final HttpClient client;
@@ -53,7 +53,7 @@
                 dialect.orderPath(),
                 headers,
                 dialect.order(order),
-                ORDER_LIMIT,
+                ORDER_TIMEOUT,
                 answer ->
                         then.accept(
                                 answer.failure()
@@ -69,7 +69,7 @@
                 dialect.reportPath(),
                 dialect.callHeaders(from.id()),
                 new byte[0],
-                LIMIT,
+                REPORT_TIMEOUT,
                 answer -> then.accept(read(from, answer)));
     }
 
@@ -91,14 +91,14 @@
             String path,
             HttpHeaders headers,
             byte[] body,
-            Duration limit,
+            Duration timeout,
             Consumer<WholeAnswer> then) {
         ClientRequest request =
                 new ClientRequest(
-                        method, path, headers, Unpooled.wrappedBuffer(body), any -> true, KEPT);
+                        method, path, headers, Unpooled.wrappedBuffer(body), any -> true, MAX_IDLE);
         WholeAnswer.Reader reader = new WholeAnswer.Reader(then);
         var call = client.send(to.endpoint(), request, reader);
-        control.after(limit, () -> reader.expire(call));
+        control.after(timeout, () -> reader.expire(call));
     }
 
     private static OrderOutcome outcome(Failure failure) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCrashDetector.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCrashDetector.java
@@ -22,8 +22,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Detects crashes of upstreams and reports the requests that ran there: {@code ends.cut(upstream,
- * request, sentAt, how)}. Control thread only.
+ * Detects crashes of upstreams and reports the requests that ran there: {@code
+ * detector.recordCutRun(upstream, request, sentAt, how)}. Control thread only.
  *
  * <p>An upstream that crashes on a request need not break its connection: the caller may have left
  * a moment before, the request may have timed out, the connection may have been silent. So a router
@@ -35,52 +35,52 @@
     private static final Logger LOG = LogManager.getLogger(UpstreamCrashDetector.class);
 
     /** Connections that break together cause one probe; the address refuses by then. */
-    private static final Duration GATHER = Duration.ofMillis(30);
+    private static final Duration FIRST_PROBE_DELAY = Duration.ofMillis(30);
 
     /**
      * The delays of further probes after one that shows no crash: news of it may still be on its
      * way from another zone, or the upstream's successor may be up already.
      */
-    private static final List<Duration> AGAIN =
+    private static final List<Duration> REPEATED_PROBE_DELAYS =
             List.of(Duration.ofMillis(220), Duration.ofMillis(450));
 
     /**
      * An upstream whose connection was closed has dropped the request by then, or crashes on it.
      */
-    private static final Duration AFTER_CLOSING = Duration.ofMillis(600);
+    private static final Duration PROBE_DELAY_AFTER_CLOSING = Duration.ofMillis(600);
 
     /** How long cut runs are recorded; the list drops a crashed upstream after some heartbeats. */
-    private static final Duration REMEMBERED = Duration.ofSeconds(10);
+    private static final Duration RUN_RETENTION = Duration.ofSeconds(10);
 
     /** A run that was canceled this long before a crash did not cause it. */
-    private static final Duration CALLED_OFF_BEFORE = Duration.ofSeconds(1);
+    private static final Duration MAX_CANCELED_BEFORE_CRASH = Duration.ofSeconds(1);
 
     /** A crashed upstream is not back sooner than this. */
-    private static final Duration NOT_BACK_BEFORE = Duration.ofSeconds(2);
+    private static final Duration MIN_RESTART_TIME = Duration.ofSeconds(2);
 
     /** The most crashes recorded, for runs that are cut off later because they were silent. */
-    private static final int MOST_ENDS = 256;
+    private static final int MAX_KNOWN_CRASHES = 256;
 
     /** The most runs recorded per upstream: those in progress and a few that were canceled. */
-    private static final int MOST_RUNS = 512;
+    private static final int MAX_RUNS = 512;
 
     private final ControlThread control;
     private final Metrics metrics;
     private final Prober prober;
     private final Listener listener;
-    private final Map<UpstreamCrash, Life> lives = new HashMap<>();
-    private final Map<UpstreamCrash, Instant> known = new LruMap<>(MOST_ENDS);
-    private final Set<UpstreamCrash> looks = new HashSet<>();
-    private final Set<UpstreamCrash> laterLooks = new HashSet<>();
+    private final Map<UpstreamCrash, Incarnation> incarnations = new HashMap<>();
+    private final Map<UpstreamCrash, Instant> knownCrashes = new LruMap<>(MAX_KNOWN_CRASHES);
+    private final Set<UpstreamCrash> scheduledProbes = new HashSet<>();
+    private final Set<UpstreamCrash> delayedProbes = new HashSet<>();
 
     /** The result of a probe of an upstream. */
     enum ProbeResult {
         /** The upstream has crashed: its address refuses connections. */
-        ENDED,
+        CRASHED,
         /** The upstream is up: it accepts connections, or has kept some open. */
         ALIVE,
         /** The probe has no result either way. */
-        NONE
+        UNKNOWN
     }
 
     /** Probes whether an upstream has crashed. */
@@ -96,36 +96,36 @@
     /** Receives the crashes of upstreams and the requests that ran there. */
     interface Listener {
         /** Reports how long each request had run at the upstream when it crashed, so long ago. */
-        void runsCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran);
+        void runsCrashed(UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes);
 
         /** Reports that this router detected the crash, of which others may not know. */
-        void crashDetected(UpstreamCrash end);
+        void crashDetected(UpstreamCrash crash);
 
         /** Reports that the upstream has answered since, so that it survived the canceled run. */
         void runSurvived(RequestDigest request);
     }
 
     /** A run of a request without a complete answer. */
-    private record Run(Instant sentAt, Instant cutAt) {
-        Duration ranUntil(Instant end) {
-            return sentAt.isBefore(end) ? Duration.between(sentAt, end) : Duration.ZERO;
+    private record CutRun(Instant sentAt, Instant cutAt) {
+        Duration ranUntil(Instant crashedAt) {
+            return sentAt.isBefore(crashedAt) ? Duration.between(sentAt, crashedAt) : Duration.ZERO;
         }
 
-        boolean calledOffBefore(Instant end) {
-            return cutAt.plus(CALLED_OFF_BEFORE).isBefore(end);
+        boolean wasCanceledBefore(Instant crashedAt) {
+            return cutAt.plus(MAX_CANCELED_BEFORE_CRASH).isBefore(crashedAt);
         }
     }
 
     /** One incarnation of an upstream, with its runs without a complete answer. */
-    private static final class Life {
-        private final UpstreamCrash end;
-        private final Map<RequestDigest, Run> runs = new TreeMap<>();
-        private Instant lastCut;
-        private Instant lastBreak;
-        private boolean telling;
-
-        Life(UpstreamCrash end) {
-            this.end = end;
+    private static final class Incarnation {
+        private final UpstreamCrash crash;
+        private final Map<RequestDigest, CutRun> runs = new TreeMap<>();
+        private Instant lastCutAt;
+        private Instant lastBreakAt;
+        private boolean reportScheduled;
+
+        Incarnation(UpstreamCrash crash) {
+            this.crash = crash;
         }
     }
 
@@ -140,111 +140,118 @@
     /** Records that the request sent at that time ran at the upstream without a complete answer. */
     void recordCutRun(Upstream upstream, RequestDigest request, Instant sentAt, Cut how) {
         metrics.count("runs_cut", "how", how.label());
-        Life life = lives.computeIfAbsent(lifeOf(upstream.facts()), this::begin);
-        life.lastCut = now();
+        Incarnation incarnation =
+                incarnations.computeIfAbsent(crashOf(upstream.facts()), this::createIncarnation);
+        incarnation.lastCutAt = now();
         if (how == Cut.BROKE) {
-            life.lastBreak = life.lastCut;
+            incarnation.lastBreakAt = incarnation.lastCutAt;
         }
-        if (life.runs.size() < MOST_RUNS) {
-            life.runs.put(request, new Run(sentAt, life.lastCut));
+        if (incarnation.runs.size() < MAX_RUNS) {
+            incarnation.runs.put(request, new CutRun(sentAt, incarnation.lastCutAt));
         }
-        if (known.containsKey(life.end)) {
-            tellSoon(life);
+        if (knownCrashes.containsKey(incarnation.crash)) {
+            reportSoon(incarnation);
         } else if (how == Cut.BROKE) {
-            lookSoon(upstream, life.end);
+            probeSoon(upstream, incarnation.crash);
         } else {
-            lookLater(upstream, life.end);
+            probeLater(upstream, incarnation.crash);
         }
     }
 
-    private static UpstreamCrash lifeOf(UpstreamFacts facts) {
+    private static UpstreamCrash crashOf(UpstreamFacts facts) {
         return new UpstreamCrash(facts.id(), facts.held().startedAt());
     }
 
-    private Life begin(UpstreamCrash end) {
-        Life life = new Life(end);
-        control.after(REMEMBERED, () -> forget(life));
-        return life;
+    private Incarnation createIncarnation(UpstreamCrash crash) {
+        Incarnation incarnation = new Incarnation(crash);
+        control.after(RUN_RETENTION, () -> removeExpired(incarnation));
+        return incarnation;
     }
 
-    private void forget(Life life) {
-        Instant until = life.lastCut.plus(REMEMBERED);
+    private void removeExpired(Incarnation incarnation) {
+        Instant until = incarnation.lastCutAt.plus(RUN_RETENTION);
         if (now().isBefore(until)) {
-            control.after(Duration.between(now(), until), () -> forget(life));
+            control.after(Duration.between(now(), until), () -> removeExpired(incarnation));
         } else {
-            lives.remove(life.end);
+            incarnations.remove(incarnation.crash);
         }
     }
 
-    private void lookSoon(Upstream upstream, UpstreamCrash end) {
-        if (looks.add(end)) {
-            control.after(GATHER, () -> look(upstream, end, 0));
+    private void probeSoon(Upstream upstream, UpstreamCrash crash) {
+        if (scheduledProbes.add(crash)) {
+            control.after(FIRST_PROBE_DELAY, () -> probe(upstream, crash, 0));
         }
     }
 
-    private void lookLater(Upstream upstream, UpstreamCrash end) {
-        if (laterLooks.add(end)) {
-            control.after(AFTER_CLOSING, () -> lookNow(upstream, end));
+    private void probeLater(Upstream upstream, UpstreamCrash crash) {
+        if (delayedProbes.add(crash)) {
+            control.after(PROBE_DELAY_AFTER_CLOSING, () -> probeNow(upstream, crash));
         }
     }
 
-    private void lookNow(Upstream upstream, UpstreamCrash end) {
-        laterLooks.remove(end);
-        if (looks.add(end)) {
-            look(upstream, end, 0);
+    private void probeNow(Upstream upstream, UpstreamCrash crash) {
+        delayedProbes.remove(crash);
+        if (scheduledProbes.add(crash)) {
+            probe(upstream, crash, 0);
         }
     }
 
-    private void look(Upstream upstream, UpstreamCrash end, int before) {
-        if (known.containsKey(end)) {
-            looks.remove(end);
+    private void probe(Upstream upstream, UpstreamCrash crash, int earlierProbes) {
+        if (knownCrashes.containsKey(crash)) {
+            scheduledProbes.remove(crash);
             return;
         }
-        prober.probe(upstream, before == 0, sign -> looked(upstream, end, sign, before));
+        prober.probe(
+                upstream,
+                earlierProbes == 0,
+                result -> probed(upstream, crash, result, earlierProbes));
     }
 
-    private void looked(Upstream upstream, UpstreamCrash end, ProbeResult sign, int before) {
-        if (sign == ProbeResult.ENDED) {
-            looks.remove(end);
-            if (ended(end, "refuses connections")) {
-                listener.crashDetected(end);
+    private void probed(
+            Upstream upstream, UpstreamCrash crash, ProbeResult result, int earlierProbes) {
+        if (result == ProbeResult.CRASHED) {
+            scheduledProbes.remove(crash);
+            if (recordCrash(crash, "refuses connections")) {
+                listener.crashDetected(crash);
             }
-        } else if (before < AGAIN.size() && brokeOf(end)) {
-            control.after(AGAIN.get(before), () -> look(upstream, end, before + 1));
+        } else if (earlierProbes < REPEATED_PROBE_DELAYS.size() && hasBrokenConnection(crash)) {
+            control.after(
+                    REPEATED_PROBE_DELAYS.get(earlierProbes),
+                    () -> probe(upstream, crash, earlierProbes + 1));
         } else {
-            looks.remove(end);
+            scheduledProbes.remove(crash);
         }
     }
 
-    private boolean brokeOf(UpstreamCrash end) {
-        Life life = lives.get(end);
-        return life != null && life.lastBreak != null;
+    private boolean hasBrokenConnection(UpstreamCrash crash) {
+        Incarnation incarnation = incarnations.get(crash);
+        return incarnation != null && incarnation.lastBreakAt != null;
     }
 
     /** Records that the upstream answered a request that was sent at that time. */
     void upstreamAnswered(Upstream upstream, Instant sentAt) {
-        if (lives.isEmpty() && known.isEmpty()) {
+        if (incarnations.isEmpty() && knownCrashes.isEmpty()) {
             return;
         }
-        UpstreamCrash end = lifeOf(upstream.facts());
-        Life life = lives.get(end);
-        if (life != null) {
-            survived(life, sentAt);
+        UpstreamCrash crash = crashOf(upstream.facts());
+        Incarnation incarnation = incarnations.get(crash);
+        if (incarnation != null) {
+            reportSurvivedRuns(incarnation, sentAt);
         }
         // An upstream with all its connections in use refuses further ones, but has not crashed.
-        Instant endedAt = known.get(end);
+        Instant endedAt = knownCrashes.get(crash);
         if (endedAt != null && sentAt.isAfter(endedAt)) {
-            known.remove(end);
+            knownCrashes.remove(crash);
         }
     }
 
-    private void survived(Life life, Instant sentAt) {
-        Iterator<Map.Entry<RequestDigest, Run>> each = life.runs.entrySet().iterator();
+    private void reportSurvivedRuns(Incarnation incarnation, Instant sentAt) {
+        Iterator<Map.Entry<RequestDigest, CutRun>> each = incarnation.runs.entrySet().iterator();
         while (each.hasNext()) {
-            Map.Entry<RequestDigest, Run> entry = each.next();
-            Run run = entry.getValue();
-            boolean sameLife = sentAt.isBefore(run.cutAt.plus(NOT_BACK_BEFORE));
-            if (run.calledOffBefore(sentAt) && sameLife) {
+            Map.Entry<RequestDigest, CutRun> entry = each.next();
+            CutRun run = entry.getValue();
+            boolean sameIncarnation = sentAt.isBefore(run.cutAt.plus(MIN_RESTART_TIME));
+            if (run.wasCanceledBefore(sentAt) && sameIncarnation) {
                 each.remove();
                 listener.runSurvived(entry.getKey());
             }
@@ -253,76 +260,78 @@
 
     /** Records that no connection to the upstream could be made, and probes it soon. */
     void upstreamUnreachable(Upstream upstream) {
-        UpstreamCrash end = lifeOf(upstream.facts());
-        if (!known.containsKey(end)) {
-            lookSoon(upstream, end);
+        UpstreamCrash crash = crashOf(upstream.facts());
+        if (!knownCrashes.containsKey(crash)) {
+            probeSoon(upstream, crash);
         }
     }
 
     /** Records a crash that another router detected; true if it was not known here. */
-    boolean crashReceived(UpstreamCrash end) {
-        return ended(end, "is gone for another router");
+    boolean crashReceived(UpstreamCrash crash) {
+        return recordCrash(crash, "is gone for another router");
     }
 
     /** Records that the upstream was removed from the list, as a crash of its incarnations. */
     void upstreamRemoved(UpstreamId upstream) {
-        livesOf(upstream).forEach(life -> ended(life.end, "is off the list"));
+        incarnationsOf(upstream)
+                .forEach(incarnation -> recordCrash(incarnation.crash, "is off the list"));
     }
 
     /** Records an entry of the list; an entry of a new incarnation shows a crash of the old one. */
     void upstreamListed(UpstreamFacts facts) {
-        UpstreamCrash now = lifeOf(facts);
-        livesOf(facts.id()).stream()
-                .filter(life -> !life.end.equals(now))
-                .forEach(life -> ended(life.end, "has started again"));
+        UpstreamCrash now = crashOf(facts);
+        incarnationsOf(facts.id()).stream()
+                .filter(incarnation -> !incarnation.crash.equals(now))
+                .forEach(incarnation -> recordCrash(incarnation.crash, "has started again"));
     }
 
-    private List<Life> livesOf(UpstreamId upstream) {
-        return lives.values().stream()
-                .filter(life -> life.end.upstream().equals(upstream))
+    private List<Incarnation> incarnationsOf(UpstreamId upstream) {
+        return incarnations.values().stream()
+                .filter(incarnation -> incarnation.crash.upstream().equals(upstream))
                 .toList();
     }
 
-    private boolean ended(UpstreamCrash end, String how) {
-        if (known.putIfAbsent(end, now()) != null) {
+    private boolean recordCrash(UpstreamCrash crash, String how) {
+        if (knownCrashes.putIfAbsent(crash, now()) != null) {
             return false;
         }
         metrics.count("upstream_ends", "known_by", how.replace(' ', '_'));
-        Life life = lives.get(end);
-        int runs = life == null ? 0 : life.runs.size();
+        Incarnation incarnation = incarnations.get(crash);
+        int runs = incarnation == null ? 0 : incarnation.runs.size();
         LOG.info(
                 "upstream {} has crashed with {} requests of this router running: it {}",
-                end.upstream(),
+                crash.upstream(),
                 runs,
                 how);
-        if (life != null) {
-            tellSoon(life);
+        if (incarnation != null) {
+            reportSoon(incarnation);
         }
         return true;
     }
 
-    private void tellSoon(Life life) {
-        if (!life.telling) {
-            life.telling = true;
-            control.run(() -> tell(life));
+    private void reportSoon(Incarnation incarnation) {
+        if (!incarnation.reportScheduled) {
+            incarnation.reportScheduled = true;
+            control.run(() -> report(incarnation));
         }
     }
 
-    private void tell(Life life) {
-        life.telling = false;
-        Instant end = life.lastBreak == null ? life.lastCut : life.lastBreak;
-        Map<RequestDigest, Duration> ran = new TreeMap<>();
-        life.runs.forEach(
+    private void report(Incarnation incarnation) {
+        incarnation.reportScheduled = false;
+        Instant crashedAt =
+                incarnation.lastBreakAt == null ? incarnation.lastCutAt : incarnation.lastBreakAt;
+        Map<RequestDigest, Duration> runTimes = new TreeMap<>();
+        incarnation.runs.forEach(
                 (request, run) -> {
-                    if (run.calledOffBefore(end)) {
+                    if (run.wasCanceledBefore(crashedAt)) {
                         metrics.count("ends_not_counted", "why", "called_off_before");
                     } else {
-                        ran.put(request, run.ranUntil(end));
+                        runTimes.put(request, run.ranUntil(crashedAt));
                     }
                 });
-        life.runs.clear();
-        if (!ran.isEmpty()) {
-            listener.runsCrashed(life.end, Duration.between(end, now()), ran);
+        incarnation.runs.clear();
+        if (!runTimes.isEmpty()) {
+            listener.runsCrashed(incarnation.crash, Duration.between(crashedAt, now()), runTimes);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
@@ -36,21 +36,21 @@
     private static final Duration RETURN_TIME = Duration.ofMillis(2_100);
 
     /** The timeout of a question to the store whether an entry is back; it is then asked again. */
-    private static final Duration KNOWN_LIMIT = Duration.ofMillis(500);
+    private static final Duration RECENT_READ_TIMEOUT = Duration.ofMillis(500);
 
     /** An age of the list that is never reached while the store answers. */
-    private static final Duration OUT_OF_TOUCH = Duration.ofSeconds(2);
+    private static final Duration MAX_LIST_AGE = Duration.ofSeconds(2);
 
     /** Entries expire after three missed heartbeats; a shorter outage removes none. */
-    private static final Duration SHORTEST_OUTAGE = Duration.ofSeconds(2);
+    private static final Duration MIN_OUTAGE = Duration.ofSeconds(2);
 
     private final ControlThread control;
     private final Dialect dialect;
     private final UpstreamTable table;
     private final Follower follower;
-    private final Map<UpstreamId, Long> awaited = new HashMap<>();
-    private boolean unanswered;
-    private long heardUpTo;
+    private final Map<UpstreamId, Long> awaitedReturns = new HashMap<>();
+    private boolean storeUnanswered;
+    private long readUpTo;
     private Listener listener;
 
     /** Is notified of changes of the list, after the table has them. */
@@ -95,8 +95,8 @@
      * back.
      */
     boolean needsDepartures(long theirs) {
-        boolean old = follower.age().filter(age -> age.compareTo(OUT_OF_TOUCH) > 0).isPresent();
-        return (old || unanswered) && theirs > departuresReadUpTo();
+        boolean old = follower.age().filter(age -> age.compareTo(MAX_LIST_AGE) > 0).isPresent();
+        return (old || storeUnanswered) && theirs > departuresReadUpTo();
     }
 
     /**
@@ -106,27 +106,30 @@
      */
     long departuresReadUpTo() {
         long awaitedFrom =
-                awaited.values().stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
-        return Math.min(heardUpTo, awaitedFrom - 1);
+                awaitedReturns.values().stream()
+                        .mapToLong(Long::longValue)
+                        .min()
+                        .orElse(Long.MAX_VALUE);
+        return Math.min(readUpTo, awaitedFrom - 1);
     }
 
     /** Applies departures that another router announced. */
     void applyDepartures(List<UpstreamDeparture> departures) {
         for (UpstreamDeparture each : departures) {
             if (each.removed()) {
-                awaited.computeIfPresent(
+                awaitedReturns.computeIfPresent(
                         each.upstream(), (id, at) -> at > each.revision() ? at : null);
                 removeNow(each.upstream(), each.revision());
             } else {
                 table.find(each.upstream())
                         .map(known -> known.facts().drainingSince(each.revision()))
                         .filter(facts -> table.put(facts, control.clock().instant()))
-                        .ifPresent(this::leaves);
+                        .ifPresent(this::notifyDraining);
             }
         }
     }
 
-    private void leaves(UpstreamFacts facts) {
+    private void notifyDraining(UpstreamFacts facts) {
         LOG.info("upstream {} drains, as another router announced", facts.id());
         listener.upstreamListed(facts);
     }
@@ -142,8 +145,8 @@
 
     @Override
     public void all(List<Entry> entries, long revision, Duration silence) {
-        boolean first = heardUpTo == 0;
-        heardUpTo = revision;
+        boolean first = readUpTo == 0;
+        readUpTo = revision;
         boolean afterOutage = afterOutage(silence);
         Set<UpstreamId> listed = new HashSet<>();
         for (Entry entry : entries) {
@@ -163,7 +166,7 @@
 
     @Override
     public void changed(List<Change> changes, long revision, Duration silence) {
-        heardUpTo = revision;
+        readUpTo = revision;
         boolean afterOutage = afterOutage(silence);
         for (Change change : changes) {
             if (change.entry().isPresent()) {
@@ -177,7 +180,7 @@
     // Entries that expired in an outage are missing from the first answer after it. Later removals
     // are real departures.
     private static boolean afterOutage(Duration silence) {
-        return silence.compareTo(SHORTEST_OUTAGE) > 0;
+        return silence.compareTo(MIN_OUTAGE) > 0;
     }
 
     private void put(Entry entry) {
@@ -187,13 +190,13 @@
             LOG.warn("the entry {} describes no upstream and is ignored", entry.key());
             return;
         }
-        awaited.remove(facts.get().id());
+        awaitedReturns.remove(facts.get().id());
         Optional<UpstreamFacts> before = table.find(facts.get().id()).map(known -> known.facts());
         if (!table.put(facts.get(), control.clock().instant())) {
             return;
         }
-        boolean news = before.isEmpty() || before.get().draining() != facts.get().draining();
-        if (news) {
+        boolean changed = before.isEmpty() || before.get().draining() != facts.get().draining();
+        if (changed) {
             LOG.info(
                     "upstream {} at {} service={} draining={} holds={}",
                     facts.get().id(),
@@ -207,15 +210,15 @@
 
     private void remove(UpstreamId id, long revision, boolean afterOutage) {
         if (afterOutage) {
-            await(id, revision);
-        } else if (!awaited.containsKey(id)) {
+            awaitReturn(id, revision);
+        } else if (!awaitedReturns.containsKey(id)) {
             removeNow(id, revision);
         }
     }
 
     // A second outage restarts the wait.
-    private void await(UpstreamId id, long revision) {
-        awaited.put(id, revision);
+    private void awaitReturn(UpstreamId id, long revision) {
+        awaitedReturns.put(id, revision);
         LOG.info(
                 "upstream {} was removed at revision {} after an outage, and is kept for {} ms: it"
                         + " may return",
@@ -229,16 +232,16 @@
     // upstream would get no requests until then; with the store out again, nobody knows. The list
     // is read in full, since changes arrive late around the time the store compacts its history.
     private void removeUnlessBack(UpstreamId id, long revision) {
-        if (!awaited.getOrDefault(id, 0L).equals(revision)) {
+        if (!awaitedReturns.getOrDefault(id, 0L).equals(revision)) {
             return;
         }
         Instant returned = control.clock().instant();
         follower.readAnew();
         follower.whenKnown(
                 returned,
-                KNOWN_LIMIT,
+                RECENT_READ_TIMEOUT,
                 known -> {
-                    unanswered = !known;
+                    storeUnanswered = !known;
                     if (known) {
                         removeIfAwaited(id, revision);
                     } else {
@@ -248,7 +251,7 @@
     }
 
     private void removeIfAwaited(UpstreamId id, long revision) {
-        if (awaited.remove(id, revision)) {
+        if (awaitedReturns.remove(id, revision)) {
             removeNow(id, revision);
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartLimitTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartLimitTest.java
@@ -21,10 +21,10 @@
      * Requests a second: a fifth of the limit of all upstreams when cold. When others are lost, the
      * rest get up to their limit.
      */
-    private static final double USUAL = 60;
+    private static final double DEFAULT_RATE = 60;
 
     /** Requests a second: more than two zones of three can serve while they are cold. */
-    private static final double HEAVY = 110;
+    private static final double HEAVY_RATE = 110;
 
     private static final Duration CALM = Duration.ofSeconds(30);
 
@@ -32,40 +32,40 @@
     // for it at all routers.
     @ParameterizedTest
     @CsvSource({"4", "22", "300"})
-    void aZoneThatIsBackAtOnceGetsNoMoreThanItBears(int routers) {
-        List<String> broken = new ArrayList<>();
+    void aReturningColdZoneGetsNoMoreThanItsLimit(int routers) {
+        List<String> violations = new ArrayList<>();
         for (long seed = FIRST; seed < FIRST + seeds(routers); seed++) {
-            ColdStartSimulation world =
-                    played(routers, seed, USUAL, ColdStartSimulation.Rules.usual());
-            if (world.exceeded() > 0) {
-                broken.add("seed " + seed + ": " + world.exceeded());
+            ColdStartSimulation simulation =
+                    played(routers, seed, DEFAULT_RATE, ColdStartSimulation.Rules.defaults());
+            if (simulation.exceeded() > 0) {
+                violations.add("seed " + seed + ": " + simulation.exceeded());
             }
         }
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), violations);
     }
 
     // Guards against a simulation that detects nothing: without shares, upstreams are overloaded.
     @ParameterizedTest
     @CsvSource({"4", "22", "300"})
-    void withoutSharesUpstreamsEnd(int routers) {
+    void withoutSharesUpstreamsAreOverloaded(int routers) {
         ColdStartSimulation.Rules rules =
                 new ColdStartSimulation.Rules(
                         false,
                         true,
-                        ColdStartSimulation.USUAL_NEWS,
-                        ColdStartSimulation.USUAL_WORD);
+                        ColdStartSimulation.MAX_LIST_DELAY,
+                        ColdStartSimulation.MAX_LOSS_DELAY);
         assertTrue(exceeded(routers, rules) > 0);
     }
 
     // Guards against relying on the list alone, which reports a restart late.
     @Test
-    void withoutDoubtOfWhatWasLostUpstreamsGetTooMuch() {
+    void withoutTreatingLostUpstreamsAsColdTheyGetTooMuch() {
         ColdStartSimulation.Rules rules =
                 new ColdStartSimulation.Rules(
                         true,
                         false,
-                        ColdStartSimulation.USUAL_NEWS,
-                        ColdStartSimulation.USUAL_WORD);
+                        ColdStartSimulation.MAX_LIST_DELAY,
+                        ColdStartSimulation.MAX_LOSS_DELAY);
         assertTrue(exceeded(22, rules) > 0);
     }
 
@@ -74,39 +74,39 @@
     void withALaterListUpstreamsGetTooMuch() {
         ColdStartSimulation.Rules rules =
                 new ColdStartSimulation.Rules(
-                        true, true, Duration.ofSeconds(9), ColdStartSimulation.USUAL_WORD);
+                        true, true, Duration.ofSeconds(9), ColdStartSimulation.MAX_LOSS_DELAY);
         assertTrue(exceeded(22, rules) > 0);
     }
 
     // Guards against a simulation that does not need announcements: in a large fleet most routers
     // have not used an upstream when it is lost, and depend on the others to announce the loss.
     @Test
-    void withoutTheWordOfOtherRoutersUpstreamsGetTooMuch() {
+    void withoutAnnouncementsOfOtherRoutersUpstreamsGetTooMuch() {
         ColdStartSimulation.Rules rules =
                 new ColdStartSimulation.Rules(
-                        true, true, ColdStartSimulation.USUAL_NEWS, Duration.ofSeconds(9));
+                        true, true, ColdStartSimulation.MAX_LIST_DELAY, Duration.ofSeconds(9));
         assertTrue(exceeded(300, rules) > 0);
     }
 
     // Guards against holding back requests where nothing is cold.
     @ParameterizedTest
     @CsvSource({"4", "22", "300"})
-    void onACalmDayNothingWaits(int routers) {
-        ColdStartSimulation world =
-                new ColdStartSimulation(routers, FIRST, ColdStartSimulation.Rules.usual());
-        world.advance(Duration.ofSeconds(1));
-        world.demand(USUAL);
-        world.advance(CALM);
+    void withoutFaultsNothingIsQueued(int routers) {
+        ColdStartSimulation simulation =
+                new ColdStartSimulation(routers, FIRST, ColdStartSimulation.Rules.defaults());
+        simulation.advance(Duration.ofSeconds(1));
+        simulation.demand(DEFAULT_RATE);
+        simulation.advance(CALM);
         assertTrue(
-                world.queuedRequests() * 1_000 < world.requests(),
-                world.queuedRequests() + " of " + world.requests() + " waited");
-        assertEquals(0, world.refusedRequests());
+                simulation.queuedRequests() * 1_000 < simulation.requests(),
+                simulation.queuedRequests() + " of " + simulation.requests() + " waited");
+        assertEquals(0, simulation.refusedRequests());
     }
 
     private static int exceeded(int routers, ColdStartSimulation.Rules rules) {
         int sum = 0;
         for (long seed = FIRST; seed < FIRST + seeds(routers); seed++) {
-            sum += played(routers, seed, HEAVY, rules).exceeded();
+            sum += played(routers, seed, HEAVY_RATE, rules).exceeded();
         }
         return sum;
     }
@@ -118,8 +118,8 @@
 
     private static ColdStartSimulation played(
             int routers, long seed, double perSecond, ColdStartSimulation.Rules rules) {
-        ColdStartSimulation world = new ColdStartSimulation(routers, seed, rules);
-        new ColdStartScenario(world).play(perSecond);
-        return world;
+        ColdStartSimulation simulation = new ColdStartSimulation(routers, seed, rules);
+        new ColdStartScenario(simulation).play(perSecond);
+        return simulation;
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartRouter.java
@@ -16,31 +16,31 @@
  * queue in front of simulated upstreams.
  */
 final class ColdStartRouter {
-    private static final Duration CHECK = Duration.ofMillis(50);
-    private static final Duration WAY = Duration.ofMillis(1);
-    private static final Duration DARK = Duration.ofMillis(250);
+    private static final Duration TICK = Duration.ofMillis(50);
+    private static final Duration NETWORK_DELAY = Duration.ofMillis(1);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
     /** How long a killed router process is down before it listens again and reads the list. */
     private static final Duration DOWN = Duration.ofMillis(1_200);
 
-    private static final Duration FIRST_READING = Duration.ofMillis(150);
+    private static final Duration FIRST_READ_TIME = Duration.ofMillis(150);
     private static final Duration CALLER_WAITS = Duration.ofSeconds(4);
 
-    private final ColdStartSimulation world;
+    private final ColdStartSimulation simulation;
     private final VmId name;
     private final UpstreamShare share;
     private UpstreamTable upstreams;
     private Dispatch dispatch;
-    private int life;
-    private Instant cutUntil = Instant.MIN;
-    private Instant toldUntil = Instant.MIN;
+    private int incarnation;
+    private Instant cutOffUntil = Instant.MIN;
+    private Instant lastDeliveryAt = Instant.MIN;
 
-    ColdStartRouter(ColdStartSimulation world, VmId name) {
-        this.world = world;
+    ColdStartRouter(ColdStartSimulation simulation, VmId name) {
+        this.simulation = simulation;
         this.name = name;
         this.share =
-                world.rules().shared()
-                        ? new EvenShare(name, world::routerNames)
+                simulation.rules().shared()
+                        ? new EvenShare(name, simulation::routerNames)
                         : (upstream, all) -> Integer.MAX_VALUE;
     }
 
@@ -50,13 +50,13 @@
 
     /** Kills the router; it starts again later without its state. */
     void restart() {
-        life++;
+        incarnation++;
         upstreams = new UpstreamTable();
-        int own = life;
-        world.time.after(
+        int own = incarnation;
+        simulation.time.after(
                 DOWN,
                 () -> {
-                    if (life == own) {
+                    if (incarnation == own) {
                         start();
                     }
                 });
@@ -64,33 +64,34 @@
 
     /** Starts the router, which knows only the list. */
     void start() {
-        int own = ++life;
+        int own = ++incarnation;
         upstreams = new UpstreamTable();
-        upstreams.setColdLimits(Map.of(ColdStartSimulation.SERVICE, world.limit()));
-        dispatch = new Dispatch(upstreams, "zone-0", Map.of(), world::now, Runnable::run, share);
-        Map<String, UpstreamFacts> read = Map.copyOf(world.list());
-        world.time.after(
-                FIRST_READING,
+        upstreams.setColdLimits(Map.of(ColdStartSimulation.SERVICE, simulation.limit()));
+        dispatch =
+                new Dispatch(upstreams, "zone-0", Map.of(), simulation::now, Runnable::run, share);
+        Map<String, UpstreamFacts> read = Map.copyOf(simulation.list());
+        simulation.time.after(
+                FIRST_READ_TIME,
                 () -> {
-                    if (life == own) {
-                        read.values().forEach(this::takeFirst);
+                    if (incarnation == own) {
+                        read.values().forEach(this::addFirst);
                     }
                 });
         tick(own);
     }
 
-    private void takeFirst(UpstreamFacts facts) {
-        upstreams.put(facts, world.now());
-        if (world.rules().doubting() && life > 1) {
-            upstreams.find(facts.id()).ifPresent(each -> each.markUnverified(world.now()));
+    private void addFirst(UpstreamFacts facts) {
+        upstreams.put(facts, simulation.now());
+        if (simulation.rules().assumeLostCold() && incarnation > 1) {
+            upstreams.find(facts.id()).ifPresent(each -> each.markUnverified(simulation.now()));
         }
     }
 
     private void tick(int own) {
-        world.time.after(
-                CHECK,
+        simulation.time.after(
+                TICK,
                 () -> {
-                    if (life == own) {
+                    if (incarnation == own) {
                         dispatch.tick();
                         tick(own);
                     }
@@ -99,12 +100,12 @@
 
     /** Cuts the router off from the list and from announcements for the given time. */
     void cutOff(Duration length) {
-        cutUntil = world.now().plus(length);
+        cutOffUntil = simulation.now().plus(length);
     }
 
     /** Receives an entry after this time; entries keep their order. */
     void entryWritten(UpstreamFacts facts, Duration after) {
-        later(after, () -> upstreams.put(facts, world.now()));
+        later(after, () -> upstreams.put(facts, simulation.now()));
     }
 
     void entryRemoved(String id, Duration after) {
@@ -121,13 +122,13 @@
     }
 
     private void later(Duration after, Runnable step) {
-        Instant at = latest(world.now().plus(after), latest(cutUntil, toldUntil));
-        toldUntil = at;
-        int own = life;
-        world.time.after(
-                Duration.between(world.now(), at),
+        Instant at = latest(simulation.now().plus(after), latest(cutOffUntil, lastDeliveryAt));
+        lastDeliveryAt = at;
+        int own = incarnation;
+        simulation.time.after(
+                Duration.between(simulation.now(), at),
                 () -> {
-                    if (life == own) {
+                    if (incarnation == own) {
                         step.run();
                     }
                 });
@@ -139,83 +140,86 @@
 
     void sendRequest() {
         if (upstreams.all().isEmpty()) {
-            world.recordRefused();
+            simulation.recordRefused();
             return;
         }
         Request request = new Request();
         dispatch.enqueue(request);
         if (!request.sent) {
-            world.recordQueued();
+            simulation.recordQueued();
         }
     }
 
-    private void lost(Upstream upstream) {
-        if (world.rules().doubting() && upstream.connectionLost(world.now())) {
-            world.announceLoss(this, upstream.facts().id());
+    private void connectionLost(Upstream upstream) {
+        if (simulation.rules().assumeLostCold() && upstream.connectionLost(simulation.now())) {
+            simulation.announceLoss(this, upstream.facts().id());
         }
     }
 
     /** Receives the announcement that another router lost its connection to an upstream. */
     void lossReceived(UpstreamId upstream) {
-        if (!world.now().isBefore(cutUntil)) {
-            upstreams.find(upstream).ifPresent(each -> each.connectionLost(world.now()));
+        if (!simulation.now().isBefore(cutOffUntil)) {
+            upstreams.find(upstream).ifPresent(each -> each.connectionLost(simulation.now()));
         }
     }
 
     /** A request on its way from a caller to an upstream. */
     private final class Request extends PlainRequest {
-        private final int ownLife = life;
+        private final int ownIncarnation = incarnation;
         private boolean sent;
 
         Request() {
-            super(ColdStartSimulation.SERVICE, world.now(), CALLER_WAITS);
+            super(ColdStartSimulation.SERVICE, simulation.now(), CALLER_WAITS);
         }
 
         @Override
         public void sendTo(Upstream upstream) {
             sent = true;
-            upstream.requestAssigned(null, world.now());
-            world.time.after(WAY, () -> leave(upstream));
+            upstream.requestAssigned(null, simulation.now());
+            simulation.time.after(NETWORK_DELAY, () -> connect(upstream));
         }
 
         // Opens the connection, or fails to.
-        private void leave(Upstream upstream) {
-            ColdStartUpstream engine = world.engine(upstream.facts().id().value());
-            if (ownLife != life) {
+        private void connect(Upstream upstream) {
+            ColdStartUpstream engine = simulation.engine(upstream.facts().id().value());
+            if (ownIncarnation != incarnation) {
                 return;
             }
             if (!engine.isUp()) {
-                world.time.after(engine.isSilent() ? DARK : WAY, () -> notConnected(upstream));
+                simulation.time.after(
+                        engine.isSilent() ? CONNECT_TIMEOUT : NETWORK_DELAY,
+                        () -> notConnected(upstream));
                 return;
             }
-            long engineLife = engine.incarnation();
-            upstream.requestSent(world.now());
-            world.time.after(WAY, engine::requestArrived);
-            long takes = 30 + world.random.nextInt(60);
-            world.time.after(Duration.ofMillis(takes), () -> ends(upstream, engine, engineLife));
+            long engineIncarnation = engine.incarnation();
+            upstream.requestSent(simulation.now());
+            simulation.time.after(NETWORK_DELAY, engine::requestArrived);
+            long takes = 30 + simulation.random.nextInt(60);
+            simulation.time.after(
+                    Duration.ofMillis(takes), () -> finish(upstream, engine, engineIncarnation));
         }
 
         private void notConnected(Upstream upstream) {
-            if (ownLife != life) {
+            if (ownIncarnation != incarnation) {
                 return;
             }
-            upstream.requestFailed(world.now());
-            lost(upstream);
+            upstream.requestFailed(simulation.now());
+            connectionLost(upstream);
             upstream.requestNotSent();
             upstream.requestFinished(null);
             dispatch.enqueue(this);
         }
 
-        private void ends(Upstream upstream, ColdStartUpstream engine, long engineLife) {
-            if (ownLife != life) {
+        private void finish(Upstream upstream, ColdStartUpstream engine, long engineIncarnation) {
+            if (ownIncarnation != incarnation) {
                 return;
             }
-            if (engine.isUp() && engine.incarnation() == engineLife) {
-                upstream.requestAnswered(Duration.ofMillis(40), world.now());
+            if (engine.isUp() && engine.incarnation() == engineIncarnation) {
+                upstream.requestAnswered(Duration.ofMillis(40), simulation.now());
             } else {
-                upstream.requestFailed(world.now());
-                lost(upstream);
-                world.recordRefused();
+                upstream.requestFailed(simulation.now());
+                connectionLost(upstream);
+                simulation.recordRefused();
             }
             upstream.requestFinished(null);
             dispatch.drain(ColdStartSimulation.SERVICE);
@@ -223,7 +227,7 @@
 
         @Override
         public void waitedInVain() {
-            world.recordRefused();
+            simulation.recordRefused();
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartScenario.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartScenario.java
@@ -11,18 +11,18 @@
     /** A crashed upstream is down for at least a second. */
     private static final int SHORTEST_MILLIS = 1_000;
 
-    private final ColdStartSimulation world;
+    private final ColdStartSimulation simulation;
     private final Random random;
 
-    ColdStartScenario(ColdStartSimulation world) {
-        this.world = world;
-        this.random = world.random;
+    ColdStartScenario(ColdStartSimulation simulation) {
+        this.simulation = simulation;
+        this.random = simulation.random;
     }
 
     void play(double usual) {
-        world.advance(Duration.ofSeconds(1));
-        world.demand(usual);
-        world.advance(Duration.ofSeconds(2));
+        simulation.advance(Duration.ofSeconds(1));
+        simulation.demand(usual);
+        simulation.advance(Duration.ofSeconds(2));
         for (int each = 0; each < ROUNDS; each++) {
             round(usual);
         }
@@ -31,44 +31,45 @@
     private void round(double usual) {
         // Demand grows up to twofold, as on a busy day; it queues while two of three zones are
         // down.
-        world.demand(usual * (1 + random.nextDouble()));
+        simulation.demand(usual * (1 + random.nextDouble()));
         int zone = random.nextInt(ZONES);
         Duration length = millis(SHORTEST_MILLIS, random.nextBoolean() ? 1_800 : 5_000);
-        world.failZone(zone, length, random.nextBoolean());
+        simulation.failZone(zone, length, random.nextBoolean());
         if (random.nextInt(3) > 0) {
             Duration later = millis(0, (int) length.toMillis());
-            world.time.after(
-                    later, () -> world.failZone((zone + 1) % ZONES, length, random.nextBoolean()));
+            simulation.time.after(
+                    later,
+                    () -> simulation.failZone((zone + 1) % ZONES, length, random.nextBoolean()));
         }
         if (random.nextInt(4) == 0) {
-            world.time.after(
+            simulation.time.after(
                     later(length),
                     () ->
-                            world.failZone(
+                            simulation.failZone(
                                     (zone + 2) % ZONES, millis(SHORTEST_MILLIS, 1_600), false));
         }
-        routers(length);
-        world.advance(length.plusMillis(500));
-        world.demand(usual);
-        world.advance(Duration.ofSeconds(5));
+        disturbRouters(length);
+        simulation.advance(length.plusMillis(500));
+        simulation.demand(usual);
+        simulation.advance(Duration.ofSeconds(5));
     }
 
-    private void routers(Duration length) {
-        for (ColdStartRouter router : world.routers()) {
+    private void disturbRouters(Duration length) {
+        for (ColdStartRouter router : simulation.routers()) {
             if (random.nextInt(8) == 0) {
-                world.time.after(later(length), () -> router.cutOff(millis(500, 6_000)));
+                simulation.time.after(later(length), () -> router.cutOff(millis(500, 6_000)));
             }
         }
         int share = random.nextInt(4);
         if (share == 0) {
             Duration at = later(length);
-            world.time.after(at, () -> world.routers().forEach(ColdStartRouter::restart));
+            simulation.time.after(at, () -> simulation.routers().forEach(ColdStartRouter::restart));
         } else if (share == 1) {
             Duration at = later(length);
-            world.time.after(
+            simulation.time.after(
                     at,
                     () ->
-                            world.routers().stream()
+                            simulation.routers().stream()
                                     .filter(any -> random.nextBoolean())
                                     .forEach(ColdStartRouter::restart));
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartSimulation.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartSimulation.java
@@ -22,19 +22,19 @@
 final class ColdStartSimulation {
     static final String SERVICE = "engines";
     static final Duration COLD_TIME = Duration.ofSeconds(3);
-    static final double BEARS = 48.5;
+    static final double COLD_LIMIT = 48.5;
 
     /** Changes of the list arrive late by at most a heartbeat and the way through a relay. */
-    static final Duration USUAL_NEWS = Duration.ofMillis(2_000);
+    static final Duration MAX_LIST_DELAY = Duration.ofMillis(2_000);
 
     /** The most time an announced loss takes, through a router that passes it on. */
-    static final Duration USUAL_WORD = Duration.ofMillis(60);
+    static final Duration MAX_LOSS_DELAY = Duration.ofMillis(60);
 
-    private static final double FAR_ABOVE = 1.5;
+    private static final double CRASH_FACTOR = 1.5;
     private static final int UPSTREAMS = 6;
     private static final int ZONES = 3;
     private static final Duration STEP = Duration.ofMillis(10);
-    private static final Duration LAPSE = Duration.ofMillis(3_600);
+    private static final Duration ENTRY_EXPIRY = Duration.ofMillis(3_600);
 
     final TestControlThread time = new TestControlThread();
     final Random random;
@@ -53,13 +53,13 @@
      * The settings of a simulation.
      *
      * @param shared whether routers keep to their share of a cold upstream's limit
-     * @param doubting whether a lost upstream counts as cold before the list says so
-     * @param news the largest delay of changes of the list
-     * @param word the largest delay of announcements of a loss
+     * @param assumeLostCold whether a lost upstream counts as cold before the list says so
+     * @param listDelay the largest delay of changes of the list
+     * @param lossDelay the largest delay of announcements of a loss
      */
-    record Rules(boolean shared, boolean doubting, Duration news, Duration word) {
-        static Rules usual() {
-            return new Rules(true, true, USUAL_NEWS, USUAL_WORD);
+    record Rules(boolean shared, boolean assumeLostCold, Duration listDelay, Duration lossDelay) {
+        static Rules defaults() {
+            return new Rules(true, true, MAX_LIST_DELAY, MAX_LOSS_DELAY);
         }
     }
 
@@ -99,7 +99,7 @@
     }
 
     ColdLimit limit() {
-        return new ColdLimit(COLD_TIME, BEARS);
+        return new ColdLimit(COLD_TIME, COLD_LIMIT);
     }
 
     List<VmId> routerNames() {
@@ -160,17 +160,17 @@
     /** Writes an upstream's entry, which each router receives after its own delay. */
     void write(UpstreamFacts facts) {
         list.put(facts.id().value(), facts);
-        routers.forEach(each -> each.entryWritten(facts, newsTime()));
+        routers.forEach(each -> each.entryWritten(facts, randomListDelay()));
     }
 
     /** Removes the entry of an upstream that has been silent for too long. */
     void expireEntry(ColdStartUpstream engine) {
         time.after(
-                LAPSE,
+                ENTRY_EXPIRY,
                 () -> {
                     if (!engine.isUp()) {
                         list.remove(engine.id());
-                        routers.forEach(each -> each.entryRemoved(engine.id(), newsTime()));
+                        routers.forEach(each -> each.entryRemoved(engine.id(), randomListDelay()));
                     }
                 });
     }
@@ -179,22 +179,23 @@
     void announceLoss(ColdStartRouter from, UpstreamId upstream) {
         for (ColdStartRouter each : routers) {
             if (each != from) {
-                Duration way = Duration.ofMillis(2 + random.nextInt((int) rules.word().toMillis()));
+                Duration way =
+                        Duration.ofMillis(2 + random.nextInt((int) rules.lossDelay().toMillis()));
                 time.after(way, () -> each.lossReceived(upstream));
             }
         }
     }
 
-    private Duration newsTime() {
-        return Duration.ofMillis(5 + random.nextInt((int) rules.news().toMillis()));
+    private Duration randomListDelay() {
+        return Duration.ofMillis(5 + random.nextInt((int) rules.listDelay().toMillis()));
     }
 
     /** Counts a second with more requests than the limit; true if it is far exceeded. */
     boolean recordRate(int inSecond) {
-        if (inSecond > BEARS) {
+        if (inSecond > COLD_LIMIT) {
             exceeded++;
         }
-        return inSecond > BEARS * FAR_ABOVE;
+        return inSecond > COLD_LIMIT * CRASH_FACTOR;
     }
 
     void recordQueued() {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartUpstream.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartUpstream.java
@@ -16,18 +16,18 @@
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final int SLOTS = 48;
 
-    private final ColdStartSimulation world;
+    private final ColdStartSimulation simulation;
     private final String id;
     private final String zone;
-    private final ArrayDeque<Instant> came = new ArrayDeque<>();
+    private final ArrayDeque<Instant> arrivals = new ArrayDeque<>();
     private boolean up;
-    private boolean dark;
-    private long life;
+    private boolean silent;
+    private long incarnation;
     private long revision;
     private Instant coldUntil = Instant.MIN;
 
-    ColdStartUpstream(ColdStartSimulation world, String id, String zone) {
-        this.world = world;
+    ColdStartUpstream(ColdStartSimulation simulation, String id, String zone) {
+        this.simulation = simulation;
         this.id = id;
         this.zone = zone;
     }
@@ -42,32 +42,32 @@
 
     /** Returns true if connections time out while it is down, instead of being refused. */
     boolean isSilent() {
-        return dark;
+        return silent;
     }
 
     long incarnation() {
-        return life;
+        return incarnation;
     }
 
     /** Starts the upstream, cold; the first start, with the simulation, is warm. */
     void start() {
         up = true;
-        dark = false;
-        life++;
-        came.clear();
-        if (life > 1) {
-            coldUntil = world.now().plus(ColdStartSimulation.COLD_TIME);
+        silent = false;
+        incarnation++;
+        arrivals.clear();
+        if (incarnation > 1) {
+            coldUntil = simulation.now().plus(ColdStartSimulation.COLD_TIME);
         }
-        long own = life;
-        long phase = world.random.nextInt((int) HEARTBEAT.toMillis());
+        long own = incarnation;
+        long phase = simulation.random.nextInt((int) HEARTBEAT.toMillis());
         write();
-        world.time.after(Duration.ofMillis(phase), () -> beat(own));
+        simulation.time.after(Duration.ofMillis(phase), () -> sendHeartbeat(own));
     }
 
     /** Makes the upstream cold without a start, which it reports with its next heartbeat. */
     void turnCold() {
-        coldUntil = world.now().plus(ColdStartSimulation.COLD_TIME);
-        came.clear();
+        coldUntil = simulation.now().plus(ColdStartSimulation.COLD_TIME);
+        arrivals.clear();
     }
 
     /** Crashes the upstream, and starts it again after the given time. */
@@ -76,22 +76,22 @@
             return;
         }
         up = false;
-        dark = silently;
-        world.expireEntry(this);
-        world.time.after(length, this::start);
+        silent = silently;
+        simulation.expireEntry(this);
+        simulation.time.after(length, this::start);
     }
 
-    private void beat(long ofLife) {
-        if (up && life == ofLife) {
+    private void sendHeartbeat(long ofLife) {
+        if (up && incarnation == ofLife) {
             write();
-            world.time.after(HEARTBEAT, () -> beat(ofLife));
+            simulation.time.after(HEARTBEAT, () -> sendHeartbeat(ofLife));
         }
     }
 
     private void write() {
-        Duration left = Duration.between(world.now(), coldUntil);
+        Duration left = Duration.between(simulation.now(), coldUntil);
         boolean cold = !coldUntil.equals(Instant.MIN) && !left.isNegative();
-        world.write(
+        simulation.write(
                 new UpstreamFacts(
                         UpstreamId.of(id),
                         ++revision,
@@ -101,21 +101,21 @@
                         SLOTS,
                         false,
                         cold ? left : Duration.ZERO,
-                        new HeldModels(life, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
+                        new HeldModels(incarnation, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of()));
     }
 
     /** Counts an arriving request, and crashes if a cold upstream gets far too many. */
     void requestArrived() {
-        if (!world.now().isBefore(coldUntil)) {
+        if (!simulation.now().isBefore(coldUntil)) {
             return;
         }
-        came.add(world.now());
-        while (!came.peek().isAfter(world.now().minus(SECOND))) {
-            came.remove();
+        arrivals.add(simulation.now());
+        while (!arrivals.peek().isAfter(simulation.now().minus(SECOND))) {
+            arrivals.remove();
         }
-        if (world.recordRate(came.size())) {
+        if (simulation.recordRate(arrivals.size())) {
             crash(Duration.ofMillis(1_500), false);
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashHardshipsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashHardshipsTest.java
@@ -16,178 +16,178 @@
 
     // Guards against an answer with an error status that clears a poison request.
     @Test
-    void aDeadlyRequestThatIsAnsweredByFailuresInBetweenReachesFew() {
-        assertReachesFew(InjectedFault.FAILURES);
+    void aPoisonRequestThatIsAnsweredWithErrorsInBetweenReachesFew() {
+        assertReachesFew(InjectedFault.ERROR_ANSWERS);
     }
 
     // Guards against crashes that break no connection, as the caller had left before.
     @Test
-    void aDeadlyRequestWhoseCallersLeaveReachesFew() {
+    void aPoisonRequestWhoseCallersLeaveReachesFew() {
         assertReachesFew(InjectedFault.CALLERS_LEAVE);
     }
 
     // Guards against a probe that shows a crashed upstream as up.
     @Test
-    void aDeadlyRequestReachesFewThoughLooksAreWrong() {
-        assertReachesFew(InjectedFault.WRONG_LOOKS);
+    void aPoisonRequestReachesFewThoughProbesAreWrong() {
+        assertReachesFew(InjectedFault.WRONG_PROBES);
     }
 
     // Guards against concurrent copies, of which only one crash is counted.
     @Test
-    void aDeadlyRequestThatComesInCopiesReachesFew() {
+    void aPoisonRequestThatComesInCopiesReachesFew() {
         assertReachesFew(InjectedFault.COPIES);
     }
 
     // Guards against crashes that are mistaken for planned departures.
     @Test
-    void aDeadlyRequestReachesFewThoughUpstreamsAreAboutToLeave() {
+    void aPoisonRequestReachesFewThoughUpstreamsAreAboutToLeave() {
         assertReachesFew(InjectedFault.DRAINING);
     }
 
     // Guards against runs that were in progress when the third upstream crashed.
     @Test
-    void aDeadlyRequestThatRunsLongBeforeReachesFew() {
+    void aPoisonRequestThatRunsLongBeforeReachesFew() {
         assertReachesFew(InjectedFault.LONG_RUNS);
     }
 
     // Guards against an upstream that has restarted before it is probed.
     @Test
-    void aDeadlyRequestReachesFewThoughUpstreamsAreBackAtOnce() {
-        assertReachesFew(InjectedFault.REBORN);
+    void aPoisonRequestReachesFewThoughUpstreamsAreBackAtOnce() {
+        assertReachesFew(InjectedFault.FAST_RESTARTS);
     }
 
     // Guards against announcements that arrive late.
     @Test
-    void aDeadlyRequestReachesFewThoughNewsIsLate() {
-        assertReachesFew(InjectedFault.NEWS_LATE);
+    void aPoisonRequestReachesFewThoughAnnouncementsAreLate() {
+        assertReachesFew(InjectedFault.LATE_ANNOUNCEMENTS);
     }
 
     // Guards against announcements that are lost.
     @Test
-    void aDeadlyRequestReachesFewThoughNewsGetsLost() {
-        assertReachesFew(InjectedFault.NEWS_LOST);
+    void aPoisonRequestReachesFewThoughAnnouncementsAreLost() {
+        assertReachesFew(InjectedFault.LOST_ANNOUNCEMENTS);
     }
 
     // Guards against counting routers that restart without their state.
     @Test
-    void aDeadlyRequestReachesFewThoughRoutersEnd() {
-        assertReachesFew(InjectedFault.ROUTERS_END);
+    void aPoisonRequestReachesFewThoughRoutersRestart() {
+        assertReachesFew(InjectedFault.ROUTER_RESTARTS);
     }
 
     // Guards against routers that detect a crash but cannot announce it.
     @Test
-    void aDeadlyRequestReachesFewThoughRoutersAreCutOff() {
-        assertReachesFew(InjectedFault.ROUTERS_CUT);
+    void aPoisonRequestReachesFewThoughRoutersAreCutOff() {
+        assertReachesFew(InjectedFault.ROUTERS_CUT_OFF);
     }
 
     // Guards against failures of other requests that hide the cause.
     @Test
-    void aDeadlyRequestReachesFewBesidePollsThatFail() {
+    void aPoisonRequestReachesFewBesidePollsThatFail() {
         assertReachesFew(InjectedFault.FAILING_POLLS);
     }
 
     // Guards against failures of whole racks that hide the cause.
     @Test
-    void aDeadlyRequestReachesFewBesideRacksThatFail() {
-        assertReachesFew(InjectedFault.RACKS);
+    void aPoisonRequestReachesFewBesideRacksThatFail() {
+        assertReachesFew(InjectedFault.RACK_FAILURES);
     }
 
     // Guards against faults that are harmless one at a time.
     @Test
-    void aDeadlyRequestReachesFewUpstreamsUnderSeveralHardshipsTogether() {
+    void aPoisonRequestReachesFewUpstreamsUnderSeveralHardshipsTogether() {
         assertReachesFew(
-                InjectedFault.FAILURES,
+                InjectedFault.ERROR_ANSWERS,
                 InjectedFault.CALLERS_LEAVE,
                 InjectedFault.COPIES,
-                InjectedFault.WRONG_LOOKS);
+                InjectedFault.WRONG_PROBES);
     }
 
     // Guards against answers with an error status besides crashes.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndFailuresAreAnswered() {
-        assertInnocentsAreServed(InjectedFault.FAILURES);
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndErrorsAreAnswered() {
+        assertInnocentsAreServed(InjectedFault.ERROR_ANSWERS);
     }
 
     // Guards against callers that leave, so that their requests seem unanswered.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndCallersLeave() {
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndCallersLeave() {
         assertInnocentsAreServed(InjectedFault.CALLERS_LEAVE);
     }
 
     // Guards against crashes that are detected late.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndLooksAreWrong() {
-        assertInnocentsAreServed(InjectedFault.WRONG_LOOKS);
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndProbesAreWrong() {
+        assertInnocentsAreServed(InjectedFault.WRONG_PROBES);
     }
 
     // Guards against polls that run at several upstreams when these crash.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndRequestsComeInCopies() {
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndRequestsComeInCopies() {
         assertInnocentsAreServed(InjectedFault.COPIES);
     }
 
     // Guards against planned departures.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndUpstreamsAreAboutToLeave() {
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndUpstreamsAreAboutToLeave() {
         assertInnocentsAreServed(InjectedFault.DRAINING);
     }
 
     // Guards against crashes that only the list shows.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndAreBackAtOnce() {
-        assertInnocentsAreServed(InjectedFault.REBORN);
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndAreBackAtOnce() {
+        assertInnocentsAreServed(InjectedFault.FAST_RESTARTS);
     }
 
     // Guards against a success that is announced late.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndNewsIsLate() {
-        assertInnocentsAreServed(InjectedFault.NEWS_LATE);
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndAnnouncementsAreLate() {
+        assertInnocentsAreServed(InjectedFault.LATE_ANNOUNCEMENTS);
     }
 
     // Guards against a success whose announcement some router never receives.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndNewsGetsLost() {
-        assertInnocentsAreServed(InjectedFault.NEWS_LOST);
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndAnnouncementsAreLost() {
+        assertInnocentsAreServed(InjectedFault.LOST_ANNOUNCEMENTS);
     }
 
     // Guards against a starting router that reads a quarantine that was cleared long ago.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndRoutersEndToo() {
-        assertInnocentsAreServed(InjectedFault.ROUTERS_END);
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndRoutersRestart() {
+        assertInnocentsAreServed(InjectedFault.ROUTER_RESTARTS);
     }
 
     // Guards against a success that a router cannot announce.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAndRoutersAreCutOff() {
-        assertInnocentsAreServed(InjectedFault.ROUTERS_CUT);
+        assertInnocentsAreServed(InjectedFault.ROUTERS_CUT_OFF);
     }
 
     // Guards against a request that never succeeds but crashes nothing.
     @Test
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndAndPollsAlwaysFail() {
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashAndPollsAlwaysFail() {
         assertInnocentsAreServed(InjectedFault.FAILING_POLLS);
     }
 
     // Guards against counting the crashes of one rack separately.
     @Test
     void noInnocentRequestIsKeptOutWhileUpstreamsEndAsWholeRacks() {
-        assertInnocentsAreServed(InjectedFault.RACKS);
+        assertInnocentsAreServed(InjectedFault.RACK_FAILURES);
     }
 
     // Guards against a second full hold for a request whose two copies crashed upstreams just when
     // another crashed by itself, which looked like the failure of a rack until the next crash.
     @Test
-    void aDeadlyRequestThatFirstLookedLikeARackIsNotHeldTwice() {
-        CrashSimulation world = new CrashSimulation(421, 6, 13, InjectedFault.RACKS);
-        world.advance(TIME, 60, 0.1, 1.2);
+    void aPoisonRequestThatFirstLookedLikeARackFailureDoesNotWaitForASecondClearingTime() {
+        CrashSimulation simulation = new CrashSimulation(421, 6, 13, InjectedFault.RACK_FAILURES);
+        simulation.advance(TIME, 60, 0.1, 1.2);
         assertTrue(
-                world.lateSendsOfPoisonRequest() <= ALLOWED,
-                world.lateSendsOfPoisonRequest() + " sends");
+                simulation.lateSendsOfPoisonRequest() <= ALLOWED,
+                simulation.lateSendsOfPoisonRequest() + " sends");
     }
 
     // Guards against an innocent request that ran wherever a poison request crashed an upstream.
     @Test
-    void noInnocentRequestIsKeptOutBesideADeadlyOne() {
+    void noInnocentRequestIsQuarantinedBesideAPoisonRequest() {
         assertEquals(List.of(), innocentsRefused(4, 13, 60, 0.5, 1.2));
         assertEquals(List.of(), innocentsRefused(33, 42, 150, 1.5, 1.2));
     }
@@ -206,16 +206,16 @@
             int routers,
             int workers,
             double perSecond,
-            double endsPerSecond,
+            double crashesPerSecond,
             InjectedFault... all) {
         List<String> over = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashSimulation world = new CrashSimulation(seed, routers, workers, all);
-            world.advance(TIME, perSecond, endsPerSecond, 1.2);
-            if (world.lateSendsOfPoisonRequest() > ALLOWED) {
-                over.add("seed " + seed + ": " + world.lateSendsOfPoisonRequest());
+            CrashSimulation simulation = new CrashSimulation(seed, routers, workers, all);
+            simulation.advance(TIME, perSecond, crashesPerSecond, 1.2);
+            if (simulation.lateSendsOfPoisonRequest() > ALLOWED) {
+                over.add("seed " + seed + ": " + simulation.lateSendsOfPoisonRequest());
             }
-            assertTrue(world.poisonRequestsRefused() > 0, "seed " + seed + ": never refused");
+            assertTrue(simulation.poisonRequestsRefused() > 0, "seed " + seed + ": never refused");
         }
         return over;
     }
@@ -224,15 +224,15 @@
             int routers,
             int workers,
             double perSecond,
-            double endsPerSecond,
-            double deadlyPerSecond,
+            double crashesPerSecond,
+            double poisonPerSecond,
             InjectedFault... all) {
         List<String> refused = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashSimulation world = new CrashSimulation(seed, routers, workers, all);
-            world.advance(TIME, perSecond, endsPerSecond, deadlyPerSecond);
-            if (world.innocentsRefused() > 0) {
-                refused.add("seed " + seed + ": " + world.innocentsRefused());
+            CrashSimulation simulation = new CrashSimulation(seed, routers, workers, all);
+            simulation.advance(TIME, perSecond, crashesPerSecond, poisonPerSecond);
+            if (simulation.innocentsRefused() > 0) {
+                refused.add("seed " + seed + ": " + simulation.innocentsRefused());
             }
         }
         return refused;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/CrashSimulation.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/CrashSimulation.java
@@ -29,46 +29,46 @@
  */
 final class CrashSimulation {
     /** The number of routers that count crashes for all, in a large fleet. */
-    private static final int MOST_COUNTING = 12;
+    private static final int COUNTING_ROUTERS = 12;
 
     private static final Duration TICK = Duration.ofMillis(10);
     private static final Duration DOWN = Duration.ofSeconds(3);
-    private static final Duration LAPSES_AFTER = Duration.ofMillis(3_700);
-    private static final int WAY_MILLIS = 15;
-    private static final int LONGEST_RUN_MILLIS = 3_000;
-    private static final int DEADLY_AFTER_MILLIS = 100;
+    private static final Duration ENTRY_EXPIRY = Duration.ofMillis(3_700);
+    private static final int MAX_DELAY_MILLIS = 15;
+    private static final int MAX_RUN_MILLIS = 3_000;
+    private static final int POISON_RUN_MILLIS = 100;
     private static final int STORE_LAG_MILLIS = 1_000;
-    private static final int LATE_MILLIS = 300;
-    private static final int LONG_DEADLY_MILLIS = 2_000;
+    private static final int MAX_LATE_DELAY_MILLIS = 300;
+    private static final int LONG_POISON_RUN_MILLIS = 2_000;
     private static final int LEAVES_BEFORE_MILLIS = 50;
-    private static final Duration REBORN_AFTER = Duration.ofMillis(800);
-    private static final Duration CUT_EACH = Duration.ofSeconds(3);
-    private static final Duration CUT_FOR = Duration.ofSeconds(2);
-    private static final Duration ROUTER_ENDS_EACH = Duration.ofSeconds(1);
-    private static final int RACK = 4;
+    private static final Duration FAST_RESTART_TIME = Duration.ofMillis(800);
+    private static final Duration CUT_OFF_INTERVAL = Duration.ofSeconds(3);
+    private static final Duration CUT_OFF_TIME = Duration.ofSeconds(2);
+    private static final Duration ROUTER_RESTART_INTERVAL = Duration.ofSeconds(1);
+    private static final int RACK_SIZE = 4;
     private static final int POLLERS = 5;
     private static final int RETRIES = 1;
     private static final int ANSWERED = 200;
     private static final int FAILED = 500;
     private static final Duration KNOWN_BY = Duration.ofSeconds(3);
-    private static final int ENDS_TO_KNOW = 3;
+    private static final int CRASHES_TO_KNOW = 3;
 
-    private final TestControlThread world = new TestControlThread();
+    private final TestControlThread time = new TestControlThread();
     private final Random random;
-    private final Random trouble;
+    private final Random faultRandom;
     private final Set<InjectedFault> hardships;
     private final Set<Integer> cutOff = new HashSet<>();
-    private final Set<Integer> startedNow = new HashSet<>();
+    private final Set<Integer> restarting = new HashSet<>();
     private final UpstreamTable table = new UpstreamTable();
     private final List<Worker> workers = new ArrayList<>();
     private final List<PoisonRequestDetector> routers = new ArrayList<>();
     private final Map<RequestDigest, Integer> stored = new HashMap<>();
-    private final RequestDigest deadly = new RequestDigest("deadly");
-    private final List<Instant> deadlyEnds = new ArrayList<>();
-    private int deadlySendsTooMany;
-    private int deadlyRefused;
+    private final RequestDigest poisonRequest = new RequestDigest("deadly");
+    private final List<Instant> poisonCrashes = new ArrayList<>();
+    private int lateSendsOfPoisonRequest;
+    private int poisonRequestsRefused;
     private int innocentsRefused;
-    private int ends;
+    private int crashes;
     private int messages;
     private long innocents;
     private long revision;
@@ -77,7 +77,7 @@
     private static final class Worker {
         private final UpstreamId id;
         private final List<Run> runs = new ArrayList<>();
-        private long life = 1;
+        private long incarnation = 1;
         private boolean up = true;
 
         Worker(UpstreamId id) {
@@ -85,11 +85,12 @@
         }
     }
 
-    private record Run(RequestDigest request, int router, int retries, long life, Instant sentAt) {}
+    private record Run(
+            RequestDigest request, int router, int retries, long incarnation, Instant sentAt) {}
 
     CrashSimulation(long seed, int routerCount, int workerCount, InjectedFault... hardships) {
         this.random = new Random(seed);
-        this.trouble = new Random(~seed);
+        this.faultRandom = new Random(~seed);
         this.hardships = Set.of(hardships);
         for (int each = 0; each < workerCount; each++) {
             Worker worker = new Worker(UpstreamId.of("i-" + each));
@@ -100,11 +101,13 @@
             routers.add(null);
         }
         restartAllRouters();
-        if (has(InjectedFault.ROUTERS_END)) {
-            world.every(ROUTER_ENDS_EACH, () -> startAgain(trouble.nextInt(routers.size())));
+        if (has(InjectedFault.ROUTER_RESTARTS)) {
+            time.every(
+                    ROUTER_RESTART_INTERVAL,
+                    () -> restartRouter(faultRandom.nextInt(routers.size())));
         }
-        if (has(InjectedFault.ROUTERS_CUT)) {
-            world.every(CUT_EACH, () -> cut(trouble.nextInt(routers.size())));
+        if (has(InjectedFault.ROUTERS_CUT_OFF)) {
+            time.every(CUT_OFF_INTERVAL, () -> cutOffRouter(faultRandom.nextInt(routers.size())));
         }
     }
 
@@ -113,17 +116,17 @@
     }
 
     private boolean oneIn(int many) {
-        return trouble.nextInt(many) == 0;
+        return faultRandom.nextInt(many) == 0;
     }
 
-    private void startAgain(int index) {
-        startedNow.add(index);
+    private void restartRouter(int index) {
+        restarting.add(index);
         start(index);
     }
 
-    private void cut(int index) {
+    private void cutOffRouter(int index) {
         cutOff.add(index);
-        world.after(CUT_FOR, () -> cutOff.remove(index));
+        time.after(CUT_OFF_TIME, () -> cutOff.remove(index));
     }
 
     /** Restarts all routers, which keep only what the store holds. */
@@ -134,12 +137,12 @@
     }
 
     private void start(int index) {
-        boolean counts = index < MOST_COUNTING;
+        boolean counts = index < COUNTING_ROUTERS;
         PoisonRequestDetector router =
                 new PoisonRequestDetector(
-                        world,
-                        newsOf(index),
-                        this::look,
+                        time,
+                        announcerOf(index),
+                        this::probe,
                         () -> counts,
                         () -> index == 0,
                         new Metrics());
@@ -148,7 +151,7 @@
     }
 
     private void readStore(int index, PoisonRequestDetector router) {
-        startedNow.remove(index);
+        restarting.remove(index);
         stored.forEach((request, trials) -> router.quarantineReadFromStore(request, trials));
     }
 
@@ -159,17 +162,17 @@
 
     /** Returns how often the poison request was sent after all routers should know of it. */
     int lateSendsOfPoisonRequest() {
-        return deadlySendsTooMany;
+        return lateSendsOfPoisonRequest;
     }
 
     /** Returns how often the poison request was refused. */
     int poisonRequestsRefused() {
-        return deadlyRefused;
+        return poisonRequestsRefused;
     }
 
     /** Returns how many upstreams have crashed, for whatever reason. */
     int crashes() {
-        return ends;
+        return crashes;
     }
 
     /** Returns how many messages the routers have sent. */
@@ -181,20 +184,21 @@
      * Advances the time.
      *
      * @param perSecond innocent requests a second
-     * @param endsPerSecond unrelated crashes a second, some of them of several upstreams at once
-     * @param deadlyPerSecond sends of the poison request a second
+     * @param crashesPerSecond unrelated crashes a second, some of them of several upstreams at once
+     * @param poisonPerSecond sends of the poison request a second
      */
-    void advance(Duration time, double perSecond, double endsPerSecond, double deadlyPerSecond) {
+    void advance(
+            Duration duration, double perSecond, double crashesPerSecond, double poisonPerSecond) {
         double seconds = TICK.toMillis() / 1000.0;
-        for (Instant end = now().plus(time); now().isBefore(end); world.advance(TICK)) {
+        for (Instant end = now().plus(duration); now().isBefore(end); time.advance(TICK)) {
             for (double left = perSecond * seconds; chance(left); left--) {
                 sendAll(innocent());
             }
-            if (chance(endsPerSecond * seconds)) {
-                endSome();
+            if (chance(crashesPerSecond * seconds)) {
+                crashSome();
             }
-            if (chance(deadlyPerSecond * seconds)) {
-                sendAll(deadly);
+            if (chance(poisonPerSecond * seconds)) {
+                sendAll(poisonRequest);
             }
         }
     }
@@ -214,16 +218,16 @@
                 : new RequestDigest("once-" + ++innocents);
     }
 
-    private void endSome() {
+    private void crashSome() {
         int first = random.nextInt(workers.size());
         int together = random.nextInt(4) == 0 ? 3 : 1;
-        together = has(InjectedFault.RACKS) ? RACK : together;
+        together = has(InjectedFault.RACK_FAILURES) ? RACK_SIZE : together;
         for (int each = 0; each < together; each++) {
-            end(workers.get((first + each) % workers.size()));
+            crash(workers.get((first + each) % workers.size()));
         }
         // One in four crashes again soon after its restart.
         if (random.nextInt(4) == 0) {
-            world.after(DOWN.plusSeconds(1), () -> end(workers.get(first)));
+            time.after(DOWN.plusSeconds(1), () -> crash(workers.get(first)));
         }
     }
 
@@ -231,8 +235,8 @@
         int index = random.nextInt(routers.size());
         PoisonRequestDetector router = routers.get(index);
         if (!router.isQuarantineEmpty() && router.tryAdmit(request).isPresent()) {
-            innocentsRefused += request.equals(deadly) ? 0 : 1;
-            deadlyRefused += request.equals(deadly) ? 1 : 0;
+            innocentsRefused += request.equals(poisonRequest) ? 0 : 1;
+            poisonRequestsRefused += request.equals(poisonRequest) ? 1 : 0;
             return;
         }
         Worker worker = workers.get(random.nextInt(workers.size()));
@@ -240,38 +244,38 @@
             router.upstreamUnreachable(table.find(worker.id).orElseThrow());
             return;
         }
-        Run run = new Run(request, index, retries, worker.life, now());
+        Run run = new Run(request, index, retries, worker.incarnation, now());
         worker.runs.add(run);
-        if (request.equals(deadly)) {
-            countDeadly(index);
-            runDeadly(worker, run);
+        if (request.equals(poisonRequest)) {
+            countPoisonRequest(index);
+            runPoisonRequest(worker, run);
         } else {
-            soon(LONGEST_RUN_MILLIS, () -> answer(worker, run));
+            soon(MAX_RUN_MILLIS, () -> answer(worker, run));
         }
     }
 
-    private void runDeadly(Worker worker, Run run) {
-        if (has(InjectedFault.FAILURES) && oneIn(10)) {
-            soon(WAY_MILLIS, () -> answer(worker, run));
+    private void runPoisonRequest(Worker worker, Run run) {
+        if (has(InjectedFault.ERROR_ANSWERS) && oneIn(10)) {
+            soon(MAX_DELAY_MILLIS, () -> answer(worker, run));
             return;
         }
-        int runs = DEADLY_AFTER_MILLIS;
+        int runs = POISON_RUN_MILLIS;
         if (has(InjectedFault.LONG_RUNS)) {
-            runs += trouble.nextInt(LONG_DEADLY_MILLIS);
+            runs += faultRandom.nextInt(LONG_POISON_RUN_MILLIS);
         }
         if (has(InjectedFault.CALLERS_LEAVE) && oneIn(3)) {
-            world.after(
+            time.after(
                     Duration.ofMillis(runs - LEAVES_BEFORE_MILLIS),
                     () -> callerLeaves(worker, run));
         }
         if (has(InjectedFault.DRAINING) && oneIn(2)) {
             soon(LEAVES_BEFORE_MILLIS, () -> drain(worker));
         }
-        world.after(Duration.ofMillis(runs), () -> kill(worker, run));
+        time.after(Duration.ofMillis(runs), () -> kill(worker, run));
     }
 
     private void callerLeaves(Worker worker, Run run) {
-        if (worker.life == run.life() && worker.runs.remove(run)) {
+        if (worker.incarnation == run.incarnation() && worker.runs.remove(run)) {
             routers.get(run.router())
                     .recordCutRun(
                             table.find(worker.id).orElseThrow(),
@@ -287,24 +291,24 @@
         }
     }
 
-    private void countDeadly(int router) {
-        boolean inTouch = !cutOff.contains(router) && !startedNow.contains(router);
+    private void countPoisonRequest(int router) {
+        boolean inTouch = !cutOff.contains(router) && !restarting.contains(router);
         boolean known =
                 inTouch
-                        && deadlyEnds.size() >= ENDS_TO_KNOW
-                        && now().isAfter(deadlyEnds.get(ENDS_TO_KNOW - 1).plus(KNOWN_BY));
-        deadlySendsTooMany += known ? 1 : 0;
+                        && poisonCrashes.size() >= CRASHES_TO_KNOW
+                        && now().isAfter(poisonCrashes.get(CRASHES_TO_KNOW - 1).plus(KNOWN_BY));
+        lateSendsOfPoisonRequest += known ? 1 : 0;
     }
 
     private void kill(Worker worker, Run run) {
-        if (worker.up && worker.life == run.life()) {
-            deadlyEnds.add(now());
-            end(worker);
+        if (worker.up && worker.incarnation == run.incarnation()) {
+            poisonCrashes.add(now());
+            crash(worker);
         }
     }
 
     private void answer(Worker worker, Run run) {
-        if (worker.life == run.life() && worker.runs.remove(run)) {
+        if (worker.incarnation == run.incarnation() && worker.runs.remove(run)) {
             PoisonRequestDetector router = routers.get(run.router());
             if (router.needsOutcomes()) {
                 router.recordAnswer(run.request(), run.sentAt(), status(run.request()));
@@ -314,22 +318,22 @@
 
     private int status(RequestDigest request) {
         boolean poll = request.value().startsWith("poll-");
-        boolean fails = request.equals(deadly) || (poll && has(InjectedFault.FAILING_POLLS));
+        boolean fails = request.equals(poisonRequest) || (poll && has(InjectedFault.FAILING_POLLS));
         return fails ? FAILED : ANSWERED;
     }
 
-    private void end(Worker worker) {
+    private void crash(Worker worker) {
         if (!worker.up) {
             return;
         }
-        ends++;
+        crashes++;
         worker.up = false;
         List<Run> cut = List.copyOf(worker.runs);
         worker.runs.clear();
         var upstream = table.find(worker.id).orElseThrow();
         for (Run run : cut) {
             soon(
-                    WAY_MILLIS,
+                    MAX_DELAY_MILLIS,
                     () ->
                             routers.get(run.router())
                                     .recordCutRun(
@@ -338,14 +342,15 @@
                 soon(500, () -> send(run.request(), run.retries() - 1));
             }
         }
-        world.after(has(InjectedFault.REBORN) ? REBORN_AFTER : DOWN, () -> start(worker));
-        world.after(
-                LAPSES_AFTER,
+        time.after(
+                has(InjectedFault.FAST_RESTARTS) ? FAST_RESTART_TIME : DOWN, () -> start(worker));
+        time.after(
+                ENTRY_EXPIRY,
                 () -> routers.forEach(each -> each.upstreamListed(list(worker, false))));
     }
 
     private void start(Worker worker) {
-        worker.life++;
+        worker.incarnation++;
         worker.up = true;
     }
 
@@ -360,61 +365,61 @@
                         16,
                         draining,
                         Duration.ZERO,
-                        new HeldModels(worker.life, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
+                        new HeldModels(worker.incarnation, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of());
         table.put(facts, now());
         return facts;
     }
 
-    private void look(
+    private void probe(
             Upstream upstream, boolean vouch, Consumer<UpstreamCrashDetector.ProbeResult> then) {
-        boolean wrong = has(InjectedFault.WRONG_LOOKS) && oneIn(3);
+        boolean wrong = has(InjectedFault.WRONG_PROBES) && oneIn(3);
         boolean up =
                 wrong
                         || workers.stream()
                                 .anyMatch(each -> each.id.equals(upstream.facts().id()) && each.up);
         soon(
-                WAY_MILLIS,
+                MAX_DELAY_MILLIS,
                 () ->
                         then.accept(
                                 up
                                         ? UpstreamCrashDetector.ProbeResult.ALIVE
-                                        : UpstreamCrashDetector.ProbeResult.ENDED));
+                                        : UpstreamCrashDetector.ProbeResult.CRASHED));
     }
 
-    private CrashAnnouncer newsOf(int from) {
+    private CrashAnnouncer announcerOf(int from) {
         return new CrashAnnouncer() {
             @Override
             public void announceRunsAtCrash(
-                    UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {
-                tell(from, MOST_COUNTING, router -> router.countCrash(end, ago, ran));
+                    UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes) {
+                announce(from, COUNTING_ROUTERS, router -> router.countCrash(crash, ago, runTimes));
             }
 
             @Override
-            public void announceCrash(UpstreamCrash end) {
-                tell(from, routers.size(), router -> router.crashReceived(end, false));
+            public void announceCrash(UpstreamCrash crash) {
+                announce(from, routers.size(), router -> router.crashReceived(crash, false));
             }
 
             @Override
-            public void forwardCrash(UpstreamCrash end) {
+            public void forwardCrash(UpstreamCrash crash) {
                 throw new IllegalStateException("each router announces to all in this simulation");
             }
 
             @Override
             public void announceWatched(RequestDigest request) {
-                tell(from, routers.size(), router -> router.startWatching(request));
+                announce(from, routers.size(), router -> router.startWatching(request));
             }
 
             @Override
             public void announceQuarantined(Quarantine.Entry entry) {
                 stored.putIfAbsent(entry.request(), entry.trials());
-                tell(from, routers.size(), router -> router.quarantineReceived(entry));
+                announce(from, routers.size(), router -> router.quarantineReceived(entry));
             }
 
             @Override
             public void announceRefused(Quarantine.Entry entry) {
-                tell(from, MOST_COUNTING, router -> router.quarantineReceived(entry));
+                announce(from, COUNTING_ROUTERS, router -> router.quarantineReceived(entry));
             }
 
             @Override
@@ -424,34 +429,40 @@
 
             @Override
             public void announceCleared(RequestDigest request, Duration sentAgo) {
-                tell(from, routers.size(), router -> router.clearRequest(request, sentAgo));
+                announce(from, routers.size(), router -> router.clearRequest(request, sentAgo));
             }
 
             @Override
             public void announceEarlierSuccess(RequestDigest request, Duration ago) {
-                tell(from, MOST_COUNTING, router -> router.recordEarlierSuccess(request, ago));
+                announce(
+                        from,
+                        COUNTING_ROUTERS,
+                        router -> router.recordEarlierSuccess(request, ago));
             }
 
             @Override
-            public void announceSurvivedRuns(RequestDigest request, int times) {
-                tell(from, MOST_COUNTING, router -> router.addSurvivedRuns(request, times));
+            public void announceSurvivedRuns(RequestDigest request, int runs) {
+                announce(from, COUNTING_ROUTERS, router -> router.addSurvivedRuns(request, runs));
             }
         };
     }
 
-    private void tell(int from, int most, Consumer<PoisonRequestDetector> what) {
+    private void announce(int from, int most, Consumer<PoisonRequestDetector> what) {
         for (int each = 0; each < Math.min(most, routers.size()); each++) {
             if (each != from) {
                 messages++;
-                tellOne(from, each, what);
+                announceTo(from, each, what);
             }
         }
     }
 
-    private void tellOne(int from, int to, Consumer<PoisonRequestDetector> what) {
-        boolean lost = has(InjectedFault.NEWS_LOST) && oneIn(4);
+    private void announceTo(int from, int to, Consumer<PoisonRequestDetector> what) {
+        boolean lost = has(InjectedFault.LOST_ANNOUNCEMENTS) && oneIn(4);
         if (!lost && !cutOff.contains(from) && !cutOff.contains(to)) {
-            int way = has(InjectedFault.NEWS_LATE) ? LATE_MILLIS : WAY_MILLIS;
+            int way =
+                    has(InjectedFault.LATE_ANNOUNCEMENTS)
+                            ? MAX_LATE_DELAY_MILLIS
+                            : MAX_DELAY_MILLIS;
             soon(way, () -> what.accept(routers.get(to)));
         }
     }
@@ -461,10 +472,10 @@
     }
 
     private void soon(int mostMillis, Runnable step) {
-        world.after(Duration.ofMillis(1 + random.nextInt(mostMillis)), step);
+        time.after(Duration.ofMillis(1 + random.nextInt(mostMillis)), step);
     }
 
     private Instant now() {
-        return world.clock().instant();
+        return time.clock().instant();
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DeclaredLimitsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DeclaredLimitsTest.java
@@ -17,49 +17,50 @@
     private static final int SEEDS = Integer.getInteger("limit.count", 40);
     private static final double DEMAND = 120;
     private static final double[] LIMITS = {0, 0.3, 1.6, 2.1, 7, 45};
-    private static final Duration CONTACT = Duration.ofSeconds(3);
+    private static final Duration TIME_TO_KNOW = Duration.ofSeconds(3);
 
     /** The part of its limit to which an upstream must be used while requests are queued. */
-    private static final double USED = 0.8;
+    private static final double MIN_USE = 0.8;
 
     // Guards against routers that each use the whole limit, or that know only limits they received.
     @ParameterizedTest
     @CsvSource({"4", "22", "300"})
-    void aLimitedUpstreamGetsNoMoreThanItMayFromThoseThatKnow(int routers) {
-        List<String> broken = new ArrayList<>();
+    void aLimitedUpstreamGetsNoMoreThanItsLimitFromRoutersThatKnowIt(int routers) {
+        List<String> violations = new ArrayList<>();
         for (long seed = FIRST; seed < FIRST + seeds(routers); seed++) {
-            LimitSimulation world = played(routers, seed, LimitSimulation.Rules.usual());
-            if (world.violations() > 0) {
-                broken.add("seed " + seed + ": " + world);
+            LimitSimulation simulation = played(routers, seed, LimitSimulation.Rules.defaults());
+            if (simulation.violations() > 0) {
+                violations.add("seed " + seed + ": " + simulation);
             }
         }
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), violations);
     }
 
     // Guards against a simulation that detects nothing: without shares, limits are exceeded.
     @ParameterizedTest
     @CsvSource({"22", "300"})
     void withoutSharesUpstreamsGetTooMuch(int routers) {
-        int broken = 0;
+        int violations = 0;
         for (long seed = 1; seed <= 2; seed++) {
-            broken += played(routers, seed, new LimitSimulation.Rules(false, 0.1)).violations();
+            violations += played(routers, seed, new LimitSimulation.Rules(false, 0.1)).violations();
         }
-        assertTrue(broken > 0);
+        assertTrue(violations > 0);
     }
 
     // Guards against an upstream that is left idle below its limit while requests are queued.
     @ParameterizedTest
     @CsvSource({"4, 0.3", "4, 1.6", "22, 2.1", "22, 10", "300, 1.6", "300, 45"})
     void whatALimitAllowsIsUsedWhileRequestsWait(int routers, double limit) {
-        LimitSimulation world = new LimitSimulation(routers, 1, LimitSimulation.Rules.usual());
-        world.engines().forEach(engine -> engine.declareLimit(limit));
-        world.demand(DEMAND * 3);
-        world.advance(CONTACT);
+        LimitSimulation simulation =
+                new LimitSimulation(routers, 1, LimitSimulation.Rules.defaults());
+        simulation.engines().forEach(engine -> engine.declareLimit(limit));
+        simulation.demand(DEMAND * 3);
+        simulation.advance(TIME_TO_KNOW);
         Duration time = Duration.ofSeconds(40);
-        world.advance(time);
-        for (LimitSimulation.SimulatedUpstream engine : world.engines()) {
+        simulation.advance(time);
+        for (LimitSimulation.SimulatedUpstream engine : simulation.engines()) {
             double used = engine.requestsWhileLimited() / (limit * time.toSeconds());
-            assertTrue(used >= USED, engine.id() + " is used to " + used);
+            assertTrue(used >= MIN_USE, engine.id() + " is used to " + used);
         }
     }
 
@@ -68,30 +69,30 @@
     }
 
     private static LimitSimulation played(int routers, long seed, LimitSimulation.Rules rules) {
-        LimitSimulation world = new LimitSimulation(routers, seed, rules);
-        world.demand(DEMAND);
-        world.advance(Duration.ofSeconds(2));
+        LimitSimulation simulation = new LimitSimulation(routers, seed, rules);
+        simulation.demand(DEMAND);
+        simulation.advance(Duration.ofSeconds(2));
         for (int round = 0; round < 3; round++) {
-            LimitSimulation.SimulatedUpstream one = world.engines().get(0);
-            LimitSimulation.SimulatedUpstream two = world.engines().get(1);
-            one.declareLimit(LIMITS[world.random.nextInt(LIMITS.length)]);
-            world.advance(Duration.ofMillis(world.random.nextInt(3_000)));
-            two.declareLimit(LIMITS[world.random.nextInt(LIMITS.length)]);
-            troubles(world);
-            world.advance(Duration.ofSeconds(9));
+            LimitSimulation.SimulatedUpstream one = simulation.engines().get(0);
+            LimitSimulation.SimulatedUpstream two = simulation.engines().get(1);
+            one.declareLimit(LIMITS[simulation.random.nextInt(LIMITS.length)]);
+            simulation.advance(Duration.ofMillis(simulation.random.nextInt(3_000)));
+            two.declareLimit(LIMITS[simulation.random.nextInt(LIMITS.length)]);
+            restartSomeRouters(simulation);
+            simulation.advance(Duration.ofSeconds(9));
             one.withdrawLimit();
-            world.advance(Duration.ofSeconds(2));
+            simulation.advance(Duration.ofSeconds(2));
             two.withdrawLimit();
-            world.advance(Duration.ofSeconds(4));
+            simulation.advance(Duration.ofSeconds(4));
         }
-        return world;
+        return simulation;
     }
 
-    private static void troubles(LimitSimulation world) {
-        for (LimitSimulationRouter router : world.routers()) {
-            if (world.random.nextInt(6) == 0) {
-                Duration later = Duration.ofMillis(world.random.nextInt(6_000));
-                world.time.after(later, router::restart);
+    private static void restartSomeRouters(LimitSimulation simulation) {
+        for (LimitSimulationRouter router : simulation.routers()) {
+            if (simulation.random.nextInt(6) == 0) {
+                Duration later = Duration.ofMillis(simulation.random.nextInt(6_000));
+                simulation.time.after(later, router::restart);
             }
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/HeldThreadTest.java
@@ -72,7 +72,7 @@
                                     new LoopHolds(new Metrics())),
                             new SilentCrashAnnouncer(),
                             (upstream, vouch, then) ->
-                                    then.accept(UpstreamCrashDetector.ProbeResult.NONE),
+                                    then.accept(UpstreamCrashDetector.ProbeResult.UNKNOWN),
                             () -> true,
                             () -> true,
                             new Metrics()),
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/InjectedFault.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/InjectedFault.java
@@ -3,11 +3,11 @@
 /** A fault that a {@link CrashSimulation} injects only if a test asks for it. */
 enum InjectedFault {
     /** One in ten sends of the poison request is answered with an error status and not run. */
-    FAILURES,
+    ERROR_ANSWERS,
     /** One in three callers of the poison request leaves before the upstream crashes. */
     CALLERS_LEAVE,
     /** One in three probes of a crashed upstream shows that it accepts connections. */
-    WRONG_LOOKS,
+    WRONG_PROBES,
     /** Each request is sent three times at once. */
     COPIES,
     /** Half of the upstreams start to drain while the poison request runs there. */
@@ -15,17 +15,17 @@
     /** The poison request runs up to two seconds before its upstream crashes. */
     LONG_RUNS,
     /** A crashed upstream accepts connections at its old address within a second. */
-    REBORN,
+    FAST_RESTARTS,
     /** Announcements take up to 0.3 s. */
-    NEWS_LATE,
+    LATE_ANNOUNCEMENTS,
     /** One in four announcements is lost. */
-    NEWS_LOST,
+    LOST_ANNOUNCEMENTS,
     /** Each second a router restarts without its state. */
-    ROUTERS_END,
+    ROUTER_RESTARTS,
     /** For two seconds of three some router is cut off from all others. */
-    ROUTERS_CUT,
+    ROUTERS_CUT_OFF,
     /** Repeated requests are always answered with an error status. */
     FAILING_POLLS,
     /** Each upstream crashes together with three others, as those of a rack do. */
-    RACKS,
+    RACK_FAILURES,
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitSimulation.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitSimulation.java
@@ -30,12 +30,12 @@
     private static final int UPSTREAMS = 3;
     private static final int SLOTS = 48;
     private static final Duration STEP = Duration.ofMillis(10);
-    private static final Duration CONTACT = Duration.ofSeconds(3);
+    private static final Duration TIME_TO_KNOW = Duration.ofSeconds(3);
     private static final Duration WINDOW = Duration.ofSeconds(4);
-    private static final Duration TOLD = Duration.ofMillis(500);
+    private static final Duration TIME_TO_APPLY = Duration.ofMillis(500);
     private static final double OVERAGE = 1.5;
     private static final double SLACK = 5;
-    private static final int LONGEST_NEWS_MILLIS = 60;
+    private static final int MAX_ANNOUNCEMENT_MILLIS = 60;
 
     /** The number of routers that pass announcements on to all others. */
     private static final int WATCHERS = 2;
@@ -46,7 +46,7 @@
     private final List<LimitSimulationRouter> routers = new ArrayList<>();
     private final List<SimulatedUpstream> engines = new ArrayList<>();
     private double perSecond;
-    private int broken;
+    private int violations;
     private int served;
     private int refused;
 
@@ -57,7 +57,7 @@
      * @param lost the fraction of messages between routers that is lost
      */
     record Rules(boolean shared, double lost) {
-        static Rules usual() {
+        static Rules defaults() {
             return new Rules(true, 0.1);
         }
     }
@@ -68,9 +68,9 @@
         private RequestLimit limit = RequestLimit.NO_LIMIT;
         private Instant limitedAt = Instant.MAX;
         private double highest;
-        private final Map<VmId, Instant> passedOn = new HashMap<>();
-        private final ArrayDeque<Instant> came = new ArrayDeque<>();
-        private int whileLimited;
+        private final Map<VmId, Instant> passedOnAtByRouter = new HashMap<>();
+        private final ArrayDeque<Instant> arrivals = new ArrayDeque<>();
+        private int requestsWhileLimited;
 
         private SimulatedUpstream(int number) {
             this.id = UpstreamId.of("i-" + number);
@@ -90,8 +90,8 @@
             limit = RequestLimit.NO_LIMIT;
             limitedAt = Instant.MAX;
             highest = 0;
-            passedOn.clear();
-            came.clear();
+            passedOnAtByRouter.clear();
+            arrivals.clear();
         }
 
         RequestLimit limit() {
@@ -102,34 +102,34 @@
          * Returns the requests received under a declared limit, once routers had time to know it.
          */
         int requestsWhileLimited() {
-            return whileLimited;
+            return requestsWhileLimited;
         }
 
         void answerPassedOnBy(VmId router) {
             if (limit.isDeclared()) {
-                passedOn.putIfAbsent(router, now());
+                passedOnAtByRouter.putIfAbsent(router, now());
             }
         }
 
         void routerRestarted(VmId router) {
-            passedOn.remove(router);
+            passedOnAtByRouter.remove(router);
         }
 
         void requestArrived(VmId router) {
-            if (limitedAt.equals(Instant.MAX) || now().isBefore(limitedAt.plus(CONTACT))) {
+            if (limitedAt.equals(Instant.MAX) || now().isBefore(limitedAt.plus(TIME_TO_KNOW))) {
                 return;
             }
-            whileLimited++;
-            Instant told = passedOn.get(router);
-            if (told == null || now().isBefore(told.plus(TOLD))) {
+            requestsWhileLimited++;
+            Instant passedOnAt = passedOnAtByRouter.get(router);
+            if (passedOnAt == null || now().isBefore(passedOnAt.plus(TIME_TO_APPLY))) {
                 return;
             }
-            came.add(now());
-            while (!came.peek().isAfter(now().minus(WINDOW))) {
-                came.remove();
+            arrivals.add(now());
+            while (!arrivals.peek().isAfter(now().minus(WINDOW))) {
+                arrivals.remove();
             }
             double allowed = highest * WINDOW.toSeconds() * OVERAGE + SLACK;
-            broken += came.size() > allowed ? 1 : 0;
+            violations += arrivals.size() > allowed ? 1 : 0;
         }
 
         UpstreamFacts facts() {
@@ -202,13 +202,13 @@
     }
 
     /** Sends an announcement: watchers reach all routers, the others only the watchers. */
-    void announce(LimitSimulationRouter from, DeclaredLimits.Announcement news) {
+    void announce(LimitSimulationRouter from, DeclaredLimits.Announcement announcement) {
         boolean watches = routers.indexOf(from) < WATCHERS;
         for (int each = 0; each < routers.size(); each++) {
             LimitSimulationRouter to = routers.get(each);
             if (to != from && (watches || each < WATCHERS) && random.nextDouble() >= rules.lost()) {
-                Duration way = Duration.ofMillis(2 + random.nextInt(LONGEST_NEWS_MILLIS));
-                time.after(way, () -> to.announcementReceived(news, !watches));
+                Duration way = Duration.ofMillis(2 + random.nextInt(MAX_ANNOUNCEMENT_MILLIS));
+                time.after(way, () -> to.announcementReceived(announcement, !watches));
             }
         }
     }
@@ -227,11 +227,11 @@
 
     /** Returns how many requests limited upstreams got beyond the bound. */
     int violations() {
-        return broken;
+        return violations;
     }
 
     @Override
     public String toString() {
-        return broken + " beyond a limit, " + served + " served, " + refused + " refused";
+        return violations + " beyond a limit, " + served + " served, " + refused + " refused";
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitSimulationRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitSimulationRouter.java
@@ -13,25 +13,25 @@
  * A router of a {@link LimitSimulation}, with the real table, selection, queue and announcements.
  */
 final class LimitSimulationRouter {
-    private static final Duration CHECK = Duration.ofMillis(50);
-    private static final Duration AGAIN = Duration.ofSeconds(1);
+    private static final Duration TICK = Duration.ofMillis(50);
+    private static final Duration ANNOUNCEMENT_INTERVAL = Duration.ofSeconds(1);
     private static final Duration DOWN = Duration.ofMillis(1_200);
     private static final Duration CALLER_WAITS = Duration.ofSeconds(2);
 
-    private final LimitSimulation world;
+    private final LimitSimulation simulation;
     private final VmId name;
     private final UpstreamShare share;
     private UpstreamTable upstreams;
     private Dispatch dispatch;
     private DeclaredLimits limits;
-    private int life;
+    private int incarnation;
 
-    LimitSimulationRouter(LimitSimulation world, VmId name) {
-        this.world = world;
+    LimitSimulationRouter(LimitSimulation simulation, VmId name) {
+        this.simulation = simulation;
         this.name = name;
         this.share =
-                world.rules().shared()
-                        ? new EvenShare(name, world::routerNames)
+                simulation.rules().shared()
+                        ? new EvenShare(name, simulation::routerNames)
                         : (upstream, all) -> (int) all;
     }
 
@@ -41,27 +41,27 @@
 
     /** Kills the router; it starts again later without its state. */
     void restart() {
-        life++;
+        incarnation++;
         dispatch = null;
-        world.engines().forEach(engine -> engine.routerRestarted(name));
-        world.time.after(DOWN, this::start);
+        simulation.engines().forEach(engine -> engine.routerRestarted(name));
+        simulation.time.after(DOWN, this::start);
     }
 
     void start() {
-        int own = ++life;
+        int own = ++incarnation;
         upstreams = new UpstreamTable();
-        world.engines().forEach(engine -> upstreams.put(engine.facts(), world.now()));
-        dispatch = new Dispatch(upstreams, "a", Map.of(), world::now, Runnable::run, share);
-        limits = new DeclaredLimits(world::now, upstreams, new Wire());
-        every(own, CHECK, () -> dispatch.tick());
-        every(own, AGAIN, () -> limits.announceAgain());
+        simulation.engines().forEach(engine -> upstreams.put(engine.facts(), simulation.now()));
+        dispatch = new Dispatch(upstreams, "a", Map.of(), simulation::now, Runnable::run, share);
+        limits = new DeclaredLimits(simulation::now, upstreams, new SimulatedAnnouncer());
+        every(own, TICK, () -> dispatch.tick());
+        every(own, ANNOUNCEMENT_INTERVAL, () -> limits.announceAgain());
     }
 
     private void every(int own, Duration period, Runnable step) {
-        world.time.after(
+        simulation.time.after(
                 period,
                 () -> {
-                    if (life == own) {
+                    if (incarnation == own) {
                         step.run();
                         every(own, period, step);
                     }
@@ -74,45 +74,45 @@
         }
     }
 
-    void announcementReceived(DeclaredLimits.Announcement news, boolean passOn) {
+    void announcementReceived(DeclaredLimits.Announcement announcement, boolean passOn) {
         if (dispatch != null) {
-            limits.announcementReceived(news, passOn);
+            limits.announcementReceived(announcement, passOn);
             dispatch.tick();
         }
     }
 
-    private final class Wire implements DeclaredLimits.Announcer {
+    private final class SimulatedAnnouncer implements DeclaredLimits.Announcer {
         @Override
-        public void announceLimit(DeclaredLimits.Announcement news) {
-            world.announce(LimitSimulationRouter.this, news);
+        public void announceLimit(DeclaredLimits.Announcement announcement) {
+            simulation.announce(LimitSimulationRouter.this, announcement);
         }
 
         @Override
-        public void forwardLimit(DeclaredLimits.Announcement news) {
-            if (world.isWatcher(LimitSimulationRouter.this)) {
-                world.announce(LimitSimulationRouter.this, news);
+        public void forwardLimit(DeclaredLimits.Announcement announcement) {
+            if (simulation.isWatcher(LimitSimulationRouter.this)) {
+                simulation.announce(LimitSimulationRouter.this, announcement);
             }
         }
     }
 
     private final class Request extends PlainRequest {
         Request() {
-            super(LimitSimulation.SERVICE, world.now(), CALLER_WAITS);
+            super(LimitSimulation.SERVICE, simulation.now(), CALLER_WAITS);
         }
 
         @Override
         public void sendTo(Upstream upstream) {
-            int own = life;
-            Instant sentAt = world.now();
-            LimitSimulation.SimulatedUpstream engine = world.engine(upstream.facts().id());
+            int own = incarnation;
+            Instant sentAt = simulation.now();
+            LimitSimulation.SimulatedUpstream engine = simulation.engine(upstream.facts().id());
             upstream.requestAssigned(null, sentAt);
             upstream.requestSent(sentAt);
-            world.time.after(Duration.ofMillis(1), () -> engine.requestArrived(name));
-            Duration takes = Duration.ofMillis(20 + world.random.nextInt(300));
-            world.time.after(
+            simulation.time.after(Duration.ofMillis(1), () -> engine.requestArrived(name));
+            Duration takes = Duration.ofMillis(20 + simulation.random.nextInt(300));
+            simulation.time.after(
                     takes,
                     () -> {
-                        if (life == own) {
+                        if (incarnation == own) {
                             answered(upstream, engine, sentAt, takes);
                         }
                     });
@@ -123,17 +123,17 @@
                 LimitSimulation.SimulatedUpstream engine,
                 Instant sentAt,
                 Duration took) {
-            upstream.requestAnswered(took, world.now());
+            upstream.requestAnswered(took, simulation.now());
             upstream.requestFinished(null);
             engine.answerPassedOnBy(name);
             limits.limitReceived(upstream, engine.limit(), sentAt);
-            world.recordServed();
+            simulation.recordServed();
             dispatch.drain(LimitSimulation.SERVICE);
         }
 
         @Override
         public void waitedInVain() {
-            world.recordRefused();
+            simulation.recordRefused();
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/PoisonRequestDetectorTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/PoisonRequestDetectorTest.java
@@ -18,43 +18,43 @@
     // Guards against refusing an innocent request because upstreams crashed while it ran.
     @ParameterizedTest
     @CsvSource({"4, 13, 60, 0.5", "33, 42, 150, 1.5", "300, 200, 400, 4"})
-    void noInnocentRequestIsKeptOutWhileUpstreamsEndForOtherReasons(
-            int routers, int workers, double perSecond, double endsPerSecond) {
-        int ends = 0;
+    void noInnocentRequestIsQuarantinedWhileUpstreamsCrashForOtherReasons(
+            int routers, int workers, double perSecond, double crashesPerSecond) {
+        int crashes = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashSimulation world = new CrashSimulation(seed, routers, workers);
-            world.advance(Duration.ofSeconds(60), perSecond, endsPerSecond, 0);
-            assertEquals(0, world.innocentsRefused(), "seed " + seed);
-            ends += world.crashes();
+            CrashSimulation simulation = new CrashSimulation(seed, routers, workers);
+            simulation.advance(Duration.ofSeconds(60), perSecond, crashesPerSecond, 0);
+            assertEquals(0, simulation.innocentsRefused(), "seed " + seed);
+            crashes += simulation.crashes();
         }
-        assertTrue(ends > 20 * SEEDS, ends + " ends");
+        assertTrue(crashes > 20 * SEEDS, crashes + " ends");
     }
 
     // Guards against routers that send a request that others know to crash upstreams.
     @ParameterizedTest
     @CsvSource({"4, 13, 60, 0.1", "33, 42, 150, 0.3", "300, 200, 400, 1"})
-    void aDeadlyRequestReachesFewUpstreamsOnceThreeHaveEnded(
-            int routers, int workers, double perSecond, double endsPerSecond) {
+    void aPoisonRequestReachesFewUpstreamsOnceThreeHaveCrashed(
+            int routers, int workers, double perSecond, double crashesPerSecond) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashSimulation world = new CrashSimulation(seed, routers, workers);
-            world.advance(Duration.ofSeconds(30), perSecond, endsPerSecond, 1.2);
-            assertTrue(world.lateSendsOfPoisonRequest() <= ALLOWED, "seed " + seed);
-            assertTrue(world.poisonRequestsRefused() > 0, "seed " + seed);
+            CrashSimulation simulation = new CrashSimulation(seed, routers, workers);
+            simulation.advance(Duration.ofSeconds(30), perSecond, crashesPerSecond, 1.2);
+            assertTrue(simulation.lateSendsOfPoisonRequest() <= ALLOWED, "seed " + seed);
+            assertTrue(simulation.poisonRequestsRefused() > 0, "seed " + seed);
         }
     }
 
     // Guards against a restart of all routers that loses the quarantine.
     @ParameterizedTest
     @CsvSource({"4, 13", "33, 42"})
-    void whatIsKeptOutIsKnownAfterAllRoutersHaveStartedAgain(int routers, int workers) {
+    void whatIsQuarantinedIsKnownAfterAllRoutersHaveRestarted(int routers, int workers) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            CrashSimulation world = new CrashSimulation(seed, routers, workers);
-            world.advance(Duration.ofSeconds(15), 60, 0.1, 1.2);
-            int before = world.lateSendsOfPoisonRequest();
-            world.restartAllRouters();
-            world.advance(Duration.ofSeconds(3), 60, 0.1, 0);
-            world.advance(Duration.ofSeconds(20), 60, 0.1, 1.2);
-            assertEquals(before, world.lateSendsOfPoisonRequest(), "seed " + seed);
+            CrashSimulation simulation = new CrashSimulation(seed, routers, workers);
+            simulation.advance(Duration.ofSeconds(15), 60, 0.1, 1.2);
+            int before = simulation.lateSendsOfPoisonRequest();
+            simulation.restartAllRouters();
+            simulation.advance(Duration.ofSeconds(3), 60, 0.1, 0);
+            simulation.advance(Duration.ofSeconds(20), 60, 0.1, 1.2);
+            assertEquals(before, simulation.lateSendsOfPoisonRequest(), "seed " + seed);
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashAnnouncer.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SilentCrashAnnouncer.java
@@ -10,13 +10,13 @@
 final class SilentCrashAnnouncer implements CrashAnnouncer {
     @Override
     public void announceRunsAtCrash(
-            UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> ran) {}
+            UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> runTimes) {}
 
     @Override
-    public void announceCrash(UpstreamCrash end) {}
+    public void announceCrash(UpstreamCrash crash) {}
 
     @Override
-    public void forwardCrash(UpstreamCrash end) {}
+    public void forwardCrash(UpstreamCrash crash) {}
 
     @Override
     public void announceWatched(RequestDigest request) {}
@@ -37,5 +37,5 @@
     public void announceEarlierSuccess(RequestDigest request, Duration ago) {}
 
     @Override
-    public void announceSurvivedRuns(RequestDigest request, int times) {}
+    public void announceSurvivedRuns(RequestDigest request, int runs) {}
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedWeightStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedWeightStore.java
@@ -10,8 +10,8 @@
 
     private final int atFullSpeed;
     private final List<Load> running = new ArrayList<>();
-    private int begun;
-    private int mostAtOnce;
+    private int started;
+    private int maxConcurrent;
 
     private static final class Load {
         private double secondsLeft;
@@ -28,19 +28,19 @@
     }
 
     void startLoad(Duration time, Runnable done) {
-        begun++;
+        started++;
         Load load = new Load(time, done);
         running.add(load);
-        mostAtOnce = Math.max(mostAtOnce, running.size());
+        maxConcurrent = Math.max(maxConcurrent, running.size());
     }
 
     int loadsStarted() {
-        return begun;
+        return started;
     }
 
     /** Returns the largest number of loads that ran at the same time. */
     int maxConcurrentLoads() {
-        return mostAtOnce;
+        return maxConcurrent;
     }
 
     /** Advances the running loads by the given time. */
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SlidingMaximumTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SlidingMaximumTest.java
@@ -11,28 +11,29 @@
 
     private final TestControlThread control = new TestControlThread();
     private int routers = 4;
-    private final SlidingMaximum most = new SlidingMaximum(() -> routers, control.clock(), WINDOW);
+    private final SlidingMaximum maximum =
+            new SlidingMaximum(() -> routers, control.clock(), WINDOW);
 
     // Guards against routers whose entries expired in an outage: each then takes the whole of what
     // all of them share, such as retries.
     @Test
-    void routersThatAreAwayForAMomentStillCount() {
-        assertEquals(4, most.value());
+    void routersMissingBrieflyStillCount() {
+        assertEquals(4, maximum.value());
         routers = 1;
         control.advance(Duration.ofSeconds(3));
-        assertEquals(4, most.value());
+        assertEquals(4, maximum.value());
         routers = 4;
         control.advance(Duration.ofSeconds(9));
-        assertEquals(4, most.value());
+        assertEquals(4, maximum.value());
     }
 
     @Test
-    void routersThatAreGoneForGoodCountNoMoreAfterAWhile() {
-        assertEquals(4, most.value());
+    void routersMissingForTheWindowNoLongerCount() {
+        assertEquals(4, maximum.value());
         routers = 2;
         control.advance(WINDOW);
-        assertEquals(2, most.value());
+        assertEquals(2, maximum.value());
         routers = 3;
-        assertEquals(3, most.value());
+        assertEquals(3, maximum.value());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamCrashDetectorTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamCrashDetectorTest.java
@@ -31,101 +31,101 @@
 
     private final TestControlThread control = new TestControlThread();
     private final UpstreamTable table = new UpstreamTable();
-    private final Deque<ProbeResult> signs = new ArrayDeque<>();
+    private final Deque<ProbeResult> probeResults = new ArrayDeque<>();
     private final List<RequestDigest> ran = new ArrayList<>();
     private final List<RequestDigest> survived = new ArrayList<>();
-    private final List<UpstreamCrash> found = new ArrayList<>();
-    private final UpstreamCrashDetector ends =
-            new UpstreamCrashDetector(control, this::look, new Noting(), new Metrics());
+    private final List<UpstreamCrash> detected = new ArrayList<>();
+    private final UpstreamCrashDetector detector =
+            new UpstreamCrashDetector(control, this::probe, new RecordingListener(), new Metrics());
     private final Upstream upstream = list(1);
 
     // Guards against a connection that is still open here, as its break is not noticed yet.
     @Test
-    void aLookThatIsWrongTwiceIsRepeated() {
-        Collections.addAll(signs, ProbeResult.ALIVE, ProbeResult.ALIVE, ProbeResult.ENDED);
-        ends.recordCutRun(upstream, ONE, now(), Cut.BROKE);
+    void aProbeIsRepeatedAfterTwoWrongResults() {
+        Collections.addAll(probeResults, ProbeResult.ALIVE, ProbeResult.ALIVE, ProbeResult.CRASHED);
+        detector.recordCutRun(upstream, ONE, now(), Cut.BROKE);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(ONE), ran);
-        assertEquals(1, found.size());
+        assertEquals(1, detected.size());
     }
 
     // Guards against callers that leave just before the crash, so that no connection breaks.
     @Test
-    void aRunWhoseCallerLeftJustBeforeTheEndIsTold() {
-        signs.add(ProbeResult.ENDED);
-        ends.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
+    void aRunWhoseCallerLeftJustBeforeTheCrashIsReported() {
+        probeResults.add(ProbeResult.CRASHED);
+        detector.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(ONE), ran);
     }
 
     // Guards against an innocent request whose caller left long before the upstream crashed.
     @Test
-    void aRunThatWasCalledOffLongBeforeTheEndIsNotTold() {
-        Collections.addAll(signs, ProbeResult.ALIVE, ProbeResult.ENDED);
-        ends.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
+    void aRunCanceledLongBeforeTheCrashIsNotReported() {
+        Collections.addAll(probeResults, ProbeResult.ALIVE, ProbeResult.CRASHED);
+        detector.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
         pass(Duration.ofSeconds(3));
-        ends.recordCutRun(upstream, OTHER, now(), Cut.BROKE);
+        detector.recordCutRun(upstream, OTHER, now(), Cut.BROKE);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(OTHER), ran);
     }
 
     // Guards against a later probe, for a caller that left, that delays the one for a break.
     @Test
-    void aBreakIsLookedIntoAtOnceThoughACallerHasJustLeft() {
-        signs.add(ProbeResult.ENDED);
-        ends.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
-        ends.recordCutRun(upstream, OTHER, now(), Cut.BROKE);
+    void aBreakIsProbedAtOnceThoughACallerHasJustLeft() {
+        probeResults.add(ProbeResult.CRASHED);
+        detector.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
+        detector.recordCutRun(upstream, OTHER, now(), Cut.BROKE);
         pass(Duration.ofMillis(50));
         assertEquals(List.of(ONE, OTHER), ran);
     }
 
     @Test
-    void aRunWhoseUpstreamAnswersLaterHasBeenBorne() {
+    void aRunWhoseUpstreamAnswersLaterIsSurvived() {
         Instant sentAt = now();
-        ends.recordCutRun(upstream, ONE, sentAt, Cut.TIME_UP);
-        ends.upstreamAnswered(upstream, sentAt.plusMillis(1_500));
+        detector.recordCutRun(upstream, ONE, sentAt, Cut.TIME_UP);
+        detector.upstreamAnswered(upstream, sentAt.plusMillis(1_500));
         assertEquals(List.of(ONE), survived);
-        ends.upstreamRemoved(upstream.facts().id());
+        detector.upstreamRemoved(upstream.facts().id());
         assertEquals(List.of(), ran);
     }
 
     // Guards against crashes that break no connection, so that requests run into their timeout.
     @Test
-    void aRunThatComesToItsEndAfterTheUpstreamIsTold() {
-        ends.crashReceived(new UpstreamCrash(upstream.facts().id(), 1));
-        ends.recordCutRun(upstream, ONE, now(), Cut.TIME_UP);
+    void aRunCutOffAfterTheCrashIsReported() {
+        detector.crashReceived(new UpstreamCrash(upstream.facts().id(), 1));
+        detector.recordCutRun(upstream, ONE, now(), Cut.TIME_UP);
         assertEquals(List.of(ONE), ran);
     }
 
     // Guards against mistaking an upstream whose connections are all in use for a crashed one.
     @Test
-    void anUpstreamThatRefusesAndAnswersLaterHasNotEnded() {
-        ends.crashReceived(new UpstreamCrash(upstream.facts().id(), 1));
+    void anUpstreamThatRefusesAndAnswersLaterHasNotCrashed() {
+        detector.crashReceived(new UpstreamCrash(upstream.facts().id(), 1));
         pass(Duration.ofSeconds(1));
-        ends.upstreamAnswered(upstream, now());
-        ends.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
+        detector.upstreamAnswered(upstream, now());
+        detector.recordCutRun(upstream, ONE, now(), Cut.CALLER_GONE);
         pass(Duration.ofSeconds(2));
         assertEquals(List.of(), ran);
     }
 
     @Test
-    void anUpstreamThatStartsAgainHasEnded() {
-        ends.recordCutRun(upstream, ONE, now(), Cut.BROKE);
-        ends.upstreamListed(list(2).facts());
+    void aRestartOfAnUpstreamIsACrash() {
+        detector.recordCutRun(upstream, ONE, now(), Cut.BROKE);
+        detector.upstreamListed(list(2).facts());
         assertEquals(List.of(ONE), ran);
     }
 
     // Guards against memory that grows with each canceled run.
     @Test
-    void whatWasCutLongAgoIsForgotten() {
-        ends.recordCutRun(upstream, ONE, now(), Cut.BROKE);
+    void runsCutOffLongAgoAreForgotten() {
+        detector.recordCutRun(upstream, ONE, now(), Cut.BROKE);
         pass(Duration.ofSeconds(11));
-        ends.upstreamRemoved(upstream.facts().id());
+        detector.upstreamRemoved(upstream.facts().id());
         assertEquals(List.of(), ran);
     }
 
-    private void look(Upstream looked, boolean vouch, Consumer<ProbeResult> then) {
-        then.accept(signs.isEmpty() ? ProbeResult.NONE : signs.remove());
+    private void probe(Upstream looked, boolean vouch, Consumer<ProbeResult> then) {
+        then.accept(probeResults.isEmpty() ? ProbeResult.UNKNOWN : probeResults.remove());
     }
 
     private void pass(Duration time) {
@@ -136,34 +136,35 @@
         return control.clock().instant();
     }
 
-    private Upstream list(long life) {
+    private Upstream list(long incarnation) {
         UpstreamId id = UpstreamId.of("i-1");
         UpstreamFacts facts =
                 new UpstreamFacts(
                         id,
-                        life,
+                        incarnation,
                         "service",
                         new Endpoint("127.0.0.1", 1),
                         "a",
                         16,
                         false,
                         Duration.ZERO,
-                        new HeldModels(life, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
+                        new HeldModels(incarnation, HeldModels.UNKNOWN_SEQUENCE, Map.of()),
                         Set.of(),
                         Set.of());
         table.put(facts, now());
         return table.find(id).orElseThrow();
     }
 
-    private final class Noting implements UpstreamCrashDetector.Listener {
+    private final class RecordingListener implements UpstreamCrashDetector.Listener {
         @Override
-        public void runsCrashed(UpstreamCrash end, Duration ago, Map<RequestDigest, Duration> all) {
+        public void runsCrashed(
+                UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> all) {
             ran.addAll(all.keySet());
         }
 
         @Override
-        public void crashDetected(UpstreamCrash end) {
-            found.add(end);
+        public void crashDetected(UpstreamCrash crash) {
+            detected.add(crash);
         }
 
         @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
@@ -28,7 +28,7 @@
                     control, store, new TestDialect(), table, PACE, Relay.none(), new Metrics());
 
     @Test
-    void whatComesLeavesAndGoesIsHeardOf() {
+    void additionsDrainsAndRemovalsAreReported() {
         start();
         put("i-1", "ready");
         put("i-1", "draining");
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void anEntryThatLapsedInAnOutageIsKeptUntilItHadTimeToReturn() {
+    void anEntryThatExpiredInAnOutageIsKeptUntilItHadTimeToReturn() {
         // Guards against dropping upstreams whose entries expired in an outage of the store: they
         // answer all the while and write their entries again soon after, and a router that dropped
         // them at once would refuse all requests in between.
@@ -75,7 +75,7 @@
 
     // Guards against dropping an upstream whose entry was removed and restored between answers.
     @Test
-    void anEntryThatWentAndCameBackInOneAnswerStays() {
+    void anEntryRemovedAndRestoredInOneAnswerStays() {
         start();
         put("i-1", "ready");
         put("i-2", "ready");
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aWatchThatLostItsPlaceIsReadAnew() {
+    void aBrokenWatchReadsTheListAgain() {
         start();
         put("i-1", "ready");
         store.silenceWatches(true);
