--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -101,9 +101,9 @@
     private final ZoneDrains drains;
     private final OperatorSettingsFollower operatorFollower;
     private final UpstreamDispatcher dispatch;
-    private final CrashWatch crashes;
+    private final PoisonRequestDetector crashes;
     private final LostUpstreamAnnouncer lost;
-    private final LimitedUpstreams limits;
+    private final DeclaredLimits limits;
     private final InFlightRequests flows;
     private final RateAdmission rates;
     private final RatePeers ratePeers;
@@ -135,7 +135,7 @@
         this.neighbours = new PeerRouters(control, members);
         this.lease = new LeaderLease(control, store, members, self, lag);
         this.handOver = new LeaderHandOver(control, store, lease, neighbours, members);
-        UpstreamCalls calls = new UpstreamCalls(client, dialect, control);
+        UpstreamClient calls = new UpstreamClient(client, dialect, control);
         this.leader = new LoadCoordinator(control, upstreams, lease, calls, self, neighbours);
         this.configuration = new ConfigurationHolder(dialect, this::applyConfiguration);
         this.upstreamFollower = upstreamFollower();
@@ -144,7 +144,7 @@
         this.dispatch = dispatch();
         this.reports = reports();
         this.crashes =
-                new CrashWatch(
+                new PoisonRequestDetector(
                         control,
                         crashNews(),
                         this::probe,
@@ -152,7 +152,7 @@
                         this::isFirstWatcher,
                         metrics);
         this.lost = new LostUpstreamAnnouncer(clock, upstreams, neighbours);
-        this.limits = new LimitedUpstreams(clock, upstreams, neighbours);
+        this.limits = new DeclaredLimits(clock, upstreams, neighbours);
         this.flows = flows();
         Timeline timeline = Timeline.of(settings.vm(), HybridClock.over(clock), TIMELINE_EVENTS);
         this.rates = rates(timeline);
@@ -263,17 +263,19 @@
                 dialect, client, dispatch, clock, bounds, members::size, crashes, lost, limits);
     }
 
-    private CrashNews crashNews() {
-        return new StoredCrashNews(
+    private CrashAnnouncer crashNews() {
+        return new StoringCrashAnnouncer(
                 neighbours.crashNews(),
                 new QuarantineStore(control, store, members.quarantinePrefix()));
     }
 
     private void probe(
-            Upstream upstream, boolean trustOpenConnection, Consumer<UpstreamEnds.Sign> then) {
+            Upstream upstream,
+            boolean trustOpenConnection,
+            Consumer<UpstreamCrashDetector.ProbeResult> then) {
         Endpoint endpoint = upstream.facts().endpoint();
         if (trustOpenConnection && client.keeps(endpoint)) {
-            then.accept(UpstreamEnds.Sign.ALIVE);
+            then.accept(UpstreamCrashDetector.ProbeResult.ALIVE);
             return;
         }
         client.reach(
@@ -283,9 +285,11 @@
                                 reached.map(
                                                 open ->
                                                         open
-                                                                ? UpstreamEnds.Sign.ALIVE
-                                                                : UpstreamEnds.Sign.ENDED)
-                                        .orElse(UpstreamEnds.Sign.NONE)));
+                                                                ? UpstreamCrashDetector.ProbeResult
+                                                                        .ALIVE
+                                                                : UpstreamCrashDetector.ProbeResult
+                                                                        .CRASHED)
+                                        .orElse(UpstreamCrashDetector.ProbeResult.UNKNOWN)));
     }
 
     // True at the first watcher of the plan: all routers that have read the same list agree on it.
@@ -416,13 +420,13 @@
         dispatch.onModelUnavailable(reports::reportSoon);
         operatorFollower.start();
         upstreamFollower.start(new UpstreamListener());
-        members.onQuarantined(crashes::toldByStore);
+        members.onQuarantined(crashes::quarantineReadFromStore);
         members.start(this::membersChanged);
         callers = HttpServer.adopt(loop, socket, HttpLimits.usual(), ingress);
         metrics.gauge("direct_left_before_served", callers::leftUnserved);
-        crashes.show();
+        crashes.registerGauges();
         new DrainProgress(upstreams).registerGauges(metrics);
-        limits.show(metrics);
+        limits.registerGauges(metrics);
         leader.registerMetrics(metrics);
         metrics.gauge("models_unserved", flows.unservedModels()::unservedCount);
         String address = settings.peer().host() + ':' + settings.peer().port();
@@ -431,7 +435,7 @@
         control.every(CHECK_PERIOD, this::check);
         control.every(REPORT_PERIOD, reports::report);
         control.every(GOSSIP_PERIOD, reports::gossip);
-        control.every(GOSSIP_PERIOD, limits::tellAgain);
+        control.every(GOSSIP_PERIOD, limits::announceAgain);
         control.every(SWEEP_PERIOD, client::sweep);
     }
 
@@ -509,15 +513,15 @@
     /** Applies changes of upstreams to the other parts, after the table has them. */
     private final class UpstreamListener implements UpstreamFollower.Listener {
         @Override
-        public void listed(UpstreamFacts facts) {
-            crashes.listed(facts);
+        public void upstreamListed(UpstreamFacts facts) {
+            crashes.upstreamListed(facts);
             leader.upstreamListed(facts);
             dispatch.sendQueued(facts.service());
         }
 
         @Override
-        public void gone(UpstreamFacts last) {
-            crashes.gone(last.id());
+        public void upstreamRemoved(UpstreamFacts last) {
+            crashes.upstreamRemoved(last.id());
             leader.upstreamRemoved(last.id());
             client.forget(last.endpoint());
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardedRequest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardedRequest.java
@@ -106,9 +106,9 @@
     void start() {
         call.onGone(this::handleCallerGone);
         call.onWritable(this::resumeReading);
-        if (!inFlight.crashes().idle()) {
-            boolean mayBeTrial = inFlight.crashes().knows(digest());
-            Optional<Duration> quarantineLeft = inFlight.crashes().refused(digest());
+        if (!inFlight.crashes().isQuarantineEmpty()) {
+            boolean mayBeTrial = inFlight.crashes().hasQuarantineEntry(digest());
+            Optional<Duration> quarantineLeft = inFlight.crashes().tryAdmit(digest());
             if (quarantineLeft.isPresent()) {
                 refuseAsPoisonRequest(quarantineLeft.get());
                 return;
@@ -130,7 +130,9 @@
     // The request may have been quarantined while it was queued, perhaps because its own earlier
     // attempt crashed an upstream.
     private boolean isQuarantinedNow() {
-        return !trial && !inFlight.crashes().idle() && inFlight.crashes().keepsOut(digest());
+        return !trial
+                && !inFlight.crashes().isQuarantineEmpty()
+                && inFlight.crashes().isQuarantined(digest());
     }
 
     /**
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/InFlightRequests.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/InFlightRequests.java
@@ -20,9 +20,9 @@
     private final InstantSource clock;
     private final RetryBounds retryBounds;
     private final SlidingMaximum routerCount;
-    private final CrashWatch crashes;
+    private final PoisonRequestDetector crashes;
     private final LostUpstreamAnnouncer lostUpstreams;
-    private final LimitedUpstreams limitedUpstreams;
+    private final DeclaredLimits limitedUpstreams;
     private final RequestLog requestLog;
     private final UnservedModels unservedModels = new UnservedModels();
     private final Set<ForwardedRequest> requests = new LinkedHashSet<>();
@@ -44,9 +44,9 @@
             InstantSource clock,
             RetryBounds retryBounds,
             IntSupplier routerCount,
-            CrashWatch crashes,
+            PoisonRequestDetector crashes,
             LostUpstreamAnnouncer lostUpstreams,
-            LimitedUpstreams limitedUpstreams) {
+            DeclaredLimits limitedUpstreams) {
         this.dialect = dialect;
         this.client = client;
         this.dispatch = dispatch;
@@ -71,7 +71,7 @@
         return dispatch;
     }
 
-    CrashWatch crashes() {
+    PoisonRequestDetector crashes() {
         return crashes;
     }
 
@@ -79,7 +79,7 @@
         return lostUpstreams;
     }
 
-    LimitedUpstreams limitedUpstreams() {
+    DeclaredLimits limitedUpstreams() {
         return limitedUpstreams;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerMessageHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerMessageHandler.java
@@ -35,9 +35,9 @@
             Membership members,
             LoadCoordinator coordinator,
             LeaderHandOver handOver,
-            CrashWatch crashes,
+            PoisonRequestDetector crashes,
             LostUpstreamAnnouncer lostUpstreams,
-            LimitedUpstreams limits,
+            DeclaredLimits limits,
             DemandReporter reports,
             ConfigurationHolder configuration,
             ZoneDrains drains,
@@ -60,10 +60,11 @@
                     .peers()
                     .fetchConfiguration(demand.router(), dependencies.configuration().revision());
         }
-        if (dependencies.upstreamFollower().needsTelling(status.upstreamsRevision())) {
+        if (dependencies.upstreamFollower().needsDepartures(status.upstreamsRevision())) {
             dependencies
                     .peers()
-                    .fetchDepartures(demand.router(), dependencies.upstreamFollower().knownUpTo());
+                    .fetchDepartures(
+                            demand.router(), dependencies.upstreamFollower().departuresReadUpTo());
         }
     }
 
@@ -77,24 +78,24 @@
 
     @Override
     public void departuresReceived(List<UpstreamDeparture> departures) {
-        dependencies.upstreamFollower().told(departures);
+        dependencies.upstreamFollower().applyDepartures(departures);
     }
 
     @Override
     public void linkOpened() {
         dependencies.reports().announceHeldModels();
-        dependencies.crashes().tellAll();
+        dependencies.crashes().announceQuarantine();
     }
 
     @Override
     public void upstreamCrashed(
             UpstreamCrash crash, Duration ago, Map<RequestDigest, Duration> ran) {
-        dependencies.crashes().told(crash, ago, ran);
+        dependencies.crashes().countCrash(crash, ago, ran);
     }
 
     @Override
     public void crashDetected(UpstreamCrash crash, boolean passOn) {
-        dependencies.crashes().toldEnd(crash, passOn);
+        dependencies.crashes().crashReceived(crash, passOn);
     }
 
     @Override
@@ -103,33 +104,33 @@
     }
 
     @Override
-    public void upstreamLimited(LimitedUpstreams.News news, boolean passOn) {
-        dependencies.limits().told(news, passOn);
+    public void upstreamLimited(DeclaredLimits.Announcement announcement, boolean passOn) {
+        dependencies.limits().announcementReceived(announcement, passOn);
     }
 
     @Override
     public void requestWatched(RequestDigest request) {
-        dependencies.crashes().toldWatched(request);
+        dependencies.crashes().startWatching(request);
     }
 
     @Override
     public void requestQuarantined(Quarantine.Entry entry) {
-        dependencies.crashes().told(entry);
+        dependencies.crashes().quarantineReceived(entry);
     }
 
     @Override
     public void requestCleared(RequestDigest request, Duration sentAgo) {
-        dependencies.crashes().toldCleared(request, sentAgo);
+        dependencies.crashes().clearRequest(request, sentAgo);
     }
 
     @Override
     public void requestSucceededBefore(RequestDigest request, Duration ago) {
-        dependencies.crashes().toldSucceededBefore(request, ago);
+        dependencies.crashes().recordEarlierSuccess(request, ago);
     }
 
     @Override
     public void requestSurvived(RequestDigest request, int times) {
-        dependencies.crashes().toldBorne(request, times);
+        dependencies.crashes().addSurvivedRuns(request, times);
     }
 
     @Override
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouterFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouterFrames.java
@@ -150,7 +150,7 @@
         return runTimes;
     }
 
-    static Frame limit(LimitedUpstreams.News news, boolean passOn) {
+    static Frame limit(DeclaredLimits.Announcement news, boolean passOn) {
         UpstreamLimit limit =
                 UpstreamLimit.newBuilder()
                         .setUpstream(news.upstream().value())
@@ -163,8 +163,8 @@
         return Frame.newBuilder().setUpstreamLimit(limit).build();
     }
 
-    static LimitedUpstreams.News limit(UpstreamLimit limit) {
-        return new LimitedUpstreams.News(
+    static DeclaredLimits.Announcement limit(UpstreamLimit limit) {
+        return new DeclaredLimits.Announcement(
                 UpstreamId.of(limit.getUpstream()),
                 limit.getStartedAt(),
                 limit.getNamed()
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouters.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouters.java
@@ -48,7 +48,7 @@
         implements PeerListener,
                 LeaderAnnouncements,
                 LostUpstreamAnnouncer.Transport,
-                LimitedUpstreams.Wire {
+                DeclaredLimits.Announcer {
     /** Twice the interval of at most 0.6 s at which routers report to the leader. */
     private static final Duration STORE_STATUS_VALIDITY = Duration.ofMillis(1_200);
 
@@ -125,7 +125,7 @@
          * An upstream declared its request limit; {@code passOn} if this router is to pass the
          * announcement on to all others.
          */
-        void upstreamLimited(LimitedUpstreams.News news, boolean passOn);
+        void upstreamLimited(DeclaredLimits.Announcement announcement, boolean passOn);
 
         /** A router that was the leader under this lease resigned and can't reach the store. */
         void leaseEndRequested(VmId from, long lease);
@@ -225,27 +225,27 @@
     }
 
     /** Returns the sender of announcements about requests that crash upstreams. */
-    CrashNews crashNews() {
-        return new NeighbourCrashNews(
+    CrashAnnouncer crashNews() {
+        return new PeerCrashAnnouncer(
                 control.clock(),
-                new NeighbourCrashNews.Wire() {
+                new PeerCrashAnnouncer.FrameSender() {
                     @Override
-                    public void toAll(Frame frame) {
+                    public void sendToAll(Frame frame) {
                         sendAll(frame);
                     }
 
                     @Override
-                    public void toWatchers(Frame frame) {
+                    public void sendToWatchers(Frame frame) {
                         sendToWatchers(frame);
                     }
 
                     @Override
-                    public void throughWatchers(Function<Boolean, Frame> frame) {
+                    public void sendThroughWatchers(Function<Boolean, Frame> frame) {
                         announceThroughWatchers(frame);
                     }
 
                     @Override
-                    public boolean passesOn() {
+                    public boolean isWatcher() {
                         return members.watchesStore();
                     }
                 });
@@ -264,14 +264,14 @@
     }
 
     @Override
-    public void tellLimit(LimitedUpstreams.News news) {
-        announceThroughWatchers(passOn -> PeerRouterFrames.limit(news, passOn));
+    public void announceLimit(DeclaredLimits.Announcement announcement) {
+        announceThroughWatchers(passOn -> PeerRouterFrames.limit(announcement, passOn));
     }
 
     @Override
-    public void passLimitOn(LimitedUpstreams.News news) {
+    public void forwardLimit(DeclaredLimits.Announcement announcement) {
         if (members.watchesStore()) {
-            sendAll(PeerRouterFrames.limit(news, false));
+            sendAll(PeerRouterFrames.limit(announcement, false));
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
@@ -104,7 +104,7 @@
     }
 
     private void reportIncompleteRun(IncompleteRunCause cause) {
-        inFlight.crashes().cut(upstream, forwarded.digest(), sentAt, cause);
+        inFlight.crashes().recordCutRun(upstream, forwarded.digest(), sentAt, cause);
     }
 
     // The connection may have taken long to open, or the thread may have been delayed. So the
@@ -155,8 +155,8 @@
                         load ->
                                 upstream.loadReported(
                                         load.running(), load.waiting(), lastReceivedAt));
-        inFlight.limitedUpstreams().heard(upstream, answer.limit(), sentAt);
-        inFlight.crashes().answers(upstream, sentAt);
+        inFlight.limitedUpstreams().limitReceived(upstream, answer.limit(), sentAt);
+        inFlight.crashes().upstreamAnswered(upstream, sentAt);
     }
 
     @Override
@@ -203,7 +203,7 @@
             inFlight.lostUpstreams().connectionLost(upstream);
         }
         if (failure == Failure.NOT_CONNECTED) {
-            inFlight.crashes().unreachable(upstream);
+            inFlight.crashes().upstreamUnreachable(upstream);
         }
         if (failure.mayHaveArrived() && (answer == null || !answer.notRun())) {
             reportIncompleteRun(broke ? IncompleteRunCause.BROKE : IncompleteRunCause.GARBLED);
@@ -298,8 +298,8 @@
 
     // Records that the upstream answered the request and so did not crash on it.
     private void recordSurvivedRun() {
-        if (inFlight.crashes().awaitsAnswers() && !forwarded.call().over()) {
-            inFlight.crashes().answered(forwarded.digest(), sentAt, answer.status());
+        if (inFlight.crashes().needsOutcomes() && !forwarded.call().over()) {
+            inFlight.crashes().recordAnswer(forwarded.digest(), sentAt, answer.status());
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamClient.java
@@ -17,27 +17,27 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Orders to upstreams and reports from them, over the traffic's own client. */
-final class UpstreamCalls implements OrderClient {
-    private static final Logger LOG = LogManager.getLogger(UpstreamCalls.class);
+/** Sends orders to upstreams and fetches their reports, with the HTTP client of the traffic. */
+final class UpstreamClient implements OrderClient {
+    private static final Logger LOG = LogManager.getLogger(UpstreamClient.class);
 
-    /** Upstreams answer reports within a few milliseconds. */
-    private static final Duration LIMIT = Duration.ofMillis(400);
+    /** The timeout of a report, which upstreams answer within a few milliseconds. */
+    private static final Duration REPORT_TIMEOUT = Duration.ofMillis(400);
 
     /**
-     * They answer orders as fast, or never: then each moment of waiting is one without the model.
-     * Given up too early, an order is only given again, and accepted once.
+     * The timeout of an order. Upstreams answer as fast as for reports, or never, and then waiting
+     * only delays the model. An order that is given up too early is sent again, and accepted once.
      */
-    private static final Duration ORDER_LIMIT = Duration.ofMillis(150);
+    private static final Duration ORDER_TIMEOUT = Duration.ofMillis(150);
 
-    private static final Duration KEPT = Duration.ofSeconds(2);
+    private static final Duration MAX_IDLE = Duration.ofSeconds(2);
     private static final int OK = 200;
 
     private final HttpClient client;
     private final Dialect dialect;
     private final ControlThread control;
 
-    UpstreamCalls(HttpClient client, Dialect dialect, ControlThread control) {
+    UpstreamClient(HttpClient client, Dialect dialect, ControlThread control) {
         this.client = client;
         this.dialect = dialect;
         this.control = control;
@@ -53,11 +53,11 @@
                 dialect.orderPath(),
                 headers,
                 dialect.orderBody(order),
-                ORDER_LIMIT,
+                ORDER_TIMEOUT,
                 answer ->
                         then.accept(
                                 answer.failure()
-                                        .map(UpstreamCalls::outcome)
+                                        .map(UpstreamClient::outcome)
                                         .orElseGet(() -> dialect.outcome(answer.status()))));
     }
 
@@ -70,7 +70,7 @@
                 dialect.reportPath(),
                 dialect.callHeaders(from.id()),
                 new byte[0],
-                LIMIT,
+                REPORT_TIMEOUT,
                 answer -> then.accept(read(from, answer)));
     }
 
@@ -81,7 +81,7 @@
         try {
             return Optional.of(dialect.report(from.id(), answer.body()));
         } catch (DirectException e) {
-            LOG.warn("the report of {} can't be read: {}", from.id(), e.getMessage());
+            LOG.warn("the report of upstream {} is unreadable: {}", from.id(), e.getMessage());
             return Optional.empty();
         }
     }
@@ -92,14 +92,14 @@
             String path,
             HttpHeaders headers,
             byte[] body,
-            Duration limit,
+            Duration timeout,
             Consumer<WholeAnswer> then) {
         ClientRequest request =
                 new ClientRequest(
-                        method, path, headers, Unpooled.wrappedBuffer(body), any -> true, KEPT);
+                        method, path, headers, Unpooled.wrappedBuffer(body), any -> true, MAX_IDLE);
         WholeAnswer.Reader reader = new WholeAnswer.Reader(then);
         var call = client.send(to.endpoint(), request, reader);
-        control.after(limit, () -> reader.expire(call));
+        control.after(timeout, () -> reader.expire(call));
     }
 
     private static OrderOutcome outcome(Failure failure) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
@@ -24,41 +24,42 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Keeps the table of upstreams up with the platform's list. Control thread only. */
+/** Updates the table of upstreams from the platform's list. Control thread only. */
 final class UpstreamFollower implements ChangeListener {
     private static final Logger LOG = LogManager.getLogger(UpstreamFollower.class);
 
     /**
-     * Entries may lapse while the store is out, and are back within two seconds of its return if
-     * their upstream lives. Dropped at once, a whole fleet that still answers would be refused.
+     * How long an entry that expired in an outage of the store may take to return. Entries of live
+     * upstreams are back within two seconds of the store's return; if they were dropped at once,
+     * the requests to a whole fleet that still answers would be refused.
      */
     private static final Duration RETURN_TIME = Duration.ofMillis(2_100);
 
-    /** How long the store is asked whether an entry is back, before it is asked again. */
-    private static final Duration KNOWN_LIMIT = Duration.ofMillis(500);
+    /** The timeout of a question to the store whether an entry is back; it is then asked again. */
+    private static final Duration RECENT_READ_TIMEOUT = Duration.ofMillis(500);
 
-    /** Older than any view is while the store answers. */
-    private static final Duration OUT_OF_TOUCH = Duration.ofSeconds(2);
+    /** An age of the list that is never reached while the store answers. */
+    private static final Duration MAX_LIST_AGE = Duration.ofSeconds(2);
 
-    /** Entries lapse after three heartbeats of silence; a shorter outage takes none away. */
-    private static final Duration SHORTEST_OUTAGE = Duration.ofSeconds(2);
+    /** Entries expire after three missed heartbeats; a shorter outage removes none. */
+    private static final Duration MIN_OUTAGE = Duration.ofSeconds(2);
 
     private final ControlThread control;
     private final Dialect dialect;
     private final UpstreamTable table;
     private final Follower follower;
-    private final Map<UpstreamId, Long> awaited = new HashMap<>();
-    private boolean unanswered;
-    private long heardUpTo;
+    private final Map<UpstreamId, Long> awaitedReturns = new HashMap<>();
+    private boolean storeUnanswered;
+    private long readUpTo;
     private Listener listener;
 
-    /** Hears what the list says, after the table has it. */
+    /** Is notified of changes of the list, after the table has them. */
     interface Listener {
-        /** An upstream has come or says something new. */
-        void listed(UpstreamFacts facts);
+        /** Reports that an upstream was added or its entry changed. */
+        void upstreamListed(UpstreamFacts facts);
 
-        /** An upstream is gone. */
-        void gone(UpstreamFacts last);
+        /** Reports that an upstream was removed; {@code last} is its last entry. */
+        void upstreamRemoved(UpstreamFacts last);
     }
 
     UpstreamFollower(
@@ -89,46 +90,51 @@
     }
 
     /**
-     * True if another router, which knows the list up to this revision, should be asked who leaves:
-     * the store hasn't told this router of late, or not whether somebody is back.
+     * Returns true if another router, which knows the list up to this revision, should be asked for
+     * departures: the store has not answered this router recently, or not said whether an entry is
+     * back.
      */
-    boolean needsTelling(long theirs) {
-        boolean old = follower.age().filter(age -> age.compareTo(OUT_OF_TOUCH) > 0).isPresent();
-        return (old || unanswered) && theirs > knownUpTo();
+    boolean needsDepartures(long theirs) {
+        boolean old = follower.age().filter(age -> age.compareTo(MAX_LIST_AGE) > 0).isPresent();
+        return (old || storeUnanswered) && theirs > departuresReadUpTo();
     }
 
     /**
-     * The revision up to which the store has told this router who left, and it doesn't wait for
-     * some of them. What other routers tell is no more than a part of what comes after.
+     * Returns the revision up to which this router has read all departures from the store and waits
+     * for none of the entries to return. Announcements of other routers do not advance it, as they
+     * cover only a part of the later changes.
      */
-    long knownUpTo() {
+    long departuresReadUpTo() {
         long awaitedFrom =
-                awaited.values().stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
-        return Math.min(heardUpTo, awaitedFrom - 1);
+                awaitedReturns.values().stream()
+                        .mapToLong(Long::longValue)
+                        .min()
+                        .orElse(Long.MAX_VALUE);
+        return Math.min(readUpTo, awaitedFrom - 1);
     }
 
-    /** Another router says who leaves. */
-    void told(List<UpstreamDeparture> departures) {
+    /** Applies departures that another router announced. */
+    void applyDepartures(List<UpstreamDeparture> departures) {
         for (UpstreamDeparture each : departures) {
             if (each.removed()) {
-                awaited.computeIfPresent(
+                awaitedReturns.computeIfPresent(
                         each.upstream(), (id, at) -> at > each.revision() ? at : null);
                 removeNow(each.upstream(), each.revision());
             } else {
                 table.find(each.upstream())
                         .map(known -> known.facts().drainingSince(each.revision()))
                         .filter(facts -> table.put(facts, control.clock().instant()))
-                        .ifPresent(this::leaves);
+                        .ifPresent(this::notifyDraining);
             }
         }
     }
 
-    private void leaves(UpstreamFacts facts) {
-        LOG.info("upstream {} drains, another router says", facts.id());
-        listener.listed(facts);
+    private void notifyDraining(UpstreamFacts facts) {
+        LOG.info("upstream {} drains, as another router announced", facts.id());
+        listener.upstreamListed(facts);
     }
 
-    /** What follows the list, for others that follow it through this router. */
+    /** Returns the follower of the list, for others that follow it through this router. */
     Follower follower() {
         return follower;
     }
@@ -139,8 +145,8 @@
 
     @Override
     public void all(List<Entry> entries, long revision, Duration silence) {
-        boolean first = heardUpTo == 0;
-        heardUpTo = revision;
+        boolean first = readUpTo == 0;
+        readUpTo = revision;
         boolean afterOutage = afterOutage(silence);
         Set<UpstreamId> listed = new HashSet<>();
         for (Entry entry : entries) {
@@ -160,7 +166,7 @@
 
     @Override
     public void changed(List<Change> changes, long revision, Duration silence) {
-        heardUpTo = revision;
+        readUpTo = revision;
         boolean afterOutage = afterOutage(silence);
         for (Change change : changes) {
             if (change.entry().isPresent()) {
@@ -171,25 +177,26 @@
         }
     }
 
-    // What lapsed in an outage is missing from the first answer after it. What goes later leaves.
+    // Entries that expired in an outage are missing from the first answer after it. Later removals
+    // are real departures.
     private static boolean afterOutage(Duration silence) {
-        return silence.compareTo(SHORTEST_OUTAGE) > 0;
+        return silence.compareTo(MIN_OUTAGE) > 0;
     }
 
     private void put(Entry entry) {
         Optional<UpstreamFacts> facts =
                 dialect.upstream(entry.key(), entry.value(), entry.modRevision());
         if (facts.isEmpty()) {
-            LOG.warn("the entry {} names no upstream and is left out", entry.key());
+            LOG.warn("the entry {} describes no upstream and is ignored", entry.key());
             return;
         }
-        awaited.remove(facts.get().id());
+        awaitedReturns.remove(facts.get().id());
         Optional<UpstreamFacts> before = table.find(facts.get().id()).map(known -> known.facts());
         if (!table.put(facts.get(), control.clock().instant())) {
             return;
         }
-        boolean news = before.isEmpty() || before.get().draining() != facts.get().draining();
-        if (news) {
+        boolean changed = before.isEmpty() || before.get().draining() != facts.get().draining();
+        if (changed) {
             LOG.info(
                     "upstream {} at {} service={} draining={} holds={}",
                     facts.get().id(),
@@ -198,42 +205,43 @@
                     facts.get().draining(),
                     facts.get().held().adapters().keySet());
         }
-        listener.listed(facts.get());
+        listener.upstreamListed(facts.get());
     }
 
     private void remove(UpstreamId id, long revision, boolean afterOutage) {
         if (afterOutage) {
-            await(id, revision);
-        } else if (!awaited.containsKey(id)) {
+            awaitReturn(id, revision);
+        } else if (!awaitedReturns.containsKey(id)) {
             removeNow(id, revision);
         }
     }
 
-    // A second outage begins the time anew.
-    private void await(UpstreamId id, long revision) {
-        awaited.put(id, revision);
+    // A second outage restarts the wait.
+    private void awaitReturn(UpstreamId id, long revision) {
+        awaitedReturns.put(id, revision);
         LOG.info(
-                "upstream {} is off the list, revision {}, and kept for {} ms: it may return",
+                "upstream {} was removed at revision {} after an outage, and is kept for {} ms: it"
+                        + " may return",
                 id,
                 revision,
                 RETURN_TIME.toMillis());
         control.after(RETURN_TIME, () -> removeUnlessBack(id, revision));
     }
 
-    // An entry that came back in time may not be heard of yet. Dropped now, an upstream that lives
-    // would get nothing until then; with the store out again, nobody knows. A reading, since
-    // changes are told late about the time at which the store drops its history.
+    // An entry that returned in time may not have been received yet. If it were dropped now, a live
+    // upstream would get no requests until then; with the store out again, nobody knows. The list
+    // is read in full, since changes arrive late around the time the store compacts its history.
     private void removeUnlessBack(UpstreamId id, long revision) {
-        if (!awaited.getOrDefault(id, 0L).equals(revision)) {
+        if (!awaitedReturns.getOrDefault(id, 0L).equals(revision)) {
             return;
         }
         Instant returned = control.clock().instant();
         follower.readAnew();
         follower.whenKnown(
                 returned,
-                KNOWN_LIMIT,
+                RECENT_READ_TIMEOUT,
                 known -> {
-                    unanswered = !known;
+                    storeUnanswered = !known;
                     if (known) {
                         removeIfAwaited(id, revision);
                     } else {
@@ -243,7 +251,7 @@
     }
 
     private void removeIfAwaited(UpstreamId id, long revision) {
-        if (awaited.remove(id, revision)) {
+        if (awaitedReturns.remove(id, revision)) {
             removeNow(id, revision);
         }
     }
@@ -251,8 +259,8 @@
     private void removeNow(UpstreamId id, long revision) {
         Optional<UpstreamFacts> last = table.find(id).map(known -> known.facts());
         if (table.remove(id, revision)) {
-            LOG.info("upstream {} is gone, revision {}", id, revision);
-            listener.gone(last.orElseThrow());
+            LOG.info("upstream {} is removed, revision {}", id, revision);
+            listener.upstreamRemoved(last.orElseThrow());
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
@@ -65,18 +65,19 @@
                     Instant::now,
                     new InFlightRequests.RetryBounds(Duration.ofSeconds(10), 0.2, 10),
                     () -> 1,
-                    new CrashWatch(
+                    new PoisonRequestDetector(
                             new EventLoopControlThread(
                                     loop.events(),
                                     InstantSource.system(),
                                     new EventLoopHoldTimes(new Metrics())),
-                            new SilentCrashNews(),
-                            (upstream, vouch, then) -> then.accept(UpstreamEnds.Sign.NONE),
+                            new SilentCrashAnnouncer(),
+                            (upstream, vouch, then) ->
+                                    then.accept(UpstreamCrashDetector.ProbeResult.UNKNOWN),
                             () -> true,
                             () -> true,
                             new Metrics()),
                     new LostUpstreamAnnouncer(Instant::now, upstreams, new SilentWire()),
-                    new LimitedUpstreams(Instant::now, upstreams, new SilentLimits()));
+                    new DeclaredLimits(Instant::now, upstreams, new SilentLimits()));
     private final HttpServer upstream = server(upstreamLoop, this::recordCall);
     private final HttpServer router = server(loop, this::startFlow);
 
@@ -258,12 +259,12 @@
         return caller;
     }
 
-    private static final class SilentLimits implements LimitedUpstreams.Wire {
+    private static final class SilentLimits implements DeclaredLimits.Announcer {
         @Override
-        public void tellLimit(LimitedUpstreams.News word) {}
+        public void announceLimit(DeclaredLimits.Announcement word) {}
 
         @Override
-        public void passLimitOn(LimitedUpstreams.News word) {}
+        public void forwardLimit(DeclaredLimits.Announcement word) {}
     }
 
     /** Sends no announcements, since there is no other router. */
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -99,8 +99,8 @@
                     other.configuration.storedBytes(), other.configuration.revision(), other.name);
         }
         drains.merge(other.drains.current());
-        if (follower.needsTelling(other.upstreams.revision())) {
-            follower.told(other.upstreams.departures(follower.knownUpTo()));
+        if (follower.needsDepartures(other.upstreams.revision())) {
+            follower.applyDepartures(other.upstreams.departures(follower.departuresReadUpTo()));
         }
     }
 
@@ -174,9 +174,9 @@
     /** Ignores changes of upstreams. */
     private static final class IgnoredUpstreams implements UpstreamFollower.Listener {
         @Override
-        public void listed(UpstreamFacts facts) {}
+        public void upstreamListed(UpstreamFacts facts) {}
 
         @Override
-        public void gone(UpstreamFacts last) {}
+        public void upstreamRemoved(UpstreamFacts last) {}
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitSimulation.java
@@ -18,60 +18,61 @@
 import java.util.Set;
 
 /**
- * Routers that share three upstreams, with time by hand, of which two name how many requests a
- * second they take, change it and take it back; messages between routers come late or never,
- * routers restart. The promise is that of the page: what a limited upstream gets in four seconds
- * from those that have passed on an answer with it.
+ * A simulation, in virtual time, of routers that share three upstreams. Two of these declare how
+ * many requests a second they accept, change the limit and withdraw it; messages between routers
+ * are late or lost, and routers restart. It checks the documented bound on the requests that a
+ * limited upstream gets within four seconds from routers that have passed on an answer with the
+ * limit.
  */
-final class LimitWorld {
+final class LimitSimulation {
     static final String SERVICE = "engines";
 
     private static final int UPSTREAMS = 3;
     private static final int SLOTS = 48;
     private static final Duration STEP = Duration.ofMillis(10);
-    private static final Duration CONTACT = Duration.ofSeconds(3);
+    private static final Duration TIME_TO_KNOW = Duration.ofSeconds(3);
     private static final Duration WINDOW = Duration.ofSeconds(4);
-    private static final Duration TOLD = Duration.ofMillis(500);
+    private static final Duration TIME_TO_APPLY = Duration.ofMillis(500);
     private static final double OVERAGE = 1.5;
     private static final double SLACK = 5;
-    private static final int LONGEST_NEWS_MILLIS = 60;
+    private static final int MAX_ANNOUNCEMENT_MILLIS = 60;
 
-    /** Those that pass news on to all others. */
+    /** The number of routers that pass announcements on to all others. */
     private static final int WATCHERS = 2;
 
     final TestControlThread time = new TestControlThread();
     final Random random;
     private final Rules rules;
-    private final List<LimitRouter> routers = new ArrayList<>();
-    private final List<Engine> engines = new ArrayList<>();
+    private final List<LimitSimulationRouter> routers = new ArrayList<>();
+    private final List<SimulatedUpstream> engines = new ArrayList<>();
     private double perSecond;
-    private int broken;
+    private int violations;
     private int served;
     private int refused;
 
     /**
-     * What holds in a world.
+     * The settings of a simulation.
      *
-     * @param shared whether routers keep to their part of a limit, and not each to all of it
-     * @param lost the part of messages between routers that is lost
+     * @param shared whether routers keep to their share of a limit, instead of using all of it
+     * @param lost the fraction of messages between routers that is lost
      */
     record Rules(boolean shared, double lost) {
-        static Rules usual() {
+        static Rules defaults() {
             return new Rules(true, 0.1);
         }
     }
 
-    /** An upstream as it really is. */
-    final class Engine {
+    /** The true state of an upstream. */
+    final class SimulatedUpstream {
         private final UpstreamId id;
         private RequestLimit limit = RequestLimit.NO_LIMIT;
         private Instant limitedAt = Instant.MAX;
         private double highest;
-        private final Map<VmId, Instant> passedOn = new HashMap<>();
-        private final ArrayDeque<Instant> came = new ArrayDeque<>();
-        private int whileLimited;
+        private final Map<VmId, Instant> passedOnAtByRouter = new HashMap<>();
+        private final ArrayDeque<Instant> arrivals = new ArrayDeque<>();
+        private int requestsWhileLimited;
 
-        private Engine(int number) {
+        private SimulatedUpstream(int number) {
             this.id = UpstreamId.of("i-" + number);
         }
 
@@ -79,54 +80,56 @@
             return id;
         }
 
-        void names(double given) {
+        void declareLimit(double given) {
             limit = RequestLimit.declared(given);
             limitedAt = limitedAt.equals(Instant.MAX) ? now() : limitedAt;
             highest = Math.max(highest, given);
         }
 
-        void namesNone() {
+        void withdrawLimit() {
             limit = RequestLimit.NO_LIMIT;
             limitedAt = Instant.MAX;
             highest = 0;
-            passedOn.clear();
-            came.clear();
+            passedOnAtByRouter.clear();
+            arrivals.clear();
         }
 
         RequestLimit limit() {
             return limit;
         }
 
-        /** Requests that came while it named a limit and routers had time to know. */
-        int whileLimited() {
-            return whileLimited;
+        /**
+         * Returns the requests received under a declared limit, once routers had time to know it.
+         */
+        int requestsWhileLimited() {
+            return requestsWhileLimited;
         }
 
-        void passedOn(VmId router) {
+        void answerPassedOnBy(VmId router) {
             if (limit.isDeclared()) {
-                passedOn.putIfAbsent(router, now());
+                passedOnAtByRouter.putIfAbsent(router, now());
             }
         }
 
-        void forgets(VmId router) {
-            passedOn.remove(router);
+        void routerRestarted(VmId router) {
+            passedOnAtByRouter.remove(router);
         }
 
-        void arrives(VmId router) {
-            if (limitedAt.equals(Instant.MAX) || now().isBefore(limitedAt.plus(CONTACT))) {
+        void requestArrived(VmId router) {
+            if (limitedAt.equals(Instant.MAX) || now().isBefore(limitedAt.plus(TIME_TO_KNOW))) {
                 return;
             }
-            whileLimited++;
-            Instant told = passedOn.get(router);
-            if (told == null || now().isBefore(told.plus(TOLD))) {
+            requestsWhileLimited++;
+            Instant passedOnAt = passedOnAtByRouter.get(router);
+            if (passedOnAt == null || now().isBefore(passedOnAt.plus(TIME_TO_APPLY))) {
                 return;
             }
-            came.add(now());
-            while (!came.peek().isAfter(now().minus(WINDOW))) {
-                came.remove();
+            arrivals.add(now());
+            while (!arrivals.peek().isAfter(now().minus(WINDOW))) {
+                arrivals.remove();
             }
             double allowed = highest * WINDOW.toSeconds() * OVERAGE + SLACK;
-            broken += came.size() > allowed ? 1 : 0;
+            violations += arrivals.size() > allowed ? 1 : 0;
         }
 
         UpstreamFacts facts() {
@@ -145,16 +148,16 @@
         }
     }
 
-    LimitWorld(int count, long seed, Rules rules) {
+    LimitSimulation(int count, long seed, Rules rules) {
         this.random = new Random(seed);
         this.rules = rules;
         for (int each = 0; each < UPSTREAMS; each++) {
-            engines.add(new Engine(each));
+            engines.add(new SimulatedUpstream(each));
         }
         for (int each = 0; each < count; each++) {
-            routers.add(new LimitRouter(this, VmId.of("router-" + each)));
+            routers.add(new LimitSimulationRouter(this, VmId.of("router-" + each)));
         }
-        routers.forEach(LimitRouter::begin);
+        routers.forEach(LimitSimulationRouter::start);
     }
 
     Rules rules() {
@@ -165,70 +168,70 @@
         return time.clock().instant();
     }
 
-    List<Engine> engines() {
+    List<SimulatedUpstream> engines() {
         return engines;
     }
 
-    Engine engine(UpstreamId id) {
+    SimulatedUpstream engine(UpstreamId id) {
         return engines.stream().filter(each -> each.id().equals(id)).findFirst().orElseThrow();
     }
 
-    List<LimitRouter> routers() {
+    List<LimitSimulationRouter> routers() {
         return routers;
     }
 
     List<VmId> routerNames() {
-        return routers.stream().map(LimitRouter::name).toList();
+        return routers.stream().map(LimitSimulationRouter::name).toList();
     }
 
-    /** So many requests come in a second, to all routers together. */
+    /** Sets how many requests a second arrive at all routers together. */
     void demand(double requestsPerSecond) {
         perSecond = requestsPerSecond;
     }
 
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         Instant end = now().plus(duration);
         while (now().isBefore(end)) {
             double expected = perSecond * STEP.toMillis() / 1000.0;
             while (random.nextDouble() < expected) {
                 expected -= 1;
-                routers.get(random.nextInt(routers.size())).ask();
+                routers.get(random.nextInt(routers.size())).sendRequest();
             }
             time.advance(STEP);
         }
     }
 
-    /** Takes a router's news to those that it reaches: watchers reach all, the others watchers. */
-    void tell(LimitRouter from, LimitedUpstreams.News news) {
+    /** Sends an announcement: watchers reach all routers, the others only the watchers. */
+    void announce(LimitSimulationRouter from, DeclaredLimits.Announcement announcement) {
         boolean watches = routers.indexOf(from) < WATCHERS;
         for (int each = 0; each < routers.size(); each++) {
-            LimitRouter to = routers.get(each);
+            LimitSimulationRouter to = routers.get(each);
             if (to != from && (watches || each < WATCHERS) && random.nextDouble() >= rules.lost()) {
-                Duration way = Duration.ofMillis(2 + random.nextInt(LONGEST_NEWS_MILLIS));
-                time.after(way, () -> to.told(news, !watches));
+                Duration way = Duration.ofMillis(2 + random.nextInt(MAX_ANNOUNCEMENT_MILLIS));
+                time.after(way, () -> to.announcementReceived(announcement, !watches));
             }
         }
     }
 
-    boolean watches(LimitRouter router) {
+    boolean isWatcher(LimitSimulationRouter router) {
         return routers.indexOf(router) < WATCHERS;
     }
 
-    void noteServed() {
+    void recordServed() {
         served++;
     }
 
-    void noteRefused() {
+    void recordRefused() {
         refused++;
     }
 
-    /** How often a limited upstream got a request beyond what it may. */
-    int broken() {
-        return broken;
+    /** Returns how many requests limited upstreams got beyond the bound. */
+    int violations() {
+        return violations;
     }
 
     @Override
     public String toString() {
-        return broken + " beyond a limit, " + served + " served, " + refused + " refused";
+        return violations + " beyond a limit, " + served + " served, " + refused + " refused";
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelEngine.java
@@ -26,7 +26,7 @@
 final class RareModelEngine {
     private final UpstreamId id;
     private final EngineSpec spec;
-    private final WeightStore store;
+    private final SimulatedWeightStore store;
     private final Set<String> loaded = new HashSet<>();
     private final Set<String> diskCopies = new HashSet<>();
     private final Map<String, Integer> runCounts = new HashMap<>();
@@ -36,7 +36,7 @@
     private long sequence;
     private long revision;
 
-    RareModelEngine(String name, EngineSpec spec, WeightStore store) {
+    RareModelEngine(String name, EngineSpec spec, SimulatedWeightStore store) {
         this.id = UpstreamId.of(name);
         this.spec = spec;
         this.store = store;
@@ -94,7 +94,7 @@
         if (diskCopies.contains(model)) {
             loadCompletesAt = now.plus(known.diskLoadTime());
         } else {
-            store.begin(known.storeLoadTime(), () -> loadCompletesAt = Instant.MIN);
+            store.startLoad(known.storeLoadTime(), () -> loadCompletesAt = Instant.MIN);
         }
         return OrderOutcome.ACCEPTED;
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -72,7 +72,7 @@
 
     private final Random random;
     private final EngineSpec spec;
-    private final WeightStore weights;
+    private final SimulatedWeightStore weights;
     private final Map<UpstreamId, RareModelEngine> engines = new TreeMap<>();
     private final UpstreamTable upstreams = new UpstreamTable();
     private final UpstreamDispatcher dispatch;
@@ -92,7 +92,7 @@
 
     RareModelWorld(int count, int atFullSpeed, long seed) {
         this.random = new Random(seed);
-        this.weights = new WeightStore(atFullSpeed);
+        this.weights = new SimulatedWeightStore(atFullSpeed);
         this.spec = spec((int) (count * MODELS_PER_ENGINE));
         this.dispatch =
                 new UpstreamDispatcher(
@@ -156,7 +156,7 @@
 
     /** Returns the largest number of concurrent loads from the store. */
     int maxConcurrentLoads() {
-        return weights.mostAtOnce();
+        return weights.maxConcurrentLoads();
     }
 
     /** Returns the number of models of which no engine has a copy. */
@@ -219,7 +219,7 @@
         Instant end = now().plus(duration);
         while (now().isBefore(end)) {
             time.advance(STEP);
-            weights.pass(STEP);
+            weights.advance(STEP);
             engines.values().forEach(engine -> engine.completeOrders(now()));
             if (now().toEpochMilli() % 20 == 0) {
                 feedPlanner(new LoadInput.Tick());
@@ -313,7 +313,7 @@
                 oftenRequestedCount(),
                 servedFraction(),
                 asked,
-                weights.begun(),
+                weights.loadsStarted(),
                 maxConcurrentLoads(),
                 withoutCopy());
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/WeightStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedWeightStore.java
@@ -4,14 +4,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A store of weights that runs so many loads at full speed, and more of them slower together. */
-final class WeightStore {
+/** A simulated store of model weights, whose loads slow down when too many run at once. */
+final class SimulatedWeightStore {
     private static final double NANOS = 1e9;
 
     private final int atFullSpeed;
     private final List<Load> running = new ArrayList<>();
-    private int begun;
-    private int mostAtOnce;
+    private int started;
+    private int maxConcurrent;
 
     private static final class Load {
         private double secondsLeft;
@@ -23,28 +23,28 @@
         }
     }
 
-    WeightStore(int atFullSpeed) {
+    SimulatedWeightStore(int atFullSpeed) {
         this.atFullSpeed = atFullSpeed;
     }
 
-    void begin(Duration time, Runnable done) {
-        begun++;
+    void startLoad(Duration time, Runnable done) {
+        started++;
         Load load = new Load(time, done);
         running.add(load);
-        mostAtOnce = Math.max(mostAtOnce, running.size());
+        maxConcurrent = Math.max(maxConcurrent, running.size());
     }
 
-    int begun() {
-        return begun;
+    int loadsStarted() {
+        return started;
     }
 
-    /** The most loads that ran beside each other. */
-    int mostAtOnce() {
-        return mostAtOnce;
+    /** Returns the largest number of loads that ran at the same time. */
+    int maxConcurrentLoads() {
+        return maxConcurrent;
     }
 
-    /** Time goes by. */
-    void pass(Duration step) {
+    /** Advances the running loads by the given time. */
+    void advance(Duration step) {
         double speed = Math.min(1, atFullSpeed / (double) Math.max(1, running.size()));
         double seconds = step.toNanos() / NANOS * speed;
         running.forEach(load -> load.secondsLeft -= seconds);
