--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
@@ -29,11 +29,13 @@
 import org.apache.pekko.stream.SystemMaterializer;
 
 /**
- * An agent.
+ * Runs an agent: the process beside one upstream that takes requests from routers and sends them to
+ * that upstream.
  *
  * <p>{@code Agent agent = Agent.start(settings); ... agent.stop();}
  *
- * <p>It is the only process that talks to its upstream. Routers find it by its registration.
+ * <p>The agent is the only process that talks to its upstream. Routers find it by its registration
+ * in the store.
  */
 public final class Agent {
     private static final Duration TICK = Duration.ofMillis(50);
@@ -72,7 +74,9 @@
     }
 
     /**
-     * Starts an agent and returns once it listens; throws an {@link AgentException} if it can't.
+     * Starts an agent and returns once it listens.
+     *
+     * @throws AgentException if the agent can't start
      */
     public static Agent start(AgentSettings settings) {
         try {
@@ -83,15 +87,15 @@
         }
     }
 
-    /** What the process says once it takes work. */
+    /** Returns the line that the process prints once it accepts requests. */
     public ReadyLine ready() {
         return node.readyLine(settings.operator().host(), operators.port(), network.port());
     }
 
     /**
-     * Ends gracefully: tells the routers, refuses new work as not run, finishes what it has up to
-     * the settings' limit, takes its registration back, and then ends. A second call returns when
-     * the first one has.
+     * Stops gracefully: announces the drain to the routers, withdraws the registration, refuses new
+     * requests as not run, finishes the accepted ones up to the limit in the settings, and then
+     * closes all connections. A second call returns when the first one has returned.
      */
     public synchronized void stop() {
         if (stopped) {
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/AgentException.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/AgentException.java
@@ -2,13 +2,13 @@
 
 import io.damaskyoke.DamaskyokeException;
 
-/** Says that an agent could not do what was asked of it. */
+/** Thrown when an agent fails in an operation, such as its start. */
 public final class AgentException extends DamaskyokeException {
     private static final long serialVersionUID = 1L;
 
-    /** What went wrong. */
+    /** Kinds of failure. */
     public enum Code {
-        /** The agent could not start. */
+        /** The agent could not start; the cause says why. */
         START_FAILED
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/AgentStatus.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/AgentStatus.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What {@code /operator/v1/status} says of an agent. */
+/** Response body of {@code /operator/v1/status} at an agent. */
 record AgentStatus(
         @JsonProperty("vm") String vm,
         @JsonProperty("role") String role,
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/ClaimAnswers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/ClaimAnswers.java
@@ -12,7 +12,7 @@
 import io.damaskyoke.peer.wire.Frame;
 import java.util.Optional;
 
-/** Tells routers what became of a request with an idempotency key. */
+/** Answers routers that ask for the outcome of a request with an idempotency key. */
 final class ClaimAnswers implements PeerListener {
     private final ControlThread control;
     private final KeyedOutcomes outcomes;
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
@@ -28,15 +28,17 @@
 import java.util.function.Consumer;
 
 /**
- * The models in an engine's memory: feeds a {@link ReplicaManager} with requests, orders' outcomes
- * and reports, and carries its orders out at the engine. Its state belongs to the control thread.
+ * Loads and unloads the models of one engine: feeds a {@link ReplicaManager} with requests, results
+ * of orders and engine reports, and executes its actions at the engine. The state belongs to the
+ * control thread.
  */
 final class EngineReplicas implements Replicas {
     private static final Duration REPORT_PERIOD = Duration.ofSeconds(1);
     private static final Duration TICK = Duration.ofMillis(200);
 
-    // A guess that is too long refuses the first request of every model, although nobody has seen
-    // it load yet; one that is too short lets one request wait in vain. So the guesses are low.
+    // Load times assumed for a model that has not been loaded yet. An estimate that is too long
+    // refuses the first request of every model; one that is too short only lets one request wait in
+    // vain. So the estimates are low.
     private static final Duration FIRST_MODEL_ESTIMATE = Duration.ofSeconds(3);
     private static final Duration FIRST_ADAPTER_ESTIMATE = Duration.ofSeconds(1);
 
@@ -69,7 +71,9 @@
     }
 
     /**
-     * Starts to look after the engine; tells the requests' machine what becomes of their models.
+     * Starts to manage the models of the engine.
+     *
+     * @param requests receives the inputs that tell whether a model is ready or unavailable
      */
     static EngineReplicas start(
             Node node,
@@ -94,8 +98,9 @@
         }
     }
 
-    // A router may know of a right that was granted since we last read the table. The first request
-    // of a new model would be refused by the one VM that may serve it; so we read once more first.
+    // A router may know of a grant that is newer than this agent's last read of the placement
+    // table.
+    // Without a second read, the only VM that may serve a new model would refuse its first request.
     private void asked(ExchangeId id) {
         ReplicaInput.RequestQueued wanted = asking.remove(id);
         if (wanted != null) {
@@ -166,9 +171,9 @@
                 .whenComplete((report, failure) -> control.run(() -> reported(report, failure)));
     }
 
-    // An agent that restarts while the store is down knows neither rights nor models. By the report
-    // alone it would take all that the engine holds for unwanted and unload it, and every model on
-    // the VM would start cold. Without a report the holder orders nothing.
+    // An agent that restarts while the store is down knows neither grants nor models. From the
+    // report alone it would treat every model in the engine as unwanted and unload it, and every
+    // model on the VM would start cold. Without a report the manager orders nothing.
     private void reported(Engine.Report report, Throwable failure) {
         if (failure == null && rights.isKnown() && configured.getAsBoolean()) {
             feed(new ReplicaInput.EngineReported(report));
@@ -196,7 +201,7 @@
             Refusal refusal =
                     new Refusal(
                             refuse.code(),
-                            "the model can't be had here now: " + refuse.model(),
+                            "the model is not available on this VM now: " + refuse.model(),
                             true,
                             refuse.retryAfter());
             causes.remove(refuse.model(), refuse.request());
@@ -204,8 +209,8 @@
         }
     }
 
-    // The requests' machine may be in the middle of a step that led here; it hears of it in a step
-    // of its own.
+    // The serving state machine may be in the middle of the step that led here, so the input is fed
+    // in a later step on the control thread.
     private void later(ServingInput input) {
         control.run(() -> requests.accept(input));
     }
@@ -238,7 +243,7 @@
         feed(new ReplicaInput.LoadFailed(model, mayBeHeld(failure)));
     }
 
-    /** The last request that wants the model and still waits for it, if any. */
+    /** Returns the id of the last request that still waits for the model, for the timeline. */
     private Map<String, String> cause(ModelName model) {
         ExchangeId request = causes.get(model);
         return request == null ? Map.of() : Map.of("request", request.toString());
@@ -260,8 +265,9 @@
         }
     }
 
-    // Only the engine's own no says that nothing was loaded. An order whose answer was lost may
-    // still be carried out, and its memory has to count until a report shows otherwise.
+    // Only a rejection by the engine, or an order that was not sent, shows that nothing was loaded.
+    // An order whose answer was lost may still be executed, so its memory counts as used until a
+    // report shows otherwise.
     private static boolean mayBeHeld(Throwable failure) {
         return upstreamCode(failure)
                 .map(
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/GatheredAnswer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/GatheredAnswer.java
@@ -11,14 +11,19 @@
 import org.apache.pekko.util.ByteString;
 
 /**
- * An answer whose body was read before anybody wanted it, so that it is known even if the router
- * goes away in the middle.
+ * Holds an answer whose body was read into memory before it is forwarded, so that the outcome is
+ * known even if the router disconnects while the answer is being sent.
  *
- * @param answer the same answer
+ * @param answer the answer, with a body that yields the bytes already read and then the rest
  * @param body the whole body, or empty if it is too large to keep
  */
 record GatheredAnswer(Answer.Served answer, Optional<byte[]> body) {
-    /** Reads up to {@code maxBytes}; fails if the upstream breaks off before that. */
+    /**
+     * Reads up to {@code maxBytes} of the body; fails if the upstream breaks the connection before
+     * that.
+     *
+     * @param maxBytes size of the largest body that is kept, in bytes
+     */
     static CompletionStage<GatheredAnswer> of(
             Answer.Served answer, int maxBytes, Materializer materializer) {
         return answer.body()
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
@@ -15,7 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes this agent's registration, and again until it stands; takes it back at a graceful stop.
+ * Writes this agent's registration to the store, retrying until a write succeeds, and removes it at
+ * a graceful stop.
  */
 final class Registrar {
     private static final Duration RETRY = Duration.ofSeconds(1);
@@ -37,7 +38,7 @@
         control.run(this::write);
     }
 
-    /** Takes the registration back, if the store answers within the limit. */
+    /** Removes the registration, waiting at most {@code limit} for the store. */
     void withdraw(Duration limit) {
         control.call(this::remove)
                 .thenCompose(stage -> stage)
@@ -61,8 +62,8 @@
         }
     }
 
-    // A successor on the same VM may have registered by now; removing its registration would hide
-    // a live agent from every router. So only this life's own value is removed.
+    // A successor on the same VM may have registered already; removing its registration would hide
+    // a live agent from every router. So only the value of this incarnation is removed.
     private CompletionStage<Void> remove() {
         withdrawn = true;
         return store.read(key).thenCompose(this::removeOwn);
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Replicas.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Replicas.java
@@ -6,30 +6,36 @@
 import java.time.Instant;
 import java.util.Set;
 
-/** The models in the engine's memory, as {@link RequestRunner} needs them; control thread only. */
+/**
+ * Gives {@link RequestRunner} access to the models in the engine's memory: a request acquires a
+ * model, waits until it is ready and releases it afterwards. Control thread only.
+ */
 interface Replicas {
-    /** Sees that the model gets into memory; the runner hears of it by its own inputs. */
+    /**
+     * Requests that the model be loaded for a request. The result reaches the runner as a serving
+     * input.
+     */
     void want(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline);
 
-    /** The request no longer waits for the model. */
+    /** Records that the request no longer waits for the model. */
     void giveUp(ExchangeId id, ModelName model);
 
-    /** A request for which the model was ready is over. */
+    /** Records that a request for which the model was ready has finished. */
     void leave(ModelName model);
 
-    /** Models ready to serve. */
+    /** Returns the models that are ready to serve. */
     Set<ModelName> loaded();
 
-    /** Models being loaded. */
+    /** Returns the models that are being loaded. */
     Set<ModelName> loading();
 
-    /** What the engine has for models, in bytes. */
+    /** Returns the memory that the engine has for models, in bytes. */
     long memoryBytes();
 
-    /** What of it is taken or reserved, in bytes. */
+    /** Returns the part of that memory that is used or reserved, in bytes. */
     long memoryUsedBytes();
 
-    /** For a plain service, which holds none. */
+    /** Returns an implementation for an upstream that is a plain service and holds no models. */
     static Replicas none() {
         return new Replicas() {
             @Override
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
@@ -34,8 +34,8 @@
 import org.apache.pekko.stream.Materializer;
 
 /**
- * Takes the requests that routers send and runs them at the upstream: feeds a {@link
- * ServingMachine} and carries out what it decides. Its state belongs to the control thread.
+ * Receives the requests that routers send and runs them at the upstream: feeds a {@link
+ * ServingMachine} and executes its actions. The state belongs to the control thread.
  */
 final class RequestRunner implements ExchangeHandler {
     private static final Duration COME_BACK = Duration.ofSeconds(1);
@@ -78,7 +78,7 @@
         this.materializer = materializer;
     }
 
-    /** Says who looks after the models; before the first request. */
+    /** Sets the access to the engine's models; must be called before the first request. */
     void replicas(Replicas given) {
         replicas = given;
     }
@@ -88,7 +88,7 @@
         control.run(() -> arrive(exchange));
     }
 
-    /** Passes on something that happened; control thread only. */
+    /** Feeds an input to the state machine and executes its actions; control thread only. */
     void feed(ServingInput input) {
         for (ServingAction action : machine.on(input, now())) {
             carryOut(action);
@@ -96,12 +96,12 @@
         updateLoad();
     }
 
-    /** True once a drain is done. */
+    /** Returns true once a drain is complete; control thread only. */
     boolean drained() {
         return machine.isDrained();
     }
 
-    /** The load as of the last input; any thread. */
+    /** Returns the load as of the last input; may be called from any thread. */
     Load load() {
         return load;
     }
@@ -134,12 +134,13 @@
                 : Optional.empty();
     }
 
-    // A router may have a newer configuration than this agent. Saying "no such model" then would
-    // refuse a caller for good where a moment's wait or another agent helps.
+    // A router may have a newer configuration than this agent. UNKNOWN_MODEL would then refuse the
+    // caller for good, although a short wait or another agent would help.
     private Refusal unknown(IncomingExchange exchange) {
         if (exchange.configSequence() > configuration.get().sequence()) {
             return Refusal.notRun(
-                            RefusalCode.NO_UPSTREAM, "this agent's configuration is not yet there")
+                            RefusalCode.NO_UPSTREAM,
+                            "the agent's configuration is older than the router's")
                     .retryAfter(COME_BACK);
         }
         return Refusal.notRun(RefusalCode.UNKNOWN_MODEL, "no such model");
@@ -269,15 +270,16 @@
         }
     }
 
-    // A payment that has begun can't be taken back by cancelling its call; that would only hide
-    // what came of it. So it goes on without its router, and its outcome is kept for the repeat.
+    // Canceling the call of a request that has begun, such as a payment, would not undo it but only
+    // hide its outcome. So a request with an idempotency key continues without its router, and its
+    // outcome is kept for a repeat.
     private boolean finishes(ExchangeId id) {
         IncomingExchange exchange = exchanges.get(id);
         return exchange != null && KeyedOutcomes.isTracked(exchange.request());
     }
 
-    // Once the answer has begun this does nothing: its body is then cancelled by the exchange, and
-    // the end of the body finishes the request.
+    // This has no effect once the answer has begun: the exchange then cancels the body, and the end
+    // of the body finishes the request.
     private void cancelCall(ExchangeId id) {
         CompletableFuture<Answer.Served> call = calls.get(id);
         if (call != null) {
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/RightsFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/RightsFollower.java
@@ -23,8 +23,8 @@
 import java.util.function.Predicate;
 
 /**
- * What the placement table lets this VM hold: tells the holder, and hands back what it is asked to
- * release once the engine surely holds nothing of it. Control thread only.
+ * Follows the placement table: passes on which models this VM may hold, and gives up a grant that
+ * is marked as releasing once the engine certainly holds nothing of its model. Control thread only.
  */
 final class RightsFollower {
     private final ControlThread control;
@@ -52,7 +52,12 @@
         this.life = control.clock().millis();
     }
 
-    /** Begins to read; the holder hears nothing before the store has answered once. */
+    /**
+     * Starts to read the placement table.
+     *
+     * @param holder receives the grants of this VM, for the first time once the store has answered
+     * @param isClear tests that the engine holds nothing of a model
+     */
     static RightsFollower start(
             Node node, Consumer<ModelGrants> holder, Predicate<ModelName> isClear) {
         RightsFollower follower = new RightsFollower(node, holder, isClear);
@@ -60,22 +65,22 @@
         return follower;
     }
 
-    /** True once the store has said what this VM may hold. */
+    /** Returns true once the placement table has been read from the store. */
     boolean isKnown() {
         return table.isRead();
     }
 
-    /** True if this VM may hold the model. */
+    /** Returns true if this VM may hold the model. */
     boolean hold(ModelName model) {
         return granted.containsKey(model);
     }
 
-    /** Asks the store again, and runs the step then, whatever came of it. */
+    /** Reads the placement table again and then runs the step, even if the read failed. */
     void refresh(Runnable afterwards) {
         feed.refresh(afterwards);
     }
 
-    /** Hands back what can be; wanted a few times a second. */
+    /** Gives up the grants that can be released; must be called several times per second. */
     void tick() {
         table.shards().forEach(this::handBack);
     }
@@ -97,8 +102,8 @@
         tick();
     }
 
-    // The right outlives this process, so its number alone would not tell the engine an order of
-    // this life from one that the last life sent and the network delayed.
+    // A grant outlives this process. With its fencing number alone, the engine could not tell an
+    // order of this incarnation from one of the previous incarnation that the network delayed.
     private long orderNumber(ReplicaGrant right) {
         return Math.max(right.fencing(), life);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/package-info.java
@@ -1,2 +1,2 @@
-/** The agent: the only process that talks to its upstream, put together. */
+/** The agent process: receives requests from routers and runs them at its one upstream. */
 package io.damaskyoke.agent;
