--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
@@ -165,7 +165,7 @@
         return node.network(settings.peer())
                 .heartbeat(this::heartbeat)
                 .listen(server)
-                .listen(new ClaimAnswers(node.control(), outcomes))
+                .listen(new ClaimQueryResponder(node.control(), outcomes))
                 .build()
                 .start();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/GatheredAnswer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/BufferedAnswer.java
@@ -17,14 +17,14 @@
  * @param answer the answer, with a body that yields the bytes already read and then the rest
  * @param body the whole body, or empty if it is too large to keep
  */
-record GatheredAnswer(Answer.Served answer, Optional<byte[]> body) {
+record BufferedAnswer(Answer.Served answer, Optional<byte[]> body) {
     /**
      * Reads up to {@code maxBytes} of the body; fails if the upstream breaks the connection before
      * that.
      *
      * @param maxBytes size of the largest body that is kept, in bytes
      */
-    static CompletionStage<GatheredAnswer> of(
+    static CompletionStage<BufferedAnswer> of(
             Answer.Served answer, int maxBytes, Materializer materializer) {
         return answer.body()
                 .groupedWeighted(maxBytes + 1L, chunk -> (long) chunk.size())
@@ -32,10 +32,10 @@
                 .runWith(Sink.head(), materializer)
                 .thenApply(
                         parts -> {
-                            ByteString first = joined(parts.first());
+                            ByteString first = concatenate(parts.first());
                             Source<ByteString, NotUsed> rest =
                                     parts.second().mapConcat(chunks -> chunks);
-                            return new GatheredAnswer(
+                            return new BufferedAnswer(
                                     new Answer.Served(
                                             answer.status(),
                                             answer.headers(),
@@ -46,7 +46,7 @@
                         });
     }
 
-    private static ByteString joined(List<List<ByteString>> groups) {
+    private static ByteString concatenate(List<List<ByteString>> groups) {
         ByteString all = ByteString.emptyByteString();
         for (List<ByteString> group : groups) {
             for (ByteString chunk : group) {
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/ClaimAnswers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/ClaimQueryResponder.java
@@ -13,11 +13,11 @@
 import java.util.Optional;
 
 /** Answers routers that ask for the outcome of a request with an idempotency key. */
-final class ClaimAnswers implements PeerListener {
+final class ClaimQueryResponder implements PeerListener {
     private final ControlThread control;
     private final KeyedOutcomes outcomes;
 
-    ClaimAnswers(ControlThread control, KeyedOutcomes outcomes) {
+    ClaimQueryResponder(ControlThread control, KeyedOutcomes outcomes) {
         this.control = control;
         this.outcomes = outcomes;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
@@ -32,7 +32,7 @@
  * of orders and engine reports, and executes its actions at the engine. The state belongs to the
  * control thread.
  */
-final class EngineReplicas implements Replicas {
+final class EngineReplicas implements ModelReplicas {
     private static final Duration REPORT_PERIOD = Duration.ofSeconds(1);
     private static final Duration TICK = Duration.ofMillis(200);
 
@@ -50,7 +50,7 @@
     private final Timeline timeline;
     private final Map<ModelName, ExchangeId> causes = new HashMap<>();
     private final Map<ExchangeId, ReplicaInput.RequestQueued> asking = new HashMap<>();
-    private RightsFollower rights;
+    private GrantFollower rights;
     private BooleanSupplier configured = () -> false;
 
     private EngineReplicas(
@@ -86,13 +86,13 @@
     }
 
     @Override
-    public void want(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline) {
+    public void acquire(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline) {
         causes.put(model, id);
         ReplicaInput.RequestQueued wanted =
                 new ReplicaInput.RequestQueued(id, model, deadline, workspace);
-        if (rights != null && !rights.hold(model)) {
+        if (rights != null && !rights.isGranted(model)) {
             asking.put(id, wanted);
-            rights.refresh(() -> asked(id));
+            rights.refresh(() -> grantsRefreshed(id));
         } else {
             feed(wanted);
         }
@@ -101,7 +101,7 @@
     // A router may know of a grant that is newer than this agent's last read of the placement
     // table.
     // Without a second read, the only VM that may serve a new model would refuse its first request.
-    private void asked(ExchangeId id) {
+    private void grantsRefreshed(ExchangeId id) {
         ReplicaInput.RequestQueued wanted = asking.remove(id);
         if (wanted != null) {
             feed(wanted);
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public void giveUp(ExchangeId id, ModelName model) {
+    public void cancelAcquire(ExchangeId id, ModelName model) {
         causes.remove(model, id);
         if (asking.remove(id) == null) {
             feed(new ReplicaInput.RequestCanceled(id, model));
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public void leave(ModelName model) {
+    public void release(ModelName model) {
         feed(new ReplicaInput.RequestFinished(model));
     }
 
@@ -143,7 +143,7 @@
 
     private void begin(Node node) {
         this.rights =
-                RightsFollower.start(
+                GrantFollower.start(
                         node,
                         granted -> feed(new ReplicaInput.GrantsChanged(granted)),
                         holder::holdsNothingOf);
@@ -168,13 +168,14 @@
 
     private void report() {
         engine.report()
-                .whenComplete((report, failure) -> control.run(() -> reported(report, failure)));
+                .whenComplete(
+                        (report, failure) -> control.run(() -> reportReceived(report, failure)));
     }
 
     // An agent that restarts while the store is down knows neither grants nor models. From the
     // report alone it would treat every model in the engine as unwanted and unload it, and every
     // model on the VM would start cold. Without a report the manager orders nothing.
-    private void reported(Engine.Report report, Throwable failure) {
+    private void reportReceived(Engine.Report report, Throwable failure) {
         if (failure == null && rights.isKnown() && configured.getAsBoolean()) {
             feed(new ReplicaInput.EngineReported(report));
         } else if (failure != null) {
@@ -185,18 +186,18 @@
 
     private void feed(ReplicaInput input) {
         for (ReplicaAction action : holder.on(input, control.clock().instant())) {
-            carryOut(action);
+            execute(action);
         }
     }
 
-    private void carryOut(ReplicaAction action) {
+    private void execute(ReplicaAction action) {
         if (action instanceof ReplicaAction.LoadModel load) {
             load(load);
         } else if (action instanceof ReplicaAction.UnloadModel unload) {
             unload(unload);
         } else if (action instanceof ReplicaAction.SendRequest ready) {
             causes.remove(ready.model());
-            later(new ServingInput.ModelReady(ready.request()));
+            feedServing(new ServingInput.ModelReady(ready.request()));
         } else if (action instanceof ReplicaAction.RefuseRequest refuse) {
             Refusal refusal =
                     new Refusal(
@@ -205,13 +206,13 @@
                             true,
                             refuse.retryAfter());
             causes.remove(refuse.model(), refuse.request());
-            later(new ServingInput.ModelUnavailable(refuse.request(), refusal));
+            feedServing(new ServingInput.ModelUnavailable(refuse.request(), refusal));
         }
     }
 
     // The serving state machine may be in the middle of the step that led here, so the input is fed
     // in a later step on the control thread.
-    private void later(ServingInput input) {
+    private void feedServing(ServingInput input) {
         control.run(() -> requests.accept(input));
     }
 
@@ -223,10 +224,10 @@
         engine.load(order.model(), order.fencing())
                 .whenComplete(
                         (ok, failure) ->
-                                control.run(() -> loadEnded(model, begun, cause, failure)));
+                                control.run(() -> loadCompleted(model, begun, cause, failure)));
     }
 
-    private void loadEnded(
+    private void loadCompleted(
             ModelName model, Instant begun, Map<String, String> cause, Throwable failure) {
         Map<String, String> details = new HashMap<>(cause);
         if (failure == null) {
@@ -240,7 +241,7 @@
         metrics.count("engine_load_failures");
         details.put("code", code(failure));
         timeline.add(EventType.LOAD_FAILED, model.value(), details);
-        feed(new ReplicaInput.LoadFailed(model, mayBeHeld(failure)));
+        feed(new ReplicaInput.LoadFailed(model, mayBeLoaded(failure)));
     }
 
     /** Returns the id of the last request that still waits for the model, for the timeline. */
@@ -252,10 +253,11 @@
     private void unload(ReplicaAction.UnloadModel order) {
         engine.unload(order.model(), order.fencing())
                 .whenComplete(
-                        (ok, failure) -> control.run(() -> unloadEnded(order.model(), failure)));
+                        (ok, failure) ->
+                                control.run(() -> unloadCompleted(order.model(), failure)));
     }
 
-    private void unloadEnded(ModelName model, Throwable failure) {
+    private void unloadCompleted(ModelName model, Throwable failure) {
         if (failure == null) {
             timeline.add(EventType.UNLOADED, model.value());
             feed(new ReplicaInput.Unloaded(model));
@@ -268,7 +270,7 @@
     // Only a rejection by the engine, or an order that was not sent, shows that nothing was loaded.
     // An order whose answer was lost may still be executed, so its memory counts as used until a
     // report shows otherwise.
-    private static boolean mayBeHeld(Throwable failure) {
+    private static boolean mayBeLoaded(Throwable failure) {
         return upstreamCode(failure)
                 .map(
                         code ->
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/RightsFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/GrantFollower.java
@@ -26,7 +26,7 @@
  * Follows the placement table: passes on which models this VM may hold, and gives up a grant that
  * is marked as releasing once the engine certainly holds nothing of its model. Control thread only.
  */
-final class RightsFollower {
+final class GrantFollower {
     private final ControlThread control;
     private final VmId vm;
     private final PlacementStore store;
@@ -40,7 +40,7 @@
     private PlacementTable table = PlacementTable.UNREAD;
     private Map<ModelName, Long> granted = Map.of();
 
-    private RightsFollower(Node node, Consumer<ModelGrants> holder, Predicate<ModelName> isClear) {
+    private GrantFollower(Node node, Consumer<ModelGrants> holder, Predicate<ModelName> isClear) {
         this.control = node.control();
         this.vm = node.vm();
         this.store = new PlacementStore(node.store(), node.storePrefix());
@@ -58,10 +58,10 @@
      * @param holder receives the grants of this VM, for the first time once the store has answered
      * @param isClear tests that the engine holds nothing of a model
      */
-    static RightsFollower start(
+    static GrantFollower start(
             Node node, Consumer<ModelGrants> holder, Predicate<ModelName> isClear) {
-        RightsFollower follower = new RightsFollower(node, holder, isClear);
-        follower.feed.start(follower::take);
+        GrantFollower follower = new GrantFollower(node, holder, isClear);
+        follower.feed.start(follower::tableRead);
         return follower;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** Returns true if this VM may hold the model. */
-    boolean hold(ModelName model) {
+    boolean isGranted(ModelName model) {
         return granted.containsKey(model);
     }
 
@@ -82,20 +82,20 @@
 
     /** Gives up the grants that can be released; must be called several times per second. */
     void tick() {
-        table.shards().forEach(this::handBack);
+        table.shards().forEach(this::removeReleased);
     }
 
-    private void take(PlacementTable newer) {
+    private void tableRead(PlacementTable newer) {
         boolean first = !table.isRead();
         table = newer;
         Map<ModelName, Long> now = new TreeMap<>();
         for (ReplicaGrant right : newer.grantsOf(vm)) {
             if (right.usable()) {
-                now.put(right.model(), orderNumber(right));
+                now.put(right.model(), fencingNumber(right));
             }
         }
         if (first || !now.equals(granted)) {
-            note(now);
+            recordNewGrants(now);
             granted = now;
             holder.accept(ModelGrants.of(now));
         }
@@ -104,11 +104,11 @@
 
     // A grant outlives this process. With its fencing number alone, the engine could not tell an
     // order of this incarnation from one of the previous incarnation that the network delayed.
-    private long orderNumber(ReplicaGrant right) {
+    private long fencingNumber(ReplicaGrant right) {
         return Math.max(right.fencing(), life);
     }
 
-    private void note(Map<ModelName, Long> now) {
+    private void recordNewGrants(Map<ModelName, Long> now) {
         for (ModelName model : now.keySet()) {
             if (!granted.containsKey(model)) {
                 timeline.add(EventType.RIGHT_GRANTED, model.value());
@@ -116,7 +116,7 @@
         }
     }
 
-    private void handBack(int number, PlacementTable.Stored stored) {
+    private void removeReleased(int number, PlacementTable.Stored stored) {
         Shard changed =
                 stored.shard()
                         .without(this::isReleased)
@@ -127,26 +127,26 @@
         store.changeGrants(number, stored, vm, read -> changed)
                 .whenComplete(
                         (done, failure) ->
-                                control.run(() -> swapped(number, stored, done, failure)));
+                                control.run(() -> shardWritten(number, stored, done, failure)));
     }
 
     private boolean isReleased(ReplicaGrant right) {
         return right.vm().equals(vm) && right.releasing() && isClear.test(right.model());
     }
 
-    private void swapped(
+    private void shardWritten(
             int number, PlacementTable.Stored stored, Boolean done, Throwable failure) {
         swapping.remove(number);
         if (failure != null) {
             metrics.count("placement_write_failures");
         } else if (done) {
-            released(stored.shard().grants())
+            releasedModels(stored.shard().grants())
                     .forEach(model -> timeline.add(EventType.RIGHT_RELEASED, model.value()));
         }
         feed.refresh();
     }
 
-    private List<ModelName> released(List<ReplicaGrant> rights) {
+    private List<ModelName> releasedModels(List<ReplicaGrant> rights) {
         return rights.stream().filter(this::isReleased).map(ReplicaGrant::model).toList();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Replicas.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/ModelReplicas.java
@@ -10,18 +10,18 @@
  * Gives {@link RequestRunner} access to the models in the engine's memory: a request acquires a
  * model, waits until it is ready and releases it afterwards. Control thread only.
  */
-interface Replicas {
+interface ModelReplicas {
     /**
      * Requests that the model be loaded for a request. The result reaches the runner as a serving
      * input.
      */
-    void want(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline);
+    void acquire(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline);
 
     /** Records that the request no longer waits for the model. */
-    void giveUp(ExchangeId id, ModelName model);
+    void cancelAcquire(ExchangeId id, ModelName model);
 
     /** Records that a request for which the model was ready has finished. */
-    void leave(ModelName model);
+    void release(ModelName model);
 
     /** Returns the models that are ready to serve. */
     Set<ModelName> loaded();
@@ -36,19 +36,19 @@
     long memoryUsedBytes();
 
     /** Returns an implementation for an upstream that is a plain service and holds no models. */
-    static Replicas none() {
-        return new Replicas() {
+    static ModelReplicas none() {
+        return new ModelReplicas() {
             @Override
-            public void want(
+            public void acquire(
                     ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline) {
                 throw new IllegalStateException("a plain service holds no models");
             }
 
             @Override
-            public void giveUp(ExchangeId id, ModelName model) {}
+            public void cancelAcquire(ExchangeId id, ModelName model) {}
 
             @Override
-            public void leave(ModelName model) {}
+            public void release(ModelName model) {}
 
             @Override
             public Set<ModelName> loaded() {
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
@@ -53,10 +53,10 @@
             return;
         }
         store.commit(List.of(), List.of(new Write.Put(key, value, 0)))
-                .whenComplete((result, failure) -> control.run(() -> written(failure)));
+                .whenComplete((result, failure) -> control.run(() -> writeCompleted(failure)));
     }
 
-    private void written(Throwable failure) {
+    private void writeCompleted(Throwable failure) {
         if (failure != null) {
             control.after(RETRY, this::write);
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
@@ -52,7 +52,7 @@
     private final Materializer materializer;
     private final Map<ExchangeId, IncomingExchange> exchanges = new HashMap<>();
     private final Map<ExchangeId, CompletableFuture<Answer.Served>> calls = new HashMap<>();
-    private Replicas replicas = Replicas.none();
+    private ModelReplicas replicas = ModelReplicas.none();
     private volatile Load load = Load.getDefaultInstance();
 
     RequestRunner(
@@ -79,19 +79,19 @@
     }
 
     /** Sets the access to the engine's models; must be called before the first request. */
-    void replicas(Replicas given) {
+    void replicas(ModelReplicas given) {
         replicas = given;
     }
 
     @Override
     public void handle(IncomingExchange exchange) {
-        control.run(() -> arrive(exchange));
+        control.run(() -> requestReceived(exchange));
     }
 
     /** Feeds an input to the state machine and executes its actions; control thread only. */
     void feed(ServingInput input) {
         for (ServingAction action : machine.on(input, now())) {
-            carryOut(action);
+            execute(action);
         }
         updateLoad();
     }
@@ -106,11 +106,11 @@
         return load;
     }
 
-    private void arrive(IncomingExchange exchange) {
+    private void requestReceived(IncomingExchange exchange) {
         Request request = exchange.request();
         Optional<ModelName> model = model(request);
         if (model.isPresent() && !configuration.get().models().containsKey(model.get())) {
-            exchange.refuse(unknown(exchange), load);
+            exchange.refuse(unknownModel(exchange), load);
             return;
         }
         if (KeyedOutcomes.isTracked(request)) {
@@ -122,7 +122,7 @@
             }
         }
         exchanges.put(request.id(), exchange);
-        exchange.onCancel(() -> control.run(() -> gone(request.id())));
+        exchange.onCancel(() -> control.run(() -> requestCanceled(request.id())));
         feed(
                 new ServingInput.RequestArrived(
                         request.id(), request.workspace(), model, request.deadline()));
@@ -136,7 +136,7 @@
 
     // A router may have a newer configuration than this agent. UNKNOWN_MODEL would then refuse the
     // caller for good, although a short wait or another agent would help.
-    private Refusal unknown(IncomingExchange exchange) {
+    private Refusal unknownModel(IncomingExchange exchange) {
         if (exchange.configSequence() > configuration.get().sequence()) {
             return Refusal.notRun(
                             RefusalCode.NO_UPSTREAM,
@@ -146,13 +146,13 @@
         return Refusal.notRun(RefusalCode.UNKNOWN_MODEL, "no such model");
     }
 
-    private void carryOut(ServingAction action) {
+    private void execute(ServingAction action) {
         if (action instanceof ServingAction.AcquireModel want) {
-            replicas.want(want.id(), want.model(), want.workspace(), want.deadline());
+            replicas.acquire(want.id(), want.model(), want.workspace(), want.deadline());
         } else if (action instanceof ServingAction.CancelAcquire giveUp) {
-            replicas.giveUp(giveUp.id(), giveUp.model());
+            replicas.cancelAcquire(giveUp.id(), giveUp.model());
         } else if (action instanceof ServingAction.ReleaseModel leave) {
-            replicas.leave(leave.model());
+            replicas.release(leave.model());
         } else if (action instanceof ServingAction.Run run) {
             run(run.id());
         } else if (action instanceof ServingAction.Refuse refuse) {
@@ -163,8 +163,8 @@
     private void run(ExchangeId id) {
         IncomingExchange exchange = exchanges.get(id);
         if (exchange.cancelled()) {
-            ended(exchange.request(), true);
-            control.run(() -> finished(id));
+            recordEnd(exchange.request(), true);
+            control.run(() -> runFinished(id));
             return;
         }
         metrics.count("agent_requests_run");
@@ -174,7 +174,7 @@
         call.whenComplete(
                 (answer, failure) -> {
                     if (failure == null && KeyedOutcomes.isTracked(exchange.request())) {
-                        gather(exchange, answer);
+                        bufferAnswer(exchange, answer);
                     } else if (failure == null) {
                         serve(exchange, answer);
                     } else {
@@ -183,12 +183,12 @@
                 });
     }
 
-    private void gather(IncomingExchange exchange, Answer.Served answer) {
-        GatheredAnswer.of(answer, maxKeptBody, materializer)
+    private void bufferAnswer(IncomingExchange exchange, Answer.Served answer) {
+        BufferedAnswer.of(answer, maxKeptBody, materializer)
                 .whenComplete(
                         (gathered, failure) -> {
                             if (failure == null) {
-                                control.run(() -> settle(exchange.request(), gathered));
+                                control.run(() -> recordAnswer(exchange.request(), gathered));
                                 serve(exchange, gathered.answer());
                             } else {
                                 fail(exchange, failure);
@@ -196,14 +196,14 @@
                         });
     }
 
-    private void settle(Request request, GatheredAnswer gathered) {
+    private void recordAnswer(Request request, BufferedAnswer gathered) {
         Answer.Served answer = gathered.answer();
         outcomes.recordAnswer(
                 request,
                 new ClaimRecord.Outcome(answer.status(), answer.headers(), gathered.body()));
     }
 
-    private void ended(Request request, boolean notRun) {
+    private void recordEnd(Request request, boolean notRun) {
         if (KeyedOutcomes.isTracked(request)) {
             outcomes.recordEnd(request, notRun);
         }
@@ -218,7 +218,7 @@
                         .watchTermination(
                                 (mat, done) -> {
                                     done.whenComplete(
-                                            (ok, failure) -> control.run(() -> finished(id)));
+                                            (ok, failure) -> control.run(() -> runFinished(id)));
                                     return mat;
                                 });
         exchange.serve(
@@ -237,9 +237,9 @@
                                 .retryAfter(COME_BACK)
                         : Refusal.mayHaveRun(failureCode(exchange), "the upstream did not answer");
         metrics.count("agent_upstream_failures", "not_run", String.valueOf(notRun));
-        control.run(() -> ended(exchange.request(), notRun));
+        control.run(() -> recordEnd(exchange.request(), notRun));
         exchange.refuse(refusal, load);
-        control.run(() -> finished(id));
+        control.run(() -> runFinished(id));
     }
 
     private static RefusalCode failureCode(IncomingExchange exchange) {
@@ -248,7 +248,7 @@
                 : RefusalCode.OUTCOME_UNKNOWN;
     }
 
-    private void finished(ExchangeId id) {
+    private void runFinished(ExchangeId id) {
         calls.remove(id);
         if (exchanges.remove(id) != null) {
             timeline.add(EventType.ANSWERED, id.toString());
@@ -256,14 +256,14 @@
         }
     }
 
-    private void gone(ExchangeId id) {
+    private void requestCanceled(ExchangeId id) {
         feed(new ServingInput.RequestCancelled(id));
         if (!machine.isRunning(id)) {
             IncomingExchange dropped = exchanges.remove(id);
             if (dropped != null) {
-                ended(dropped.request(), true);
+                recordEnd(dropped.request(), true);
             }
-        } else if (finishes(id)) {
+        } else if (mustFinish(id)) {
             metrics.count("agent_keyed_requests_finished_alone");
         } else {
             cancelCall(id);
@@ -273,7 +273,7 @@
     // Canceling the call of a request that has begun, such as a payment, would not undo it but only
     // hide its outcome. So a request with an idempotency key continues without its router, and its
     // outcome is kept for a repeat.
-    private boolean finishes(ExchangeId id) {
+    private boolean mustFinish(ExchangeId id) {
         IncomingExchange exchange = exchanges.get(id);
         return exchange != null && KeyedOutcomes.isTracked(exchange.request());
     }
@@ -292,7 +292,7 @@
         if (exchange != null) {
             timeline.add(
                     EventType.REFUSED, id.toString(), Map.of("code", refusal.code().wireName()));
-            ended(exchange.request(), refusal.notRun());
+            recordEnd(exchange.request(), refusal.notRun());
             exchange.refuse(refusal, load);
         }
     }
