--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
@@ -38,10 +38,10 @@
  * in the store.
  */
 public final class Agent {
-    private static final Duration TICK = Duration.ofMillis(50);
-    private static final Duration START_LIMIT = Duration.ofSeconds(20);
-    private static final int KEYED_OUTCOMES = 1_000;
-    private static final Duration GRACE = Duration.ofSeconds(1);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(50);
+    private static final Duration OPERATOR_TIMEOUT = Duration.ofSeconds(20);
+    private static final int MAX_KEYED_OUTCOMES = 1_000;
+    private static final Duration OPERATOR_STOP_TIMEOUT = Duration.ofSeconds(1);
 
     private final AgentSettings settings;
     private final Node node;
@@ -56,7 +56,7 @@
     private Agent(AgentSettings settings) {
         this.settings = settings;
         this.node = Node.start(settings.process(), settings.platform(), Role.AGENT);
-        this.outcomes = new KeyedOutcomes(node.vm(), KEYED_OUTCOMES);
+        this.outcomes = new KeyedOutcomes(node.vm(), MAX_KEYED_OUTCOMES);
         HttpUpstream http = httpUpstream();
         boolean isEngine = settings.upstream().kind() == AgentSettings.Kind.ENGINE;
         Engine engine = isEngine ? engine(http) : null;
@@ -70,7 +70,7 @@
         this.operators = startOperators();
         this.registrar = new Registrar(node, registration());
         registrar.start();
-        node.control().every(TICK, () -> runner.feed(new ServingInput.Tick()));
+        node.control().every(TICK_PERIOD, () -> runner.feed(new ServingInput.Tick()));
     }
 
     /**
@@ -104,12 +104,12 @@
         stopped = true;
         node.timeline().add(EventType.DRAINING, node.vm().value());
         draining = true;
-        Frame leaving = Frame.newBuilder().setDraining(Draining.getDefaultInstance()).build();
-        network.links().forEach(link -> link.send(leaving));
+        Frame announcement = Frame.newBuilder().setDraining(Draining.getDefaultInstance()).build();
+        network.links().forEach(link -> link.send(announcement));
         registrar.withdraw(settings.platform().storeTimeout());
         node.control().run(() -> runner.feed(new ServingInput.DrainStarted()));
         awaitDrained(settings.stop().limit());
-        operators.stop(GRACE).toCompletableFuture().join();
+        operators.stop(OPERATOR_STOP_TIMEOUT).toCompletableFuture().join();
         network.close();
         node.close();
     }
@@ -183,7 +183,7 @@
                 .metrics(() -> Prometheus.text(node.metrics().registry()))
                 .start()
                 .toCompletableFuture()
-                .orTimeout(START_LIMIT.toSeconds(), TimeUnit.SECONDS)
+                .orTimeout(OPERATOR_TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                 .join();
     }
 
@@ -191,7 +191,7 @@
         return node.control()
                 .call(() -> AgentStatus.of(node, settings.upstream(), runner.load(), draining))
                 .toCompletableFuture()
-                .orTimeout(START_LIMIT.toSeconds(), TimeUnit.SECONDS)
+                .orTimeout(OPERATOR_TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                 .join();
     }
 
@@ -206,9 +206,9 @@
     }
 
     private void awaitDrained(Duration limit) {
-        long end = System.nanoTime() + limit.toNanos();
-        while (System.nanoTime() < end && !drained()) {
-            sleep(TICK);
+        long deadline = System.nanoTime() + limit.toNanos();
+        while (System.nanoTime() < deadline && !drained()) {
+            sleep(TICK_PERIOD);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
@@ -34,7 +34,7 @@
  */
 final class EngineReplicas implements ModelReplicas {
     private static final Duration REPORT_PERIOD = Duration.ofSeconds(1);
-    private static final Duration TICK = Duration.ofMillis(200);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(200);
 
     // Load times assumed for a model that has not been loaded yet. An estimate that is too long
     // refuses the first request of every model; one that is too short only lets one request wait in
@@ -44,28 +44,28 @@
 
     private final ControlThread control;
     private final Engine engine;
-    private final ReplicaManager holder;
-    private final Consumer<ServingInput> requests;
+    private final ReplicaManager manager;
+    private final Consumer<ServingInput> serving;
     private final Metrics metrics;
     private final Timeline timeline;
     private final Map<ModelName, ExchangeId> causes = new HashMap<>();
-    private final Map<ExchangeId, ReplicaInput.RequestQueued> asking = new HashMap<>();
-    private GrantFollower rights;
+    private final Map<ExchangeId, ReplicaInput.RequestQueued> awaitingGrants = new HashMap<>();
+    private GrantFollower grants;
     private BooleanSupplier configured = () -> false;
 
     private EngineReplicas(
             Node node,
             Engine engine,
             AgentSettings.Upstream settings,
-            Consumer<ServingInput> requests) {
+            Consumer<ServingInput> serving) {
         this.control = node.control();
         this.engine = engine;
-        this.holder =
+        this.manager =
                 new ReplicaManager(
                         ReplicaSettings.defaults()
                                 .withLoadsAtOnce(settings.loadsAtOnce())
                                 .withEstimates(FIRST_MODEL_ESTIMATE, FIRST_ADAPTER_ESTIMATE));
-        this.requests = requests;
+        this.serving = serving;
         this.metrics = node.metrics();
         this.timeline = node.timeline();
     }
@@ -73,14 +73,14 @@
     /**
      * Starts to manage the models of the engine.
      *
-     * @param requests receives the inputs that tell whether a model is ready or unavailable
+     * @param serving receives the inputs that tell whether a model is ready or unavailable
      */
     static EngineReplicas start(
             Node node,
             Engine engine,
             AgentSettings.Upstream settings,
-            Consumer<ServingInput> requests) {
-        EngineReplicas replicas = new EngineReplicas(node, engine, settings, requests);
+            Consumer<ServingInput> serving) {
+        EngineReplicas replicas = new EngineReplicas(node, engine, settings, serving);
         node.control().run(() -> replicas.begin(node));
         return replicas;
     }
@@ -88,13 +88,13 @@
     @Override
     public void acquire(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline) {
         causes.put(model, id);
-        ReplicaInput.RequestQueued wanted =
+        ReplicaInput.RequestQueued queued =
                 new ReplicaInput.RequestQueued(id, model, deadline, workspace);
-        if (rights != null && !rights.isGranted(model)) {
-            asking.put(id, wanted);
-            rights.refresh(() -> grantsRefreshed(id));
+        if (grants != null && !grants.isGranted(model)) {
+            awaitingGrants.put(id, queued);
+            grants.refresh(() -> grantsRefreshed(id));
         } else {
-            feed(wanted);
+            feed(queued);
         }
     }
 
@@ -102,16 +102,16 @@
     // table.
     // Without a second read, the only VM that may serve a new model would refuse its first request.
     private void grantsRefreshed(ExchangeId id) {
-        ReplicaInput.RequestQueued wanted = asking.remove(id);
-        if (wanted != null) {
-            feed(wanted);
+        ReplicaInput.RequestQueued queued = awaitingGrants.remove(id);
+        if (queued != null) {
+            feed(queued);
         }
     }
 
     @Override
     public void cancelAcquire(ExchangeId id, ModelName model) {
         causes.remove(model, id);
-        if (asking.remove(id) == null) {
+        if (awaitingGrants.remove(id) == null) {
             feed(new ReplicaInput.RequestCanceled(id, model));
         }
     }
@@ -123,30 +123,30 @@
 
     @Override
     public Set<ModelName> loaded() {
-        return holder.loadedModels();
+        return manager.loadedModels();
     }
 
     @Override
     public Set<ModelName> loading() {
-        return holder.loadingModels();
+        return manager.loadingModels();
     }
 
     @Override
     public long memoryBytes() {
-        return holder.memoryBytes();
+        return manager.memoryBytes();
     }
 
     @Override
     public long memoryUsedBytes() {
-        return holder.memoryUsedBytes();
+        return manager.memoryUsedBytes();
     }
 
     private void begin(Node node) {
-        this.rights =
+        this.grants =
                 GrantFollower.start(
                         node,
                         granted -> feed(new ReplicaInput.GrantsChanged(granted)),
-                        holder::holdsNothingOf);
+                        manager::holdsNothingOf);
         feed(new ReplicaInput.ModelsConfigured(node.configuration().current().models()));
         node.configuration()
                 .onChange(
@@ -158,12 +158,12 @@
                                                                 now.models()))));
         configured = () -> node.configuration().current().sequence() > 0;
         report();
-        control.every(TICK, this::tick);
+        control.every(TICK_PERIOD, this::tick);
     }
 
     private void tick() {
         feed(new ReplicaInput.Tick());
-        rights.tick();
+        grants.tick();
     }
 
     private void report() {
@@ -176,7 +176,7 @@
     // report alone it would treat every model in the engine as unwanted and unload it, and every
     // model on the VM would start cold. Without a report the manager orders nothing.
     private void reportReceived(Engine.Report report, Throwable failure) {
-        if (failure == null && rights.isKnown() && configured.getAsBoolean()) {
+        if (failure == null && grants.isKnown() && configured.getAsBoolean()) {
             feed(new ReplicaInput.EngineReported(report));
         } else if (failure != null) {
             metrics.count("engine_report_failures");
@@ -185,7 +185,7 @@
     }
 
     private void feed(ReplicaInput input) {
-        for (ReplicaAction action : holder.on(input, control.clock().instant())) {
+        for (ReplicaAction action : manager.on(input, control.clock().instant())) {
             execute(action);
         }
     }
@@ -213,25 +213,25 @@
     // The serving state machine may be in the middle of the step that led here, so the input is fed
     // in a later step on the control thread.
     private void feedServing(ServingInput input) {
-        control.run(() -> requests.accept(input));
+        control.run(() -> serving.accept(input));
     }
 
     private void load(ReplicaAction.LoadModel order) {
         ModelName model = order.model().name();
-        Instant begun = control.clock().instant();
+        Instant started = control.clock().instant();
         Map<String, String> cause = cause(model);
         timeline.add(EventType.LOAD_BEGUN, model.value(), cause);
         engine.load(order.model(), order.fencing())
                 .whenComplete(
                         (ok, failure) ->
-                                control.run(() -> loadCompleted(model, begun, cause, failure)));
+                                control.run(() -> loadCompleted(model, started, cause, failure)));
     }
 
     private void loadCompleted(
-            ModelName model, Instant begun, Map<String, String> cause, Throwable failure) {
+            ModelName model, Instant started, Map<String, String> cause, Throwable failure) {
         Map<String, String> details = new HashMap<>(cause);
         if (failure == null) {
-            long millis = Duration.between(begun, control.clock().instant()).toMillis();
+            long millis = Duration.between(started, control.clock().instant()).toMillis();
             metrics.histogram("engine_load_ms").update(millis);
             details.put("ms", String.valueOf(millis));
             timeline.add(EventType.LOADED, model.value(), details);
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/GrantFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/GrantFollower.java
@@ -31,36 +31,38 @@
     private final VmId vm;
     private final PlacementStore store;
     private final PlacementFeed feed;
-    private final Consumer<ModelGrants> holder;
-    private final Predicate<ModelName> isClear;
+    private final Consumer<ModelGrants> listener;
+    private final Predicate<ModelName> holdsNothingOf;
     private final Metrics metrics;
     private final Timeline timeline;
-    private final long life;
-    private final Set<Integer> swapping = new HashSet<>();
+    private final long startMillis;
+    private final Set<Integer> shardsBeingWritten = new HashSet<>();
     private PlacementTable table = PlacementTable.UNREAD;
     private Map<ModelName, Long> granted = Map.of();
 
-    private GrantFollower(Node node, Consumer<ModelGrants> holder, Predicate<ModelName> isClear) {
+    private GrantFollower(
+            Node node, Consumer<ModelGrants> listener, Predicate<ModelName> holdsNothingOf) {
         this.control = node.control();
         this.vm = node.vm();
         this.store = new PlacementStore(node.store(), node.storePrefix());
         this.feed = new PollingPlacementFeed(control, store, node.placementPause(), node.metrics());
-        this.holder = holder;
-        this.isClear = isClear;
+        this.listener = listener;
+        this.holdsNothingOf = holdsNothingOf;
         this.metrics = node.metrics();
         this.timeline = node.timeline();
-        this.life = control.clock().millis();
+        this.startMillis = control.clock().millis();
     }
 
     /**
      * Starts to read the placement table.
      *
-     * @param holder receives the grants of this VM, for the first time once the store has answered
-     * @param isClear tests that the engine holds nothing of a model
+     * @param listener receives the grants of this VM, for the first time once the store has
+     *     answered
+     * @param holdsNothingOf tests that the engine holds nothing of a model
      */
     static GrantFollower start(
-            Node node, Consumer<ModelGrants> holder, Predicate<ModelName> isClear) {
-        GrantFollower follower = new GrantFollower(node, holder, isClear);
+            Node node, Consumer<ModelGrants> listener, Predicate<ModelName> holdsNothingOf) {
+        GrantFollower follower = new GrantFollower(node, listener, holdsNothingOf);
         follower.feed.start(follower::tableRead);
         return follower;
     }
@@ -80,7 +82,10 @@
         feed.refresh(afterwards);
     }
 
-    /** Gives up the grants that can be released; must be called several times per second. */
+    /**
+     * Gives up the grants that can be released and clears the suspicion from the others of this VM;
+     * must be called several times per second.
+     */
     void tick() {
         table.shards().forEach(this::removeReleased);
     }
@@ -89,23 +94,24 @@
         boolean first = !table.isRead();
         table = newer;
         Map<ModelName, Long> now = new TreeMap<>();
-        for (ReplicaGrant right : newer.grantsOf(vm)) {
-            if (right.usable()) {
-                now.put(right.model(), fencingNumber(right));
+        for (ReplicaGrant grant : newer.grantsOf(vm)) {
+            if (grant.usable()) {
+                now.put(grant.model(), fencingNumber(grant));
             }
         }
         if (first || !now.equals(granted)) {
             recordNewGrants(now);
             granted = now;
-            holder.accept(ModelGrants.of(now));
+            listener.accept(ModelGrants.of(now));
         }
         tick();
     }
 
     // A grant outlives this process. With its fencing number alone, the engine could not tell an
     // order of this incarnation from one of the previous incarnation that the network delayed.
-    private long fencingNumber(ReplicaGrant right) {
-        return Math.max(right.fencing(), life);
+    // So the start time of this process, in milliseconds, is the lowest number it uses.
+    private long fencingNumber(ReplicaGrant grant) {
+        return Math.max(grant.fencing(), startMillis);
     }
 
     private void recordNewGrants(Map<ModelName, Long> now) {
@@ -120,8 +126,8 @@
         Shard changed =
                 stored.shard()
                         .without(this::isReleased)
-                        .map(right -> right.vm().equals(vm) ? right.withoutSuspicion() : right);
-        if (changed.equals(stored.shard()) || !swapping.add(number)) {
+                        .map(grant -> grant.vm().equals(vm) ? grant.withoutSuspicion() : grant);
+        if (changed.equals(stored.shard()) || !shardsBeingWritten.add(number)) {
             return;
         }
         store.changeGrants(number, stored, vm, read -> changed)
@@ -130,13 +136,13 @@
                                 control.run(() -> shardWritten(number, stored, done, failure)));
     }
 
-    private boolean isReleased(ReplicaGrant right) {
-        return right.vm().equals(vm) && right.releasing() && isClear.test(right.model());
+    private boolean isReleased(ReplicaGrant grant) {
+        return grant.vm().equals(vm) && grant.releasing() && holdsNothingOf.test(grant.model());
     }
 
     private void shardWritten(
             int number, PlacementTable.Stored stored, Boolean done, Throwable failure) {
-        swapping.remove(number);
+        shardsBeingWritten.remove(number);
         if (failure != null) {
             metrics.count("placement_write_failures");
         } else if (done) {
@@ -146,7 +152,7 @@
         feed.refresh();
     }
 
-    private List<ModelName> releasedModels(List<ReplicaGrant> rights) {
-        return rights.stream().filter(this::isReleased).map(ReplicaGrant::model).toList();
+    private List<ModelName> releasedModels(List<ReplicaGrant> replicaGrants) {
+        return replicaGrants.stream().filter(this::isReleased).map(ReplicaGrant::model).toList();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
@@ -19,7 +19,7 @@
  * a graceful stop.
  */
 final class Registrar {
-    private static final Duration RETRY = Duration.ofSeconds(1);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     private final ControlThread control;
     private final KeyValueStore store;
@@ -58,7 +58,7 @@
 
     private void writeCompleted(Throwable failure) {
         if (failure != null) {
-            control.after(RETRY, this::write);
+            control.after(RETRY_DELAY, this::write);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
@@ -38,7 +38,7 @@
  * ServingMachine} and executes its actions. The state belongs to the control thread.
  */
 final class RequestRunner implements ExchangeHandler {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final ControlThread control;
     private final ServingMachine machine;
@@ -47,7 +47,7 @@
     private final Metrics metrics;
     private final Timeline timeline;
     private final int maxRunning;
-    private final int maxKeptBody;
+    private final int maxKeptBodyBytes;
     private final KeyedOutcomes outcomes;
     private final Materializer materializer;
     private final Map<ExchangeId, IncomingExchange> exchanges = new HashMap<>();
@@ -63,7 +63,7 @@
             Metrics metrics,
             Timeline timeline,
             int maxRunning,
-            int maxKeptBody,
+            int maxKeptBodyBytes,
             KeyedOutcomes outcomes,
             Materializer materializer) {
         this.control = control;
@@ -73,7 +73,7 @@
         this.metrics = metrics;
         this.timeline = timeline;
         this.maxRunning = maxRunning;
-        this.maxKeptBody = maxKeptBody;
+        this.maxKeptBodyBytes = maxKeptBodyBytes;
         this.outcomes = outcomes;
         this.materializer = materializer;
     }
@@ -114,10 +114,10 @@
             return;
         }
         if (KeyedOutcomes.isTracked(request)) {
-            Optional<Refusal> before = outcomes.begin(request);
-            if (before.isPresent()) {
+            Optional<Refusal> refusal = outcomes.begin(request);
+            if (refusal.isPresent()) {
                 metrics.count("agent_keys_seen_before");
-                exchange.refuse(before.get(), load);
+                exchange.refuse(refusal.get(), load);
                 return;
             }
         }
@@ -141,18 +141,19 @@
             return Refusal.notRun(
                             RefusalCode.NO_UPSTREAM,
                             "the agent's configuration is older than the router's")
-                    .retryAfter(COME_BACK);
+                    .retryAfter(RETRY_AFTER);
         }
         return Refusal.notRun(RefusalCode.UNKNOWN_MODEL, "no such model");
     }
 
     private void execute(ServingAction action) {
-        if (action instanceof ServingAction.AcquireModel want) {
-            replicas.acquire(want.id(), want.model(), want.workspace(), want.deadline());
-        } else if (action instanceof ServingAction.CancelAcquire giveUp) {
-            replicas.cancelAcquire(giveUp.id(), giveUp.model());
-        } else if (action instanceof ServingAction.ReleaseModel leave) {
-            replicas.release(leave.model());
+        if (action instanceof ServingAction.AcquireModel acquire) {
+            replicas.acquire(
+                    acquire.id(), acquire.model(), acquire.workspace(), acquire.deadline());
+        } else if (action instanceof ServingAction.CancelAcquire cancel) {
+            replicas.cancelAcquire(cancel.id(), cancel.model());
+        } else if (action instanceof ServingAction.ReleaseModel release) {
+            replicas.release(release.model());
         } else if (action instanceof ServingAction.Run run) {
             run(run.id());
         } else if (action instanceof ServingAction.Refuse refuse) {
@@ -184,23 +185,23 @@
     }
 
     private void bufferAnswer(IncomingExchange exchange, Answer.Served answer) {
-        BufferedAnswer.of(answer, maxKeptBody, materializer)
+        BufferedAnswer.of(answer, maxKeptBodyBytes, materializer)
                 .whenComplete(
-                        (gathered, failure) -> {
+                        (buffered, failure) -> {
                             if (failure == null) {
-                                control.run(() -> recordAnswer(exchange.request(), gathered));
-                                serve(exchange, gathered.answer());
+                                control.run(() -> recordAnswer(exchange.request(), buffered));
+                                serve(exchange, buffered.answer());
                             } else {
                                 fail(exchange, failure);
                             }
                         });
     }
 
-    private void recordAnswer(Request request, BufferedAnswer gathered) {
-        Answer.Served answer = gathered.answer();
+    private void recordAnswer(Request request, BufferedAnswer buffered) {
+        Answer.Served answer = buffered.answer();
         outcomes.recordAnswer(
                 request,
-                new ClaimRecord.Outcome(answer.status(), answer.headers(), gathered.body()));
+                new ClaimRecord.Outcome(answer.status(), answer.headers(), buffered.body()));
     }
 
     private void recordEnd(Request request, boolean notRun) {
@@ -234,7 +235,7 @@
         Refusal refusal =
                 notRun
                         ? Refusal.notRun(RefusalCode.NO_UPSTREAM, "the upstream can't be reached")
-                                .retryAfter(COME_BACK)
+                                .retryAfter(RETRY_AFTER)
                         : Refusal.mayHaveRun(failureCode(exchange), "the upstream did not answer");
         metrics.count("agent_upstream_failures", "not_run", String.valueOf(notRun));
         control.run(() -> recordEnd(exchange.request(), notRun));
