--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
@@ -29,17 +29,19 @@
 import org.apache.pekko.stream.SystemMaterializer;
 
 /**
- * An agent.
+ * Runs an agent: the process beside one upstream that takes requests from routers and sends them to
+ * that upstream.
  *
  * <p>{@code Agent agent = Agent.start(settings); ... agent.stop();}
  *
- * <p>It is the only process that talks to its upstream. Routers find it by its registration.
+ * <p>The agent is the only process that talks to its upstream. Routers find it by its registration
+ * in the store.
  */
 public final class Agent {
-    private static final Duration TICK = Duration.ofMillis(50);
-    private static final Duration START_LIMIT = Duration.ofSeconds(20);
-    private static final int KEYED_OUTCOMES = 1_000;
-    private static final Duration GRACE = Duration.ofSeconds(1);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(50);
+    private static final Duration OPERATOR_TIMEOUT = Duration.ofSeconds(20);
+    private static final int MAX_KEYED_OUTCOMES = 1_000;
+    private static final Duration OPERATOR_STOP_TIMEOUT = Duration.ofSeconds(1);
 
     private final AgentSettings settings;
     private final Node node;
@@ -54,7 +56,7 @@
     private Agent(AgentSettings settings) {
         this.settings = settings;
         this.node = Node.start(settings.process(), settings.platform(), Role.AGENT);
-        this.outcomes = new KeyedOutcomes(node.vm(), KEYED_OUTCOMES);
+        this.outcomes = new KeyedOutcomes(node.vm(), MAX_KEYED_OUTCOMES);
         HttpUpstream http = httpUpstream();
         boolean isEngine = settings.upstream().kind() == AgentSettings.Kind.ENGINE;
         Engine engine = isEngine ? engine(http) : null;
@@ -68,11 +70,13 @@
         this.operators = startOperators();
         this.registrar = new Registrar(node, registration());
         registrar.start();
-        node.control().every(TICK, () -> runner.feed(new ServingInput.Tick()));
+        node.control().every(TICK_PERIOD, () -> runner.feed(new ServingInput.Tick()));
     }
 
     /**
-     * Starts an agent and returns once it listens; throws an {@link AgentException} if it can't.
+     * Starts an agent and returns once it listens.
+     *
+     * @throws AgentException if the agent can't start
      */
     public static Agent start(AgentSettings settings) {
         try {
@@ -83,15 +87,15 @@
         }
     }
 
-    /** What the process says once it takes work. */
+    /** Returns the line that the process prints once it accepts requests. */
     public ReadyLine ready() {
         return node.readyLine(settings.operator().host(), operators.port(), network.port());
     }
 
     /**
-     * Ends gracefully: tells the routers, refuses new work as not run, finishes what it has up to
-     * the settings' limit, takes its registration back, and then ends. A second call returns when
-     * the first one has.
+     * Stops gracefully: announces the drain to the routers, withdraws the registration, refuses new
+     * requests as not run, finishes the accepted ones up to the limit in the settings, and then
+     * closes all connections. A second call returns when the first one has returned.
      */
     public synchronized void stop() {
         if (stopped) {
@@ -100,12 +104,12 @@
         stopped = true;
         node.timeline().add(EventType.DRAINING, node.vm().value());
         draining = true;
-        Frame leaving = Frame.newBuilder().setDraining(Draining.getDefaultInstance()).build();
-        network.links().forEach(link -> link.send(leaving));
+        Frame announcement = Frame.newBuilder().setDraining(Draining.getDefaultInstance()).build();
+        network.links().forEach(link -> link.send(announcement));
         registrar.withdraw(settings.platform().storeTimeout());
         node.control().run(() -> runner.feed(new ServingInput.DrainStarted()));
         awaitDrained(settings.stop().limit());
-        operators.stop(GRACE).toCompletableFuture().join();
+        operators.stop(OPERATOR_STOP_TIMEOUT).toCompletableFuture().join();
         network.close();
         node.close();
     }
@@ -161,7 +165,7 @@
         return node.network(settings.peer())
                 .heartbeat(this::heartbeat)
                 .listen(server)
-                .listen(new ClaimAnswers(node.control(), outcomes))
+                .listen(new ClaimQueryResponder(node.control(), outcomes))
                 .build()
                 .start();
     }
@@ -179,7 +183,7 @@
                 .metrics(() -> Prometheus.text(node.metrics().registry()))
                 .start()
                 .toCompletableFuture()
-                .orTimeout(START_LIMIT.toSeconds(), TimeUnit.SECONDS)
+                .orTimeout(OPERATOR_TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                 .join();
     }
 
@@ -187,7 +191,7 @@
         return node.control()
                 .call(() -> AgentStatus.of(node, settings.upstream(), runner.load(), draining))
                 .toCompletableFuture()
-                .orTimeout(START_LIMIT.toSeconds(), TimeUnit.SECONDS)
+                .orTimeout(OPERATOR_TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                 .join();
     }
 
@@ -202,9 +206,9 @@
     }
 
     private void awaitDrained(Duration limit) {
-        long end = System.nanoTime() + limit.toNanos();
-        while (System.nanoTime() < end && !drained()) {
-            sleep(TICK);
+        long deadline = System.nanoTime() + limit.toNanos();
+        while (System.nanoTime() < deadline && !drained()) {
+            sleep(TICK_PERIOD);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/GatheredAnswer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/BufferedAnswer.java
@@ -11,15 +11,20 @@
 import org.apache.pekko.util.ByteString;
 
 /**
- * An answer whose body was read before anybody wanted it, so that it is known even if the router
- * goes away in the middle.
+ * Holds an answer whose body was read into memory before it is forwarded, so that the outcome is
+ * known even if the router disconnects while the answer is being sent.
  *
- * @param answer the same answer
+ * @param answer the answer, with a body that yields the bytes already read and then the rest
  * @param body the whole body, or empty if it is too large to keep
  */
-record GatheredAnswer(Answer.Served answer, Optional<byte[]> body) {
-    /** Reads up to {@code maxBytes}; fails if the upstream breaks off before that. */
-    static CompletionStage<GatheredAnswer> of(
+record BufferedAnswer(Answer.Served answer, Optional<byte[]> body) {
+    /**
+     * Reads up to {@code maxBytes} of the body; fails if the upstream breaks the connection before
+     * that.
+     *
+     * @param maxBytes size of the largest body that is kept, in bytes
+     */
+    static CompletionStage<BufferedAnswer> of(
             Answer.Served answer, int maxBytes, Materializer materializer) {
         return answer.body()
                 .groupedWeighted(maxBytes + 1L, chunk -> (long) chunk.size())
@@ -27,10 +32,10 @@
                 .runWith(Sink.head(), materializer)
                 .thenApply(
                         parts -> {
-                            ByteString first = joined(parts.first());
+                            ByteString first = concatenate(parts.first());
                             Source<ByteString, NotUsed> rest =
                                     parts.second().mapConcat(chunks -> chunks);
-                            return new GatheredAnswer(
+                            return new BufferedAnswer(
                                     new Answer.Served(
                                             answer.status(),
                                             answer.headers(),
@@ -41,7 +46,7 @@
                         });
     }
 
-    private static ByteString joined(List<List<ByteString>> groups) {
+    private static ByteString concatenate(List<List<ByteString>> groups) {
         ByteString all = ByteString.emptyByteString();
         for (List<ByteString> group : groups) {
             for (ByteString chunk : group) {
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/ClaimAnswers.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/ClaimQueryResponder.java
@@ -12,12 +12,12 @@
 import io.damaskyoke.peer.wire.Frame;
 import java.util.Optional;
 
-/** Tells routers what became of a request with an idempotency key. */
-final class ClaimAnswers implements PeerListener {
+/** Answers routers that ask for the outcome of a request with an idempotency key. */
+final class ClaimQueryResponder implements PeerListener {
     private final ControlThread control;
     private final KeyedOutcomes outcomes;
 
-    ClaimAnswers(ControlThread control, KeyedOutcomes outcomes) {
+    ClaimQueryResponder(ControlThread control, KeyedOutcomes outcomes) {
         this.control = control;
         this.outcomes = outcomes;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/EngineReplicas.java
@@ -28,120 +28,125 @@
 import java.util.function.Consumer;
 
 /**
- * The models in an engine's memory: feeds a {@link ReplicaManager} with requests, orders' outcomes
- * and reports, and carries its orders out at the engine. Its state belongs to the control thread.
+ * Loads and unloads the models of one engine: feeds a {@link ReplicaManager} with requests, results
+ * of orders and engine reports, and executes its actions at the engine. The state belongs to the
+ * control thread.
  */
-final class EngineReplicas implements Replicas {
+final class EngineReplicas implements ModelReplicas {
     private static final Duration REPORT_PERIOD = Duration.ofSeconds(1);
-    private static final Duration TICK = Duration.ofMillis(200);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(200);
 
-    // A guess that is too long refuses the first request of every model, although nobody has seen
-    // it load yet; one that is too short lets one request wait in vain. So the guesses are low.
+    // Load times assumed for a model that has not been loaded yet. An estimate that is too long
+    // refuses the first request of every model; one that is too short only lets one request wait in
+    // vain. So the estimates are low.
     private static final Duration FIRST_MODEL_ESTIMATE = Duration.ofSeconds(3);
     private static final Duration FIRST_ADAPTER_ESTIMATE = Duration.ofSeconds(1);
 
     private final ControlThread control;
     private final Engine engine;
-    private final ReplicaManager holder;
-    private final Consumer<ServingInput> requests;
+    private final ReplicaManager manager;
+    private final Consumer<ServingInput> serving;
     private final Metrics metrics;
     private final Timeline timeline;
     private final Map<ModelName, ExchangeId> causes = new HashMap<>();
-    private final Map<ExchangeId, ReplicaInput.RequestQueued> asking = new HashMap<>();
-    private RightsFollower rights;
+    private final Map<ExchangeId, ReplicaInput.RequestQueued> awaitingGrants = new HashMap<>();
+    private GrantFollower grants;
     private BooleanSupplier configured = () -> false;
 
     private EngineReplicas(
             Node node,
             Engine engine,
             AgentSettings.Upstream settings,
-            Consumer<ServingInput> requests) {
+            Consumer<ServingInput> serving) {
         this.control = node.control();
         this.engine = engine;
-        this.holder =
+        this.manager =
                 new ReplicaManager(
                         ReplicaSettings.defaults()
                                 .withLoadsAtOnce(settings.loadsAtOnce())
                                 .withEstimates(FIRST_MODEL_ESTIMATE, FIRST_ADAPTER_ESTIMATE));
-        this.requests = requests;
+        this.serving = serving;
         this.metrics = node.metrics();
         this.timeline = node.timeline();
     }
 
     /**
-     * Starts to look after the engine; tells the requests' machine what becomes of their models.
+     * Starts to manage the models of the engine.
+     *
+     * @param serving receives the inputs that tell whether a model is ready or unavailable
      */
     static EngineReplicas start(
             Node node,
             Engine engine,
             AgentSettings.Upstream settings,
-            Consumer<ServingInput> requests) {
-        EngineReplicas replicas = new EngineReplicas(node, engine, settings, requests);
+            Consumer<ServingInput> serving) {
+        EngineReplicas replicas = new EngineReplicas(node, engine, settings, serving);
         node.control().run(() -> replicas.begin(node));
         return replicas;
     }
 
     @Override
-    public void want(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline) {
+    public void acquire(ExchangeId id, ModelName model, WorkspaceId workspace, Instant deadline) {
         causes.put(model, id);
-        ReplicaInput.RequestQueued wanted =
+        ReplicaInput.RequestQueued queued =
                 new ReplicaInput.RequestQueued(id, model, deadline, workspace);
-        if (rights != null && !rights.hold(model)) {
-            asking.put(id, wanted);
-            rights.refresh(() -> asked(id));
+        if (grants != null && !grants.isGranted(model)) {
+            awaitingGrants.put(id, queued);
+            grants.refresh(() -> grantsRefreshed(id));
         } else {
-            feed(wanted);
+            feed(queued);
         }
     }
 
-    // A router may know of a right that was granted since we last read the table. The first request
-    // of a new model would be refused by the one VM that may serve it; so we read once more first.
-    private void asked(ExchangeId id) {
-        ReplicaInput.RequestQueued wanted = asking.remove(id);
-        if (wanted != null) {
-            feed(wanted);
+    // A router may know of a grant that is newer than this agent's last read of the placement
+    // table.
+    // Without a second read, the only VM that may serve a new model would refuse its first request.
+    private void grantsRefreshed(ExchangeId id) {
+        ReplicaInput.RequestQueued queued = awaitingGrants.remove(id);
+        if (queued != null) {
+            feed(queued);
         }
     }
 
     @Override
-    public void giveUp(ExchangeId id, ModelName model) {
+    public void cancelAcquire(ExchangeId id, ModelName model) {
         causes.remove(model, id);
-        if (asking.remove(id) == null) {
+        if (awaitingGrants.remove(id) == null) {
             feed(new ReplicaInput.RequestCanceled(id, model));
         }
     }
 
     @Override
-    public void leave(ModelName model) {
+    public void release(ModelName model) {
         feed(new ReplicaInput.RequestFinished(model));
     }
 
     @Override
     public Set<ModelName> loaded() {
-        return holder.loadedModels();
+        return manager.loadedModels();
     }
 
     @Override
     public Set<ModelName> loading() {
-        return holder.loadingModels();
+        return manager.loadingModels();
     }
 
     @Override
     public long memoryBytes() {
-        return holder.memoryBytes();
+        return manager.memoryBytes();
     }
 
     @Override
     public long memoryUsedBytes() {
-        return holder.memoryUsedBytes();
+        return manager.memoryUsedBytes();
     }
 
     private void begin(Node node) {
-        this.rights =
-                RightsFollower.start(
+        this.grants =
+                GrantFollower.start(
                         node,
                         granted -> feed(new ReplicaInput.GrantsChanged(granted)),
-                        holder::holdsNothingOf);
+                        manager::holdsNothingOf);
         feed(new ReplicaInput.ModelsConfigured(node.configuration().current().models()));
         node.configuration()
                 .onChange(
@@ -153,24 +158,25 @@
                                                                 now.models()))));
         configured = () -> node.configuration().current().sequence() > 0;
         report();
-        control.every(TICK, this::tick);
+        control.every(TICK_PERIOD, this::tick);
     }
 
     private void tick() {
         feed(new ReplicaInput.Tick());
-        rights.tick();
+        grants.tick();
     }
 
     private void report() {
         engine.report()
-                .whenComplete((report, failure) -> control.run(() -> reported(report, failure)));
+                .whenComplete(
+                        (report, failure) -> control.run(() -> reportReceived(report, failure)));
     }
 
-    // An agent that restarts while the store is down knows neither rights nor models. By the report
-    // alone it would take all that the engine holds for unwanted and unload it, and every model on
-    // the VM would start cold. Without a report the holder orders nothing.
-    private void reported(Engine.Report report, Throwable failure) {
-        if (failure == null && rights.isKnown() && configured.getAsBoolean()) {
+    // An agent that restarts while the store is down knows neither grants nor models. From the
+    // report alone it would treat every model in the engine as unwanted and unload it, and every
+    // model on the VM would start cold. Without a report the manager orders nothing.
+    private void reportReceived(Engine.Report report, Throwable failure) {
+        if (failure == null && grants.isKnown() && configured.getAsBoolean()) {
             feed(new ReplicaInput.EngineReported(report));
         } else if (failure != null) {
             metrics.count("engine_report_failures");
@@ -179,53 +185,53 @@
     }
 
     private void feed(ReplicaInput input) {
-        for (ReplicaAction action : holder.on(input, control.clock().instant())) {
-            carryOut(action);
+        for (ReplicaAction action : manager.on(input, control.clock().instant())) {
+            execute(action);
         }
     }
 
-    private void carryOut(ReplicaAction action) {
+    private void execute(ReplicaAction action) {
         if (action instanceof ReplicaAction.LoadModel load) {
             load(load);
         } else if (action instanceof ReplicaAction.UnloadModel unload) {
             unload(unload);
         } else if (action instanceof ReplicaAction.SendRequest ready) {
             causes.remove(ready.model());
-            later(new ServingInput.ModelReady(ready.request()));
+            feedServing(new ServingInput.ModelReady(ready.request()));
         } else if (action instanceof ReplicaAction.RefuseRequest refuse) {
             Refusal refusal =
                     new Refusal(
                             refuse.code(),
-                            "the model can't be had here now: " + refuse.model(),
+                            "the model is not available on this VM now: " + refuse.model(),
                             true,
                             refuse.retryAfter());
             causes.remove(refuse.model(), refuse.request());
-            later(new ServingInput.ModelUnavailable(refuse.request(), refusal));
+            feedServing(new ServingInput.ModelUnavailable(refuse.request(), refusal));
         }
     }
 
-    // The requests' machine may be in the middle of a step that led here; it hears of it in a step
-    // of its own.
-    private void later(ServingInput input) {
-        control.run(() -> requests.accept(input));
+    // The serving state machine may be in the middle of the step that led here, so the input is fed
+    // in a later step on the control thread.
+    private void feedServing(ServingInput input) {
+        control.run(() -> serving.accept(input));
     }
 
     private void load(ReplicaAction.LoadModel order) {
         ModelName model = order.model().name();
-        Instant begun = control.clock().instant();
+        Instant started = control.clock().instant();
         Map<String, String> cause = cause(model);
         timeline.add(EventType.LOAD_BEGUN, model.value(), cause);
         engine.load(order.model(), order.fencing())
                 .whenComplete(
                         (ok, failure) ->
-                                control.run(() -> loadEnded(model, begun, cause, failure)));
+                                control.run(() -> loadCompleted(model, started, cause, failure)));
     }
 
-    private void loadEnded(
-            ModelName model, Instant begun, Map<String, String> cause, Throwable failure) {
+    private void loadCompleted(
+            ModelName model, Instant started, Map<String, String> cause, Throwable failure) {
         Map<String, String> details = new HashMap<>(cause);
         if (failure == null) {
-            long millis = Duration.between(begun, control.clock().instant()).toMillis();
+            long millis = Duration.between(started, control.clock().instant()).toMillis();
             metrics.histogram("engine_load_ms").update(millis);
             details.put("ms", String.valueOf(millis));
             timeline.add(EventType.LOADED, model.value(), details);
@@ -235,10 +241,10 @@
         metrics.count("engine_load_failures");
         details.put("code", code(failure));
         timeline.add(EventType.LOAD_FAILED, model.value(), details);
-        feed(new ReplicaInput.LoadFailed(model, mayBeHeld(failure)));
+        feed(new ReplicaInput.LoadFailed(model, mayBeLoaded(failure)));
     }
 
-    /** The last request that wants the model and still waits for it, if any. */
+    /** Returns the id of the last request that still waits for the model, for the timeline. */
     private Map<String, String> cause(ModelName model) {
         ExchangeId request = causes.get(model);
         return request == null ? Map.of() : Map.of("request", request.toString());
@@ -247,10 +253,11 @@
     private void unload(ReplicaAction.UnloadModel order) {
         engine.unload(order.model(), order.fencing())
                 .whenComplete(
-                        (ok, failure) -> control.run(() -> unloadEnded(order.model(), failure)));
+                        (ok, failure) ->
+                                control.run(() -> unloadCompleted(order.model(), failure)));
     }
 
-    private void unloadEnded(ModelName model, Throwable failure) {
+    private void unloadCompleted(ModelName model, Throwable failure) {
         if (failure == null) {
             timeline.add(EventType.UNLOADED, model.value());
             feed(new ReplicaInput.Unloaded(model));
@@ -260,9 +267,10 @@
         }
     }
 
-    // Only the engine's own no says that nothing was loaded. An order whose answer was lost may
-    // still be carried out, and its memory has to count until a report shows otherwise.
-    private static boolean mayBeHeld(Throwable failure) {
+    // Only a rejection by the engine, or an order that was not sent, shows that nothing was loaded.
+    // An order whose answer was lost may still be executed, so its memory counts as used until a
+    // report shows otherwise.
+    private static boolean mayBeLoaded(Throwable failure) {
         return upstreamCode(failure)
                 .map(
                         code ->
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Registrar.java
@@ -15,10 +15,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes this agent's registration, and again until it stands; takes it back at a graceful stop.
+ * Writes this agent's registration to the store, retrying until a write succeeds, and removes it at
+ * a graceful stop.
  */
 final class Registrar {
-    private static final Duration RETRY = Duration.ofSeconds(1);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     private final ControlThread control;
     private final KeyValueStore store;
@@ -37,7 +38,7 @@
         control.run(this::write);
     }
 
-    /** Takes the registration back, if the store answers within the limit. */
+    /** Removes the registration, waiting at most {@code limit} for the store. */
     void withdraw(Duration limit) {
         control.call(this::remove)
                 .thenCompose(stage -> stage)
@@ -52,17 +53,17 @@
             return;
         }
         store.commit(List.of(), List.of(new Write.Put(key, value, 0)))
-                .whenComplete((result, failure) -> control.run(() -> written(failure)));
+                .whenComplete((result, failure) -> control.run(() -> writeCompleted(failure)));
     }
 
-    private void written(Throwable failure) {
+    private void writeCompleted(Throwable failure) {
         if (failure != null) {
-            control.after(RETRY, this::write);
+            control.after(RETRY_DELAY, this::write);
         }
     }
 
-    // A successor on the same VM may have registered by now; removing its registration would hide
-    // a live agent from every router. So only this life's own value is removed.
+    // A successor on the same VM may have registered already; removing its registration would hide
+    // a live agent from every router. So only the value of this incarnation is removed.
     private CompletionStage<Void> remove() {
         withdrawn = true;
         return store.read(key).thenCompose(this::removeOwn);
--- a/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/RequestRunner.java
@@ -34,11 +34,11 @@
 import org.apache.pekko.stream.Materializer;
 
 /**
- * Takes the requests that routers send and runs them at the upstream: feeds a {@link
- * ServingMachine} and carries out what it decides. Its state belongs to the control thread.
+ * Receives the requests that routers send and runs them at the upstream: feeds a {@link
+ * ServingMachine} and executes its actions. The state belongs to the control thread.
  */
 final class RequestRunner implements ExchangeHandler {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final ControlThread control;
     private final ServingMachine machine;
@@ -47,12 +47,12 @@
     private final Metrics metrics;
     private final Timeline timeline;
     private final int maxRunning;
-    private final int maxKeptBody;
+    private final int maxKeptBodyBytes;
     private final KeyedOutcomes outcomes;
     private final Materializer materializer;
     private final Map<ExchangeId, IncomingExchange> exchanges = new HashMap<>();
     private final Map<ExchangeId, CompletableFuture<Answer.Served>> calls = new HashMap<>();
-    private Replicas replicas = Replicas.none();
+    private ModelReplicas replicas = ModelReplicas.none();
     private volatile Load load = Load.getDefaultInstance();
 
     RequestRunner(
@@ -63,7 +63,7 @@
             Metrics metrics,
             Timeline timeline,
             int maxRunning,
-            int maxKeptBody,
+            int maxKeptBodyBytes,
             KeyedOutcomes outcomes,
             Materializer materializer) {
         this.control = control;
@@ -73,56 +73,56 @@
         this.metrics = metrics;
         this.timeline = timeline;
         this.maxRunning = maxRunning;
-        this.maxKeptBody = maxKeptBody;
+        this.maxKeptBodyBytes = maxKeptBodyBytes;
         this.outcomes = outcomes;
         this.materializer = materializer;
     }
 
-    /** Says who looks after the models; before the first request. */
-    void replicas(Replicas given) {
+    /** Sets the access to the engine's models; must be called before the first request. */
+    void replicas(ModelReplicas given) {
         replicas = given;
     }
 
     @Override
     public void handle(IncomingExchange exchange) {
-        control.run(() -> arrive(exchange));
+        control.run(() -> requestReceived(exchange));
     }
 
-    /** Passes on something that happened; control thread only. */
+    /** Feeds an input to the state machine and executes its actions; control thread only. */
     void feed(ServingInput input) {
         for (ServingAction action : machine.on(input, now())) {
-            carryOut(action);
+            execute(action);
         }
         updateLoad();
     }
 
-    /** True once a drain is done. */
+    /** Returns true once a drain is complete; control thread only. */
     boolean drained() {
         return machine.isDrained();
     }
 
-    /** The load as of the last input; any thread. */
+    /** Returns the load as of the last input; may be called from any thread. */
     Load load() {
         return load;
     }
 
-    private void arrive(IncomingExchange exchange) {
+    private void requestReceived(IncomingExchange exchange) {
         Request request = exchange.request();
         Optional<ModelName> model = model(request);
         if (model.isPresent() && !configuration.get().models().containsKey(model.get())) {
-            exchange.refuse(unknown(exchange), load);
+            exchange.refuse(unknownModel(exchange), load);
             return;
         }
         if (KeyedOutcomes.isTracked(request)) {
-            Optional<Refusal> before = outcomes.begin(request);
-            if (before.isPresent()) {
+            Optional<Refusal> refusal = outcomes.begin(request);
+            if (refusal.isPresent()) {
                 metrics.count("agent_keys_seen_before");
-                exchange.refuse(before.get(), load);
+                exchange.refuse(refusal.get(), load);
                 return;
             }
         }
         exchanges.put(request.id(), exchange);
-        exchange.onCancel(() -> control.run(() -> gone(request.id())));
+        exchange.onCancel(() -> control.run(() -> requestCanceled(request.id())));
         feed(
                 new ServingInput.RequestArrived(
                         request.id(), request.workspace(), model, request.deadline()));
@@ -134,24 +134,26 @@
                 : Optional.empty();
     }
 
-    // A router may have a newer configuration than this agent. Saying "no such model" then would
-    // refuse a caller for good where a moment's wait or another agent helps.
-    private Refusal unknown(IncomingExchange exchange) {
+    // A router may have a newer configuration than this agent. UNKNOWN_MODEL would then refuse the
+    // caller for good, although a short wait or another agent would help.
+    private Refusal unknownModel(IncomingExchange exchange) {
         if (exchange.configSequence() > configuration.get().sequence()) {
             return Refusal.notRun(
-                            RefusalCode.NO_UPSTREAM, "this agent's configuration is not yet there")
-                    .retryAfter(COME_BACK);
+                            RefusalCode.NO_UPSTREAM,
+                            "the agent's configuration is older than the router's")
+                    .retryAfter(RETRY_AFTER);
         }
         return Refusal.notRun(RefusalCode.UNKNOWN_MODEL, "no such model");
     }
 
-    private void carryOut(ServingAction action) {
-        if (action instanceof ServingAction.AcquireModel want) {
-            replicas.want(want.id(), want.model(), want.workspace(), want.deadline());
-        } else if (action instanceof ServingAction.CancelAcquire giveUp) {
-            replicas.giveUp(giveUp.id(), giveUp.model());
-        } else if (action instanceof ServingAction.ReleaseModel leave) {
-            replicas.leave(leave.model());
+    private void execute(ServingAction action) {
+        if (action instanceof ServingAction.AcquireModel acquire) {
+            replicas.acquire(
+                    acquire.id(), acquire.model(), acquire.workspace(), acquire.deadline());
+        } else if (action instanceof ServingAction.CancelAcquire cancel) {
+            replicas.cancelAcquire(cancel.id(), cancel.model());
+        } else if (action instanceof ServingAction.ReleaseModel release) {
+            replicas.release(release.model());
         } else if (action instanceof ServingAction.Run run) {
             run(run.id());
         } else if (action instanceof ServingAction.Refuse refuse) {
@@ -162,8 +164,8 @@
     private void run(ExchangeId id) {
         IncomingExchange exchange = exchanges.get(id);
         if (exchange.cancelled()) {
-            ended(exchange.request(), true);
-            control.run(() -> finished(id));
+            recordEnd(exchange.request(), true);
+            control.run(() -> runFinished(id));
             return;
         }
         metrics.count("agent_requests_run");
@@ -173,7 +175,7 @@
         call.whenComplete(
                 (answer, failure) -> {
                     if (failure == null && KeyedOutcomes.isTracked(exchange.request())) {
-                        gather(exchange, answer);
+                        bufferAnswer(exchange, answer);
                     } else if (failure == null) {
                         serve(exchange, answer);
                     } else {
@@ -182,27 +184,27 @@
                 });
     }
 
-    private void gather(IncomingExchange exchange, Answer.Served answer) {
-        GatheredAnswer.of(answer, maxKeptBody, materializer)
+    private void bufferAnswer(IncomingExchange exchange, Answer.Served answer) {
+        BufferedAnswer.of(answer, maxKeptBodyBytes, materializer)
                 .whenComplete(
-                        (gathered, failure) -> {
+                        (buffered, failure) -> {
                             if (failure == null) {
-                                control.run(() -> settle(exchange.request(), gathered));
-                                serve(exchange, gathered.answer());
+                                control.run(() -> recordAnswer(exchange.request(), buffered));
+                                serve(exchange, buffered.answer());
                             } else {
                                 fail(exchange, failure);
                             }
                         });
     }
 
-    private void settle(Request request, GatheredAnswer gathered) {
-        Answer.Served answer = gathered.answer();
+    private void recordAnswer(Request request, BufferedAnswer buffered) {
+        Answer.Served answer = buffered.answer();
         outcomes.recordAnswer(
                 request,
-                new ClaimRecord.Outcome(answer.status(), answer.headers(), gathered.body()));
+                new ClaimRecord.Outcome(answer.status(), answer.headers(), buffered.body()));
     }
 
-    private void ended(Request request, boolean notRun) {
+    private void recordEnd(Request request, boolean notRun) {
         if (KeyedOutcomes.isTracked(request)) {
             outcomes.recordEnd(request, notRun);
         }
@@ -217,7 +219,7 @@
                         .watchTermination(
                                 (mat, done) -> {
                                     done.whenComplete(
-                                            (ok, failure) -> control.run(() -> finished(id)));
+                                            (ok, failure) -> control.run(() -> runFinished(id)));
                                     return mat;
                                 });
         exchange.serve(
@@ -233,12 +235,12 @@
         Refusal refusal =
                 notRun
                         ? Refusal.notRun(RefusalCode.NO_UPSTREAM, "the upstream can't be reached")
-                                .retryAfter(COME_BACK)
+                                .retryAfter(RETRY_AFTER)
                         : Refusal.mayHaveRun(failureCode(exchange), "the upstream did not answer");
         metrics.count("agent_upstream_failures", "not_run", String.valueOf(notRun));
-        control.run(() -> ended(exchange.request(), notRun));
+        control.run(() -> recordEnd(exchange.request(), notRun));
         exchange.refuse(refusal, load);
-        control.run(() -> finished(id));
+        control.run(() -> runFinished(id));
     }
 
     private static RefusalCode failureCode(IncomingExchange exchange) {
@@ -247,7 +249,7 @@
                 : RefusalCode.OUTCOME_UNKNOWN;
     }
 
-    private void finished(ExchangeId id) {
+    private void runFinished(ExchangeId id) {
         calls.remove(id);
         if (exchanges.remove(id) != null) {
             timeline.add(EventType.ANSWERED, id.toString());
@@ -255,29 +257,30 @@
         }
     }
 
-    private void gone(ExchangeId id) {
+    private void requestCanceled(ExchangeId id) {
         feed(new ServingInput.RequestCancelled(id));
         if (!machine.isRunning(id)) {
             IncomingExchange dropped = exchanges.remove(id);
             if (dropped != null) {
-                ended(dropped.request(), true);
+                recordEnd(dropped.request(), true);
             }
-        } else if (finishes(id)) {
+        } else if (mustFinish(id)) {
             metrics.count("agent_keyed_requests_finished_alone");
         } else {
             cancelCall(id);
         }
     }
 
-    // A payment that has begun can't be taken back by cancelling its call; that would only hide
-    // what came of it. So it goes on without its router, and its outcome is kept for the repeat.
-    private boolean finishes(ExchangeId id) {
+    // Canceling the call of a request that has begun, such as a payment, would not undo it but only
+    // hide its outcome. So a request with an idempotency key continues without its router, and its
+    // outcome is kept for a repeat.
+    private boolean mustFinish(ExchangeId id) {
         IncomingExchange exchange = exchanges.get(id);
         return exchange != null && KeyedOutcomes.isTracked(exchange.request());
     }
 
-    // Once the answer has begun this does nothing: its body is then cancelled by the exchange, and
-    // the end of the body finishes the request.
+    // This has no effect once the answer has begun: the exchange then cancels the body, and the end
+    // of the body finishes the request.
     private void cancelCall(ExchangeId id) {
         CompletableFuture<Answer.Served> call = calls.get(id);
         if (call != null) {
@@ -290,7 +293,7 @@
         if (exchange != null) {
             timeline.add(
                     EventType.REFUSED, id.toString(), Map.of("code", refusal.code().wireName()));
-            ended(exchange.request(), refusal.notRun());
+            recordEnd(exchange.request(), refusal.notRun());
             exchange.refuse(refusal, load);
         }
     }
