--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouters.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouters.java
@@ -236,7 +236,7 @@
 
                     @Override
                     public void sendToWatchers(Frame frame) {
-                        sendToWatchers(frame);
+                        PeerRouters.this.sendToWatchers(frame);
                     }
 
                     @Override
