--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
@@ -16,8 +16,8 @@
 
 /**
  * Keeps a router's {@link Fleet} up to date from the agents' registrations and the list of VMs.
- * Where either can't be read it hears nothing and leaves things as they were, so that an outage
- * takes nobody out of service. All of it runs on the control thread.
+ * While either of them can't be read, the directory gets no update and keeps the last state, so
+ * that an outage of the platform takes no agent out of service. Control thread only.
  */
 final class AgentDirectory {
     private final Fleet fleet;
@@ -32,7 +32,7 @@
         this.metrics = metrics;
     }
 
-    /** Takes the platform's list as it was read. */
+    /** Applies the list of VMs as it was read from the platform. */
     void listed(List<VmList.Vm> vms) {
         Set<VmId> present = new HashSet<>();
         Set<VmId> onTheirWay = new HashSet<>();
@@ -48,7 +48,7 @@
         publish();
     }
 
-    /** Takes all registrations that there are, in their stored form. */
+    /** Applies the complete set of stored agent registrations, each in its stored form. */
     void registered(List<byte[]> found) {
         Map<VmId, Registration> now = new TreeMap<>();
         found.forEach(value -> read(value, now));
@@ -90,8 +90,8 @@
         fleet.update(present, leaving);
     }
 
-    // The list lags, so a VM that it never showed may just have come; one that it showed before and
-    // shows no longer is gone, and its registration is a left-over.
+    // The list lags, so a VM that was never listed may have just started. A VM that was listed
+    // before and is missing now is gone, and its registration is stale.
     private boolean goneFromList(VmId vm) {
         return everListed.contains(vm) && !listed.contains(vm);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
@@ -9,7 +9,7 @@
 import io.damaskyoke.peer.wire.Frame;
 import io.damaskyoke.peer.wire.Hello;
 
-/** Hears from agents of their load and of their leaving, and tells the fleet. */
+/** Receives the load and drain notices that agents send and applies them to the {@link Fleet}. */
 final class AgentListener implements PeerListener {
     private final ControlThread control;
     private final Fleet fleet;
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimLease.java
@@ -7,11 +7,12 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * The lease that new claims are written under, so that the store itself forgets them: one for all
- * claims of an hour, never kept alive, long enough that the last of them lasts its retention.
+ * Holds the store lease under which a router writes new claims, so that the store expires them
+ * itself. All claims of one hour share a lease. The lease is never kept alive, and its TTL is the
+ * retention plus one hour, so that the last claim of the hour lasts for its whole retention.
  *
- * <p>It costs a router one call an hour, and a key stands at one place whatever the hour. Control
- * thread only.
+ * <p>This costs a router one call to the store an hour, and the store key of a claim doesn't depend
+ * on the hour. Control thread only.
  */
 final class ClaimLease {
     private static final Duration TERM = Duration.ofHours(1);
@@ -26,7 +27,7 @@
         this.retention = retention;
     }
 
-    /** The present lease, granted anew if its hour is over. */
+    /** Returns the current lease, or requests a new one if its hour is over. */
     CompletionStage<Long> present(Instant now) {
         if (id != 0 && now.isBefore(renewAt)) {
             return CompletableFuture.completedFuture(id);
@@ -34,7 +35,7 @@
         return store.grantLease(retention.plus(TERM));
     }
 
-    /** Takes a granted lease into use. */
+    /** Makes a granted lease the current one and restarts its hour if it is new. */
     void use(long granted, Instant now) {
         if (granted != id) {
             id = granted;
@@ -42,7 +43,7 @@
         }
     }
 
-    /** Forgets the lease, in case the store no longer knows it. */
+    /** Drops the current lease, in case the store no longer has it. */
     void forget() {
         id = 0;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimQueries.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimQueries.java
@@ -17,7 +17,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/** Asks agents what they know of an idempotency key; no answer in time counts as nothing. */
+/**
+ * Asks agents for the outcome that they know of an idempotency key. An agent that can't be reached
+ * or doesn't answer in time counts as one that knows no outcome.
+ */
 final class ClaimQueries implements PeerListener {
     private static final Duration LIMIT = Duration.ofSeconds(1);
 
@@ -29,7 +32,7 @@
         this.control = control;
     }
 
-    /** What the agent knows of the request's key; never fails. */
+    /** Returns the agent's record of the request's key, empty if it has none; never fails. */
     CompletionStage<Optional<ClaimRecord>> ask(CompletionStage<PeerLink> agent, Request request) {
         ExchangeId id =
                 ExchangeId.newBuilder()
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimReplay.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimReplay.java
@@ -8,7 +8,7 @@
 import org.apache.pekko.stream.javadsl.Source;
 import org.apache.pekko.util.ByteString;
 
-/** Gives a recorded answer again, and says that it is one. */
+/** Builds the answer that replays a recorded one, marked by the header Idempotent-Replayed. */
 final class ClaimReplay {
     private static final Header REPLAYED = new Header("Idempotent-Replayed", "true");
 
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimResult.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimResult.java
@@ -3,17 +3,17 @@
 import io.damaskyoke.control.claims.ClaimRecord;
 import io.damaskyoke.exchange.Refusal;
 
-/** What became of the wish to claim an idempotency key. */
+/** The result of an attempt to claim or look up an idempotency key. */
 sealed interface ClaimResult {
-    /** It is claimed; the claim stands in the store as said. */
+    /** The key is claimed for this request; {@code claim} is what the store holds. */
     record Held(HeldClaim claim) implements ClaimResult {}
 
-    /** A request under the key was answered before. */
+    /** An earlier request with the same key was answered; {@code settled} records its answer. */
     record Before(ClaimRecord settled) implements ClaimResult {}
 
-    /** It was only looked up, and no earlier request under it is known to have run. */
+    /** The key was only looked up, and no earlier request with it is known to have run. */
     record NotFound() implements ClaimResult {}
 
-    /** It is not claimed, and the request must not be sent. */
+    /** The key is not claimed, and the request must not be sent. */
     record Refused(Refusal refusal) implements ClaimResult {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
@@ -21,7 +21,10 @@
 import java.util.concurrent.CompletionStage;
 import java.util.random.RandomGenerator;
 
-/** Carries out what a {@link ClaimBatcher} decides, over the store. Control thread only. */
+/**
+ * Writes claims to the store in batches, by carrying out the actions of a {@link ClaimBatcher}.
+ * Control thread only.
+ */
 final class ClaimStore {
     private final ControlThread control;
     private final KeyValueStore store;
@@ -45,17 +48,20 @@
         this.lease = new ClaimLease(store, settings.retention());
     }
 
-    /** The lease of the last commit, which holds what it wrote. */
+    /** Returns the lease under which the last commit wrote its claims. */
     long lease() {
         return lease.id();
     }
 
-    /** Changes that are not written yet. */
+    /** Returns the number of submitted writes that have no result yet. */
     int pending() {
         return submitted.size();
     }
 
-    /** Writes when the batcher sees fit; the result comes on the control thread. */
+    /**
+     * Submits a write, which is committed when the batcher decides so. The result comes on the
+     * control thread.
+     */
     CompletionStage<Result> write(
             String key,
             Optional<Long> before,
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
@@ -38,8 +38,9 @@
 import org.apache.pekko.util.ByteString;
 
 /**
- * Claims idempotency keys for requests: {@code claims.claim(request, vm).thenAccept(...)}. Results
- * come on the control thread, and all methods belong to it.
+ * Claims idempotency keys for requests, so that a request which callers repeat runs at most once:
+ * {@code claims.claim(request, vm, connect).thenAccept(...)}. Results come on the control thread,
+ * and all methods must be called on it.
  */
 final class Claims {
     private static final Duration COME_BACK = Duration.ofSeconds(2);
@@ -75,7 +76,7 @@
         this.materializer = materializer;
     }
 
-    /** The claims of a router; the seed spreads its retries. */
+    /** Returns the claims of a router. The seed randomizes its retries. */
     static Claims start(Node node, ClaimQueries queries, ClaimSettings settings, long seed) {
         return new Claims(
                 node.control(),
@@ -96,7 +97,7 @@
     /**
      * Claims the request's key for a run at this agent.
      *
-     * @param connect reaches an agent that has to be asked about an earlier run
+     * @param connect connects to an agent that must be asked about an earlier run
      */
     CompletionStage<ClaimResult> claim(
             Request request, VmId vm, Function<VmId, CompletionStage<PeerLink>> connect) {
@@ -104,10 +105,11 @@
     }
 
     /**
-     * Sees what became of the key without claiming it, for a request that has no agent to go to.
+     * Looks up the outcome of the key without claiming it, for a request that no agent can take.
      *
-     * <p>What may not be there and is removed stays as it is, so a look shares the transactions of
-     * the changes and costs no call of its own. A store that is out counts as nothing found.
+     * <p>The lookup is written as a delete on condition that the key doesn't exist, which changes
+     * nothing either way. So it shares the transactions of the writes and costs no call to the
+     * store of its own. If the store is unavailable, the result is that nothing was found.
      */
     CompletionStage<ClaimResult> lookUp(
             Request request, Function<VmId, CompletionStage<PeerLink>> connect) {
@@ -123,7 +125,7 @@
                                         : notFound());
     }
 
-    /** Moves a claim whose request surely did not run at its agent to another one. */
+    /** Moves a claim to another agent, when its request is known not to have run at the first. */
     CompletionStage<ClaimResult> move(
             HeldClaim held,
             Request request,
@@ -132,15 +134,18 @@
         return new Attempt(request, vm, connect).write(Optional.of(held.revision()));
     }
 
-    /** Changes of claims that are not written yet; a stop waits a little for them. */
+    /**
+     * Returns the number of claim writes that have no result yet. A stopping router waits for them
+     * for a short time.
+     */
     int pending() {
         return store.pending();
     }
 
     /**
-     * Takes a claim back whose request surely did not run and will not; tried for minutes. Gives
-     * true once it is known to be gone, false if somebody else has it or the store can't be
-     * reached.
+     * Releases a claim whose request is known not to have run and never to run. The write is
+     * retried for minutes. Returns true once the claim is known to be removed, and false if another
+     * request has claimed the key or the store can't be reached.
      */
     CompletionStage<Boolean> release(HeldClaim held) {
         metrics.count("claims_released");
@@ -154,7 +159,7 @@
                 .thenApply(result -> result instanceof Result.Written);
     }
 
-    /** The answer's body, which is written down once it has passed whole. */
+    /** Returns the answer's body, which is recorded in the claim once it has passed completely. */
     Source<ByteString, NotUsed> recorded(HeldClaim held, ExchangeResult.Served served) {
         return AnswerRecorder.tap(
                 served.body(),
@@ -168,12 +173,12 @@
                                                         served.status(), served.headers(), body))));
     }
 
-    /** Writes down an answer whose caller has gone, for the time when that one comes back. */
+    /** Records an answer whose caller has disconnected, for the caller's next attempt. */
     void recordUnwanted(HeldClaim held, ExchangeResult.Served served) {
         recorded(held, served).runWith(Sink.ignore(), materializer);
     }
 
-    /** Writes down the answer of a claim's request; tried for minutes. */
+    /** Records the answer to the claim's request. The write is retried for minutes. */
     void settle(HeldClaim held, Outcome outcome) {
         ClaimRecord settled = held.record().settled(outcome);
         store.write(
@@ -207,7 +212,7 @@
         return CompletableFuture.completedFuture(result);
     }
 
-    /** One wish to claim. */
+    /** An attempt to claim a request's key for one agent. */
     private final class Attempt {
         private final Request request;
         private final Earlier earlier;
@@ -262,10 +267,10 @@
             return write(Optional.of(revision));
         }
 
-        // The claim may stand in the store although its request was refused. Left there, each
-        // repeat
-        // would be told that the outcome is unknown of a payment that never ran. Writing the same
-        // claim again tells whether it stands and at which revision, so that it can be removed.
+        // The claim may be in the store although its request was refused. If it stayed there, each
+        // repeat would be refused with an unknown outcome although the payment never ran. Writing
+        // the same claim again shows whether it is stored and at which revision, so that it can be
+        // removed.
         private void takeBack() {
             Instant end = now().plus(KEEP_TRYING);
             store.write(key, condition, Optional.of(mine.toJson()), 0, end, false)
@@ -282,7 +287,7 @@
         }
     }
 
-    /** What an earlier request under the same key means for this one. */
+    /** Decides what an earlier request with the same key means for this request. */
     private final class Earlier {
         private final Request request;
         private final Function<VmId, CompletionStage<PeerLink>> connect;
@@ -299,9 +304,9 @@
         }
 
         /**
-         * Follows up a claim that stands in the store.
+         * Handles a claim that was found in the store, asking its agent for the outcome if needed.
          *
-         * @param neverRuns what to do if its request surely never runs; gets the claim's revision
+         * @param neverRuns called with the claim's revision if its request is known never to run
          */
         CompletionStage<ClaimResult> found(
                 Entry entry, LongFunction<CompletionStage<ClaimResult>> neverRuns) {
@@ -352,13 +357,15 @@
     private static Refusal unavailable() {
         return Refusal.mayHaveRun(
                         RefusalCode.STORE_UNAVAILABLE,
-                        "this try was not run, since its key can't be checked now; an earlier try"
-                                + " with the same key may have run")
+                        "this attempt was not run because the store is unavailable and its"
+                            + " idempotency key can't be checked; an earlier attempt with the same"
+                            + " key may have run")
                 .retryAfter(COME_BACK);
     }
 
     private static Refusal unreadable() {
         return Refusal.mayHaveRun(
-                RefusalCode.OUTCOME_UNKNOWN, "the record of this key can't be read");
+                RefusalCode.OUTCOME_UNKNOWN,
+                "the stored claim of this idempotency key can't be parsed");
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/HeldClaim.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/HeldClaim.java
@@ -3,11 +3,11 @@
 import io.damaskyoke.control.claims.ClaimRecord;
 
 /**
- * A claim of this router as it stands in the store.
+ * A claim of this router, as stored.
  *
- * @param key of the store
- * @param record what stands there
- * @param revision since when
- * @param lease under which it is kept
+ * @param key the key in the store
+ * @param record the value stored there
+ * @param revision the store revision at which the claim was last written
+ * @param lease the store lease under which the claim is kept
  */
 record HeldClaim(String key, ClaimRecord record, long revision, long lease) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/router/IdleLinks.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/IdleLinks.java
@@ -12,26 +12,26 @@
 
 /**
  * Closes a router's links to agents that it has not used for a while. Most models are idle, and a
- * link to each agent ever used would cost memory and heartbeats at every router for nothing.
- * Belongs to the control thread.
+ * link to each agent ever used would cost memory and heartbeats at every router for no use. Control
+ * thread only.
  */
 final class IdleLinks {
     private final Duration limit;
     private final Consumer<PeerAddress> closer;
     private final Map<VmId, Used> links = new HashMap<>();
 
-    /** Closes links through {@code closer} once they were unused for {@code limit}. */
+    /** Creates a tracker that closes links by {@code closer} once unused for {@code limit}. */
     IdleLinks(Duration limit, Consumer<PeerAddress> closer) {
         this.limit = limit;
         this.closer = closer;
     }
 
-    /** A request is about to use the link. */
+    /** Records that a request is about to use the link. */
     void used(PeerAddress address, Instant now) {
         links.put(address.vm(), new Used(address, now));
     }
 
-    /** Closes what is idle, but for VMs that still have a request. */
+    /** Closes the idle links, except those to VMs that still have a request. */
     void closeIdle(Predicate<VmId> busy, Instant now) {
         Iterator<Used> all = links.values().iterator();
         while (all.hasNext()) {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/LastHeard.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/LastHeard.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.Collectors;
 
-/** When a frame last came from each VM; may be asked on any thread. */
+/** Records when a frame was last received from each VM. Thread-safe. */
 final class LastHeard implements PeerListener {
     private static final Duration LATELY = Duration.ofSeconds(10);
 
@@ -28,7 +28,7 @@
         link.remote().ifPresent(hello -> last.put(VmId.of(hello.getVm()), clock.instant()));
     }
 
-    /** The VMs heard from in the last seconds; the others are forgotten. */
+    /** Returns the VMs that sent a frame in the last 10 seconds, and drops the others. */
     Set<VmId> lately(Instant now) {
         last.values().removeIf(at -> at.plus(LATELY).isBefore(now));
         return last.keySet().stream().collect(Collectors.toUnmodifiableSet());
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Loads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Loads.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Reads the load that agents report in their frames. */
+/** Converts the load that agents report in their frames to {@link AgentLoad}. */
 final class Loads {
     private Loads() {}
 
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Placement.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Placement.java
@@ -35,8 +35,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * A router's part in the placement: tells its fleet who may hold what, plans while it has the
- * lease, and clears suspicions of VMs that it hears from. Control thread only.
+ * Runs a router's part in placement: updates its fleet with the VMs that may hold each model, plans
+ * replicas while the router holds the placement lease, and clears the suspicion of VMs from which
+ * it receives frames. Control thread only.
  */
 final class Placement {
     private static final Logger LOG = LogManager.getLogger(Placement.class);
@@ -87,7 +88,7 @@
 
     private record Waiter(ModelName model, Instant until, Runnable step) {}
 
-    /** Begins; the network is for a last try to reach a VM that seems to be gone. */
+    /** Starts placement. The network serves to reach a VM that is missing from the list of VMs. */
     void start(PeerNetwork peers) {
         network = peers;
         control.run(
@@ -99,7 +100,7 @@
                 });
     }
 
-    /** Plans at once, as there may be new models. */
+    /** Plans at once, since the new configuration may have new models. */
     void configurationChanged() {
         askGap = QUICK;
         nextAsk = Instant.MIN;
@@ -107,9 +108,9 @@
     }
 
     /**
-     * Runs the step once some VM may hold the request's model. A model whose ticket was accepted a
-     * moment ago has no right yet; its first request would be refused although a planner is about
-     * to give one. After a few seconds the step runs anyway and finds no upstream.
+     * Runs the step once at least one VM may hold the request's model. A model whose ticket was
+     * just accepted has no replica grant yet, and its first request would be refused although a
+     * planner is about to make one. After three seconds the step runs anyway and finds no upstream.
      */
     void whenPlaced(Request request, Runnable step) {
         if (request.target() instanceof Target.Model target
@@ -123,8 +124,9 @@
         }
     }
 
-    // A model that fits nowhere and is asked for all the time would have each router read ten times
-    // a second for nothing. So the gap grows while the table stays as it is.
+    // A model that fits on no VM but is requested all the time would make each router read the
+    // table
+    // ten times a second for nothing. So the interval doubles while the table doesn't change.
     private static Duration longer(Duration gap) {
         Duration twice = gap.multipliedBy(2);
         return twice.compareTo(PATIENCE) < 0 ? twice : PATIENCE;
@@ -232,8 +234,8 @@
         return vm != null && vm.state() == VmList.State.LEAVING;
     }
 
-    // The list lags: an agent that registered and was never listed has just come. Taken for gone,
-    // it would lose the rights it loads under, and a model would be held twice.
+    // The list lags, so a registered agent that was never listed has just started. If it counted as
+    // gone, it would lose the grants under which it is loading, and a model would be held twice.
     private Set<VmId> present(Set<VmId> listed) {
         everListed.addAll(listed);
         Set<VmId> present = new HashSet<>(listed);
@@ -244,7 +246,7 @@
         return present;
     }
 
-    // A link that opens brings heartbeats, and those are word from the VM.
+    // A link that opens brings heartbeats, which show that the VM is alive.
     private void tryToReach(VmId vm) {
         AgentEndpoint member = known.get(vm);
         if (member != null) {
@@ -257,7 +259,10 @@
             swap(proposal.shard(), () -> store.applyProposal(proposal, now));
         } catch (PlacementException e) {
             metrics.count("placement_proposals_refused");
-            LOG.error("a proposal for shard {} is not legal", proposal.shard(), e);
+            LOG.error(
+                    "skipped a placement proposal for shard {}: it violates the placement rules",
+                    proposal.shard(),
+                    e);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
@@ -15,7 +15,10 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Function;
 
-/** Carries a {@link LeaseMachine}'s actions out at the store. Control thread only. */
+/**
+ * Acquires and renews the placement lease, which makes a router the leader, by carrying out the
+ * actions of a {@link LeaseMachine} at the store. Control thread only.
+ */
 final class PlacementLease {
     private static final Duration TICK = Duration.ofMillis(250);
 
@@ -36,7 +39,7 @@
         this.machine = new LeaseMachine(term);
     }
 
-    /** Begins to try for it. */
+    /** Starts trying to acquire the lease. {@code whenWon} runs each time it is acquired. */
     void start(Runnable whenWon) {
         won = whenWon;
         feed(new LeaseInput.Tick());
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ProcessList.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ProcessList.java
@@ -15,8 +15,8 @@
 import java.util.function.Supplier;
 
 /**
- * Who belongs to the deployment, for operators who want to ask every process: the platform's list,
- * or its last answer while it is down, and the agents that it doesn't show yet.
+ * Lists the processes of the deployment, for operators who want to query each of them: the
+ * platform's list of VMs, or its last answer while it is down, plus the agents not listed yet.
  */
 final class ProcessList {
     private static final String UNLISTED = "unlisted";
@@ -41,7 +41,7 @@
         this.operatorUrl = operatorUrl;
     }
 
-    /** Everyone, by VM; never fails. */
+    /** Returns all processes, sorted by VM; never fails. */
     CompletionStage<List<ProcessEntry>> read() {
         return vmList.read()
                 .handle((vms, failure) -> failure == null ? remember(vms) : last)
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
@@ -37,8 +37,8 @@
 import java.util.function.Supplier;
 
 /**
- * Takes requests from the caller side, lets them in or not, and starts a {@link RequestFlow} for
- * each. Its state belongs to the control thread.
+ * Receives requests from the caller side, admits or refuses them, and starts a {@link RequestFlow}
+ * for each admitted one. Its state is confined to the control thread.
  */
 final class RequestDispatcher implements Dispatcher {
     private static final Duration COME_BACK = Duration.ofSeconds(1);
@@ -79,11 +79,11 @@
     }
 
     /**
-     * What a dispatcher works with.
+     * The collaborators of a dispatcher.
      *
      * @param confirmed whether the configuration in force is known to be the newest
-     * @param maxWaiting requests that may be without an answer at once
-     * @param whenPlaced runs the step once some VM may hold the request's model
+     * @param maxWaiting the number of requests that may wait for an answer at once
+     * @param whenPlaced runs the step once at least one VM may hold the request's model
      */
     record Parts(
             ControlThread control,
@@ -107,17 +107,17 @@
         return answer;
     }
 
-    /** Requests that were let in and are not over, streams included. */
+    /** Returns the number of admitted requests that have not finished, streams included. */
     int running() {
         return flows.size();
     }
 
-    /** Requests that have no answer yet. */
+    /** Returns the number of requests that have no answer yet. */
     int waiting() {
         return waiting;
     }
 
-    /** Refuses those that wait with a key that is no longer granted. */
+    /** Refuses the waiting requests whose caller key is no longer granted. */
     void configurationChanged(Configuration now) {
         for (RequestFlow flow : new ArrayList<>(flows)) {
             if (!now.isGranted(flow.request().key())) {
@@ -126,29 +126,30 @@
         }
     }
 
-    /** Closes links that no request has used for a while; to be called now and then. */
+    /** Closes the links that no request has used for a while; to be called periodically. */
     void closeIdleLinks() {
         idleLinks.closeIdle(fleet::hasOutstandingRequests, control.clock().instant());
     }
 
-    /** Connects to the agent's VM; fails if that is no longer known. */
+    /** Connects to the agent's VM; fails if the fleet no longer knows it. */
     CompletionStage<PeerLink> connect(VmId vm) {
         Optional<AgentEndpoint> member = fleet.endpoint(vm);
         if (member.isEmpty()) {
             return CompletableFuture.failedFuture(
-                    new RouterException(RouterException.Code.UNKNOWN_AGENT, "no agent on " + vm));
+                    new RouterException(
+                            RouterException.Code.UNKNOWN_AGENT, "no agent is known on VM " + vm));
         }
         PeerAddress address = new PeerAddress(vm, member.get().host(), member.get().port());
         idleLinks.used(address, control.clock().instant());
         return network.connect(address);
     }
 
-    /** A flow got its answer. */
+    /** Records that a flow has its answer. */
     void answered() {
         waiting--;
     }
 
-    /** A flow is over, its body included. */
+    /** Removes a flow that has finished, its body included. */
     void over(RequestFlow flow) {
         flows.remove(flow);
     }
@@ -172,9 +173,9 @@
                 });
     }
 
-    // A payment may come again after it ran at another router. Refused here before anybody looked
-    // for its key, it has not run this time; told "not run", its caller would pay a second time
-    // under another key.
+    // A payment may be repeated after it ran at another router. Refused here before its key was
+    // looked up, it didn't run this time; but if the refusal said "not run", its caller would pay a
+    // second time under another key.
     private void refuse(Request request, Refusal refusal, CompletableFuture<Answer> answer) {
         metrics.count("router_refused", "code", refusal.code().wireName());
         boolean notRun = refusal.notRun() && !request.claimable();
@@ -196,10 +197,10 @@
         if (!confirmed.getAsBoolean()) {
             return refusal(
                     RefusalCode.CONFIGURATION_UNCONFIRMED,
-                    "this router can't confirm that its configuration is the newest");
+                    "this router can't confirm that its configuration is up to date");
         }
         if (waiting >= maxWaiting) {
-            return refusal(RefusalCode.OVERLOADED, "too many requests wait here");
+            return refusal(RefusalCode.OVERLOADED, "too many requests are waiting at this router");
         }
         return withdrawn(request);
     }
@@ -236,7 +237,7 @@
                 : fleet.selectForService(service.pool(), tried, now);
     }
 
-    /** The flows under way, for a stop that has reached its limit. */
+    /** Returns the unfinished flows, which a stop aborts once its limit is reached. */
     List<RequestFlow> flows() {
         return List.copyOf(flows);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One request on its way: feeds a {@link RequestMachine} with what happens and carries out what it
- * decides. Runs on the control thread only.
+ * Drives one request from admission to its answer: feeds events to a {@link RequestMachine} and
+ * carries out the actions that it returns. Control thread only.
  */
 final class RequestFlow {
     private static final Duration RELEASE_LIMIT = Duration.ofSeconds(1);
@@ -74,10 +74,10 @@
         feed(new RequestInput.CallerKeyWithdrawn());
     }
 
-    /** Breaks off whatever is left of it, since the process has to end. */
+    /** Aborts the request, since the process is about to stop. */
     void abort() {
         if (machine.isAnswered() && exchange != null) {
-            exchange.cancel(ExchangeException.Code.REVOKED, "the router has to stop");
+            exchange.cancel(ExchangeException.Code.REVOKED, "the router is stopping");
         } else {
             feed(new RequestInput.DeadlinePassed());
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
@@ -34,11 +34,9 @@
 import java.util.function.IntSupplier;
 
 /**
- * A router.
+ * A router process: serves callers and operators, and forwards requests to the agents.
  *
  * <p>{@code Router router = Router.start(settings); ... router.stop();}
- *
- * <p>It meets callers and operators, and sends requests on to the agents.
  */
 public final class Router {
     private static final Duration START_LIMIT = Duration.ofSeconds(20);
@@ -114,7 +112,7 @@
         }
     }
 
-    /** What the process says once it takes work. */
+    /** Returns the line that the process prints once it accepts requests. */
     public ReadyLine ready() {
         String host = settings.caller().host();
         return node.readyLine(settings.operator().host(), operators.port(), network.port())
@@ -122,9 +120,9 @@
     }
 
     /**
-     * Ends gracefully: turns not ready, waits for the balancer to notice, takes nothing new, lets
-     * what runs finish up to the settings' limit, and then ends. A second call returns when the
-     * first one has.
+     * Stops gracefully: reports not ready, waits for the load balancer to notice, accepts no new
+     * requests, lets running ones finish within the settings' limit, and then closes. A second call
+     * returns when the first one has.
      */
     public synchronized void stop() {
         if (stopped) {
@@ -237,7 +235,7 @@
             return Optional.of("stopping");
         }
         if (!node.configuration().isConfirmed(settings.control().unconfirmedLimit())) {
-            return Optional.of("the configuration is not confirmed");
+            return Optional.of("the configuration is not confirmed to be up to date");
         }
         return Optional.empty();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RouterException.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RouterException.java
@@ -2,13 +2,13 @@
 
 import io.damaskyoke.DamaskyokeException;
 
-/** Says that a router could not do what was asked of it. */
+/** Thrown when a router can't start or can't reach an agent. */
 public final class RouterException extends DamaskyokeException {
     private static final long serialVersionUID = 1L;
 
-    /** What went wrong. */
+    /** The kind of failure. */
     public enum Code {
-        /** No agent is known on that VM. */
+        /** No agent is known on the VM. */
         UNKNOWN_AGENT,
         /** The router could not start. */
         START_FAILED
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RouterStatus.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RouterStatus.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What {@code /operator/v1/status} says of a router. */
+/** The answer to {@code /operator/v1/status} at a router. */
 record RouterStatus(
         @JsonProperty("vm") String vm,
         @JsonProperty("role") String role,
@@ -41,7 +41,7 @@
                 node.sections().read());
     }
 
-    /** An agent as this router sees it. */
+    /** An agent, with the load that this router last received from it. */
     record Agent(
             @JsonProperty("vm") String vm,
             @JsonProperty("pool") String pool,
--- a/damaskyoke/src/main/java/io/damaskyoke/router/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/package-info.java
@@ -1,2 +1,2 @@
-/** The router: everything between callers and agents, put together. */
+/** The router process, which admits requests from callers and forwards them to agents. */
 package io.damaskyoke.router;
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimPropertyTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimPropertyTest.java
@@ -13,10 +13,10 @@
 class ClaimPropertyTest {
     @Property(seed = "21", tries = 300)
     void noPaymentRunsTwiceAndNoRefusalLies(@ForAll long seed) {
-        // Three routers, two agents, four keys that callers repeat forty times, also at once. The
-        // store is down, slow or loses answers; routers and agents die; frames are lost before and
-        // after the run; callers leave. Still each key runs once at most, "not run" is true of the
-        // key, and every answer that a key ever got is the same.
+        // Callers repeat four keys forty times at three routers and two agents while the store, the
+        // routers, the agents, the links and the callers fail. Each key must run at most once, a
+        // refusal must say "not run" only of a key that has not run, and all answers to a key must
+        // be the same.
         ClaimWorld world = new ClaimWorld(seed, false);
         world.run();
         assertEquals(List.of(), world.broken);
@@ -24,8 +24,8 @@
 
     @Property(seed = "21", tries = 20)
     void withoutClaimsPaymentsRunAgain(@ForAll long seed) {
-        // The naive router sends a request again when its link breaks, and knows nothing of the
-        // tries at other routers; so the same schedules charge growers twice.
+        // Shows that the schedules can find the fault: a router that resends a request when its
+        // link breaks, without claims, runs some payments twice.
         ClaimWorld naive = new ClaimWorld(seed, true);
         naive.run();
         assertTrue(naive.executions.values().stream().anyMatch(times -> times > 1));
@@ -33,8 +33,8 @@
 
     @Test
     void mostRepeatsLearnTheOutcome() {
-        // What callers get over many such worlds: were everything refused, nothing would run twice
-        // either, and nobody would be served.
+        // Guards against routers that keep the rules above by refusing everything: over 100 seeds,
+        // more than half of the requests must be served.
         Map<String, Integer> answers = new TreeMap<>();
         for (int seed = 0; seed < 100; seed++) {
             ClaimWorld world = new ClaimWorld(seed, false);
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimRouter.java
@@ -29,7 +29,7 @@
 import java.util.function.Function;
 import org.apache.pekko.util.ByteString;
 
-/** The claims of one life of a router, over a fake store and agents that can be asked. */
+/** The claims of one incarnation of a router, over a fake store and agents to query. */
 final class ClaimRouter {
     private final Life life;
     private final Incarnation incarnation;
@@ -37,7 +37,7 @@
     private final Claims claims;
     private long counter;
 
-    /** An agent, as far as it answers queries. */
+    /** An agent that answers claim queries. */
     interface Asked {
         Optional<ClaimRecord> find(Request request);
     }
@@ -105,7 +105,7 @@
         return asked -> CompletableFuture.completedFuture(new Link(agents.get(asked), request));
     }
 
-    /** Answers a query at once. */
+    /** A link whose agent answers each claim query at once. */
     private final class Link implements PeerLink {
         private final Asked agent;
         private final Request request;
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimWorld.java
@@ -25,8 +25,8 @@
 import java.util.TreeMap;
 
 /**
- * Routers, agents and a store that fail at random, and callers who repeat payments; everything that
- * must not happen is noted in {@link #broken}.
+ * Simulates routers, agents and a store that fail at random, and callers who repeat payments. Every
+ * violation of the rules for claims is recorded in {@link #broken}.
  */
 public final class ClaimWorld {
     private static final int LENGTH_MILLIS = 60_000;
@@ -61,7 +61,7 @@
         populate();
     }
 
-    /** A world over somebody else's time and store. */
+    /** Creates a simulation that shares the caller's clock and store. */
     public ClaimWorld(long seed, TestControlThread control, KeyValueStore store) {
         this.random = new Random(seed);
         this.naive = false;
@@ -92,27 +92,27 @@
         control.advance(Duration.ofMillis(2L * LENGTH_MILLIS));
     }
 
-    /** A caller pays, or repeats one of a few payments of this round, at one of the routers. */
+    /** Sends one of the few payments of this round, perhaps a repeat, to a random router. */
     public void pay(int round) {
         pay("pay-" + round + "-" + random.nextInt(KEYS));
     }
 
-    /** The life of a router; its control thread stops and ends with it. */
+    /** Returns a router's control thread, which can be frozen and ended. */
     public Life life(int router) {
         return routers.get(router).life();
     }
 
-    /** Has an agent start anew, knowing nothing. */
+    /** Restarts an agent, which loses all its state. */
     public void killAgent(int number) {
         agent(number).die();
     }
 
-    /** How many payments were served. */
+    /** Returns the number of requests that were served. */
     public int served() {
         return answers.getOrDefault("served", 0);
     }
 
-    /** What has gone wrong so far, and who waits past a deadline. */
+    /** Returns the violations so far and the requests that wait past their deadlines. */
     public List<String> faultsNow() {
         List<String> found = new ArrayList<>(broken);
         waiting.values().removeIf(flow -> flow.router.life().over());
@@ -125,7 +125,7 @@
         return found;
     }
 
-    /** Ends a router's life and begins another. */
+    /** Ends a router and starts a new incarnation of it. */
     public void replaceRouter(int number) {
         routers.get(number).life().end();
         routers.set(number, router());
@@ -202,7 +202,7 @@
         }
     }
 
-    /** What a router's flow does, over agents that answer after random times or never. */
+    /** Simulates a router's request flow, over agents that answer after random times or never. */
     private final class Flow {
         private final ClaimRouter router;
         private final Request request;
@@ -315,7 +315,7 @@
         }
     }
 
-    /** An agent that loses frames, refuses, runs, breaks off, and dies with all it knows. */
+    /** An agent that loses frames, refuses, runs requests, drops links, and restarts empty. */
     final class FakeAgent implements ClaimRouter.Asked {
         private final VmId vm;
         private KeyedOutcomes outcomes;
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
@@ -26,10 +26,9 @@
 
     @Test
     void aClaimThatWasWrittenThoughItsRequestWasRefusedIsTakenBack() {
-        // The store takes the claim, loses its answer, and goes down for longer than the request
-        // can
-        // wait. The request is refused and never sent. Left in the store, its claim would have each
-        // repeat told that the outcome is unknown of a payment that never ran.
+        // The store writes the claim, loses the answer, and is down until the request times out and
+        // is refused unsent. A claim left in the store would have each repeat refused with an
+        // unknown outcome although the payment never ran.
         assertInstanceOf(ClaimResult.Held.class, claimed("pay-1", 1));
         store.loseAnswers(1);
         CompletableFuture<ClaimResult> lost = claim("pay-2");
@@ -45,8 +44,8 @@
 
     @Test
     void aLookNeitherClaimsTheKeyNorRemovesItsClaim() {
-        // A payment's repeat comes while its pool has no agent. The look at a free key leaves it
-        // free, and the look at a claimed one finds the claim and leaves it where it is.
+        // A payment is repeated while its pool has no agent. Looking up a free key must leave it
+        // free, and looking up a claimed key must find the claim and leave it in place.
         assertInstanceOf(ClaimResult.NotFound.class, lookedUp("pay-3"));
         assertInstanceOf(ClaimResult.Held.class, claimed("pay-3", 1));
         for (int i = 0; i < 2; i++) {
@@ -58,8 +57,8 @@
 
     @Test
     void aLookInAnOutageEndsSoonAndFindsNothing() {
-        // Store and agents are gone at once. Waiting out the outage would serve nobody, since there
-        // is nobody to run the payment either; so the caller hears soon when to come back.
+        // Store and agents are down at the same time. Waiting for the store would be useless, as no
+        // agent could run the payment either; so the caller soon gets an answer with a retry time.
         store.down(true);
         assertInstanceOf(ClaimResult.NotFound.class, lookedUp("pay-4"));
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/router/IdleLinksTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/IdleLinksTest.java
@@ -26,8 +26,8 @@
         assertEquals(List.of(ONE), closed);
     }
 
-    // The caller of a long stream sees it whole. Its link was used last when it began, a minute
-    // ago; closed as idle, it would cut the stream.
+    // The link of a long stream counts as used only when the stream starts. If it were closed as
+    // idle after a minute, the stream would be cut.
     @Test
     void aLinkWithARequestOnItIsNotIdle() {
         links.used(ONE, NOW);
--- a/damaskyoke/src/test/java/io/damaskyoke/router/Life.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/Life.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Supplier;
 
-/** The control thread of a process that can die and can be frozen. */
+/** The control thread of a simulated process that can end and can be frozen. */
 public final class Life implements ControlThread {
     private final TestControlThread control;
     private boolean over;
@@ -22,18 +22,18 @@
         over = true;
     }
 
-    /** True once the process is gone. */
+    /** Returns true once the process has ended. */
     public boolean over() {
         return over;
     }
 
-    /** Stops the process for so long; what comes meanwhile is done right after. */
+    /** Freezes the process for the given time; steps due meanwhile run right after it. */
     public void freeze(Duration time) {
         Instant end = control.clock().instant().plus(time);
         frozenUntil = end.isAfter(frozenUntil) ? end : frozenUntil;
     }
 
-    /** True while it is stopped. */
+    /** Returns true while the process is frozen. */
     public boolean frozen() {
         return control.clock().instant().isBefore(frozenUntil);
     }
