--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
@@ -33,7 +33,7 @@
     }
 
     /** Applies the list of VMs as it was read from the platform. */
-    void listed(List<VmList.Vm> vms) {
+    void updateVmList(List<VmList.Vm> vms) {
         Set<VmId> present = new HashSet<>();
         Set<VmId> onTheirWay = new HashSet<>();
         for (VmList.Vm vm : vms) {
@@ -49,7 +49,7 @@
     }
 
     /** Applies the complete set of stored agent registrations, each in its stored form. */
-    void registered(List<byte[]> found) {
+    void updateRegistrations(List<byte[]> found) {
         Map<VmId, Registration> now = new TreeMap<>();
         found.forEach(value -> read(value, now));
         now.values().forEach(this::noticeNewLife);
--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
@@ -38,7 +38,7 @@
 
     private void heartbeat(VmId vm, Frame frame) {
         if (frame.getHeartbeat().hasLoad()) {
-            fleet.updateLoad(vm, Loads.fromWire(frame.getHeartbeat().getLoad()));
+            fleet.updateLoad(vm, AgentLoadParser.fromWire(frame.getHeartbeat().getLoad()));
         }
         if (frame.getHeartbeat().getDraining()) {
             fleet.markDraining(vm);
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Loads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentLoadParser.java
@@ -8,8 +8,8 @@
 import java.util.stream.Collectors;
 
 /** Converts the load that agents report in their frames to {@link AgentLoad}. */
-final class Loads {
-    private Loads() {}
+final class AgentLoadParser {
+    private AgentLoadParser() {}
 
     static AgentLoad fromWire(Load load) {
         return new AgentLoad(
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimLease.java
@@ -28,7 +28,7 @@
     }
 
     /** Returns the current lease, or requests a new one if its hour is over. */
-    CompletionStage<Long> present(Instant now) {
+    CompletionStage<Long> current(Instant now) {
         if (id != 0 && now.isBefore(renewAt)) {
             return CompletableFuture.completedFuture(id);
         }
@@ -36,7 +36,7 @@
     }
 
     /** Makes a granted lease the current one and restarts its hour if it is new. */
-    void use(long granted, Instant now) {
+    void setCurrent(long granted, Instant now) {
         if (granted != id) {
             id = granted;
             renewAt = now.plus(TERM);
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimResult.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimResult.java
@@ -6,10 +6,10 @@
 /** The result of an attempt to claim or look up an idempotency key. */
 sealed interface ClaimResult {
     /** The key is claimed for this request; {@code claim} is what the store holds. */
-    record Held(HeldClaim claim) implements ClaimResult {}
+    record Claimed(HeldClaim claim) implements ClaimResult {}
 
     /** An earlier request with the same key was answered; {@code settled} records its answer. */
-    record Before(ClaimRecord settled) implements ClaimResult {}
+    record AlreadyAnswered(ClaimRecord settled) implements ClaimResult {}
 
     /** The key was only looked up, and no earlier request with it is known to have run. */
     record NotFound() implements ClaimResult {}
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
@@ -54,7 +54,7 @@
     }
 
     /** Returns the number of submitted writes that have no result yet. */
-    int pending() {
+    int pendingWrites() {
         return submitted.size();
     }
 
@@ -99,7 +99,7 @@
     private void commit(List<ClaimWrite> writes) {
         metrics.count("claim_commits");
         metrics.histogram("claim_commit_size").update(writes.size());
-        lease.present(now())
+        lease.current(now())
                 .whenComplete((id, failure) -> control.run(() -> leased(writes, id, failure)));
     }
 
@@ -108,7 +108,7 @@
             failed(false);
             return;
         }
-        lease.use(id, now());
+        lease.setCurrent(id, now());
         store.commit(
                         writes.stream().map(ClaimWrite::condition).toList(),
                         writes.stream().map(write -> write.toStoreWrite(id)).toList())
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
@@ -138,8 +138,8 @@
      * Returns the number of claim writes that have no result yet. A stopping router waits for them
      * for a short time.
      */
-    int pending() {
-        return store.pending();
+    int pendingWrites() {
+        return store.pendingWrites();
     }
 
     /**
@@ -160,7 +160,7 @@
     }
 
     /** Returns the answer's body, which is recorded in the claim once it has passed completely. */
-    Source<ByteString, NotUsed> recorded(HeldClaim held, ExchangeResult.Served served) {
+    Source<ByteString, NotUsed> recordingBody(HeldClaim held, ExchangeResult.Served served) {
         return AnswerRecorder.tap(
                 served.body(),
                 settings.maxBodyBytes(),
@@ -174,8 +174,8 @@
     }
 
     /** Records an answer whose caller has disconnected, for the caller's next attempt. */
-    void recordUnwanted(HeldClaim held, ExchangeResult.Served served) {
-        recorded(held, served).runWith(Sink.ignore(), materializer);
+    void recordUndelivered(HeldClaim held, ExchangeResult.Served served) {
+        recordingBody(held, served).runWith(Sink.ignore(), materializer);
     }
 
     /** Records the answer to the claim's request. The write is retried for minutes. */
@@ -248,7 +248,7 @@
                         request.id().toString(),
                         Map.of("agent", mine.agent().value()));
                 metrics.count("claims", "result", "held");
-                return done(new ClaimResult.Held(held(written)));
+                return done(new ClaimResult.Claimed(held(written)));
             }
             if (result instanceof Result.Conflict conflict) {
                 return conflict.found()
@@ -346,7 +346,7 @@
                 if (!found.equals(replay.settled())) {
                     settle(held, replay.settled().outcome().orElseThrow());
                 }
-                return done(new ClaimResult.Before(replay.settled()));
+                return done(new ClaimResult.AlreadyAnswered(replay.settled()));
             }
             Refusal refusal = ((RepeatPolicy.Decision.Refuse) verdict).refusal();
             metrics.count("claims", "result", refusal.code().wireName());
--- a/damaskyoke/src/main/java/io/damaskyoke/router/IdleLinks.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/IdleLinks.java
@@ -27,7 +27,7 @@
     }
 
     /** Records that a request is about to use the link. */
-    void used(PeerAddress address, Instant now) {
+    void recordUse(PeerAddress address, Instant now) {
         links.put(address.vm(), new Used(address, now));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Placement.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/PlacementCoordinator.java
@@ -39,8 +39,8 @@
  * replicas while the router holds the placement lease, and clears the suspicion of VMs from which
  * it receives frames. Control thread only.
  */
-final class Placement {
-    private static final Logger LOG = LogManager.getLogger(Placement.class);
+final class PlacementCoordinator {
+    private static final Logger LOG = LogManager.getLogger(PlacementCoordinator.class);
     private static final Duration PERIOD = Duration.ofSeconds(1);
     private static final Duration QUICK = Duration.ofMillis(100);
     private static final Duration PATIENCE = Duration.ofSeconds(3);
@@ -55,7 +55,7 @@
     private final PlacementLease lease;
     private final PlacementPlanner planner = new PlacementPlanner(GONE_AFTER, SUSPECT_TIME);
     private final VmList vmList;
-    private final LastHeard heard;
+    private final VmLiveness heard;
     private final BooleanSupplier confirmed;
     private final Metrics metrics;
     private final Map<VmId, AgentEndpoint> known = new HashMap<>();
@@ -68,10 +68,10 @@
     private Instant nextAsk = Instant.MIN;
     private boolean planning;
 
-    Placement(
+    PlacementCoordinator(
             Node node,
             Fleet fleet,
-            LastHeard heard,
+            VmLiveness heard,
             Duration leaseTerm,
             BooleanSupplier confirmed) {
         this.control = node.control();
@@ -165,7 +165,7 @@
     }
 
     private void clearSuspicions(int number, PlacementTable.Stored stored) {
-        Set<VmId> alive = heard.lately(control.clock().instant());
+        Set<VmId> alive = heard.recentlyHeardFrom(control.clock().instant());
         for (ReplicaGrant right : stored.shard().grants()) {
             if (right.suspected() && alive.contains(right.vm())) {
                 metrics.count("placement_suspicions_cleared");
@@ -189,7 +189,7 @@
 
     private void plan() {
         fleet.endpoints().forEach(member -> known.put(member.vm(), member));
-        if (planning || !lease.held() || !confirmed.getAsBoolean()) {
+        if (planning || !lease.isHeld() || !confirmed.getAsBoolean()) {
             return;
         }
         planning = true;
@@ -198,7 +198,7 @@
 
     private void listed(List<VmList.Vm> vms, Throwable failure) {
         planning = false;
-        if (failure != null || !lease.held()) {
+        if (failure != null || !lease.isHeld()) {
             return;
         }
         Map<VmId, VmList.Vm> listed = new HashMap<>();
@@ -214,7 +214,7 @@
                         now.models(),
                         candidates(listed),
                         present(listed.keySet()),
-                        heard.lately(control.clock().instant()));
+                        heard.recentlyHeardFrom(control.clock().instant()));
         planner.on(view, control.clock().instant()).forEach(proposal -> propose(proposal, now));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
@@ -46,7 +46,7 @@
         control.every(TICK, () -> feed(new LeaseInput.Tick()));
     }
 
-    boolean held() {
+    boolean isHeld() {
         return machine.isHeld(control.clock().instant());
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
@@ -61,7 +61,7 @@
     private final IdleLinks idleLinks;
     private int waiting;
 
-    RequestDispatcher(Parts parts) {
+    RequestDispatcher(RequestDispatcher.Dependencies parts) {
         this.control = parts.control();
         this.fleet = parts.fleet();
         this.network = parts.network();
@@ -85,7 +85,7 @@
      * @param maxWaiting the number of requests that may wait for an answer at once
      * @param whenPlaced runs the step once at least one VM may hold the request's model
      */
-    record Parts(
+    record Dependencies(
             ControlThread control,
             Fleet fleet,
             PeerNetwork network,
@@ -121,7 +121,7 @@
     void configurationChanged(Configuration now) {
         for (RequestFlow flow : new ArrayList<>(flows)) {
             if (!now.isGranted(flow.request().key())) {
-                flow.keyWithdrawn();
+                flow.callerKeyWithdrawn();
             }
         }
     }
@@ -140,17 +140,17 @@
                             RouterException.Code.UNKNOWN_AGENT, "no agent is known on VM " + vm));
         }
         PeerAddress address = new PeerAddress(vm, member.get().host(), member.get().port());
-        idleLinks.used(address, control.clock().instant());
+        idleLinks.recordUse(address, control.clock().instant());
         return network.connect(address);
     }
 
     /** Records that a flow has its answer. */
-    void answered() {
+    void recordAnswered() {
         waiting--;
     }
 
     /** Removes a flow that has finished, its body included. */
-    void over(RequestFlow flow) {
+    void removeFinished(RequestFlow flow) {
         flows.remove(flow);
     }
 
@@ -190,7 +190,7 @@
         flows.add(flow);
         waiting++;
         whenPlaced.accept(request, flow::start);
-        cancel.onCancel(() -> control.run(flow::callerGone));
+        cancel.onCancel(() -> control.run(flow::callerDisconnected));
     }
 
     private Optional<Refusal> atTheDoor(Request request) {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
@@ -66,11 +66,11 @@
         feed(new RequestInput.Admitted());
     }
 
-    void callerGone() {
+    void callerDisconnected() {
         feed(new RequestInput.CallerDisconnected());
     }
 
-    void keyWithdrawn() {
+    void callerKeyWithdrawn() {
         feed(new RequestInput.CallerKeyWithdrawn());
     }
 
@@ -144,7 +144,7 @@
     }
 
     private void claimed(VmId vm, ClaimResult result) {
-        if (result instanceof ClaimResult.Held held) {
+        if (result instanceof ClaimResult.Claimed held) {
             claim = held.claim();
             feed(new RequestInput.KeyClaimed(vm));
         } else {
@@ -155,7 +155,7 @@
     private void claimRefused(ClaimResult result) {
         if (result instanceof ClaimResult.NotFound) {
             feed(new RequestInput.KeyNotFound());
-        } else if (result instanceof ClaimResult.Before found) {
+        } else if (result instanceof ClaimResult.AlreadyAnswered found) {
             before = found.settled();
             feed(new RequestInput.RecordedAnswerFound());
         } else {
@@ -190,7 +190,11 @@
             begun(vm, begun);
         } else if (result instanceof ExchangeResult.Refused refused) {
             dispatcher.fleet.countFinished(vm);
-            refused.load().ifPresent(load -> dispatcher.fleet.updateLoad(vm, Loads.fromWire(load)));
+            refused.load()
+                    .ifPresent(
+                            load ->
+                                    dispatcher.fleet.updateLoad(
+                                            vm, AgentLoadParser.fromWire(load)));
             feed(new RequestInput.AgentRefused(vm, refused.refusal()));
         } else if (result instanceof ExchangeResult.NotSent) {
             dispatcher.fleet.countFinished(vm);
@@ -208,7 +212,7 @@
                         (ending, failure) ->
                                 dispatcher.control.run(() -> ended(vm, ending, failure)));
         if (machine.isAnswered() && claim != null) {
-            dispatcher.claims.recordUnwanted(claim, result);
+            dispatcher.claims.recordUndelivered(claim, result);
         } else if (machine.isAnswered()) {
             exchange.cancel("the answer came too late");
         }
@@ -219,7 +223,7 @@
         dispatcher.fleet.countFinished(vm);
         long tokens = request.tokens();
         if (failure == null) {
-            dispatcher.fleet.updateLoad(vm, Loads.fromWire(ending.load()));
+            dispatcher.fleet.updateLoad(vm, AgentLoadParser.fromWire(ending.load()));
             tokens = ending.tokensUsed() > 0 ? ending.tokensUsed() : request.tokens();
             dispatcher.timeline.add(EventType.ANSWERED, request.id().toString());
         } else {
@@ -229,17 +233,19 @@
     }
 
     private void deliver() {
-        dispatcher.answered();
+        dispatcher.recordAnswered();
         dispatcher.metrics.count("router_served");
         answer.complete(
                 new Answer.Served(
                         served.status(),
                         served.headers(),
-                        claim == null ? served.body() : dispatcher.claims.recorded(claim, served)));
+                        claim == null
+                                ? served.body()
+                                : dispatcher.claims.recordingBody(claim, served)));
     }
 
     private void replay() {
-        dispatcher.answered();
+        dispatcher.recordAnswered();
         dispatcher.metrics.count("router_served");
         dispatcher.timeline.add(EventType.ANSWERED, request.id().toString());
         answer.complete(ClaimReplay.of(before));
@@ -247,7 +253,7 @@
     }
 
     private void reply(Refusal refusal) {
-        dispatcher.answered();
+        dispatcher.recordAnswered();
         dispatcher.metrics.count("router_refused", "code", refusal.code().wireName());
         dispatcher.timeline.add(
                 EventType.REFUSED,
@@ -266,7 +272,7 @@
         closed = true;
         deadline.cancel();
         dispatcher.admission.settle(request, tokens, now());
-        dispatcher.over(this);
+        dispatcher.removeFinished(this);
     }
 
     private Duration timeLeft() {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
@@ -48,7 +48,7 @@
     private final Node node;
     private final AtomicLong counter = new AtomicLong();
     private final Fleet fleet;
-    private final Placement placement;
+    private final PlacementCoordinator placement;
     private final RateAdmission rates;
     private final RequestDispatcher dispatcher;
     private final PeerNetwork network;
@@ -69,7 +69,7 @@
                         () -> node.configuration().current().sequence(),
                         node.metrics());
         ClaimQueries queries = new ClaimQueries(node.control());
-        LastHeard heard = new LastHeard(node.control().clock());
+        VmLiveness heard = new VmLiveness(node.control().clock());
         this.placement = placement(heard);
         this.rates =
                 new RateAdmission(
@@ -91,8 +91,8 @@
         this.processList =
                 new ProcessList(node.control(), node.vmList(), fleet, node.vm(), this::operatorUrl);
         AgentDirectory agents = new AgentDirectory(fleet, node.metrics());
-        node.onVmList(agents::listed);
-        node.onAgents(agents::registered);
+        node.onVmList(agents::updateVmList);
+        node.onAgents(agents::updateRegistrations);
         node.join(network);
         placement.start(network);
         node.control().every(IDLE_CHECK, dispatcher::closeIdleLinks);
@@ -144,9 +144,9 @@
         node.close();
     }
 
-    private RequestDispatcher.Parts parts(ExchangeClient client, ClaimQueries queries) {
+    private RequestDispatcher.Dependencies parts(ExchangeClient client, ClaimQueries queries) {
         ControlThread control = node.control();
-        return new RequestDispatcher.Parts(
+        return new RequestDispatcher.Dependencies(
                 control,
                 fleet,
                 network,
@@ -162,8 +162,8 @@
                 placement::whenPlaced);
     }
 
-    private Placement placement(LastHeard heard) {
-        return new Placement(
+    private PlacementCoordinator placement(VmLiveness heard) {
+        return new PlacementCoordinator(
                 node,
                 fleet,
                 heard,
@@ -259,7 +259,7 @@
     }
 
     private int claimsPending() {
-        return node.control().call(dispatcher.claims::pending).toCompletableFuture().join();
+        return node.control().call(dispatcher.claims::pendingWrites).toCompletableFuture().join();
     }
 
     private int running() {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/LastHeard.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/VmLiveness.java
@@ -13,13 +13,13 @@
 import java.util.stream.Collectors;
 
 /** Records when a frame was last received from each VM. Thread-safe. */
-final class LastHeard implements PeerListener {
+final class VmLiveness implements PeerListener {
     private static final Duration LATELY = Duration.ofSeconds(10);
 
     private final InstantSource clock;
     private final Map<VmId, Instant> last = new ConcurrentHashMap<>();
 
-    LastHeard(InstantSource clock) {
+    VmLiveness(InstantSource clock) {
         this.clock = clock;
     }
 
@@ -29,7 +29,7 @@
     }
 
     /** Returns the VMs that sent a frame in the last 10 seconds, and drops the others. */
-    Set<VmId> lately(Instant now) {
+    Set<VmId> recentlyHeardFrom(Instant now) {
         last.values().removeIf(at -> at.plus(LATELY).isBefore(now));
         return last.keySet().stream().collect(Collectors.toUnmodifiableSet());
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/Checks.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/Checks.java
@@ -37,7 +37,7 @@
         replicas(now);
         shares(now);
         now.addAll(world.placement().currentViolations());
-        now.addAll(world.claims().faultsNow());
+        now.addAll(world.claims().currentViolations());
         rateAnswers(now);
         now.forEach(fault -> found.add(world.at() + ": " + fault));
     }
@@ -119,7 +119,7 @@
 
     private void rateAnswers(List<String> now) {
         for (MixedRouter router : world.routers()) {
-            if (!router.life.frozen()) {
+            if (!router.life.isFrozen()) {
                 router.rates.late().forEach(id -> now.add(id + " has no verdict on its rate"));
             }
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/mixed/MixedWorld.java
@@ -11,7 +11,7 @@
 import io.damaskyoke.id.WorkspaceId;
 import io.damaskyoke.platform.FakeStore;
 import io.damaskyoke.platform.KeyValueStore;
-import io.damaskyoke.router.ClaimWorld;
+import io.damaskyoke.router.ClaimSimulation;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -46,7 +46,7 @@
     private final KeyValueStore client;
     private final Messages messages;
     private final PlacementSimulation placement;
-    private final ClaimWorld claims;
+    private final ClaimSimulation claims;
     private final Operators operators;
     private final Checks checks;
     private final List<MixedRouter> routers = new ArrayList<>();
@@ -88,9 +88,9 @@
         this.random = new Random(seed);
         this.client = StoreClient.of(store, control, variant.unconditional);
         this.messages = new Messages(control, new Random(seed + 1));
-        this.claims = new ClaimWorld(seed + 2, control, client);
+        this.claims = new ClaimSimulation(seed + 2, control, client);
         for (int i = 0; i < ROUTERS; i++) {
-            routers.add(new MixedRouter(this, client, i, ++lives, claims.life(i)));
+            routers.add(new MixedRouter(this, client, i, ++lives, claims.routerProcess(i)));
         }
         this.placement =
                 new PlacementSimulation(
@@ -154,7 +154,7 @@
     /** A peer tells what it knows: some old entries, or all that it has. */
     private void gossip(MixedRouter from) {
         MixedRouter to = routers.get(random.nextInt(ROUTERS));
-        if (from.life.frozen() || from == to) {
+        if (from.life.isFrozen() || from == to) {
             return;
         }
         to.rates.received(new RateInput.PeerMessageReceived(from.vm));
@@ -242,12 +242,12 @@
 
     void loseVm(int vm, int steps) {
         placement.stopVm(vm, steps);
-        claims.killAgent(vm % 2);
+        claims.restartAgent(vm % 2);
     }
 
     void killAgent(int vm) {
         placement.crashAgent(vm);
-        claims.killAgent(vm % 2);
+        claims.restartAgent(vm % 2);
     }
 
     void mislay(int vm, boolean away) {
@@ -271,7 +271,9 @@
         int number = target % ROUTERS;
         passTokens();
         claims.replaceRouter(number);
-        routers.set(number, new MixedRouter(this, client, number, ++lives, claims.life(number)));
+        routers.set(
+                number,
+                new MixedRouter(this, client, number, ++lives, claims.routerProcess(number)));
         placement.restartRouter(number);
         freezeRouter(number, steps);
     }
@@ -311,7 +313,7 @@
         return placement;
     }
 
-    ClaimWorld claims() {
+    ClaimSimulation claims() {
         return claims;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimPropertyTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimPropertyTest.java
@@ -17,7 +17,7 @@
         // routers, the agents, the links and the callers fail. Each key must run at most once, a
         // refusal must say "not run" only of a key that has not run, and all answers to a key must
         // be the same.
-        ClaimWorld world = new ClaimWorld(seed, false);
+        ClaimSimulation world = new ClaimSimulation(seed, false);
         world.run();
         assertEquals(List.of(), world.broken);
     }
@@ -26,7 +26,7 @@
     void withoutClaimsPaymentsRunAgain(@ForAll long seed) {
         // Shows that the schedules can find the fault: a router that resends a request when its
         // link breaks, without claims, runs some payments twice.
-        ClaimWorld naive = new ClaimWorld(seed, true);
+        ClaimSimulation naive = new ClaimSimulation(seed, true);
         naive.run();
         assertTrue(naive.executions.values().stream().anyMatch(times -> times > 1));
     }
@@ -37,7 +37,7 @@
         // more than half of the requests must be served.
         Map<String, Integer> answers = new TreeMap<>();
         for (int seed = 0; seed < 100; seed++) {
-            ClaimWorld world = new ClaimWorld(seed, false);
+            ClaimSimulation world = new ClaimSimulation(seed, false);
             world.run();
             world.answers.forEach((answer, times) -> answers.merge(answer, times, Integer::sum));
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimRouter.java
@@ -31,18 +31,19 @@
 
 /** The claims of one incarnation of a router, over a fake store and agents to query. */
 final class ClaimRouter {
-    private final Life life;
+    private final SimulatedProcess life;
     private final Incarnation incarnation;
     private final ClaimQueries queries;
     private final Claims claims;
     private long counter;
 
     /** An agent that answers claim queries. */
-    interface Asked {
+    interface QueriedAgent {
         Optional<ClaimRecord> find(Request request);
     }
 
-    private ClaimRouter(Life life, KeyValueStore store, Incarnation incarnation, long seed) {
+    private ClaimRouter(
+            SimulatedProcess life, KeyValueStore store, Incarnation incarnation, long seed) {
         this.life = life;
         this.incarnation = incarnation;
         this.queries = new ClaimQueries(life);
@@ -60,11 +61,11 @@
                         null);
     }
 
-    static ClaimRouter start(Life life, KeyValueStore store, String name, long seed) {
+    static ClaimRouter start(SimulatedProcess life, KeyValueStore store, String name, long seed) {
         return new ClaimRouter(life, store, Incarnation.of(name), seed);
     }
 
-    Life life() {
+    SimulatedProcess process() {
         return life;
     }
 
@@ -89,28 +90,32 @@
     }
 
     CompletionStage<ClaimResult> claim(
-            HeldClaim held, Request request, VmId vm, Map<VmId, ? extends Asked> agents) {
+            HeldClaim held,
+            Request request,
+            VmId vm,
+            Map<VmId, ? extends ClaimRouter.QueriedAgent> agents) {
         Function<VmId, CompletionStage<PeerLink>> connect = connect(request, agents);
         return held == null
                 ? claims.claim(request, vm, connect)
                 : claims.move(held, request, vm, connect);
     }
 
-    CompletionStage<ClaimResult> lookUp(Request request, Map<VmId, ? extends Asked> agents) {
+    CompletionStage<ClaimResult> lookUp(
+            Request request, Map<VmId, ? extends ClaimRouter.QueriedAgent> agents) {
         return claims.lookUp(request, connect(request, agents));
     }
 
     private Function<VmId, CompletionStage<PeerLink>> connect(
-            Request request, Map<VmId, ? extends Asked> agents) {
+            Request request, Map<VmId, ? extends ClaimRouter.QueriedAgent> agents) {
         return asked -> CompletableFuture.completedFuture(new Link(agents.get(asked), request));
     }
 
     /** A link whose agent answers each claim query at once. */
     private final class Link implements PeerLink {
-        private final Asked agent;
+        private final ClaimRouter.QueriedAgent agent;
         private final Request request;
 
-        Link(Asked agent, Request request) {
+        Link(ClaimRouter.QueriedAgent agent, Request request) {
             this.agent = agent;
             this.request = request;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimSimulation.java
@@ -28,7 +28,7 @@
  * Simulates routers, agents and a store that fail at random, and callers who repeat payments. Every
  * violation of the rules for claims is recorded in {@link #broken}.
  */
-public final class ClaimWorld {
+public final class ClaimSimulation {
     private static final int LENGTH_MILLIS = 60_000;
     private static final int ROUTERS = 3;
     private static final int AGENTS = 2;
@@ -53,7 +53,7 @@
     private final Map<VmId, FakeAgent> agents = new TreeMap<>();
     private int lives;
 
-    ClaimWorld(long seed, boolean naive) {
+    ClaimSimulation(long seed, boolean naive) {
         this.random = new Random(seed);
         this.naive = naive;
         this.control = new TestControlThread();
@@ -62,7 +62,7 @@
     }
 
     /** Creates a simulation that shares the caller's clock and store. */
-    public ClaimWorld(long seed, TestControlThread control, KeyValueStore store) {
+    public ClaimSimulation(long seed, TestControlThread control, KeyValueStore store) {
         this.random = new Random(seed);
         this.naive = false;
         this.control = control;
@@ -98,12 +98,12 @@
     }
 
     /** Returns a router's control thread, which can be frozen and ended. */
-    public Life life(int router) {
-        return routers.get(router).life();
+    public SimulatedProcess routerProcess(int router) {
+        return routers.get(router).process();
     }
 
     /** Restarts an agent, which loses all its state. */
-    public void killAgent(int number) {
+    public void restartAgent(int number) {
         agent(number).die();
     }
 
@@ -113,12 +113,12 @@
     }
 
     /** Returns the violations so far and the requests that wait past their deadlines. */
-    public List<String> faultsNow() {
+    public List<String> currentViolations() {
         List<String> found = new ArrayList<>(broken);
-        waiting.values().removeIf(flow -> flow.router.life().over());
+        waiting.values().removeIf(flow -> flow.router.process().hasEnded());
         for (Flow flow : waiting.values()) {
             boolean late = flow.request.deadline().isBefore(control.clock().instant());
-            if (late && !flow.router.life().frozen()) {
+            if (late && !flow.router.process().isFrozen()) {
                 found.add(flow.request.id() + " waits past its deadline");
             }
         }
@@ -127,12 +127,13 @@
 
     /** Ends a router and starts a new incarnation of it. */
     public void replaceRouter(int number) {
-        routers.get(number).life().end();
+        routers.get(number).process().end();
         routers.set(number, router());
     }
 
     private ClaimRouter router() {
-        return ClaimRouter.start(new Life(control), store, "router:" + ++lives, random.nextLong());
+        return ClaimRouter.start(
+                new SimulatedProcess(control), store, "router:" + ++lives, random.nextLong());
     }
 
     private void failStore(int how) {
@@ -228,13 +229,13 @@
         }
 
         void later(Runnable step) {
-            soon(() -> router.life().run(step));
+            soon(() -> router.process().run(step));
         }
 
         void start() {
             waiting.put(request.id(), this);
             feed(new RequestInput.Admitted());
-            router.life().after(DEADLINE, () -> feed(new RequestInput.DeadlinePassed()));
+            router.process().after(DEADLINE, () -> feed(new RequestInput.DeadlinePassed()));
             if (random.nextInt(4) == 0) {
                 later(this::leave);
             }
@@ -246,7 +247,7 @@
         }
 
         private void feed(RequestInput input) {
-            if (router.life().over()) {
+            if (router.process().hasEnded()) {
                 return;
             }
             for (RequestAction action : machine.on(input, control.clock().instant())) {
@@ -276,12 +277,12 @@
                     .release(claim)
                     .thenAccept(
                             confirmed -> feed(new RequestInput.ClaimReleaseFinished(confirmed)));
-            router.life()
+            router.process()
                     .after(RELEASE_LIMIT, () -> feed(new RequestInput.ClaimReleaseFinished(false)));
         }
 
         private void claimed(VmId vm, ClaimResult result) {
-            if (result instanceof ClaimResult.Held held) {
+            if (result instanceof ClaimResult.Claimed held) {
                 claim = held.claim();
                 feed(new RequestInput.KeyClaimed(vm));
             } else {
@@ -292,7 +293,7 @@
         private void claimRefused(ClaimResult result) {
             if (result instanceof ClaimResult.NotFound) {
                 feed(new RequestInput.KeyNotFound());
-            } else if (result instanceof ClaimResult.Before found) {
+            } else if (result instanceof ClaimResult.AlreadyAnswered found) {
                 before = found.settled();
                 feed(new RequestInput.RecordedAnswerFound());
             } else {
@@ -301,7 +302,7 @@
         }
 
         private void served(VmId vm, ClaimRecord.Outcome outcome) {
-            if (router.life().over()) {
+            if (router.process().hasEnded()) {
                 return;
             }
             boolean wanted = !machine.isAnswered();
@@ -316,7 +317,7 @@
     }
 
     /** An agent that loses frames, refuses, runs requests, drops links, and restarts empty. */
-    final class FakeAgent implements ClaimRouter.Asked {
+    final class FakeAgent implements ClaimRouter.QueriedAgent {
         private final VmId vm;
         private KeyedOutcomes outcomes;
         private int life;
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
@@ -22,14 +22,15 @@
 
     private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore();
-    private final ClaimRouter router = ClaimRouter.start(new Life(control), store, "router:1", 1);
+    private final ClaimRouter router =
+            ClaimRouter.start(new SimulatedProcess(control), store, "router:1", 1);
 
     @Test
     void aClaimThatWasWrittenThoughItsRequestWasRefusedIsTakenBack() {
         // The store writes the claim, loses the answer, and is down until the request times out and
         // is refused unsent. A claim left in the store would have each repeat refused with an
         // unknown outcome although the payment never ran.
-        assertInstanceOf(ClaimResult.Held.class, claimed("pay-1", 1));
+        assertInstanceOf(ClaimResult.Claimed.class, claimed("pay-1", 1));
         store.loseAnswers(1);
         CompletableFuture<ClaimResult> lost = claim("pay-2");
         control.advance(Duration.ofMillis(20));
@@ -39,7 +40,7 @@
         assertFalse(refusal.notRun());
         store.down(false);
         control.advance(Duration.ofSeconds(5));
-        assertInstanceOf(ClaimResult.Held.class, claimed("pay-2", 1));
+        assertInstanceOf(ClaimResult.Claimed.class, claimed("pay-2", 1));
     }
 
     @Test
@@ -47,7 +48,7 @@
         // A payment is repeated while its pool has no agent. Looking up a free key must leave it
         // free, and looking up a claimed key must find the claim and leave it in place.
         assertInstanceOf(ClaimResult.NotFound.class, lookedUp("pay-3"));
-        assertInstanceOf(ClaimResult.Held.class, claimed("pay-3", 1));
+        assertInstanceOf(ClaimResult.Claimed.class, claimed("pay-3", 1));
         for (int i = 0; i < 2; i++) {
             Refusal refusal =
                     assertInstanceOf(ClaimResult.Refused.class, lookedUp("pay-3")).refusal();
@@ -65,7 +66,7 @@
 
     private ClaimResult lookedUp(String key) {
         Request request = router.request(key, control.clock().instant().plus(DEADLINE));
-        Map<VmId, ClaimRouter.Asked> agents = Map.of(AGENT, asked -> Optional.empty());
+        Map<VmId, ClaimRouter.QueriedAgent> agents = Map.of(AGENT, asked -> Optional.empty());
         CompletableFuture<ClaimResult> result =
                 router.lookUp(request, agents).toCompletableFuture();
         control.advance(Duration.ofSeconds(2));
@@ -79,7 +80,7 @@
     }
 
     private CompletableFuture<ClaimResult> claim(String key) {
-        ClaimRouter.Asked knowsNothing = request -> Optional.empty();
+        ClaimRouter.QueriedAgent knowsNothing = request -> Optional.empty();
         return router.claim(
                         null,
                         router.request(key, control.clock().instant().plus(DEADLINE)),
--- a/damaskyoke/src/test/java/io/damaskyoke/router/IdleLinksTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/IdleLinksTest.java
@@ -20,8 +20,8 @@
 
     @Test
     void aLinkThatWasUsedLatelyStays() {
-        links.used(ONE, NOW);
-        links.used(TWO, NOW.plusSeconds(30));
+        links.recordUse(ONE, NOW);
+        links.recordUse(TWO, NOW.plusSeconds(30));
         links.closeIdle(vm -> false, NOW.plusSeconds(60));
         assertEquals(List.of(ONE), closed);
     }
@@ -30,7 +30,7 @@
     // idle after a minute, the stream would be cut.
     @Test
     void aLinkWithARequestOnItIsNotIdle() {
-        links.used(ONE, NOW);
+        links.recordUse(ONE, NOW);
         links.closeIdle(ONE.vm()::equals, NOW.plusSeconds(120));
         assertEquals(List.of(), closed);
         links.closeIdle(vm -> false, NOW.plusSeconds(121));
--- a/damaskyoke/src/test/java/io/damaskyoke/router/Life.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/SimulatedProcess.java
@@ -9,12 +9,12 @@
 import java.util.function.Supplier;
 
 /** The control thread of a simulated process that can end and can be frozen. */
-public final class Life implements ControlThread {
+public final class SimulatedProcess implements ControlThread {
     private final TestControlThread control;
     private boolean over;
     private Instant frozenUntil = Instant.MIN;
 
-    Life(TestControlThread control) {
+    SimulatedProcess(TestControlThread control) {
         this.control = control;
     }
 
@@ -23,7 +23,7 @@
     }
 
     /** Returns true once the process has ended. */
-    public boolean over() {
+    public boolean hasEnded() {
         return over;
     }
 
@@ -34,7 +34,7 @@
     }
 
     /** Returns true while the process is frozen. */
-    public boolean frozen() {
+    public boolean isFrozen() {
         return control.clock().instant().isBefore(frozenUntil);
     }
 
@@ -65,7 +65,7 @@
 
     private Runnable whileAlive(Runnable step) {
         return () -> {
-            if (!over && frozen()) {
+            if (!over && isFrozen()) {
                 Instant now = control.clock().instant();
                 control.after(Duration.between(now, frozenUntil), whileAlive(step));
             } else if (!over) {
