--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
@@ -35,16 +35,16 @@
     /** Applies the list of VMs as it was read from the platform. */
     void updateVmList(List<VmList.Vm> vms) {
         Set<VmId> present = new HashSet<>();
-        Set<VmId> onTheirWay = new HashSet<>();
+        Set<VmId> nowLeaving = new HashSet<>();
         for (VmList.Vm vm : vms) {
             present.add(vm.id());
             if (vm.state() == VmList.State.LEAVING) {
-                onTheirWay.add(vm.id());
+                nowLeaving.add(vm.id());
             }
         }
         everListed.addAll(present);
         listed = present;
-        leaving = onTheirWay;
+        leaving = nowLeaving;
         publish();
     }
 
@@ -52,7 +52,7 @@
     void updateRegistrations(List<byte[]> found) {
         Map<VmId, Registration> now = new TreeMap<>();
         found.forEach(value -> read(value, now));
-        now.values().forEach(this::noticeNewLife);
+        now.values().forEach(this::detectRestart);
         registered.clear();
         registered.putAll(now);
         publish();
@@ -67,7 +67,7 @@
         }
     }
 
-    private void noticeNewLife(Registration registration) {
+    private void detectRestart(Registration registration) {
         Registration before = registered.get(registration.vm());
         if (before != null && !before.incarnation().equals(registration.incarnation())) {
             fleet.markRestarted(registration.vm());
@@ -77,7 +77,7 @@
     private void publish() {
         List<AgentEndpoint> present = new ArrayList<>();
         for (Registration agent : registered.values()) {
-            if (!goneFromList(agent.vm())) {
+            if (!removedFromList(agent.vm())) {
                 present.add(
                         new AgentEndpoint(
                                 agent.vm(),
@@ -92,7 +92,7 @@
 
     // The list lags, so a VM that was never listed may have just started. A VM that was listed
     // before and is missing now is gone, and its registration is stale.
-    private boolean goneFromList(VmId vm) {
+    private boolean removedFromList(VmId vm) {
         return everListed.contains(vm) && !listed.contains(vm);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
@@ -25,18 +25,18 @@
                 .filter(hello -> hello.getRole().equals(Role.AGENT.wireName()))
                 .map(Hello::getVm)
                 .map(VmId::of)
-                .ifPresent(vm -> take(vm, frame));
+                .ifPresent(vm -> handle(vm, frame));
     }
 
-    private void take(VmId vm, Frame frame) {
+    private void handle(VmId vm, Frame frame) {
         if (frame.hasDraining()) {
             control.run(() -> fleet.markDraining(vm));
         } else if (frame.hasHeartbeat()) {
-            control.run(() -> heartbeat(vm, frame));
+            control.run(() -> applyHeartbeat(vm, frame));
         }
     }
 
-    private void heartbeat(VmId vm, Frame frame) {
+    private void applyHeartbeat(VmId vm, Frame frame) {
         if (frame.getHeartbeat().hasLoad()) {
             fleet.updateLoad(vm, AgentLoadParser.fromWire(frame.getHeartbeat().getLoad()));
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimLease.java
@@ -15,7 +15,7 @@
  * on the hour. Control thread only.
  */
 final class ClaimLease {
-    private static final Duration TERM = Duration.ofHours(1);
+    private static final Duration RENEWAL_PERIOD = Duration.ofHours(1);
 
     private final KeyValueStore store;
     private final Duration retention;
@@ -32,14 +32,14 @@
         if (id != 0 && now.isBefore(renewAt)) {
             return CompletableFuture.completedFuture(id);
         }
-        return store.grantLease(retention.plus(TERM));
+        return store.grantLease(retention.plus(RENEWAL_PERIOD));
     }
 
     /** Makes a granted lease the current one and restarts its hour if it is new. */
     void setCurrent(long granted, Instant now) {
         if (granted != id) {
             id = granted;
-            renewAt = now.plus(TERM);
+            renewAt = now.plus(RENEWAL_PERIOD);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimQueries.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimQueries.java
@@ -22,10 +22,10 @@
  * or doesn't answer in time counts as one that knows no outcome.
  */
 final class ClaimQueries implements PeerListener {
-    private static final Duration LIMIT = Duration.ofSeconds(1);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(1);
 
     private final ControlThread control;
-    private final ConcurrentMap<ExchangeId, CompletableFuture<Optional<ClaimRecord>>> asked =
+    private final ConcurrentMap<ExchangeId, CompletableFuture<Optional<ClaimRecord>>> pending =
             new ConcurrentHashMap<>();
 
     ClaimQueries(ControlThread control) {
@@ -40,14 +40,14 @@
                         .setCounter(request.id().counter())
                         .build();
         CompletableFuture<Optional<ClaimRecord>> answer = new CompletableFuture<>();
-        asked.put(id, answer);
-        ControlThread.Cancellable limit =
-                control.after(LIMIT, () -> answer.complete(Optional.empty()));
+        pending.put(id, answer);
+        ControlThread.Cancellable timeout =
+                control.after(ANSWER_TIMEOUT, () -> answer.complete(Optional.empty()));
         agent.whenComplete((link, failure) -> send(link, id, request, answer));
         answer.whenComplete(
-                (told, failure) -> {
-                    limit.cancel();
-                    asked.remove(id, answer);
+                (outcome, failure) -> {
+                    timeout.cancel();
+                    pending.remove(id, answer);
                 });
         return answer;
     }
@@ -55,7 +55,7 @@
     @Override
     public void received(PeerLink link, Frame frame) {
         CompletableFuture<Optional<ClaimRecord>> answer =
-                frame.hasClaimOutcome() ? asked.get(frame.getExchange()) : null;
+                frame.hasClaimOutcome() ? pending.get(frame.getExchange()) : null;
         if (answer != null) {
             answer.complete(record(frame.getClaimOutcome()));
         }
@@ -77,12 +77,12 @@
         }
     }
 
-    private static Optional<ClaimRecord> record(ClaimOutcome told) {
-        if (told.getOutcome().isEmpty()) {
+    private static Optional<ClaimRecord> record(ClaimOutcome outcome) {
+        if (outcome.getOutcome().isEmpty()) {
             return Optional.empty();
         }
         try {
-            return Optional.of(ClaimRecord.parse(told.getOutcome().toByteArray()));
+            return Optional.of(ClaimRecord.parse(outcome.getOutcome().toByteArray()));
         } catch (ClaimException e) {
             return Optional.empty();
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
@@ -64,17 +64,18 @@
      */
     CompletionStage<Result> write(
             String key,
-            Optional<Long> before,
+            Optional<Long> expectedRevision,
             Optional<byte[]> value,
             long ownLease,
-            Instant giveUp,
+            Instant giveUpAt,
             boolean urgent) {
         long id = ++lastId;
         CompletableFuture<Result> result = new CompletableFuture<>();
         submitted.put(id, result);
         feed(
                 new ClaimInput.WriteSubmitted(
-                        new ClaimWrite(id, key, before, value, ownLease, giveUp, urgent)));
+                        new ClaimWrite(
+                                id, key, expectedRevision, value, ownLease, giveUpAt, urgent)));
         return result;
     }
 
@@ -100,30 +101,31 @@
         metrics.count("claim_commits");
         metrics.histogram("claim_commit_size").update(writes.size());
         lease.current(now())
-                .whenComplete((id, failure) -> control.run(() -> leased(writes, id, failure)));
+                .whenComplete((id, failure) -> control.run(() -> commitUnder(writes, id, failure)));
     }
 
-    private void leased(List<ClaimWrite> writes, Long id, Throwable failure) {
+    private void commitUnder(List<ClaimWrite> writes, Long id, Throwable failure) {
         if (failure != null) {
-            failed(false);
+            reportFailed(false);
             return;
         }
         lease.setCurrent(id, now());
         store.commit(
                         writes.stream().map(ClaimWrite::condition).toList(),
                         writes.stream().map(write -> write.toStoreWrite(id)).toList())
-                .whenComplete((result, error) -> control.run(() -> committed(result, error)));
+                .whenComplete(
+                        (result, error) -> control.run(() -> handleCommitResult(result, error)));
     }
 
-    private void committed(KeyValueStore.TxnResult result, Throwable error) {
+    private void handleCommitResult(KeyValueStore.TxnResult result, Throwable error) {
         if (error == null) {
             feed(new ClaimInput.CommitAnswered(result));
         } else {
-            failed(mayHaveTakenEffect(error));
+            reportFailed(mayHaveTakenEffect(error));
         }
     }
 
-    private void failed(boolean mayHaveTakenEffect) {
+    private void reportFailed(boolean mayHaveTakenEffect) {
         metrics.count("claim_commits_failed", "unknown", String.valueOf(mayHaveTakenEffect));
         lease.forget();
         feed(new ClaimInput.CommitFailed(mayHaveTakenEffect));
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
@@ -43,10 +43,10 @@
  * and all methods must be called on it.
  */
 final class Claims {
-    private static final Duration COME_BACK = Duration.ofSeconds(2);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
     private static final Duration CLOCK_MARGIN = Duration.ofSeconds(5);
-    private static final Duration LOOK_UP_LIMIT = Duration.ofSeconds(1);
-    private static final Duration KEEP_TRYING = Duration.ofMinutes(5);
+    private static final Duration LOOK_UP_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration WRITE_RETRY_TIME = Duration.ofMinutes(5);
 
     private final ControlThread control;
     private final ClaimStore store;
@@ -101,7 +101,7 @@
      */
     CompletionStage<ClaimResult> claim(
             Request request, VmId vm, Function<VmId, CompletionStage<PeerLink>> connect) {
-        return new Attempt(request, vm, connect).write(Optional.empty());
+        return new ClaimAttempt(request, vm, connect).write(Optional.empty());
     }
 
     /**
@@ -113,14 +113,14 @@
      */
     CompletionStage<ClaimResult> lookUp(
             Request request, Function<VmId, CompletionStage<PeerLink>> connect) {
-        Earlier earlier = new Earlier(request, connect);
-        Instant giveUp = now().plus(LOOK_UP_LIMIT);
-        return store.write(earlier.key, Optional.empty(), Optional.empty(), 0, giveUp, true)
+        EarlierRequest earlier = new EarlierRequest(request, connect);
+        Instant giveUpAt = now().plus(LOOK_UP_TIMEOUT);
+        return store.write(earlier.key, Optional.empty(), Optional.empty(), 0, giveUpAt, true)
                 .thenCompose(
                         result ->
                                 result instanceof Result.Conflict conflict
                                                 && conflict.found().isPresent()
-                                        ? earlier.found(
+                                        ? earlier.handleClaim(
                                                 conflict.found().get(), revision -> notFound())
                                         : notFound());
     }
@@ -131,7 +131,7 @@
             Request request,
             VmId vm,
             Function<VmId, CompletionStage<PeerLink>> connect) {
-        return new Attempt(request, vm, connect).write(Optional.of(held.revision()));
+        return new ClaimAttempt(request, vm, connect).write(Optional.of(held.revision()));
     }
 
     /**
@@ -154,7 +154,7 @@
                         Optional.of(held.revision()),
                         Optional.empty(),
                         held.lease(),
-                        now().plus(KEEP_TRYING),
+                        now().plus(WRITE_RETRY_TIME),
                         false)
                 .thenApply(result -> result instanceof Result.Written);
     }
@@ -186,12 +186,12 @@
                         Optional.of(held.revision()),
                         Optional.of(settled.toJson()),
                         held.lease(),
-                        now().plus(KEEP_TRYING),
+                        now().plus(WRITE_RETRY_TIME),
                         false)
-                .thenAccept(result -> settled(held.record(), result));
+                .thenAccept(result -> countSettled(held.record(), result));
     }
 
-    private void settled(ClaimRecord record, Result result) {
+    private void countSettled(ClaimRecord record, Result result) {
         boolean written = result instanceof Result.Written;
         metrics.count("claims_settled", "written", String.valueOf(written));
         if (written) {
@@ -213,51 +213,57 @@
     }
 
     /** An attempt to claim a request's key for one agent. */
-    private final class Attempt {
+    private final class ClaimAttempt {
         private final Request request;
-        private final Earlier earlier;
+        private final EarlierRequest earlier;
         private final String key;
-        private final ClaimRecord mine;
-        private final Instant giveUp;
-        private Optional<Long> condition = Optional.empty();
+        private final ClaimRecord newRecord;
+        private final Instant giveUpAt;
+        private Optional<Long> expected = Optional.empty();
 
-        Attempt(Request request, VmId vm, Function<VmId, CompletionStage<PeerLink>> connect) {
+        ClaimAttempt(Request request, VmId vm, Function<VmId, CompletionStage<PeerLink>> connect) {
             this.request = request;
-            this.earlier = new Earlier(request, connect);
+            this.earlier = new EarlierRequest(request, connect);
             this.key = earlier.key;
-            this.mine =
+            this.newRecord =
                     ClaimRecord.claimed(
                             request.id(),
                             vm,
                             earlier.digest,
                             request.deadline().plus(CLOCK_MARGIN));
-            this.giveUp =
+            this.giveUpAt =
                     now().plus(settings.claimTimeout(Duration.between(now(), request.deadline())));
         }
 
-        CompletionStage<ClaimResult> write(Optional<Long> before) {
-            condition = before;
-            return store.write(key, before, Optional.of(mine.toJson()), 0, giveUp, true)
-                    .thenCompose(this::written);
+        CompletionStage<ClaimResult> write(Optional<Long> expectedRevision) {
+            expected = expectedRevision;
+            return store.write(
+                            key,
+                            expectedRevision,
+                            Optional.of(newRecord.toJson()),
+                            0,
+                            giveUpAt,
+                            true)
+                    .thenCompose(this::handleResult);
         }
 
-        private CompletionStage<ClaimResult> written(Result result) {
+        private CompletionStage<ClaimResult> handleResult(Result result) {
             if (result instanceof Result.Written written) {
                 timeline.add(
                         EventType.CLAIMED,
                         request.id().toString(),
-                        Map.of("agent", mine.agent().value()));
+                        Map.of("agent", newRecord.agent().value()));
                 metrics.count("claims", "result", "held");
                 return done(new ClaimResult.Claimed(held(written)));
             }
             if (result instanceof Result.Conflict conflict) {
                 return conflict.found()
-                        .map(entry -> earlier.found(entry, this::takeOver))
+                        .map(entry -> earlier.handleClaim(entry, this::takeOver))
                         .orElseGet(() -> write(Optional.empty()));
             }
             metrics.count("claims", "result", "store_unavailable");
             if (((ClaimAction.Result.Abandoned) result).mayHaveTakenEffect()) {
-                takeBack();
+                releaseUncertainClaim();
             }
             return done(new ClaimResult.Refused(unavailable()));
         }
@@ -271,9 +277,9 @@
         // repeat would be refused with an unknown outcome although the payment never ran. Writing
         // the same claim again shows whether it is stored and at which revision, so that it can be
         // removed.
-        private void takeBack() {
-            Instant end = now().plus(KEEP_TRYING);
-            store.write(key, condition, Optional.of(mine.toJson()), 0, end, false)
+        private void releaseUncertainClaim() {
+            Instant end = now().plus(WRITE_RETRY_TIME);
+            store.write(key, expected, Optional.of(newRecord.toJson()), 0, end, false)
                     .thenAccept(
                             result -> {
                                 if (result instanceof Result.Written written) {
@@ -283,18 +289,18 @@
         }
 
         private HeldClaim held(Result.Written written) {
-            return new HeldClaim(key, mine, written.revision(), store.lease());
+            return new HeldClaim(key, newRecord, written.revision(), store.lease());
         }
     }
 
     /** Decides what an earlier request with the same key means for this request. */
-    private final class Earlier {
+    private final class EarlierRequest {
         private final Request request;
         private final Function<VmId, CompletionStage<PeerLink>> connect;
         private final String key;
         private final String digest;
 
-        Earlier(Request request, Function<VmId, CompletionStage<PeerLink>> connect) {
+        EarlierRequest(Request request, Function<VmId, CompletionStage<PeerLink>> connect) {
             this.request = request;
             this.connect = connect;
             this.key =
@@ -306,10 +312,10 @@
         /**
          * Handles a claim that was found in the store, asking its agent for the outcome if needed.
          *
-         * @param neverRuns called with the claim's revision if its request is known never to run
+         * @param ifNeverRuns called with the claim's revision if its request is known never to run
          */
-        CompletionStage<ClaimResult> found(
-                Entry entry, LongFunction<CompletionStage<ClaimResult>> neverRuns) {
+        CompletionStage<ClaimResult> handleClaim(
+                Entry entry, LongFunction<CompletionStage<ClaimResult>> ifNeverRuns) {
             ClaimRecord found;
             try {
                 found = ClaimRecord.parse(entry.value());
@@ -317,30 +323,30 @@
                 metrics.count("claims", "result", "unreadable");
                 return done(new ClaimResult.Refused(unreadable()));
             }
-            RepeatPolicy.Decision verdict = RepeatPolicy.decideFromStore(found, digest);
-            if (!(verdict instanceof RepeatPolicy.Decision.AskAgent)) {
-                return follow(verdict, entry, found, neverRuns);
+            RepeatPolicy.Decision decision = RepeatPolicy.decideFromStore(found, digest);
+            if (!(decision instanceof RepeatPolicy.Decision.AskAgent)) {
+                return applyDecision(decision, entry, found, ifNeverRuns);
             }
             return queries.ask(connect.apply(found.agent()), request)
-                    .thenCompose(told -> control.call(() -> told))
+                    .thenCompose(answer -> control.call(() -> answer))
                     .thenCompose(
-                            told ->
-                                    follow(
-                                            RepeatPolicy.decideFromAgent(found, told, now()),
+                            answer ->
+                                    applyDecision(
+                                            RepeatPolicy.decideFromAgent(found, answer, now()),
                                             entry,
                                             found,
-                                            neverRuns));
+                                            ifNeverRuns));
         }
 
-        private CompletionStage<ClaimResult> follow(
-                RepeatPolicy.Decision verdict,
+        private CompletionStage<ClaimResult> applyDecision(
+                RepeatPolicy.Decision decision,
                 Entry entry,
                 ClaimRecord found,
-                LongFunction<CompletionStage<ClaimResult>> neverRuns) {
-            if (verdict instanceof RepeatPolicy.Decision.TakeOver) {
-                return neverRuns.apply(entry.modRevision());
+                LongFunction<CompletionStage<ClaimResult>> ifNeverRuns) {
+            if (decision instanceof RepeatPolicy.Decision.TakeOver) {
+                return ifNeverRuns.apply(entry.modRevision());
             }
-            if (verdict instanceof RepeatPolicy.Decision.Replay replay) {
+            if (decision instanceof RepeatPolicy.Decision.Replay replay) {
                 metrics.count("claims", "result", "repeat");
                 HeldClaim held = new HeldClaim(key, found, entry.modRevision(), entry.lease());
                 if (!found.equals(replay.settled())) {
@@ -348,7 +354,7 @@
                 }
                 return done(new ClaimResult.AlreadyAnswered(replay.settled()));
             }
-            Refusal refusal = ((RepeatPolicy.Decision.Refuse) verdict).refusal();
+            Refusal refusal = ((RepeatPolicy.Decision.Refuse) decision).refusal();
             metrics.count("claims", "result", refusal.code().wireName());
             return done(new ClaimResult.Refused(refusal));
         }
@@ -360,7 +366,7 @@
                         "this attempt was not run because the store is unavailable and its"
                             + " idempotency key can't be checked; an earlier attempt with the same"
                             + " key may have run")
-                .retryAfter(COME_BACK);
+                .retryAfter(RETRY_AFTER);
     }
 
     private static Refusal unreadable() {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/IdleLinks.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/IdleLinks.java
@@ -18,7 +18,7 @@
 final class IdleLinks {
     private final Duration limit;
     private final Consumer<PeerAddress> closer;
-    private final Map<VmId, Used> links = new HashMap<>();
+    private final Map<VmId, LinkUse> links = new HashMap<>();
 
     /** Creates a tracker that closes links by {@code closer} once unused for {@code limit}. */
     IdleLinks(Duration limit, Consumer<PeerAddress> closer) {
@@ -28,14 +28,14 @@
 
     /** Records that a request is about to use the link. */
     void recordUse(PeerAddress address, Instant now) {
-        links.put(address.vm(), new Used(address, now));
+        links.put(address.vm(), new LinkUse(address, now));
     }
 
     /** Closes the idle links, except those to VMs that still have a request. */
     void closeIdle(Predicate<VmId> busy, Instant now) {
-        Iterator<Used> all = links.values().iterator();
+        Iterator<LinkUse> all = links.values().iterator();
         while (all.hasNext()) {
-            Used link = all.next();
+            LinkUse link = all.next();
             boolean idle = !now.isBefore(link.at().plus(limit));
             if (idle && !busy.test(link.address().vm())) {
                 all.remove();
@@ -44,5 +44,5 @@
         }
     }
 
-    private record Used(PeerAddress address, Instant at) {}
+    private record LinkUse(PeerAddress address, Instant at) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/PlacementCoordinator.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/PlacementCoordinator.java
@@ -41,10 +41,10 @@
  */
 final class PlacementCoordinator {
     private static final Logger LOG = LogManager.getLogger(PlacementCoordinator.class);
-    private static final Duration PERIOD = Duration.ofSeconds(1);
-    private static final Duration QUICK = Duration.ofMillis(100);
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
-    private static final Duration GONE_AFTER = Duration.ofSeconds(30);
+    private static final Duration PLAN_PERIOD = Duration.ofSeconds(1);
+    private static final Duration WAIT_CHECK_PERIOD = Duration.ofMillis(100);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(3);
+    private static final Duration UNLISTED_TIMEOUT = Duration.ofSeconds(30);
     private static final Duration SUSPECT_TIME = Duration.ofSeconds(15);
 
     private final ControlThread control;
@@ -53,25 +53,25 @@
     private final PlacementStore store;
     private final PlacementFeed feed;
     private final PlacementLease lease;
-    private final PlacementPlanner planner = new PlacementPlanner(GONE_AFTER, SUSPECT_TIME);
+    private final PlacementPlanner planner = new PlacementPlanner(UNLISTED_TIMEOUT, SUSPECT_TIME);
     private final VmList vmList;
-    private final VmLiveness heard;
+    private final VmLiveness liveness;
     private final BooleanSupplier confirmed;
     private final Metrics metrics;
     private final Map<VmId, AgentEndpoint> known = new HashMap<>();
-    private final List<Waiter> waiters = new ArrayList<>();
-    private final Set<Integer> swapping = new HashSet<>();
+    private final List<WaitingRequest> waitingRequests = new ArrayList<>();
+    private final Set<Integer> shardsBeingWritten = new HashSet<>();
     private PlacementTable table = PlacementTable.UNREAD;
     private PeerNetwork network;
     private final Set<VmId> everListed = new HashSet<>();
-    private Duration askGap = QUICK;
-    private Instant nextAsk = Instant.MIN;
+    private Duration readInterval = WAIT_CHECK_PERIOD;
+    private Instant nextRead = Instant.MIN;
     private boolean planning;
 
     PlacementCoordinator(
             Node node,
             Fleet fleet,
-            VmLiveness heard,
+            VmLiveness liveness,
             Duration leaseTerm,
             BooleanSupplier confirmed) {
         this.control = node.control();
@@ -81,12 +81,12 @@
         this.feed = new PollingPlacementFeed(control, store, node.placementPause(), node.metrics());
         this.lease = new PlacementLease(node, store, leaseTerm);
         this.vmList = node.vmList();
-        this.heard = heard;
+        this.liveness = liveness;
         this.confirmed = confirmed;
         this.metrics = node.metrics();
     }
 
-    private record Waiter(ModelName model, Instant until, Runnable step) {}
+    private record WaitingRequest(ModelName model, Instant until, Runnable step) {}
 
     /** Starts placement. The network serves to reach a VM that is missing from the list of VMs. */
     void start(PeerNetwork peers) {
@@ -94,16 +94,16 @@
         control.run(
                 () -> {
                     lease.start(this::plan);
-                    feed.start(this::take);
-                    control.every(PERIOD, this::plan);
-                    control.every(QUICK, this::serveWaiters);
+                    feed.start(this::applyTable);
+                    control.every(PLAN_PERIOD, this::plan);
+                    control.every(WAIT_CHECK_PERIOD, this::pollForWaiting);
                 });
     }
 
     /** Plans at once, since the new configuration may have new models. */
     void configurationChanged() {
-        askGap = QUICK;
-        nextAsk = Instant.MIN;
+        readInterval = WAIT_CHECK_PERIOD;
+        nextRead = Instant.MIN;
         plan();
     }
 
@@ -115,9 +115,9 @@
     void whenPlaced(Request request, Runnable step) {
         if (request.target() instanceof Target.Model target
                 && !fleet.hasReplicaHolder(target.model())) {
-            Instant limit = control.clock().instant().plus(PATIENCE);
+            Instant limit = control.clock().instant().plus(MAX_WAIT);
             Instant until = request.deadline().isBefore(limit) ? request.deadline() : limit;
-            waiters.add(new Waiter(target.model(), until, step));
+            waitingRequests.add(new WaitingRequest(target.model(), until, step));
             plan();
         } else {
             step.run();
@@ -127,55 +127,55 @@
     // A model that fits on no VM but is requested all the time would make each router read the
     // table
     // ten times a second for nothing. So the interval doubles while the table doesn't change.
-    private static Duration longer(Duration gap) {
-        Duration twice = gap.multipliedBy(2);
-        return twice.compareTo(PATIENCE) < 0 ? twice : PATIENCE;
+    private static Duration doubleInterval(Duration interval) {
+        Duration twice = interval.multipliedBy(2);
+        return twice.compareTo(MAX_WAIT) < 0 ? twice : MAX_WAIT;
     }
 
-    private void serveWaiters() {
-        if (waiters.isEmpty()) {
+    private void pollForWaiting() {
+        if (waitingRequests.isEmpty()) {
             return;
         }
         Instant now = control.clock().instant();
-        if (!now.isBefore(nextAsk)) {
-            nextAsk = now.plus(askGap);
-            askGap = longer(askGap);
+        if (!now.isBefore(nextRead)) {
+            nextRead = now.plus(readInterval);
+            readInterval = doubleInterval(readInterval);
             feed.refresh();
         }
-        serve(now);
+        runReadySteps(now);
     }
 
-    private void serve(Instant now) {
-        for (Waiter waiter : List.copyOf(waiters)) {
-            if (fleet.hasReplicaHolder(waiter.model) || !now.isBefore(waiter.until)) {
-                waiters.remove(waiter);
-                waiter.step.run();
+    private void runReadySteps(Instant now) {
+        for (WaitingRequest waiting : List.copyOf(waitingRequests)) {
+            if (fleet.hasReplicaHolder(waiting.model) || !now.isBefore(waiting.until)) {
+                waitingRequests.remove(waiting);
+                waiting.step.run();
             }
         }
     }
 
-    private void take(PlacementTable newer) {
+    private void applyTable(PlacementTable newer) {
         if (!newer.shards().equals(table.shards())) {
-            askGap = QUICK;
+            readInterval = WAIT_CHECK_PERIOD;
         }
         table = newer;
         fleet.setReplicaHolders(newer.usableHolders());
         newer.shards().forEach(this::clearSuspicions);
-        serve(control.clock().instant());
+        runReadySteps(control.clock().instant());
     }
 
     private void clearSuspicions(int number, PlacementTable.Stored stored) {
-        Set<VmId> alive = heard.recentlyHeardFrom(control.clock().instant());
-        for (ReplicaGrant right : stored.shard().grants()) {
-            if (right.suspected() && alive.contains(right.vm())) {
+        Set<VmId> alive = liveness.recentlyHeardFrom(control.clock().instant());
+        for (ReplicaGrant grant : stored.shard().grants()) {
+            if (grant.suspected() && alive.contains(grant.vm())) {
                 metrics.count("placement_suspicions_cleared");
-                swap(
+                writeShard(
                         number,
                         () ->
                                 store.changeGrants(
                                         number,
                                         stored,
-                                        right.vm(),
+                                        grant.vm(),
                                         read ->
                                                 read.map(
                                                         each ->
@@ -207,14 +207,14 @@
         table.allGrants()
                 .map(ReplicaGrant::vm)
                 .filter(vm -> !listed.containsKey(vm))
-                .forEach(this::tryToReach);
+                .forEach(this::openLink);
         PlacementPlanner.View view =
                 new PlacementPlanner.View(
                         table,
                         now.models(),
                         candidates(listed),
                         present(listed.keySet()),
-                        heard.recentlyHeardFrom(control.clock().instant()));
+                        liveness.recentlyHeardFrom(control.clock().instant()));
         planner.on(view, control.clock().instant()).forEach(proposal -> propose(proposal, now));
     }
 
@@ -247,7 +247,7 @@
     }
 
     // A link that opens brings heartbeats, which show that the VM is alive.
-    private void tryToReach(VmId vm) {
+    private void openLink(VmId vm) {
         AgentEndpoint member = known.get(vm);
         if (member != null) {
             network.link(new PeerAddress(vm, member.host(), member.port()));
@@ -256,7 +256,7 @@
 
     private void propose(PlacementPlanner.Proposal proposal, Configuration now) {
         try {
-            swap(proposal.shard(), () -> store.applyProposal(proposal, now));
+            writeShard(proposal.shard(), () -> store.applyProposal(proposal, now));
         } catch (PlacementException e) {
             metrics.count("placement_proposals_refused");
             LOG.error(
@@ -266,17 +266,17 @@
         }
     }
 
-    private void swap(int number, Supplier<CompletionStage<Boolean>> write) {
-        if (swapping.contains(number)) {
+    private void writeShard(int number, Supplier<CompletionStage<Boolean>> write) {
+        if (shardsBeingWritten.contains(number)) {
             return;
         }
         CompletionStage<Boolean> written = write.get();
-        swapping.add(number);
+        shardsBeingWritten.add(number);
         written.whenComplete(
                 (done, failure) ->
                         control.run(
                                 () -> {
-                                    swapping.remove(number);
+                                    shardsBeingWritten.remove(number);
                                     count(done, failure);
                                     feed.refresh();
                                 }));
--- a/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/PlacementLease.java
@@ -28,7 +28,7 @@
     private final Timeline timeline;
     private final Incarnation self;
     private final LeaseMachine machine;
-    private Runnable won = () -> {};
+    private Runnable onWon = () -> {};
 
     PlacementLease(Node node, PlacementStore table, Duration term) {
         this.control = node.control();
@@ -39,9 +39,9 @@
         this.machine = new LeaseMachine(term);
     }
 
-    /** Starts trying to acquire the lease. {@code whenWon} runs each time it is acquired. */
-    void start(Runnable whenWon) {
-        won = whenWon;
+    /** Starts trying to acquire the lease. {@code callback} runs each time it is acquired. */
+    void start(Runnable callback) {
+        onWon = callback;
         feed(new LeaseInput.Tick());
         control.every(TICK, () -> feed(new LeaseInput.Tick()));
     }
@@ -56,25 +56,25 @@
 
     private void carryOut(LeaseAction action) {
         if (action instanceof LeaseAction.GrantLease grant) {
-            answer(store.grantLease(grant.term()), LeaseInput.Granted::new);
+            feedResult(store.grantLease(grant.term()), LeaseInput.Granted::new);
         } else if (action instanceof LeaseAction.AcquireKey acquire) {
             byte[] value = self.value().getBytes(StandardCharsets.UTF_8);
-            answer(table.acquireLease(acquire.lease(), value), LeaseInput.Acquired::new);
+            feedResult(table.acquireLease(acquire.lease(), value), LeaseInput.Acquired::new);
         } else if (action instanceof LeaseAction.KeepAlive keep) {
-            answer(
+            feedResult(
                     store.keepAlive(keep.lease()),
                     alive -> new LeaseInput.KeepAliveAnswered(alive, keep.askedAt()));
         } else if (action instanceof LeaseAction.RevokeLease revoke) {
             store.revokeLease(revoke.lease());
         } else if (action instanceof LeaseAction.StartLeading) {
             timeline.add(EventType.LEASE_WON, self.value());
-            won.run();
+            onWon.run();
         } else if (action instanceof LeaseAction.StopLeading) {
             timeline.add(EventType.LEASE_LOST, self.value());
         }
     }
 
-    private <T> void answer(CompletionStage<T> stage, Function<T, LeaseInput> input) {
+    private <T> void feedResult(CompletionStage<T> stage, Function<T, LeaseInput> input) {
         stage.whenComplete(
                 (value, failure) ->
                         control.run(
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ProcessList.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ProcessList.java
@@ -24,7 +24,7 @@
     private final ControlThread control;
     private final VmList vmList;
     private final Fleet fleet;
-    private final VmId here;
+    private final VmId localVm;
     private final Supplier<String> operatorUrl;
     private volatile List<VmList.Vm> last = List.of();
 
@@ -32,12 +32,12 @@
             ControlThread control,
             VmList vmList,
             Fleet fleet,
-            VmId here,
+            VmId localVm,
             Supplier<String> operatorUrl) {
         this.control = control;
         this.vmList = vmList;
         this.fleet = fleet;
-        this.here = here;
+        this.localVm = localVm;
         this.operatorUrl = operatorUrl;
     }
 
@@ -55,7 +55,8 @@
 
     private List<ProcessEntry> merge(List<VmList.Vm> vms) {
         Map<String, ProcessEntry> all = new TreeMap<>();
-        ProcessEntry self = new ProcessEntry(here.value(), "router", UNLISTED, operatorUrl.get());
+        ProcessEntry self =
+                new ProcessEntry(localVm.value(), "router", UNLISTED, operatorUrl.get());
         all.put(self.vm(), self);
         for (AgentEndpoint agent : fleet.endpoints()) {
             String vm = agent.vm().value();
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
@@ -41,7 +41,7 @@
  * for each admitted one. Its state is confined to the control thread.
  */
 final class RequestDispatcher implements Dispatcher {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private static final Duration IDLE_LIMIT = Duration.ofMinutes(1);
 
     final ControlThread control;
@@ -49,7 +49,7 @@
     final PeerNetwork network;
     final ExchangeClient client;
     final Admission admission;
-    final RetryBudget retries;
+    final RetryBudget retryBudget;
     final Claims claims;
     final Metrics metrics;
     final Timeline timeline;
@@ -61,21 +61,21 @@
     private final IdleLinks idleLinks;
     private int waiting;
 
-    RequestDispatcher(RequestDispatcher.Dependencies parts) {
-        this.control = parts.control();
-        this.fleet = parts.fleet();
-        this.network = parts.network();
+    RequestDispatcher(RequestDispatcher.Dependencies dependencies) {
+        this.control = dependencies.control();
+        this.fleet = dependencies.fleet();
+        this.network = dependencies.network();
         this.idleLinks = new IdleLinks(IDLE_LIMIT, network::forget);
-        this.client = parts.client();
-        this.admission = parts.admission();
-        this.retries = parts.retries();
-        this.claims = parts.claims();
-        this.metrics = parts.metrics();
-        this.timeline = parts.timeline();
-        this.configuration = parts.configuration();
-        this.confirmed = parts.confirmed();
-        this.maxWaiting = parts.maxWaiting();
-        this.whenPlaced = parts.whenPlaced();
+        this.client = dependencies.client();
+        this.admission = dependencies.admission();
+        this.retryBudget = dependencies.retryBudget();
+        this.claims = dependencies.claims();
+        this.metrics = dependencies.metrics();
+        this.timeline = dependencies.timeline();
+        this.configuration = dependencies.configuration();
+        this.confirmed = dependencies.confirmed();
+        this.maxWaiting = dependencies.maxWaiting();
+        this.whenPlaced = dependencies.whenPlaced();
     }
 
     /**
@@ -91,7 +91,7 @@
             PeerNetwork network,
             ExchangeClient client,
             Admission admission,
-            RetryBudget retries,
+            RetryBudget retryBudget,
             Claims claims,
             Metrics metrics,
             Timeline timeline,
@@ -103,7 +103,7 @@
     @Override
     public CompletionStage<Answer> dispatch(Request request, CancelSignal cancel) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
-        control.run(() -> begin(request, cancel, answer));
+        control.run(() -> receive(request, cancel, answer));
         return answer;
     }
 
@@ -154,9 +154,9 @@
         flows.remove(flow);
     }
 
-    private void begin(Request request, CancelSignal cancel, CompletableFuture<Answer> answer) {
+    private void receive(Request request, CancelSignal cancel, CompletableFuture<Answer> answer) {
         Instant now = control.clock().instant();
-        Optional<Refusal> refusal = atTheDoor(request);
+        Optional<Refusal> refusal = checkAcceptable(request);
         if (refusal.isPresent()) {
             refuse(request, refusal.get(), answer);
             return;
@@ -169,7 +169,7 @@
                     waiting--;
                     verdict.ifPresentOrElse(
                             refused -> refuse(request, refused, answer),
-                            () -> admitted(request, cancel, answer));
+                            () -> startFlow(request, cancel, answer));
                 });
     }
 
@@ -185,15 +185,15 @@
                                 refusal.code(), refusal.message(), notRun, refusal.retryAfter())));
     }
 
-    private void admitted(Request request, CancelSignal cancel, CompletableFuture<Answer> answer) {
-        RequestFlow flow = new RequestFlow(this, request, choice(request), answer);
+    private void startFlow(Request request, CancelSignal cancel, CompletableFuture<Answer> answer) {
+        RequestFlow flow = new RequestFlow(this, request, agentSelector(request), answer);
         flows.add(flow);
         waiting++;
         whenPlaced.accept(request, flow::start);
         cancel.onCancel(() -> control.run(flow::callerDisconnected));
     }
 
-    private Optional<Refusal> atTheDoor(Request request) {
+    private Optional<Refusal> checkAcceptable(Request request) {
         if (!confirmed.getAsBoolean()) {
             return refusal(
                     RefusalCode.CONFIGURATION_UNCONFIRMED,
@@ -202,10 +202,10 @@
         if (waiting >= maxWaiting) {
             return refusal(RefusalCode.OVERLOADED, "too many requests are waiting at this router");
         }
-        return withdrawn(request);
+        return checkCallerKey(request);
     }
 
-    private Optional<Refusal> withdrawn(Request request) {
+    private Optional<Refusal> checkCallerKey(Request request) {
         if (configuration.get().isGranted(request.key())) {
             return Optional.empty();
         }
@@ -214,23 +214,23 @@
     }
 
     private static Optional<Refusal> refusal(RefusalCode code, String message) {
-        return Optional.of(Refusal.notRun(code, message).retryAfter(COME_BACK));
+        return Optional.of(Refusal.notRun(code, message).retryAfter(RETRY_AFTER));
     }
 
-    private RequestMachine.AgentSelector choice(Request request) {
+    private RequestMachine.AgentSelector agentSelector(Request request) {
         if (request.target() instanceof Target.Model target) {
-            return (tried, now) -> holder(target, tried, now);
+            return (tried, now) -> selectReplicaHolder(target, tried, now);
         }
         Target.Service target = (Target.Service) request.target();
-        return (tried, now) -> server(target, tried, now);
+        return (tried, now) -> selectServiceAgent(target, tried, now);
     }
 
-    private Optional<VmId> holder(Target.Model target, Set<VmId> tried, Instant now) {
+    private Optional<VmId> selectReplicaHolder(Target.Model target, Set<VmId> tried, Instant now) {
         Model model = configuration.get().models().get(target.model());
         return model == null ? Optional.empty() : fleet.selectForModel(model, tried, now);
     }
 
-    private Optional<VmId> server(Target.Service target, Set<VmId> tried, Instant now) {
+    private Optional<VmId> selectServiceAgent(Target.Service target, Set<VmId> tried, Instant now) {
         Service service = configuration.get().services().get(target.service());
         return service == null
                 ? Optional.empty()
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
@@ -24,7 +24,7 @@
  * carries out the actions that it returns. Control thread only.
  */
 final class RequestFlow {
-    private static final Duration RELEASE_LIMIT = Duration.ofSeconds(1);
+    private static final Duration RELEASE_TIMEOUT = Duration.ofSeconds(1);
 
     private final RequestDispatcher dispatcher;
     private final Request request;
@@ -34,21 +34,22 @@
     private Exchange exchange;
     private ExchangeResult.Served served;
     private HeldClaim claim;
-    private ClaimRecord before;
+    private ClaimRecord recordedAnswer;
     private boolean closed;
 
     RequestFlow(
             RequestDispatcher dispatcher,
             Request request,
-            RequestMachine.AgentSelector choice,
+            RequestMachine.AgentSelector agentSelector,
             CompletableFuture<Answer> answer) {
         this.dispatcher = dispatcher;
         this.request = request;
         this.answer = answer;
         this.machine =
                 request.claimable()
-                        ? RequestMachine.withIdempotencyKey(choice, dispatcher.retries)
-                        : RequestMachine.of(request.idempotent(), choice, dispatcher.retries);
+                        ? RequestMachine.withIdempotencyKey(agentSelector, dispatcher.retryBudget)
+                        : RequestMachine.of(
+                                request.idempotent(), agentSelector, dispatcher.retryBudget);
         this.deadline = dispatcher.control.after(timeLeft(), this::deadlinePassed);
     }
 
@@ -136,7 +137,7 @@
                 .release(claim)
                 .thenAccept(confirmed -> feed(new RequestInput.ClaimReleaseFinished(confirmed)));
         dispatcher.control.after(
-                RELEASE_LIMIT, () -> feed(new RequestInput.ClaimReleaseFinished(false)));
+                RELEASE_TIMEOUT, () -> feed(new RequestInput.ClaimReleaseFinished(false)));
     }
 
     private void lookUp() {
@@ -156,7 +157,7 @@
         if (result instanceof ClaimResult.NotFound) {
             feed(new RequestInput.KeyNotFound());
         } else if (result instanceof ClaimResult.AlreadyAnswered found) {
-            before = found.settled();
+            recordedAnswer = found.settled();
             feed(new RequestInput.RecordedAnswerFound());
         } else {
             feed(new RequestInput.ClaimRefused(((ClaimResult.Refused) result).refusal()));
@@ -182,12 +183,13 @@
         dispatcher.timeline.add(
                 EventType.HANDED_OVER, request.id().toString(), Map.of("vm", vm.value()));
         exchange = dispatcher.client.invoke(link, request, timeLeft());
-        exchange.result().thenAccept(result -> dispatcher.control.run(() -> resulted(vm, result)));
+        exchange.result()
+                .thenAccept(result -> dispatcher.control.run(() -> handleResult(vm, result)));
     }
 
-    private void resulted(VmId vm, ExchangeResult result) {
-        if (result instanceof ExchangeResult.Served begun) {
-            begun(vm, begun);
+    private void handleResult(VmId vm, ExchangeResult result) {
+        if (result instanceof ExchangeResult.Served started) {
+            answerStarted(vm, started);
         } else if (result instanceof ExchangeResult.Refused refused) {
             dispatcher.fleet.countFinished(vm);
             refused.load()
@@ -205,12 +207,12 @@
         }
     }
 
-    private void begun(VmId vm, ExchangeResult.Served result) {
+    private void answerStarted(VmId vm, ExchangeResult.Served result) {
         served = result;
         result.ending()
                 .whenComplete(
                         (ending, failure) ->
-                                dispatcher.control.run(() -> ended(vm, ending, failure)));
+                                dispatcher.control.run(() -> answerEnded(vm, ending, failure)));
         if (machine.isAnswered() && claim != null) {
             dispatcher.claims.recordUndelivered(claim, result);
         } else if (machine.isAnswered()) {
@@ -219,7 +221,7 @@
         feed(new RequestInput.AnswerStarted(vm));
     }
 
-    private void ended(VmId vm, ExchangeResult.Ending ending, Throwable failure) {
+    private void answerEnded(VmId vm, ExchangeResult.Ending ending, Throwable failure) {
         dispatcher.fleet.countFinished(vm);
         long tokens = request.tokens();
         if (failure == null) {
@@ -248,7 +250,7 @@
         dispatcher.recordAnswered();
         dispatcher.metrics.count("router_served");
         dispatcher.timeline.add(EventType.ANSWERED, request.id().toString());
-        answer.complete(ClaimReplay.of(before));
+        answer.complete(ClaimReplay.of(recordedAnswer));
         close(0);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
@@ -39,9 +39,9 @@
  * <p>{@code Router router = Router.start(settings); ... router.stop();}
  */
 public final class Router {
-    private static final Duration START_LIMIT = Duration.ofSeconds(20);
-    private static final Duration IDLE_CHECK = Duration.ofSeconds(10);
-    private static final Duration CLAIMS_LIMIT = Duration.ofSeconds(2);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration IDLE_LINK_CHECK_PERIOD = Duration.ofSeconds(10);
+    private static final Duration CLAIM_WRITE_TIMEOUT = Duration.ofSeconds(2);
     private static final long STOP_POLL_MILLIS = 20;
 
     private final RouterSettings settings;
@@ -69,8 +69,8 @@
                         () -> node.configuration().current().sequence(),
                         node.metrics());
         ClaimQueries queries = new ClaimQueries(node.control());
-        VmLiveness heard = new VmLiveness(node.control().clock());
-        this.placement = placement(heard);
+        VmLiveness liveness = new VmLiveness(node.control().clock());
+        this.placement = placement(liveness);
         this.rates =
                 new RateAdmission(
                         rateParts(node), node.vm(), node.incarnation(), RateSettings.defaults());
@@ -80,14 +80,14 @@
                         .listen(client)
                         .listen(queries)
                         .listen(new AgentListener(node.control(), fleet))
-                        .listen(heard)
+                        .listen(liveness)
                         .listen(ratePeers)
                         .build()
                         .start();
         ratePeers.over(network);
-        this.dispatcher = new RequestDispatcher(parts(client, queries));
+        this.dispatcher = new RequestDispatcher(dispatcherDependencies(client, queries));
         node.control().run(() -> startRates(ratePeers));
-        node.configuration().onChange(now -> node.control().run(() -> changed(now)));
+        node.configuration().onChange(now -> node.control().run(() -> configurationChanged(now)));
         this.processList =
                 new ProcessList(node.control(), node.vmList(), fleet, node.vm(), this::operatorUrl);
         AgentDirectory agents = new AgentDirectory(fleet, node.metrics());
@@ -95,7 +95,7 @@
         node.onAgents(agents::updateRegistrations);
         node.join(network);
         placement.start(network);
-        node.control().every(IDLE_CHECK, dispatcher::closeIdleLinks);
+        node.control().every(IDLE_LINK_CHECK_PERIOD, dispatcher::closeIdleLinks);
         this.callers = await(startCallers());
         this.operators = await(startOperators());
     }
@@ -135,7 +135,7 @@
         closed = true;
         callers.unbind();
         awaitNone(this::running, settings.stop().limit());
-        awaitNone(this::claimsPending, CLAIMS_LIMIT);
+        awaitNone(this::claimsPending, CLAIM_WRITE_TIMEOUT);
         node.control().call(this::abortAll).toCompletableFuture().join();
         rates.leave(settings.platform().storeTimeout());
         callers.terminate(Duration.ofSeconds(1)).toCompletableFuture().join();
@@ -144,7 +144,8 @@
         node.close();
     }
 
-    private RequestDispatcher.Dependencies parts(ExchangeClient client, ClaimQueries queries) {
+    private RequestDispatcher.Dependencies dispatcherDependencies(
+            ExchangeClient client, ClaimQueries queries) {
         ControlThread control = node.control();
         return new RequestDispatcher.Dependencies(
                 control,
@@ -162,11 +163,11 @@
                 placement::whenPlaced);
     }
 
-    private PlacementCoordinator placement(VmLiveness heard) {
+    private PlacementCoordinator placement(VmLiveness liveness) {
         return new PlacementCoordinator(
                 node,
                 fleet,
-                heard,
+                liveness,
                 settings.control().placementLease(),
                 () -> node.configuration().isConfirmed(settings.control().unconfirmedLimit()));
     }
@@ -222,7 +223,7 @@
         return node.control()
                 .call(() -> RouterStatus.of(node, fleet, dispatcher, stopping))
                 .toCompletableFuture()
-                .orTimeout(START_LIMIT.toSeconds(), TimeUnit.SECONDS)
+                .orTimeout(START_TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                 .join();
     }
 
@@ -240,7 +241,7 @@
         return Optional.empty();
     }
 
-    private void changed(Configuration now) {
+    private void configurationChanged(Configuration now) {
         rates.configured(now.workspaces());
         dispatcher.configurationChanged(now);
         placement.configurationChanged();
@@ -268,7 +269,7 @@
 
     private static <T> T await(CompletionStage<T> stage) {
         try {
-            return stage.toCompletableFuture().get(START_LIMIT.toSeconds(), TimeUnit.SECONDS);
+            return stage.toCompletableFuture().get(START_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             throw new CompletionException(e.getCause());
         } catch (TimeoutException e) {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/VmLiveness.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/VmLiveness.java
@@ -14,10 +14,10 @@
 
 /** Records when a frame was last received from each VM. Thread-safe. */
 final class VmLiveness implements PeerListener {
-    private static final Duration LATELY = Duration.ofSeconds(10);
+    private static final Duration RECENT = Duration.ofSeconds(10);
 
     private final InstantSource clock;
-    private final Map<VmId, Instant> last = new ConcurrentHashMap<>();
+    private final Map<VmId, Instant> lastReceived = new ConcurrentHashMap<>();
 
     VmLiveness(InstantSource clock) {
         this.clock = clock;
@@ -25,12 +25,12 @@
 
     @Override
     public void received(PeerLink link, Frame frame) {
-        link.remote().ifPresent(hello -> last.put(VmId.of(hello.getVm()), clock.instant()));
+        link.remote().ifPresent(hello -> lastReceived.put(VmId.of(hello.getVm()), clock.instant()));
     }
 
     /** Returns the VMs that sent a frame in the last 10 seconds, and drops the others. */
     Set<VmId> recentlyHeardFrom(Instant now) {
-        last.values().removeIf(at -> at.plus(LATELY).isBefore(now));
-        return last.keySet().stream().collect(Collectors.toUnmodifiableSet());
+        lastReceived.values().removeIf(at -> at.plus(RECENT).isBefore(now));
+        return lastReceived.keySet().stream().collect(Collectors.toUnmodifiableSet());
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimRouter.java
@@ -31,7 +31,7 @@
 
 /** The claims of one incarnation of a router, over a fake store and agents to query. */
 final class ClaimRouter {
-    private final SimulatedProcess life;
+    private final SimulatedProcess process;
     private final Incarnation incarnation;
     private final ClaimQueries queries;
     private final Claims claims;
@@ -43,30 +43,31 @@
     }
 
     private ClaimRouter(
-            SimulatedProcess life, KeyValueStore store, Incarnation incarnation, long seed) {
-        this.life = life;
+            SimulatedProcess process, KeyValueStore store, Incarnation incarnation, long seed) {
+        this.process = process;
         this.incarnation = incarnation;
-        this.queries = new ClaimQueries(life);
+        this.queries = new ClaimQueries(process);
         Metrics metrics = new Metrics();
         ClaimSettings settings = ClaimSettings.defaults();
         this.claims =
                 new Claims(
-                        life,
-                        new ClaimStore(life, store, metrics, settings, new Random(seed)),
+                        process,
+                        new ClaimStore(process, store, metrics, settings, new Random(seed)),
                         queries,
                         metrics,
-                        Timeline.of("router", HybridClock.over(life.clock()), 100),
+                        Timeline.of("router", HybridClock.over(process.clock()), 100),
                         "/test",
                         settings,
                         null);
     }
 
-    static ClaimRouter start(SimulatedProcess life, KeyValueStore store, String name, long seed) {
-        return new ClaimRouter(life, store, Incarnation.of(name), seed);
+    static ClaimRouter start(
+            SimulatedProcess process, KeyValueStore store, String name, long seed) {
+        return new ClaimRouter(process, store, Incarnation.of(name), seed);
     }
 
     SimulatedProcess process() {
-        return life;
+        return process;
     }
 
     Claims claims() {
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimSimulation.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimSimulation.java
@@ -26,18 +26,18 @@
 
 /**
  * Simulates routers, agents and a store that fail at random, and callers who repeat payments. Every
- * violation of the rules for claims is recorded in {@link #broken}.
+ * violation of the rules for claims is recorded in {@link #violations}.
  */
 public final class ClaimSimulation {
-    private static final int LENGTH_MILLIS = 60_000;
+    private static final int DURATION_MILLIS = 60_000;
     private static final int ROUTERS = 3;
     private static final int AGENTS = 2;
     private static final int KEYS = 4;
-    private static final int TRIES = 40;
+    private static final int ATTEMPTS = 40;
     private static final Duration DEADLINE = Duration.ofSeconds(8);
-    private static final Duration RELEASE_LIMIT = Duration.ofSeconds(1);
+    private static final Duration RELEASE_TIMEOUT = Duration.ofSeconds(1);
 
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     final Map<String, Integer> executions = new TreeMap<>();
     final Map<String, Integer> answers = new TreeMap<>();
     private final Map<String, String> settled = new HashMap<>();
@@ -51,7 +51,7 @@
     private final boolean naive;
     private final List<ClaimRouter> routers = new ArrayList<>();
     private final Map<VmId, FakeAgent> agents = new TreeMap<>();
-    private int lives;
+    private int incarnations;
 
     ClaimSimulation(long seed, boolean naive) {
         this.random = new Random(seed);
@@ -81,15 +81,15 @@
     }
 
     void run() {
-        for (int i = 0; i < TRIES; i++) {
-            at(LENGTH_MILLIS, this::payAtRandom);
+        for (int i = 0; i < ATTEMPTS; i++) {
+            at(DURATION_MILLIS, this::payAtRandom);
         }
         for (int i = 0; i < 6; i++) {
-            at(LENGTH_MILLIS, () -> failStore(random.nextInt(3)));
-            at(LENGTH_MILLIS, () -> replaceRouter(random.nextInt(ROUTERS)));
-            at(LENGTH_MILLIS, () -> agent(random.nextInt(AGENTS)).die());
+            at(DURATION_MILLIS, () -> failStore(random.nextInt(3)));
+            at(DURATION_MILLIS, () -> replaceRouter(random.nextInt(ROUTERS)));
+            at(DURATION_MILLIS, () -> agent(random.nextInt(AGENTS)).die());
         }
-        control.advance(Duration.ofMillis(2L * LENGTH_MILLIS));
+        control.advance(Duration.ofMillis(2L * DURATION_MILLIS));
     }
 
     /** Sends one of the few payments of this round, perhaps a repeat, to a random router. */
@@ -114,7 +114,7 @@
 
     /** Returns the violations so far and the requests that wait past their deadlines. */
     public List<String> currentViolations() {
-        List<String> found = new ArrayList<>(broken);
+        List<String> found = new ArrayList<>(violations);
         waiting.values().removeIf(flow -> flow.router.process().hasEnded());
         for (Flow flow : waiting.values()) {
             boolean late = flow.request.deadline().isBefore(control.clock().instant());
@@ -133,7 +133,10 @@
 
     private ClaimRouter router() {
         return ClaimRouter.start(
-                new SimulatedProcess(control), store, "router:" + ++lives, random.nextLong());
+                new SimulatedProcess(control),
+                store,
+                "router:" + ++incarnations,
+                random.nextLong());
     }
 
     private void failStore(int how) {
@@ -178,7 +181,7 @@
         answers.merge("served", 1, Integer::sum);
         String first = settled.putIfAbsent(key(request), answer);
         if (!naive && first != null && !first.equals(answer)) {
-            broken.add(key(request) + " was answered as " + first + " and as " + answer);
+            violations.add(key(request) + " was answered as " + first + " and as " + answer);
         }
     }
 
@@ -190,16 +193,16 @@
         }
         saidNotRun.put(request.id(), true);
         if (executions.getOrDefault(key(request), 0) > 0) {
-            broken.add(request.id() + " was told not run, but " + key(request) + " has run");
+            violations.add(request.id() + " was told not run, but " + key(request) + " has run");
         }
     }
 
     private void execute(Request request) {
         if (executions.merge(key(request), 1, Integer::sum) > 1) {
-            broken.add(key(request) + " ran again");
+            violations.add(key(request) + " ran again");
         }
         if (saidNotRun.containsKey(request.id())) {
-            broken.add(request.id() + " ran after it was refused as not run");
+            violations.add(request.id() + " ran after it was refused as not run");
         }
     }
 
@@ -209,12 +212,12 @@
         private final Request request;
         private final RequestMachine machine;
         private HeldClaim claim;
-        private ClaimRecord before;
+        private ClaimRecord recordedAnswer;
 
         Flow(ClaimRouter router, Request request) {
             this.router = router;
             this.request = request;
-            RequestMachine.AgentSelector choice =
+            RequestMachine.AgentSelector agentSelector =
                     (tried, now) ->
                             random.nextInt(8) == 0
                                     ? Optional.empty()
@@ -224,8 +227,8 @@
             RetryBudget budget = RetryBudget.of(1);
             this.machine =
                     naive
-                            ? RequestMachine.of(true, choice, budget)
-                            : RequestMachine.withIdempotencyKey(choice, budget);
+                            ? RequestMachine.of(true, agentSelector, budget)
+                            : RequestMachine.withIdempotencyKey(agentSelector, budget);
         }
 
         void later(Runnable step) {
@@ -266,7 +269,7 @@
             } else if (action instanceof RequestAction.Send send) {
                 soon(() -> agents.get(send.vm()).invoked(this));
             } else if (action instanceof RequestAction.ReplayAnswer) {
-                answered(request, new String(before.outcome().get().body().get()));
+                answered(request, new String(recordedAnswer.outcome().get().body().get()));
             } else if (action instanceof RequestAction.Refuse reply) {
                 refused(request, reply.refusal());
             }
@@ -278,7 +281,9 @@
                     .thenAccept(
                             confirmed -> feed(new RequestInput.ClaimReleaseFinished(confirmed)));
             router.process()
-                    .after(RELEASE_LIMIT, () -> feed(new RequestInput.ClaimReleaseFinished(false)));
+                    .after(
+                            RELEASE_TIMEOUT,
+                            () -> feed(new RequestInput.ClaimReleaseFinished(false)));
         }
 
         private void claimed(VmId vm, ClaimResult result) {
@@ -294,7 +299,7 @@
             if (result instanceof ClaimResult.NotFound) {
                 feed(new RequestInput.KeyNotFound());
             } else if (result instanceof ClaimResult.AlreadyAnswered found) {
-                before = found.settled();
+                recordedAnswer = found.settled();
                 feed(new RequestInput.RecordedAnswerFound());
             } else {
                 feed(new RequestInput.ClaimRefused(((ClaimResult.Refused) result).refusal()));
@@ -320,7 +325,7 @@
     final class FakeAgent implements ClaimRouter.QueriedAgent {
         private final VmId vm;
         private KeyedOutcomes outcomes;
-        private int life;
+        private int incarnation;
 
         FakeAgent(VmId vm) {
             this.vm = vm;
@@ -328,7 +333,7 @@
         }
 
         void die() {
-            life++;
+            incarnation++;
             outcomes = new KeyedOutcomes(vm, 100);
         }
 
@@ -357,13 +362,13 @@
                 Refusal busy = Refusal.notRun(RefusalCode.OVERLOADED, "busy");
                 flow.later(() -> flow.feed(new RequestInput.AgentRefused(vm, busy)));
             } else {
-                int born = life;
-                soon(() -> run(flow, chance, born));
+                int startedIn = incarnation;
+                soon(() -> run(flow, chance, startedIn));
             }
         }
 
-        private void run(Flow flow, int chance, int born) {
-            if (life != born) {
+        private void run(Flow flow, int chance, int startedIn) {
+            if (incarnation != startedIn) {
                 flow.later(() -> flow.feed(new RequestInput.ConnectionLost(vm)));
                 return;
             }
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
@@ -26,7 +26,7 @@
             ClaimRouter.start(new SimulatedProcess(control), store, "router:1", 1);
 
     @Test
-    void aClaimThatWasWrittenThoughItsRequestWasRefusedIsTakenBack() {
+    void aClaimWrittenForARefusedRequestIsReleased() {
         // The store writes the claim, loses the answer, and is down until the request times out and
         // is refused unsent. A claim left in the store would have each repeat refused with an
         // unknown outcome although the payment never ran.
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aLookNeitherClaimsTheKeyNorRemovesItsClaim() {
+    void aLookupNeitherClaimsTheKeyNorRemovesItsClaim() {
         // A payment is repeated while its pool has no agent. Looking up a free key must leave it
         // free, and looking up a claimed key must find the claim and leave it in place.
         assertInstanceOf(ClaimResult.NotFound.class, lookedUp("pay-3"));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aLookInAnOutageEndsSoonAndFindsNothing() {
+    void aLookupDuringAnOutageEndsSoonAndFindsNothing() {
         // Store and agents are down at the same time. Waiting for the store would be useless, as no
         // agent could run the payment either; so the caller soon gets an answer with a retry time.
         store.down(true);
--- a/damaskyoke/src/test/java/io/damaskyoke/router/IdleLinksTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/IdleLinksTest.java
@@ -19,7 +19,7 @@
     private final IdleLinks links = new IdleLinks(Duration.ofMinutes(1), closed::add);
 
     @Test
-    void aLinkThatWasUsedLatelyStays() {
+    void onlyTheLinkThatWasNotUsedRecentlyIsClosed() {
         links.recordUse(ONE, NOW);
         links.recordUse(TWO, NOW.plusSeconds(30));
         links.closeIdle(vm -> false, NOW.plusSeconds(60));
@@ -29,7 +29,7 @@
     // The link of a long stream counts as used only when the stream starts. If it were closed as
     // idle after a minute, the stream would be cut.
     @Test
-    void aLinkWithARequestOnItIsNotIdle() {
+    void aLinkWithARunningRequestIsNotClosed() {
         links.recordUse(ONE, NOW);
         links.closeIdle(ONE.vm()::equals, NOW.plusSeconds(120));
         assertEquals(List.of(), closed);
--- a/damaskyoke/src/test/java/io/damaskyoke/router/SimulatedProcess.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/SimulatedProcess.java
@@ -11,7 +11,7 @@
 /** The control thread of a simulated process that can end and can be frozen. */
 public final class SimulatedProcess implements ControlThread {
     private final TestControlThread control;
-    private boolean over;
+    private boolean ended;
     private Instant frozenUntil = Instant.MIN;
 
     SimulatedProcess(TestControlThread control) {
@@ -19,12 +19,12 @@
     }
 
     void end() {
-        over = true;
+        ended = true;
     }
 
     /** Returns true once the process has ended. */
     public boolean hasEnded() {
-        return over;
+        return ended;
     }
 
     /** Freezes the process for the given time; steps due meanwhile run right after it. */
@@ -65,10 +65,10 @@
 
     private Runnable whileAlive(Runnable step) {
         return () -> {
-            if (!over && isFrozen()) {
+            if (!ended && isFrozen()) {
                 Instant now = control.clock().instant();
                 control.after(Duration.between(now, frozenUntil), whileAlive(step));
-            } else if (!over) {
+            } else if (!ended) {
                 step.run();
             }
         };
