--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentDirectory.java
@@ -16,8 +16,8 @@
 
 /**
  * Keeps a router's {@link Fleet} up to date from the agents' registrations and the list of VMs.
- * Where either can't be read it hears nothing and leaves things as they were, so that an outage
- * takes nobody out of service. All of it runs on the control thread.
+ * While either of them can't be read, the directory gets no update and keeps the last state, so
+ * that an outage of the platform takes no agent out of service. Control thread only.
  */
 final class AgentDirectory {
     private final Fleet fleet;
@@ -32,27 +32,27 @@
         this.metrics = metrics;
     }
 
-    /** Takes the platform's list as it was read. */
-    void listed(List<VmList.Vm> vms) {
+    /** Applies the list of VMs as it was read from the platform. */
+    void updateVmList(List<VmList.Vm> vms) {
         Set<VmId> present = new HashSet<>();
-        Set<VmId> onTheirWay = new HashSet<>();
+        Set<VmId> nowLeaving = new HashSet<>();
         for (VmList.Vm vm : vms) {
             present.add(vm.id());
             if (vm.state() == VmList.State.LEAVING) {
-                onTheirWay.add(vm.id());
+                nowLeaving.add(vm.id());
             }
         }
         everListed.addAll(present);
         listed = present;
-        leaving = onTheirWay;
+        leaving = nowLeaving;
         publish();
     }
 
-    /** Takes all registrations that there are, in their stored form. */
-    void registered(List<byte[]> found) {
+    /** Applies the complete set of stored agent registrations, each in its stored form. */
+    void updateRegistrations(List<byte[]> found) {
         Map<VmId, Registration> now = new TreeMap<>();
         found.forEach(value -> read(value, now));
-        now.values().forEach(this::noticeNewLife);
+        now.values().forEach(this::detectRestart);
         registered.clear();
         registered.putAll(now);
         publish();
@@ -67,7 +67,7 @@
         }
     }
 
-    private void noticeNewLife(Registration registration) {
+    private void detectRestart(Registration registration) {
         Registration before = registered.get(registration.vm());
         if (before != null && !before.incarnation().equals(registration.incarnation())) {
             fleet.markRestarted(registration.vm());
@@ -77,7 +77,7 @@
     private void publish() {
         List<AgentEndpoint> present = new ArrayList<>();
         for (Registration agent : registered.values()) {
-            if (!goneFromList(agent.vm())) {
+            if (!removedFromList(agent.vm())) {
                 present.add(
                         new AgentEndpoint(
                                 agent.vm(),
@@ -90,9 +90,9 @@
         fleet.update(present, leaving);
     }
 
-    // The list lags, so a VM that it never showed may just have come; one that it showed before and
-    // shows no longer is gone, and its registration is a left-over.
-    private boolean goneFromList(VmId vm) {
+    // The list lags, so a VM that was never listed may have just started. A VM that was listed
+    // before and is missing now is gone, and its registration is stale.
+    private boolean removedFromList(VmId vm) {
         return everListed.contains(vm) && !listed.contains(vm);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentListener.java
@@ -9,7 +9,7 @@
 import io.damaskyoke.peer.wire.Frame;
 import io.damaskyoke.peer.wire.Hello;
 
-/** Hears from agents of their load and of their leaving, and tells the fleet. */
+/** Receives the load and drain notices that agents send and applies them to the {@link Fleet}. */
 final class AgentListener implements PeerListener {
     private final ControlThread control;
     private final Fleet fleet;
@@ -25,20 +25,20 @@
                 .filter(hello -> hello.getRole().equals(Role.AGENT.wireName()))
                 .map(Hello::getVm)
                 .map(VmId::of)
-                .ifPresent(vm -> take(vm, frame));
+                .ifPresent(vm -> handle(vm, frame));
     }
 
-    private void take(VmId vm, Frame frame) {
+    private void handle(VmId vm, Frame frame) {
         if (frame.hasDraining()) {
             control.run(() -> fleet.markDraining(vm));
         } else if (frame.hasHeartbeat()) {
-            control.run(() -> heartbeat(vm, frame));
+            control.run(() -> applyHeartbeat(vm, frame));
         }
     }
 
-    private void heartbeat(VmId vm, Frame frame) {
+    private void applyHeartbeat(VmId vm, Frame frame) {
         if (frame.getHeartbeat().hasLoad()) {
-            fleet.updateLoad(vm, Loads.fromWire(frame.getHeartbeat().getLoad()));
+            fleet.updateLoad(vm, AgentLoadParser.fromWire(frame.getHeartbeat().getLoad()));
         }
         if (frame.getHeartbeat().getDraining()) {
             fleet.markDraining(vm);
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Loads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/AgentLoadParser.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Reads the load that agents report in their frames. */
-final class Loads {
-    private Loads() {}
+/** Converts the load that agents report in their frames to {@link AgentLoad}. */
+final class AgentLoadParser {
+    private AgentLoadParser() {}
 
     static AgentLoad fromWire(Load load) {
         return new AgentLoad(
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ClaimStore.java
@@ -21,7 +21,10 @@
 import java.util.concurrent.CompletionStage;
 import java.util.random.RandomGenerator;
 
-/** Carries out what a {@link ClaimBatcher} decides, over the store. Control thread only. */
+/**
+ * Writes claims to the store in batches, by carrying out the actions of a {@link ClaimBatcher}.
+ * Control thread only.
+ */
 final class ClaimStore {
     private final ControlThread control;
     private final KeyValueStore store;
@@ -45,30 +48,34 @@
         this.lease = new ClaimLease(store, settings.retention());
     }
 
-    /** The lease of the last commit, which holds what it wrote. */
+    /** Returns the lease under which the last commit wrote its claims. */
     long lease() {
         return lease.id();
     }
 
-    /** Changes that are not written yet. */
-    int pending() {
+    /** Returns the number of submitted writes that have no result yet. */
+    int pendingWrites() {
         return submitted.size();
     }
 
-    /** Writes when the batcher sees fit; the result comes on the control thread. */
+    /**
+     * Submits a write, which is committed when the batcher decides so. The result comes on the
+     * control thread.
+     */
     CompletionStage<Result> write(
             String key,
-            Optional<Long> before,
+            Optional<Long> expectedRevision,
             Optional<byte[]> value,
             long ownLease,
-            Instant giveUp,
+            Instant giveUpAt,
             boolean urgent) {
         long id = ++lastId;
         CompletableFuture<Result> result = new CompletableFuture<>();
         submitted.put(id, result);
         feed(
                 new ClaimInput.WriteSubmitted(
-                        new ClaimWrite(id, key, before, value, ownLease, giveUp, urgent)));
+                        new ClaimWrite(
+                                id, key, expectedRevision, value, ownLease, giveUpAt, urgent)));
         return result;
     }
 
@@ -93,31 +100,32 @@
     private void commit(List<ClaimWrite> writes) {
         metrics.count("claim_commits");
         metrics.histogram("claim_commit_size").update(writes.size());
-        lease.present(now())
-                .whenComplete((id, failure) -> control.run(() -> leased(writes, id, failure)));
+        lease.current(now())
+                .whenComplete((id, failure) -> control.run(() -> commitUnder(writes, id, failure)));
     }
 
-    private void leased(List<ClaimWrite> writes, Long id, Throwable failure) {
+    private void commitUnder(List<ClaimWrite> writes, Long id, Throwable failure) {
         if (failure != null) {
-            failed(false);
+            reportFailed(false);
             return;
         }
-        lease.use(id, now());
+        lease.setCurrent(id, now());
         store.commit(
                         writes.stream().map(ClaimWrite::condition).toList(),
                         writes.stream().map(write -> write.toStoreWrite(id)).toList())
-                .whenComplete((result, error) -> control.run(() -> committed(result, error)));
+                .whenComplete(
+                        (result, error) -> control.run(() -> handleCommitResult(result, error)));
     }
 
-    private void committed(KeyValueStore.TxnResult result, Throwable error) {
+    private void handleCommitResult(KeyValueStore.TxnResult result, Throwable error) {
         if (error == null) {
             feed(new ClaimInput.CommitAnswered(result));
         } else {
-            failed(mayHaveTakenEffect(error));
+            reportFailed(mayHaveTakenEffect(error));
         }
     }
 
-    private void failed(boolean mayHaveTakenEffect) {
+    private void reportFailed(boolean mayHaveTakenEffect) {
         metrics.count("claim_commits_failed", "unknown", String.valueOf(mayHaveTakenEffect));
         lease.forget();
         feed(new ClaimInput.CommitFailed(mayHaveTakenEffect));
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Claims.java
@@ -38,14 +38,15 @@
 import org.apache.pekko.util.ByteString;
 
 /**
- * Claims idempotency keys for requests: {@code claims.claim(request, vm).thenAccept(...)}. Results
- * come on the control thread, and all methods belong to it.
+ * Claims idempotency keys for requests, so that a request which callers repeat runs at most once:
+ * {@code claims.claim(request, vm, connect).thenAccept(...)}. Results come on the control thread,
+ * and all methods must be called on it.
  */
 final class Claims {
-    private static final Duration COME_BACK = Duration.ofSeconds(2);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
     private static final Duration CLOCK_MARGIN = Duration.ofSeconds(5);
-    private static final Duration LOOK_UP_LIMIT = Duration.ofSeconds(1);
-    private static final Duration KEEP_TRYING = Duration.ofMinutes(5);
+    private static final Duration LOOK_UP_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration WRITE_RETRY_TIME = Duration.ofMinutes(5);
 
     private final ControlThread control;
     private final ClaimStore store;
@@ -75,7 +76,7 @@
         this.materializer = materializer;
     }
 
-    /** The claims of a router; the seed spreads its retries. */
+    /** Returns the claims of a router. The seed randomizes its retries. */
     static Claims start(Node node, ClaimQueries queries, ClaimSettings settings, long seed) {
         return new Claims(
                 node.control(),
@@ -96,51 +97,55 @@
     /**
      * Claims the request's key for a run at this agent.
      *
-     * @param connect reaches an agent that has to be asked about an earlier run
+     * @param connect connects to an agent that must be asked about an earlier run
      */
     CompletionStage<ClaimResult> claim(
             Request request, VmId vm, Function<VmId, CompletionStage<PeerLink>> connect) {
-        return new Attempt(request, vm, connect).write(Optional.empty());
+        return new ClaimAttempt(request, vm, connect).write(Optional.empty());
     }
 
     /**
-     * Sees what became of the key without claiming it, for a request that has no agent to go to.
+     * Looks up the outcome of the key without claiming it, for a request that no agent can take.
      *
-     * <p>What may not be there and is removed stays as it is, so a look shares the transactions of
-     * the changes and costs no call of its own. A store that is out counts as nothing found.
+     * <p>The lookup is written as a delete on condition that the key doesn't exist, which changes
+     * nothing either way. So it shares the transactions of the writes and costs no call to the
+     * store of its own. If the store is unavailable, the result is that nothing was found.
      */
     CompletionStage<ClaimResult> lookUp(
             Request request, Function<VmId, CompletionStage<PeerLink>> connect) {
-        Earlier earlier = new Earlier(request, connect);
-        Instant giveUp = now().plus(LOOK_UP_LIMIT);
-        return store.write(earlier.key, Optional.empty(), Optional.empty(), 0, giveUp, true)
+        EarlierRequest earlier = new EarlierRequest(request, connect);
+        Instant giveUpAt = now().plus(LOOK_UP_TIMEOUT);
+        return store.write(earlier.key, Optional.empty(), Optional.empty(), 0, giveUpAt, true)
                 .thenCompose(
                         result ->
                                 result instanceof Result.Conflict conflict
                                                 && conflict.found().isPresent()
-                                        ? earlier.found(
+                                        ? earlier.handleClaim(
                                                 conflict.found().get(), revision -> notFound())
                                         : notFound());
     }
 
-    /** Moves a claim whose request surely did not run at its agent to another one. */
+    /** Moves a claim to another agent, when its request is known not to have run at the first. */
     CompletionStage<ClaimResult> move(
             HeldClaim held,
             Request request,
             VmId vm,
             Function<VmId, CompletionStage<PeerLink>> connect) {
-        return new Attempt(request, vm, connect).write(Optional.of(held.revision()));
+        return new ClaimAttempt(request, vm, connect).write(Optional.of(held.revision()));
     }
 
-    /** Changes of claims that are not written yet; a stop waits a little for them. */
-    int pending() {
-        return store.pending();
+    /**
+     * Returns the number of claim writes that have no result yet. A stopping router waits for them
+     * for a short time.
+     */
+    int pendingWrites() {
+        return store.pendingWrites();
     }
 
     /**
-     * Takes a claim back whose request surely did not run and will not; tried for minutes. Gives
-     * true once it is known to be gone, false if somebody else has it or the store can't be
-     * reached.
+     * Releases a claim whose request is known not to have run and never to run. The write is
+     * retried for minutes. Returns true once the claim is known to be removed, and false if another
+     * request has claimed the key or the store can't be reached.
      */
     CompletionStage<Boolean> release(HeldClaim held) {
         metrics.count("claims_released");
@@ -149,13 +154,13 @@
                         Optional.of(held.revision()),
                         Optional.empty(),
                         held.lease(),
-                        now().plus(KEEP_TRYING),
+                        now().plus(WRITE_RETRY_TIME),
                         false)
                 .thenApply(result -> result instanceof Result.Written);
     }
 
-    /** The answer's body, which is written down once it has passed whole. */
-    Source<ByteString, NotUsed> recorded(HeldClaim held, ExchangeResult.Served served) {
+    /** Returns the answer's body, which is recorded in the claim once it has passed completely. */
+    Source<ByteString, NotUsed> recordingBody(HeldClaim held, ExchangeResult.Served served) {
         return AnswerRecorder.tap(
                 served.body(),
                 settings.maxBodyBytes(),
@@ -168,12 +173,12 @@
                                                         served.status(), served.headers(), body))));
     }
 
-    /** Writes down an answer whose caller has gone, for the time when that one comes back. */
-    void recordUnwanted(HeldClaim held, ExchangeResult.Served served) {
-        recorded(held, served).runWith(Sink.ignore(), materializer);
+    /** Records an answer whose caller has disconnected, for the caller's next attempt. */
+    void recordUndelivered(HeldClaim held, ExchangeResult.Served served) {
+        recordingBody(held, served).runWith(Sink.ignore(), materializer);
     }
 
-    /** Writes down the answer of a claim's request; tried for minutes. */
+    /** Records the answer to the claim's request. The write is retried for minutes. */
     void settle(HeldClaim held, Outcome outcome) {
         ClaimRecord settled = held.record().settled(outcome);
         store.write(
@@ -181,12 +186,12 @@
                         Optional.of(held.revision()),
                         Optional.of(settled.toJson()),
                         held.lease(),
-                        now().plus(KEEP_TRYING),
+                        now().plus(WRITE_RETRY_TIME),
                         false)
-                .thenAccept(result -> settled(held.record(), result));
+                .thenAccept(result -> countSettled(held.record(), result));
     }
 
-    private void settled(ClaimRecord record, Result result) {
+    private void countSettled(ClaimRecord record, Result result) {
         boolean written = result instanceof Result.Written;
         metrics.count("claims_settled", "written", String.valueOf(written));
         if (written) {
@@ -207,52 +212,58 @@
         return CompletableFuture.completedFuture(result);
     }
 
-    /** One wish to claim. */
-    private final class Attempt {
+    /** An attempt to claim a request's key for one agent. */
+    private final class ClaimAttempt {
         private final Request request;
-        private final Earlier earlier;
+        private final EarlierRequest earlier;
         private final String key;
-        private final ClaimRecord mine;
-        private final Instant giveUp;
-        private Optional<Long> condition = Optional.empty();
+        private final ClaimRecord newRecord;
+        private final Instant giveUpAt;
+        private Optional<Long> expected = Optional.empty();
 
-        Attempt(Request request, VmId vm, Function<VmId, CompletionStage<PeerLink>> connect) {
+        ClaimAttempt(Request request, VmId vm, Function<VmId, CompletionStage<PeerLink>> connect) {
             this.request = request;
-            this.earlier = new Earlier(request, connect);
+            this.earlier = new EarlierRequest(request, connect);
             this.key = earlier.key;
-            this.mine =
+            this.newRecord =
                     ClaimRecord.claimed(
                             request.id(),
                             vm,
                             earlier.digest,
                             request.deadline().plus(CLOCK_MARGIN));
-            this.giveUp =
+            this.giveUpAt =
                     now().plus(settings.claimTimeout(Duration.between(now(), request.deadline())));
         }
 
-        CompletionStage<ClaimResult> write(Optional<Long> before) {
-            condition = before;
-            return store.write(key, before, Optional.of(mine.toJson()), 0, giveUp, true)
-                    .thenCompose(this::written);
+        CompletionStage<ClaimResult> write(Optional<Long> expectedRevision) {
+            expected = expectedRevision;
+            return store.write(
+                            key,
+                            expectedRevision,
+                            Optional.of(newRecord.toJson()),
+                            0,
+                            giveUpAt,
+                            true)
+                    .thenCompose(this::handleResult);
         }
 
-        private CompletionStage<ClaimResult> written(Result result) {
+        private CompletionStage<ClaimResult> handleResult(Result result) {
             if (result instanceof Result.Written written) {
                 timeline.add(
                         EventType.CLAIMED,
                         request.id().toString(),
-                        Map.of("agent", mine.agent().value()));
+                        Map.of("agent", newRecord.agent().value()));
                 metrics.count("claims", "result", "held");
-                return done(new ClaimResult.Held(held(written)));
+                return done(new ClaimResult.Claimed(held(written)));
             }
             if (result instanceof Result.Conflict conflict) {
                 return conflict.found()
-                        .map(entry -> earlier.found(entry, this::takeOver))
+                        .map(entry -> earlier.handleClaim(entry, this::takeOver))
                         .orElseGet(() -> write(Optional.empty()));
             }
             metrics.count("claims", "result", "store_unavailable");
             if (((ClaimAction.Result.Abandoned) result).mayHaveTakenEffect()) {
-                takeBack();
+                releaseUncertainClaim();
             }
             return done(new ClaimResult.Refused(unavailable()));
         }
@@ -262,13 +273,13 @@
             return write(Optional.of(revision));
         }
 
-        // The claim may stand in the store although its request was refused. Left there, each
-        // repeat
-        // would be told that the outcome is unknown of a payment that never ran. Writing the same
-        // claim again tells whether it stands and at which revision, so that it can be removed.
-        private void takeBack() {
-            Instant end = now().plus(KEEP_TRYING);
-            store.write(key, condition, Optional.of(mine.toJson()), 0, end, false)
+        // The claim may be in the store although its request was refused. If it stayed there, each
+        // repeat would be refused with an unknown outcome although the payment never ran. Writing
+        // the same claim again shows whether it is stored and at which revision, so that it can be
+        // removed.
+        private void releaseUncertainClaim() {
+            Instant end = now().plus(WRITE_RETRY_TIME);
+            store.write(key, expected, Optional.of(newRecord.toJson()), 0, end, false)
                     .thenAccept(
                             result -> {
                                 if (result instanceof Result.Written written) {
@@ -278,18 +289,18 @@
         }
 
         private HeldClaim held(Result.Written written) {
-            return new HeldClaim(key, mine, written.revision(), store.lease());
+            return new HeldClaim(key, newRecord, written.revision(), store.lease());
         }
     }
 
-    /** What an earlier request under the same key means for this one. */
-    private final class Earlier {
+    /** Decides what an earlier request with the same key means for this request. */
+    private final class EarlierRequest {
         private final Request request;
         private final Function<VmId, CompletionStage<PeerLink>> connect;
         private final String key;
         private final String digest;
 
-        Earlier(Request request, Function<VmId, CompletionStage<PeerLink>> connect) {
+        EarlierRequest(Request request, Function<VmId, CompletionStage<PeerLink>> connect) {
             this.request = request;
             this.connect = connect;
             this.key =
@@ -299,12 +310,12 @@
         }
 
         /**
-         * Follows up a claim that stands in the store.
+         * Handles a claim that was found in the store, asking its agent for the outcome if needed.
          *
-         * @param neverRuns what to do if its request surely never runs; gets the claim's revision
+         * @param ifNeverRuns called with the claim's revision if its request is known never to run
          */
-        CompletionStage<ClaimResult> found(
-                Entry entry, LongFunction<CompletionStage<ClaimResult>> neverRuns) {
+        CompletionStage<ClaimResult> handleClaim(
+                Entry entry, LongFunction<CompletionStage<ClaimResult>> ifNeverRuns) {
             ClaimRecord found;
             try {
                 found = ClaimRecord.parse(entry.value());
@@ -312,38 +323,38 @@
                 metrics.count("claims", "result", "unreadable");
                 return done(new ClaimResult.Refused(unreadable()));
             }
-            RepeatPolicy.Decision verdict = RepeatPolicy.decideFromStore(found, digest);
-            if (!(verdict instanceof RepeatPolicy.Decision.AskAgent)) {
-                return follow(verdict, entry, found, neverRuns);
+            RepeatPolicy.Decision decision = RepeatPolicy.decideFromStore(found, digest);
+            if (!(decision instanceof RepeatPolicy.Decision.AskAgent)) {
+                return applyDecision(decision, entry, found, ifNeverRuns);
             }
             return queries.ask(connect.apply(found.agent()), request)
-                    .thenCompose(told -> control.call(() -> told))
+                    .thenCompose(answer -> control.call(() -> answer))
                     .thenCompose(
-                            told ->
-                                    follow(
-                                            RepeatPolicy.decideFromAgent(found, told, now()),
+                            answer ->
+                                    applyDecision(
+                                            RepeatPolicy.decideFromAgent(found, answer, now()),
                                             entry,
                                             found,
-                                            neverRuns));
+                                            ifNeverRuns));
         }
 
-        private CompletionStage<ClaimResult> follow(
-                RepeatPolicy.Decision verdict,
+        private CompletionStage<ClaimResult> applyDecision(
+                RepeatPolicy.Decision decision,
                 Entry entry,
                 ClaimRecord found,
-                LongFunction<CompletionStage<ClaimResult>> neverRuns) {
-            if (verdict instanceof RepeatPolicy.Decision.TakeOver) {
-                return neverRuns.apply(entry.modRevision());
+                LongFunction<CompletionStage<ClaimResult>> ifNeverRuns) {
+            if (decision instanceof RepeatPolicy.Decision.TakeOver) {
+                return ifNeverRuns.apply(entry.modRevision());
             }
-            if (verdict instanceof RepeatPolicy.Decision.Replay replay) {
+            if (decision instanceof RepeatPolicy.Decision.Replay replay) {
                 metrics.count("claims", "result", "repeat");
                 HeldClaim held = new HeldClaim(key, found, entry.modRevision(), entry.lease());
                 if (!found.equals(replay.settled())) {
                     settle(held, replay.settled().outcome().orElseThrow());
                 }
-                return done(new ClaimResult.Before(replay.settled()));
+                return done(new ClaimResult.AlreadyAnswered(replay.settled()));
             }
-            Refusal refusal = ((RepeatPolicy.Decision.Refuse) verdict).refusal();
+            Refusal refusal = ((RepeatPolicy.Decision.Refuse) decision).refusal();
             metrics.count("claims", "result", refusal.code().wireName());
             return done(new ClaimResult.Refused(refusal));
         }
@@ -352,13 +363,15 @@
     private static Refusal unavailable() {
         return Refusal.mayHaveRun(
                         RefusalCode.STORE_UNAVAILABLE,
-                        "this try was not run, since its key can't be checked now; an earlier try"
-                                + " with the same key may have run")
-                .retryAfter(COME_BACK);
+                        "this attempt was not run because the store is unavailable and its"
+                            + " idempotency key can't be checked; an earlier attempt with the same"
+                            + " key may have run")
+                .retryAfter(RETRY_AFTER);
     }
 
     private static Refusal unreadable() {
         return Refusal.mayHaveRun(
-                RefusalCode.OUTCOME_UNKNOWN, "the record of this key can't be read");
+                RefusalCode.OUTCOME_UNKNOWN,
+                "the stored claim of this idempotency key can't be parsed");
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Placement.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/PlacementCoordinator.java
@@ -35,15 +35,16 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * A router's part in the placement: tells its fleet who may hold what, plans while it has the
- * lease, and clears suspicions of VMs that it hears from. Control thread only.
+ * Runs a router's part in placement: updates its fleet with the VMs that may hold each model, plans
+ * replicas while the router holds the placement lease, and clears the suspicion of VMs from which
+ * it receives frames. Control thread only.
  */
-final class Placement {
-    private static final Logger LOG = LogManager.getLogger(Placement.class);
-    private static final Duration PERIOD = Duration.ofSeconds(1);
-    private static final Duration QUICK = Duration.ofMillis(100);
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
-    private static final Duration GONE_AFTER = Duration.ofSeconds(30);
+final class PlacementCoordinator {
+    private static final Logger LOG = LogManager.getLogger(PlacementCoordinator.class);
+    private static final Duration PLAN_PERIOD = Duration.ofSeconds(1);
+    private static final Duration WAIT_CHECK_PERIOD = Duration.ofMillis(100);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(3);
+    private static final Duration UNLISTED_TIMEOUT = Duration.ofSeconds(30);
     private static final Duration SUSPECT_TIME = Duration.ofSeconds(15);
 
     private final ControlThread control;
@@ -52,25 +53,25 @@
     private final PlacementStore store;
     private final PlacementFeed feed;
     private final PlacementLease lease;
-    private final PlacementPlanner planner = new PlacementPlanner(GONE_AFTER, SUSPECT_TIME);
+    private final PlacementPlanner planner = new PlacementPlanner(UNLISTED_TIMEOUT, SUSPECT_TIME);
     private final VmList vmList;
-    private final LastHeard heard;
+    private final VmLiveness liveness;
     private final BooleanSupplier confirmed;
     private final Metrics metrics;
     private final Map<VmId, AgentEndpoint> known = new HashMap<>();
-    private final List<Waiter> waiters = new ArrayList<>();
-    private final Set<Integer> swapping = new HashSet<>();
+    private final List<WaitingRequest> waitingRequests = new ArrayList<>();
+    private final Set<Integer> shardsBeingWritten = new HashSet<>();
     private PlacementTable table = PlacementTable.UNREAD;
     private PeerNetwork network;
     private final Set<VmId> everListed = new HashSet<>();
-    private Duration askGap = QUICK;
-    private Instant nextAsk = Instant.MIN;
+    private Duration readInterval = WAIT_CHECK_PERIOD;
+    private Instant nextRead = Instant.MIN;
     private boolean planning;
 
-    Placement(
+    PlacementCoordinator(
             Node node,
             Fleet fleet,
-            LastHeard heard,
+            VmLiveness liveness,
             Duration leaseTerm,
             BooleanSupplier confirmed) {
         this.control = node.control();
@@ -80,100 +81,101 @@
         this.feed = new PollingPlacementFeed(control, store, node.placementPause(), node.metrics());
         this.lease = new PlacementLease(node, store, leaseTerm);
         this.vmList = node.vmList();
-        this.heard = heard;
+        this.liveness = liveness;
         this.confirmed = confirmed;
         this.metrics = node.metrics();
     }
 
-    private record Waiter(ModelName model, Instant until, Runnable step) {}
+    private record WaitingRequest(ModelName model, Instant until, Runnable step) {}
 
-    /** Begins; the network is for a last try to reach a VM that seems to be gone. */
+    /** Starts placement. The network serves to reach a VM that is missing from the list of VMs. */
     void start(PeerNetwork peers) {
         network = peers;
         control.run(
                 () -> {
                     lease.start(this::plan);
-                    feed.start(this::take);
-                    control.every(PERIOD, this::plan);
-                    control.every(QUICK, this::serveWaiters);
+                    feed.start(this::applyTable);
+                    control.every(PLAN_PERIOD, this::plan);
+                    control.every(WAIT_CHECK_PERIOD, this::pollForWaiting);
                 });
     }
 
-    /** Plans at once, as there may be new models. */
+    /** Plans at once, since the new configuration may have new models. */
     void configurationChanged() {
-        askGap = QUICK;
-        nextAsk = Instant.MIN;
+        readInterval = WAIT_CHECK_PERIOD;
+        nextRead = Instant.MIN;
         plan();
     }
 
     /**
-     * Runs the step once some VM may hold the request's model. A model whose ticket was accepted a
-     * moment ago has no right yet; its first request would be refused although a planner is about
-     * to give one. After a few seconds the step runs anyway and finds no upstream.
+     * Runs the step once at least one VM may hold the request's model. A model whose ticket was
+     * just accepted has no replica grant yet, and its first request would be refused although a
+     * planner is about to make one. After three seconds the step runs anyway and finds no upstream.
      */
     void whenPlaced(Request request, Runnable step) {
         if (request.target() instanceof Target.Model target
                 && !fleet.hasReplicaHolder(target.model())) {
-            Instant limit = control.clock().instant().plus(PATIENCE);
+            Instant limit = control.clock().instant().plus(MAX_WAIT);
             Instant until = request.deadline().isBefore(limit) ? request.deadline() : limit;
-            waiters.add(new Waiter(target.model(), until, step));
+            waitingRequests.add(new WaitingRequest(target.model(), until, step));
             plan();
         } else {
             step.run();
         }
     }
 
-    // A model that fits nowhere and is asked for all the time would have each router read ten times
-    // a second for nothing. So the gap grows while the table stays as it is.
-    private static Duration longer(Duration gap) {
-        Duration twice = gap.multipliedBy(2);
-        return twice.compareTo(PATIENCE) < 0 ? twice : PATIENCE;
+    // A model that fits on no VM but is requested all the time would make each router read the
+    // table
+    // ten times a second for nothing. So the interval doubles while the table doesn't change.
+    private static Duration doubleInterval(Duration interval) {
+        Duration twice = interval.multipliedBy(2);
+        return twice.compareTo(MAX_WAIT) < 0 ? twice : MAX_WAIT;
     }
 
-    private void serveWaiters() {
-        if (waiters.isEmpty()) {
+    private void pollForWaiting() {
+        if (waitingRequests.isEmpty()) {
             return;
         }
         Instant now = control.clock().instant();
-        if (!now.isBefore(nextAsk)) {
-            nextAsk = now.plus(askGap);
-            askGap = longer(askGap);
+        if (!now.isBefore(nextRead)) {
+            nextRead = now.plus(readInterval);
+            readInterval = doubleInterval(readInterval);
             feed.refresh();
         }
-        serve(now);
+        runReadySteps(now);
     }
 
-    private void serve(Instant now) {
-        for (Waiter waiter : List.copyOf(waiters)) {
-            if (fleet.hasReplicaHolder(waiter.model) || !now.isBefore(waiter.until)) {
-                waiters.remove(waiter);
-                waiter.step.run();
+    private void runReadySteps(Instant now) {
+        for (WaitingRequest waiting : List.copyOf(waitingRequests)) {
+            if (fleet.hasReplicaHolder(waiting.model) || !now.isBefore(waiting.until)) {
+                waitingRequests.remove(waiting);
+                waiting.step.run();
             }
         }
     }
 
-    private void take(PlacementTable newer) {
+    private void applyTable(PlacementTable newer) {
         if (!newer.shards().equals(table.shards())) {
-            askGap = QUICK;
+            readInterval = WAIT_CHECK_PERIOD;
         }
         table = newer;
         fleet.setReplicaHolders(newer.usableHolders());
         newer.shards().forEach(this::clearSuspicions);
-        serve(control.clock().instant());
+        runReadySteps(control.clock().instant());
     }
 
     private void clearSuspicions(int number, PlacementTable.Stored stored) {
-        Set<VmId> alive = heard.lately(control.clock().instant());
-        for (ReplicaGrant right : stored.shard().grants()) {
-            if (right.suspected() && alive.contains(right.vm())) {
+        Set<VmId> alive = liveness.recentlyHeardFrom(control.clock().instant());
+        for (ReplicaGrant grant : stored.shard().grants()) {
+            if (grant.suspected() && alive.contains(grant.vm())) {
                 metrics.count("placement_suspicions_cleared");
-                swap(
+                writeShard(
                         number,
                         () ->
                                 store.changeGrants(
                                         number,
                                         stored,
-                                        right.vm(),
+                                        grant.vm(),
                                         read ->
                                                 read.map(
                                                         each ->
@@ -187,7 +189,7 @@
 
     private void plan() {
         fleet.endpoints().forEach(member -> known.put(member.vm(), member));
-        if (planning || !lease.held() || !confirmed.getAsBoolean()) {
+        if (planning || !lease.isHeld() || !confirmed.getAsBoolean()) {
             return;
         }
         planning = true;
@@ -196,7 +198,7 @@
 
     private void listed(List<VmList.Vm> vms, Throwable failure) {
         planning = false;
-        if (failure != null || !lease.held()) {
+        if (failure != null || !lease.isHeld()) {
             return;
         }
         Map<VmId, VmList.Vm> listed = new HashMap<>();
@@ -205,14 +207,14 @@
         table.allGrants()
                 .map(ReplicaGrant::vm)
                 .filter(vm -> !listed.containsKey(vm))
-                .forEach(this::tryToReach);
+                .forEach(this::openLink);
         PlacementPlanner.View view =
                 new PlacementPlanner.View(
                         table,
                         now.models(),
                         candidates(listed),
                         present(listed.keySet()),
-                        heard.lately(control.clock().instant()));
+                        liveness.recentlyHeardFrom(control.clock().instant()));
         planner.on(view, control.clock().instant()).forEach(proposal -> propose(proposal, now));
     }
 
@@ -232,8 +234,8 @@
         return vm != null && vm.state() == VmList.State.LEAVING;
     }
 
-    // The list lags: an agent that registered and was never listed has just come. Taken for gone,
-    // it would lose the rights it loads under, and a model would be held twice.
+    // The list lags, so a registered agent that was never listed has just started. If it counted as
+    // gone, it would lose the grants under which it is loading, and a model would be held twice.
     private Set<VmId> present(Set<VmId> listed) {
         everListed.addAll(listed);
         Set<VmId> present = new HashSet<>(listed);
@@ -244,8 +246,8 @@
         return present;
     }
 
-    // A link that opens brings heartbeats, and those are word from the VM.
-    private void tryToReach(VmId vm) {
+    // A link that opens brings heartbeats, which show that the VM is alive.
+    private void openLink(VmId vm) {
         AgentEndpoint member = known.get(vm);
         if (member != null) {
             network.link(new PeerAddress(vm, member.host(), member.port()));
@@ -254,24 +256,27 @@
 
     private void propose(PlacementPlanner.Proposal proposal, Configuration now) {
         try {
-            swap(proposal.shard(), () -> store.applyProposal(proposal, now));
+            writeShard(proposal.shard(), () -> store.applyProposal(proposal, now));
         } catch (PlacementException e) {
             metrics.count("placement_proposals_refused");
-            LOG.error("a proposal for shard {} is not legal", proposal.shard(), e);
+            LOG.error(
+                    "skipped a placement proposal for shard {}: it violates the placement rules",
+                    proposal.shard(),
+                    e);
         }
     }
 
-    private void swap(int number, Supplier<CompletionStage<Boolean>> write) {
-        if (swapping.contains(number)) {
+    private void writeShard(int number, Supplier<CompletionStage<Boolean>> write) {
+        if (shardsBeingWritten.contains(number)) {
             return;
         }
         CompletionStage<Boolean> written = write.get();
-        swapping.add(number);
+        shardsBeingWritten.add(number);
         written.whenComplete(
                 (done, failure) ->
                         control.run(
                                 () -> {
-                                    swapping.remove(number);
+                                    shardsBeingWritten.remove(number);
                                     count(done, failure);
                                     feed.refresh();
                                 }));
--- a/damaskyoke/src/main/java/io/damaskyoke/router/ProcessList.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/ProcessList.java
@@ -15,8 +15,8 @@
 import java.util.function.Supplier;
 
 /**
- * Who belongs to the deployment, for operators who want to ask every process: the platform's list,
- * or its last answer while it is down, and the agents that it doesn't show yet.
+ * Lists the processes of the deployment, for operators who want to query each of them: the
+ * platform's list of VMs, or its last answer while it is down, plus the agents not listed yet.
  */
 final class ProcessList {
     private static final String UNLISTED = "unlisted";
@@ -24,7 +24,7 @@
     private final ControlThread control;
     private final VmList vmList;
     private final Fleet fleet;
-    private final VmId here;
+    private final VmId localVm;
     private final Supplier<String> operatorUrl;
     private volatile List<VmList.Vm> last = List.of();
 
@@ -32,16 +32,16 @@
             ControlThread control,
             VmList vmList,
             Fleet fleet,
-            VmId here,
+            VmId localVm,
             Supplier<String> operatorUrl) {
         this.control = control;
         this.vmList = vmList;
         this.fleet = fleet;
-        this.here = here;
+        this.localVm = localVm;
         this.operatorUrl = operatorUrl;
     }
 
-    /** Everyone, by VM; never fails. */
+    /** Returns all processes, sorted by VM; never fails. */
     CompletionStage<List<ProcessEntry>> read() {
         return vmList.read()
                 .handle((vms, failure) -> failure == null ? remember(vms) : last)
@@ -55,7 +55,8 @@
 
     private List<ProcessEntry> merge(List<VmList.Vm> vms) {
         Map<String, ProcessEntry> all = new TreeMap<>();
-        ProcessEntry self = new ProcessEntry(here.value(), "router", UNLISTED, operatorUrl.get());
+        ProcessEntry self =
+                new ProcessEntry(localVm.value(), "router", UNLISTED, operatorUrl.get());
         all.put(self.vm(), self);
         for (AgentEndpoint agent : fleet.endpoints()) {
             String vm = agent.vm().value();
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestDispatcher.java
@@ -37,11 +37,11 @@
 import java.util.function.Supplier;
 
 /**
- * Takes requests from the caller side, lets them in or not, and starts a {@link RequestFlow} for
- * each. Its state belongs to the control thread.
+ * Receives requests from the caller side, admits or refuses them, and starts a {@link RequestFlow}
+ * for each admitted one. Its state is confined to the control thread.
  */
 final class RequestDispatcher implements Dispatcher {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private static final Duration IDLE_LIMIT = Duration.ofMinutes(1);
 
     final ControlThread control;
@@ -49,7 +49,7 @@
     final PeerNetwork network;
     final ExchangeClient client;
     final Admission admission;
-    final RetryBudget retries;
+    final RetryBudget retryBudget;
     final Claims claims;
     final Metrics metrics;
     final Timeline timeline;
@@ -61,37 +61,37 @@
     private final IdleLinks idleLinks;
     private int waiting;
 
-    RequestDispatcher(Parts parts) {
-        this.control = parts.control();
-        this.fleet = parts.fleet();
-        this.network = parts.network();
+    RequestDispatcher(RequestDispatcher.Dependencies dependencies) {
+        this.control = dependencies.control();
+        this.fleet = dependencies.fleet();
+        this.network = dependencies.network();
         this.idleLinks = new IdleLinks(IDLE_LIMIT, network::forget);
-        this.client = parts.client();
-        this.admission = parts.admission();
-        this.retries = parts.retries();
-        this.claims = parts.claims();
-        this.metrics = parts.metrics();
-        this.timeline = parts.timeline();
-        this.configuration = parts.configuration();
-        this.confirmed = parts.confirmed();
-        this.maxWaiting = parts.maxWaiting();
-        this.whenPlaced = parts.whenPlaced();
+        this.client = dependencies.client();
+        this.admission = dependencies.admission();
+        this.retryBudget = dependencies.retryBudget();
+        this.claims = dependencies.claims();
+        this.metrics = dependencies.metrics();
+        this.timeline = dependencies.timeline();
+        this.configuration = dependencies.configuration();
+        this.confirmed = dependencies.confirmed();
+        this.maxWaiting = dependencies.maxWaiting();
+        this.whenPlaced = dependencies.whenPlaced();
     }
 
     /**
-     * What a dispatcher works with.
+     * The collaborators of a dispatcher.
      *
      * @param confirmed whether the configuration in force is known to be the newest
-     * @param maxWaiting requests that may be without an answer at once
-     * @param whenPlaced runs the step once some VM may hold the request's model
+     * @param maxWaiting the number of requests that may wait for an answer at once
+     * @param whenPlaced runs the step once at least one VM may hold the request's model
      */
-    record Parts(
+    record Dependencies(
             ControlThread control,
             Fleet fleet,
             PeerNetwork network,
             ExchangeClient client,
             Admission admission,
-            RetryBudget retries,
+            RetryBudget retryBudget,
             Claims claims,
             Metrics metrics,
             Timeline timeline,
@@ -103,59 +103,60 @@
     @Override
     public CompletionStage<Answer> dispatch(Request request, CancelSignal cancel) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
-        control.run(() -> begin(request, cancel, answer));
+        control.run(() -> receive(request, cancel, answer));
         return answer;
     }
 
-    /** Requests that were let in and are not over, streams included. */
+    /** Returns the number of admitted requests that have not finished, streams included. */
     int running() {
         return flows.size();
     }
 
-    /** Requests that have no answer yet. */
+    /** Returns the number of requests that have no answer yet. */
     int waiting() {
         return waiting;
     }
 
-    /** Refuses those that wait with a key that is no longer granted. */
+    /** Refuses the waiting requests whose caller key is no longer granted. */
     void configurationChanged(Configuration now) {
         for (RequestFlow flow : new ArrayList<>(flows)) {
             if (!now.isGranted(flow.request().key())) {
-                flow.keyWithdrawn();
+                flow.callerKeyWithdrawn();
             }
         }
     }
 
-    /** Closes links that no request has used for a while; to be called now and then. */
+    /** Closes the links that no request has used for a while; to be called periodically. */
     void closeIdleLinks() {
         idleLinks.closeIdle(fleet::hasOutstandingRequests, control.clock().instant());
     }
 
-    /** Connects to the agent's VM; fails if that is no longer known. */
+    /** Connects to the agent's VM; fails if the fleet no longer knows it. */
     CompletionStage<PeerLink> connect(VmId vm) {
         Optional<AgentEndpoint> member = fleet.endpoint(vm);
         if (member.isEmpty()) {
             return CompletableFuture.failedFuture(
-                    new RouterException(RouterException.Code.UNKNOWN_AGENT, "no agent on " + vm));
+                    new RouterException(
+                            RouterException.Code.UNKNOWN_AGENT, "no agent is known on VM " + vm));
         }
         PeerAddress address = new PeerAddress(vm, member.get().host(), member.get().port());
-        idleLinks.used(address, control.clock().instant());
+        idleLinks.recordUse(address, control.clock().instant());
         return network.connect(address);
     }
 
-    /** A flow got its answer. */
-    void answered() {
+    /** Records that a flow has its answer. */
+    void recordAnswered() {
         waiting--;
     }
 
-    /** A flow is over, its body included. */
-    void over(RequestFlow flow) {
+    /** Removes a flow that has finished, its body included. */
+    void removeFinished(RequestFlow flow) {
         flows.remove(flow);
     }
 
-    private void begin(Request request, CancelSignal cancel, CompletableFuture<Answer> answer) {
+    private void receive(Request request, CancelSignal cancel, CompletableFuture<Answer> answer) {
         Instant now = control.clock().instant();
-        Optional<Refusal> refusal = atTheDoor(request);
+        Optional<Refusal> refusal = checkAcceptable(request);
         if (refusal.isPresent()) {
             refuse(request, refusal.get(), answer);
             return;
@@ -168,13 +169,13 @@
                     waiting--;
                     verdict.ifPresentOrElse(
                             refused -> refuse(request, refused, answer),
-                            () -> admitted(request, cancel, answer));
+                            () -> startFlow(request, cancel, answer));
                 });
     }
 
-    // A payment may come again after it ran at another router. Refused here before anybody looked
-    // for its key, it has not run this time; told "not run", its caller would pay a second time
-    // under another key.
+    // A payment may be repeated after it ran at another router. Refused here before its key was
+    // looked up, it didn't run this time; but if the refusal said "not run", its caller would pay a
+    // second time under another key.
     private void refuse(Request request, Refusal refusal, CompletableFuture<Answer> answer) {
         metrics.count("router_refused", "code", refusal.code().wireName());
         boolean notRun = refusal.notRun() && !request.claimable();
@@ -184,27 +185,27 @@
                                 refusal.code(), refusal.message(), notRun, refusal.retryAfter())));
     }
 
-    private void admitted(Request request, CancelSignal cancel, CompletableFuture<Answer> answer) {
-        RequestFlow flow = new RequestFlow(this, request, choice(request), answer);
+    private void startFlow(Request request, CancelSignal cancel, CompletableFuture<Answer> answer) {
+        RequestFlow flow = new RequestFlow(this, request, agentSelector(request), answer);
         flows.add(flow);
         waiting++;
         whenPlaced.accept(request, flow::start);
-        cancel.onCancel(() -> control.run(flow::callerGone));
+        cancel.onCancel(() -> control.run(flow::callerDisconnected));
     }
 
-    private Optional<Refusal> atTheDoor(Request request) {
+    private Optional<Refusal> checkAcceptable(Request request) {
         if (!confirmed.getAsBoolean()) {
             return refusal(
                     RefusalCode.CONFIGURATION_UNCONFIRMED,
-                    "this router can't confirm that its configuration is the newest");
+                    "this router can't confirm that its configuration is up to date");
         }
         if (waiting >= maxWaiting) {
-            return refusal(RefusalCode.OVERLOADED, "too many requests wait here");
+            return refusal(RefusalCode.OVERLOADED, "too many requests are waiting at this router");
         }
-        return withdrawn(request);
+        return checkCallerKey(request);
     }
 
-    private Optional<Refusal> withdrawn(Request request) {
+    private Optional<Refusal> checkCallerKey(Request request) {
         if (configuration.get().isGranted(request.key())) {
             return Optional.empty();
         }
@@ -213,30 +214,30 @@
     }
 
     private static Optional<Refusal> refusal(RefusalCode code, String message) {
-        return Optional.of(Refusal.notRun(code, message).retryAfter(COME_BACK));
+        return Optional.of(Refusal.notRun(code, message).retryAfter(RETRY_AFTER));
     }
 
-    private RequestMachine.AgentSelector choice(Request request) {
+    private RequestMachine.AgentSelector agentSelector(Request request) {
         if (request.target() instanceof Target.Model target) {
-            return (tried, now) -> holder(target, tried, now);
+            return (tried, now) -> selectReplicaHolder(target, tried, now);
         }
         Target.Service target = (Target.Service) request.target();
-        return (tried, now) -> server(target, tried, now);
+        return (tried, now) -> selectServiceAgent(target, tried, now);
     }
 
-    private Optional<VmId> holder(Target.Model target, Set<VmId> tried, Instant now) {
+    private Optional<VmId> selectReplicaHolder(Target.Model target, Set<VmId> tried, Instant now) {
         Model model = configuration.get().models().get(target.model());
         return model == null ? Optional.empty() : fleet.selectForModel(model, tried, now);
     }
 
-    private Optional<VmId> server(Target.Service target, Set<VmId> tried, Instant now) {
+    private Optional<VmId> selectServiceAgent(Target.Service target, Set<VmId> tried, Instant now) {
         Service service = configuration.get().services().get(target.service());
         return service == null
                 ? Optional.empty()
                 : fleet.selectForService(service.pool(), tried, now);
     }
 
-    /** The flows under way, for a stop that has reached its limit. */
+    /** Returns the unfinished flows, which a stop aborts once its limit is reached. */
     List<RequestFlow> flows() {
         return List.copyOf(flows);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/RequestFlow.java
@@ -20,11 +20,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One request on its way: feeds a {@link RequestMachine} with what happens and carries out what it
- * decides. Runs on the control thread only.
+ * Drives one request from admission to its answer: feeds events to a {@link RequestMachine} and
+ * carries out the actions that it returns. Control thread only.
  */
 final class RequestFlow {
-    private static final Duration RELEASE_LIMIT = Duration.ofSeconds(1);
+    private static final Duration RELEASE_TIMEOUT = Duration.ofSeconds(1);
 
     private final RequestDispatcher dispatcher;
     private final Request request;
@@ -34,21 +34,22 @@
     private Exchange exchange;
     private ExchangeResult.Served served;
     private HeldClaim claim;
-    private ClaimRecord before;
+    private ClaimRecord recordedAnswer;
     private boolean closed;
 
     RequestFlow(
             RequestDispatcher dispatcher,
             Request request,
-            RequestMachine.AgentSelector choice,
+            RequestMachine.AgentSelector agentSelector,
             CompletableFuture<Answer> answer) {
         this.dispatcher = dispatcher;
         this.request = request;
         this.answer = answer;
         this.machine =
                 request.claimable()
-                        ? RequestMachine.withIdempotencyKey(choice, dispatcher.retries)
-                        : RequestMachine.of(request.idempotent(), choice, dispatcher.retries);
+                        ? RequestMachine.withIdempotencyKey(agentSelector, dispatcher.retryBudget)
+                        : RequestMachine.of(
+                                request.idempotent(), agentSelector, dispatcher.retryBudget);
         this.deadline = dispatcher.control.after(timeLeft(), this::deadlinePassed);
     }
 
@@ -66,18 +67,18 @@
         feed(new RequestInput.Admitted());
     }
 
-    void callerGone() {
+    void callerDisconnected() {
         feed(new RequestInput.CallerDisconnected());
     }
 
-    void keyWithdrawn() {
+    void callerKeyWithdrawn() {
         feed(new RequestInput.CallerKeyWithdrawn());
     }
 
-    /** Breaks off whatever is left of it, since the process has to end. */
+    /** Aborts the request, since the process is about to stop. */
     void abort() {
         if (machine.isAnswered() && exchange != null) {
-            exchange.cancel(ExchangeException.Code.REVOKED, "the router has to stop");
+            exchange.cancel(ExchangeException.Code.REVOKED, "the router is stopping");
         } else {
             feed(new RequestInput.DeadlinePassed());
         }
@@ -136,7 +137,7 @@
                 .release(claim)
                 .thenAccept(confirmed -> feed(new RequestInput.ClaimReleaseFinished(confirmed)));
         dispatcher.control.after(
-                RELEASE_LIMIT, () -> feed(new RequestInput.ClaimReleaseFinished(false)));
+                RELEASE_TIMEOUT, () -> feed(new RequestInput.ClaimReleaseFinished(false)));
     }
 
     private void lookUp() {
@@ -144,7 +145,7 @@
     }
 
     private void claimed(VmId vm, ClaimResult result) {
-        if (result instanceof ClaimResult.Held held) {
+        if (result instanceof ClaimResult.Claimed held) {
             claim = held.claim();
             feed(new RequestInput.KeyClaimed(vm));
         } else {
@@ -155,8 +156,8 @@
     private void claimRefused(ClaimResult result) {
         if (result instanceof ClaimResult.NotFound) {
             feed(new RequestInput.KeyNotFound());
-        } else if (result instanceof ClaimResult.Before found) {
-            before = found.settled();
+        } else if (result instanceof ClaimResult.AlreadyAnswered found) {
+            recordedAnswer = found.settled();
             feed(new RequestInput.RecordedAnswerFound());
         } else {
             feed(new RequestInput.ClaimRefused(((ClaimResult.Refused) result).refusal()));
@@ -182,15 +183,20 @@
         dispatcher.timeline.add(
                 EventType.HANDED_OVER, request.id().toString(), Map.of("vm", vm.value()));
         exchange = dispatcher.client.invoke(link, request, timeLeft());
-        exchange.result().thenAccept(result -> dispatcher.control.run(() -> resulted(vm, result)));
+        exchange.result()
+                .thenAccept(result -> dispatcher.control.run(() -> handleResult(vm, result)));
     }
 
-    private void resulted(VmId vm, ExchangeResult result) {
-        if (result instanceof ExchangeResult.Served begun) {
-            begun(vm, begun);
+    private void handleResult(VmId vm, ExchangeResult result) {
+        if (result instanceof ExchangeResult.Served started) {
+            answerStarted(vm, started);
         } else if (result instanceof ExchangeResult.Refused refused) {
             dispatcher.fleet.countFinished(vm);
-            refused.load().ifPresent(load -> dispatcher.fleet.updateLoad(vm, Loads.fromWire(load)));
+            refused.load()
+                    .ifPresent(
+                            load ->
+                                    dispatcher.fleet.updateLoad(
+                                            vm, AgentLoadParser.fromWire(load)));
             feed(new RequestInput.AgentRefused(vm, refused.refusal()));
         } else if (result instanceof ExchangeResult.NotSent) {
             dispatcher.fleet.countFinished(vm);
@@ -201,25 +207,25 @@
         }
     }
 
-    private void begun(VmId vm, ExchangeResult.Served result) {
+    private void answerStarted(VmId vm, ExchangeResult.Served result) {
         served = result;
         result.ending()
                 .whenComplete(
                         (ending, failure) ->
-                                dispatcher.control.run(() -> ended(vm, ending, failure)));
+                                dispatcher.control.run(() -> answerEnded(vm, ending, failure)));
         if (machine.isAnswered() && claim != null) {
-            dispatcher.claims.recordUnwanted(claim, result);
+            dispatcher.claims.recordUndelivered(claim, result);
         } else if (machine.isAnswered()) {
             exchange.cancel("the answer came too late");
         }
         feed(new RequestInput.AnswerStarted(vm));
     }
 
-    private void ended(VmId vm, ExchangeResult.Ending ending, Throwable failure) {
+    private void answerEnded(VmId vm, ExchangeResult.Ending ending, Throwable failure) {
         dispatcher.fleet.countFinished(vm);
         long tokens = request.tokens();
         if (failure == null) {
-            dispatcher.fleet.updateLoad(vm, Loads.fromWire(ending.load()));
+            dispatcher.fleet.updateLoad(vm, AgentLoadParser.fromWire(ending.load()));
             tokens = ending.tokensUsed() > 0 ? ending.tokensUsed() : request.tokens();
             dispatcher.timeline.add(EventType.ANSWERED, request.id().toString());
         } else {
@@ -229,25 +235,27 @@
     }
 
     private void deliver() {
-        dispatcher.answered();
+        dispatcher.recordAnswered();
         dispatcher.metrics.count("router_served");
         answer.complete(
                 new Answer.Served(
                         served.status(),
                         served.headers(),
-                        claim == null ? served.body() : dispatcher.claims.recorded(claim, served)));
+                        claim == null
+                                ? served.body()
+                                : dispatcher.claims.recordingBody(claim, served)));
     }
 
     private void replay() {
-        dispatcher.answered();
+        dispatcher.recordAnswered();
         dispatcher.metrics.count("router_served");
         dispatcher.timeline.add(EventType.ANSWERED, request.id().toString());
-        answer.complete(ClaimReplay.of(before));
+        answer.complete(ClaimReplay.of(recordedAnswer));
         close(0);
     }
 
     private void reply(Refusal refusal) {
-        dispatcher.answered();
+        dispatcher.recordAnswered();
         dispatcher.metrics.count("router_refused", "code", refusal.code().wireName());
         dispatcher.timeline.add(
                 EventType.REFUSED,
@@ -266,7 +274,7 @@
         closed = true;
         deadline.cancel();
         dispatcher.admission.settle(request, tokens, now());
-        dispatcher.over(this);
+        dispatcher.removeFinished(this);
     }
 
     private Duration timeLeft() {
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
@@ -34,23 +34,21 @@
 import java.util.function.IntSupplier;
 
 /**
- * A router.
+ * A router process: serves callers and operators, and forwards requests to the agents.
  *
  * <p>{@code Router router = Router.start(settings); ... router.stop();}
- *
- * <p>It meets callers and operators, and sends requests on to the agents.
  */
 public final class Router {
-    private static final Duration START_LIMIT = Duration.ofSeconds(20);
-    private static final Duration IDLE_CHECK = Duration.ofSeconds(10);
-    private static final Duration CLAIMS_LIMIT = Duration.ofSeconds(2);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration IDLE_LINK_CHECK_PERIOD = Duration.ofSeconds(10);
+    private static final Duration CLAIM_WRITE_TIMEOUT = Duration.ofSeconds(2);
     private static final long STOP_POLL_MILLIS = 20;
 
     private final RouterSettings settings;
     private final Node node;
     private final AtomicLong counter = new AtomicLong();
     private final Fleet fleet;
-    private final Placement placement;
+    private final PlacementCoordinator placement;
     private final RateAdmission rates;
     private final RequestDispatcher dispatcher;
     private final PeerNetwork network;
@@ -71,8 +69,8 @@
                         () -> node.configuration().current().sequence(),
                         node.metrics());
         ClaimQueries queries = new ClaimQueries(node.control());
-        LastHeard heard = new LastHeard(node.control().clock());
-        this.placement = placement(heard);
+        VmLiveness liveness = new VmLiveness(node.control().clock());
+        this.placement = placement(liveness);
         this.rates =
                 new RateAdmission(
                         rateParts(node), node.vm(), node.incarnation(), RateSettings.defaults());
@@ -82,22 +80,22 @@
                         .listen(client)
                         .listen(queries)
                         .listen(new AgentListener(node.control(), fleet))
-                        .listen(heard)
+                        .listen(liveness)
                         .listen(ratePeers)
                         .build()
                         .start();
         ratePeers.over(network);
-        this.dispatcher = new RequestDispatcher(parts(client, queries));
+        this.dispatcher = new RequestDispatcher(dispatcherDependencies(client, queries));
         node.control().run(() -> startRates(ratePeers));
-        node.configuration().onChange(now -> node.control().run(() -> changed(now)));
+        node.configuration().onChange(now -> node.control().run(() -> configurationChanged(now)));
         this.processList =
                 new ProcessList(node.control(), node.vmList(), fleet, node.vm(), this::operatorUrl);
         AgentDirectory agents = new AgentDirectory(fleet, node.metrics());
-        node.onVmList(agents::listed);
-        node.onAgents(agents::registered);
+        node.onVmList(agents::updateVmList);
+        node.onAgents(agents::updateRegistrations);
         node.join(network);
         placement.start(network);
-        node.control().every(IDLE_CHECK, dispatcher::closeIdleLinks);
+        node.control().every(IDLE_LINK_CHECK_PERIOD, dispatcher::closeIdleLinks);
         this.callers = await(startCallers());
         this.operators = await(startOperators());
     }
@@ -114,7 +112,7 @@
         }
     }
 
-    /** What the process says once it takes work. */
+    /** Returns the line that the process prints once it accepts requests. */
     public ReadyLine ready() {
         String host = settings.caller().host();
         return node.readyLine(settings.operator().host(), operators.port(), network.port())
@@ -122,9 +120,9 @@
     }
 
     /**
-     * Ends gracefully: turns not ready, waits for the balancer to notice, takes nothing new, lets
-     * what runs finish up to the settings' limit, and then ends. A second call returns when the
-     * first one has.
+     * Stops gracefully: reports not ready, waits for the load balancer to notice, accepts no new
+     * requests, lets running ones finish within the settings' limit, and then closes. A second call
+     * returns when the first one has.
      */
     public synchronized void stop() {
         if (stopped) {
@@ -137,7 +135,7 @@
         closed = true;
         callers.unbind();
         awaitNone(this::running, settings.stop().limit());
-        awaitNone(this::claimsPending, CLAIMS_LIMIT);
+        awaitNone(this::claimsPending, CLAIM_WRITE_TIMEOUT);
         node.control().call(this::abortAll).toCompletableFuture().join();
         rates.leave(settings.platform().storeTimeout());
         callers.terminate(Duration.ofSeconds(1)).toCompletableFuture().join();
@@ -146,9 +144,10 @@
         node.close();
     }
 
-    private RequestDispatcher.Parts parts(ExchangeClient client, ClaimQueries queries) {
+    private RequestDispatcher.Dependencies dispatcherDependencies(
+            ExchangeClient client, ClaimQueries queries) {
         ControlThread control = node.control();
-        return new RequestDispatcher.Parts(
+        return new RequestDispatcher.Dependencies(
                 control,
                 fleet,
                 network,
@@ -164,11 +163,11 @@
                 placement::whenPlaced);
     }
 
-    private Placement placement(LastHeard heard) {
-        return new Placement(
+    private PlacementCoordinator placement(VmLiveness liveness) {
+        return new PlacementCoordinator(
                 node,
                 fleet,
-                heard,
+                liveness,
                 settings.control().placementLease(),
                 () -> node.configuration().isConfirmed(settings.control().unconfirmedLimit()));
     }
@@ -224,7 +223,7 @@
         return node.control()
                 .call(() -> RouterStatus.of(node, fleet, dispatcher, stopping))
                 .toCompletableFuture()
-                .orTimeout(START_LIMIT.toSeconds(), TimeUnit.SECONDS)
+                .orTimeout(START_TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                 .join();
     }
 
@@ -237,12 +236,12 @@
             return Optional.of("stopping");
         }
         if (!node.configuration().isConfirmed(settings.control().unconfirmedLimit())) {
-            return Optional.of("the configuration is not confirmed");
+            return Optional.of("the configuration is not confirmed to be up to date");
         }
         return Optional.empty();
     }
 
-    private void changed(Configuration now) {
+    private void configurationChanged(Configuration now) {
         rates.configured(now.workspaces());
         dispatcher.configurationChanged(now);
         placement.configurationChanged();
@@ -261,7 +260,7 @@
     }
 
     private int claimsPending() {
-        return node.control().call(dispatcher.claims::pending).toCompletableFuture().join();
+        return node.control().call(dispatcher.claims::pendingWrites).toCompletableFuture().join();
     }
 
     private int running() {
@@ -270,7 +269,7 @@
 
     private static <T> T await(CompletionStage<T> stage) {
         try {
-            return stage.toCompletableFuture().get(START_LIMIT.toSeconds(), TimeUnit.SECONDS);
+            return stage.toCompletableFuture().get(START_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             throw new CompletionException(e.getCause());
         } catch (TimeoutException e) {
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimRouter.java
@@ -29,43 +29,45 @@
 import java.util.function.Function;
 import org.apache.pekko.util.ByteString;
 
-/** The claims of one life of a router, over a fake store and agents that can be asked. */
+/** The claims of one incarnation of a router, over a fake store and agents to query. */
 final class ClaimRouter {
-    private final Life life;
+    private final SimulatedProcess process;
     private final Incarnation incarnation;
     private final ClaimQueries queries;
     private final Claims claims;
     private long counter;
 
-    /** An agent, as far as it answers queries. */
-    interface Asked {
+    /** An agent that answers claim queries. */
+    interface QueriedAgent {
         Optional<ClaimRecord> find(Request request);
     }
 
-    private ClaimRouter(Life life, KeyValueStore store, Incarnation incarnation, long seed) {
-        this.life = life;
+    private ClaimRouter(
+            SimulatedProcess process, KeyValueStore store, Incarnation incarnation, long seed) {
+        this.process = process;
         this.incarnation = incarnation;
-        this.queries = new ClaimQueries(life);
+        this.queries = new ClaimQueries(process);
         Metrics metrics = new Metrics();
         ClaimSettings settings = ClaimSettings.defaults();
         this.claims =
                 new Claims(
-                        life,
-                        new ClaimStore(life, store, metrics, settings, new Random(seed)),
+                        process,
+                        new ClaimStore(process, store, metrics, settings, new Random(seed)),
                         queries,
                         metrics,
-                        Timeline.of("router", HybridClock.over(life.clock()), 100),
+                        Timeline.of("router", HybridClock.over(process.clock()), 100),
                         "/test",
                         settings,
                         null);
     }
 
-    static ClaimRouter start(Life life, KeyValueStore store, String name, long seed) {
-        return new ClaimRouter(life, store, Incarnation.of(name), seed);
+    static ClaimRouter start(
+            SimulatedProcess process, KeyValueStore store, String name, long seed) {
+        return new ClaimRouter(process, store, Incarnation.of(name), seed);
     }
 
-    Life life() {
-        return life;
+    SimulatedProcess process() {
+        return process;
     }
 
     Claims claims() {
@@ -89,28 +91,32 @@
     }
 
     CompletionStage<ClaimResult> claim(
-            HeldClaim held, Request request, VmId vm, Map<VmId, ? extends Asked> agents) {
+            HeldClaim held,
+            Request request,
+            VmId vm,
+            Map<VmId, ? extends ClaimRouter.QueriedAgent> agents) {
         Function<VmId, CompletionStage<PeerLink>> connect = connect(request, agents);
         return held == null
                 ? claims.claim(request, vm, connect)
                 : claims.move(held, request, vm, connect);
     }
 
-    CompletionStage<ClaimResult> lookUp(Request request, Map<VmId, ? extends Asked> agents) {
+    CompletionStage<ClaimResult> lookUp(
+            Request request, Map<VmId, ? extends ClaimRouter.QueriedAgent> agents) {
         return claims.lookUp(request, connect(request, agents));
     }
 
     private Function<VmId, CompletionStage<PeerLink>> connect(
-            Request request, Map<VmId, ? extends Asked> agents) {
+            Request request, Map<VmId, ? extends ClaimRouter.QueriedAgent> agents) {
         return asked -> CompletableFuture.completedFuture(new Link(agents.get(asked), request));
     }
 
-    /** Answers a query at once. */
+    /** A link whose agent answers each claim query at once. */
     private final class Link implements PeerLink {
-        private final Asked agent;
+        private final ClaimRouter.QueriedAgent agent;
         private final Request request;
 
-        Link(Asked agent, Request request) {
+        Link(ClaimRouter.QueriedAgent agent, Request request) {
             this.agent = agent;
             this.request = request;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimSimulation.java
@@ -25,19 +25,19 @@
 import java.util.TreeMap;
 
 /**
- * Routers, agents and a store that fail at random, and callers who repeat payments; everything that
- * must not happen is noted in {@link #broken}.
+ * Simulates routers, agents and a store that fail at random, and callers who repeat payments. Every
+ * violation of the rules for claims is recorded in {@link #violations}.
  */
-public final class ClaimWorld {
-    private static final int LENGTH_MILLIS = 60_000;
+public final class ClaimSimulation {
+    private static final int DURATION_MILLIS = 60_000;
     private static final int ROUTERS = 3;
     private static final int AGENTS = 2;
     private static final int KEYS = 4;
-    private static final int TRIES = 40;
+    private static final int ATTEMPTS = 40;
     private static final Duration DEADLINE = Duration.ofSeconds(8);
-    private static final Duration RELEASE_LIMIT = Duration.ofSeconds(1);
+    private static final Duration RELEASE_TIMEOUT = Duration.ofSeconds(1);
 
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     final Map<String, Integer> executions = new TreeMap<>();
     final Map<String, Integer> answers = new TreeMap<>();
     private final Map<String, String> settled = new HashMap<>();
@@ -51,9 +51,9 @@
     private final boolean naive;
     private final List<ClaimRouter> routers = new ArrayList<>();
     private final Map<VmId, FakeAgent> agents = new TreeMap<>();
-    private int lives;
+    private int incarnations;
 
-    ClaimWorld(long seed, boolean naive) {
+    ClaimSimulation(long seed, boolean naive) {
         this.random = new Random(seed);
         this.naive = naive;
         this.control = new TestControlThread();
@@ -61,8 +61,8 @@
         populate();
     }
 
-    /** A world over somebody else's time and store. */
-    public ClaimWorld(long seed, TestControlThread control, KeyValueStore store) {
+    /** Creates a simulation that shares the caller's clock and store. */
+    public ClaimSimulation(long seed, TestControlThread control, KeyValueStore store) {
         this.random = new Random(seed);
         this.naive = false;
         this.control = control;
@@ -81,58 +81,62 @@
     }
 
     void run() {
-        for (int i = 0; i < TRIES; i++) {
-            at(LENGTH_MILLIS, this::payAtRandom);
+        for (int i = 0; i < ATTEMPTS; i++) {
+            at(DURATION_MILLIS, this::payAtRandom);
         }
         for (int i = 0; i < 6; i++) {
-            at(LENGTH_MILLIS, () -> failStore(random.nextInt(3)));
-            at(LENGTH_MILLIS, () -> replaceRouter(random.nextInt(ROUTERS)));
-            at(LENGTH_MILLIS, () -> agent(random.nextInt(AGENTS)).die());
+            at(DURATION_MILLIS, () -> failStore(random.nextInt(3)));
+            at(DURATION_MILLIS, () -> replaceRouter(random.nextInt(ROUTERS)));
+            at(DURATION_MILLIS, () -> agent(random.nextInt(AGENTS)).die());
         }
-        control.advance(Duration.ofMillis(2L * LENGTH_MILLIS));
+        control.advance(Duration.ofMillis(2L * DURATION_MILLIS));
     }
 
-    /** A caller pays, or repeats one of a few payments of this round, at one of the routers. */
+    /** Sends one of the few payments of this round, perhaps a repeat, to a random router. */
     public void pay(int round) {
         pay("pay-" + round + "-" + random.nextInt(KEYS));
     }
 
-    /** The life of a router; its control thread stops and ends with it. */
-    public Life life(int router) {
-        return routers.get(router).life();
+    /** Returns a router's control thread, which can be frozen and ended. */
+    public SimulatedProcess routerProcess(int router) {
+        return routers.get(router).process();
     }
 
-    /** Has an agent start anew, knowing nothing. */
-    public void killAgent(int number) {
+    /** Restarts an agent, which loses all its state. */
+    public void restartAgent(int number) {
         agent(number).die();
     }
 
-    /** How many payments were served. */
+    /** Returns the number of requests that were served. */
     public int served() {
         return answers.getOrDefault("served", 0);
     }
 
-    /** What has gone wrong so far, and who waits past a deadline. */
-    public List<String> faultsNow() {
-        List<String> found = new ArrayList<>(broken);
-        waiting.values().removeIf(flow -> flow.router.life().over());
+    /** Returns the violations so far and the requests that wait past their deadlines. */
+    public List<String> currentViolations() {
+        List<String> found = new ArrayList<>(violations);
+        waiting.values().removeIf(flow -> flow.router.process().hasEnded());
         for (Flow flow : waiting.values()) {
             boolean late = flow.request.deadline().isBefore(control.clock().instant());
-            if (late && !flow.router.life().frozen()) {
+            if (late && !flow.router.process().isFrozen()) {
                 found.add(flow.request.id() + " waits past its deadline");
             }
         }
         return found;
     }
 
-    /** Ends a router's life and begins another. */
+    /** Ends a router and starts a new incarnation of it. */
     public void replaceRouter(int number) {
-        routers.get(number).life().end();
+        routers.get(number).process().end();
         routers.set(number, router());
     }
 
     private ClaimRouter router() {
-        return ClaimRouter.start(new Life(control), store, "router:" + ++lives, random.nextLong());
+        return ClaimRouter.start(
+                new SimulatedProcess(control),
+                store,
+                "router:" + ++incarnations,
+                random.nextLong());
     }
 
     private void failStore(int how) {
@@ -177,7 +181,7 @@
         answers.merge("served", 1, Integer::sum);
         String first = settled.putIfAbsent(key(request), answer);
         if (!naive && first != null && !first.equals(answer)) {
-            broken.add(key(request) + " was answered as " + first + " and as " + answer);
+            violations.add(key(request) + " was answered as " + first + " and as " + answer);
         }
     }
 
@@ -189,31 +193,31 @@
         }
         saidNotRun.put(request.id(), true);
         if (executions.getOrDefault(key(request), 0) > 0) {
-            broken.add(request.id() + " was told not run, but " + key(request) + " has run");
+            violations.add(request.id() + " was told not run, but " + key(request) + " has run");
         }
     }
 
     private void execute(Request request) {
         if (executions.merge(key(request), 1, Integer::sum) > 1) {
-            broken.add(key(request) + " ran again");
+            violations.add(key(request) + " ran again");
         }
         if (saidNotRun.containsKey(request.id())) {
-            broken.add(request.id() + " ran after it was refused as not run");
+            violations.add(request.id() + " ran after it was refused as not run");
         }
     }
 
-    /** What a router's flow does, over agents that answer after random times or never. */
+    /** Simulates a router's request flow, over agents that answer after random times or never. */
     private final class Flow {
         private final ClaimRouter router;
         private final Request request;
         private final RequestMachine machine;
         private HeldClaim claim;
-        private ClaimRecord before;
+        private ClaimRecord recordedAnswer;
 
         Flow(ClaimRouter router, Request request) {
             this.router = router;
             this.request = request;
-            RequestMachine.AgentSelector choice =
+            RequestMachine.AgentSelector agentSelector =
                     (tried, now) ->
                             random.nextInt(8) == 0
                                     ? Optional.empty()
@@ -223,18 +227,18 @@
             RetryBudget budget = RetryBudget.of(1);
             this.machine =
                     naive
-                            ? RequestMachine.of(true, choice, budget)
-                            : RequestMachine.withIdempotencyKey(choice, budget);
+                            ? RequestMachine.of(true, agentSelector, budget)
+                            : RequestMachine.withIdempotencyKey(agentSelector, budget);
         }
 
         void later(Runnable step) {
-            soon(() -> router.life().run(step));
+            soon(() -> router.process().run(step));
         }
 
         void start() {
             waiting.put(request.id(), this);
             feed(new RequestInput.Admitted());
-            router.life().after(DEADLINE, () -> feed(new RequestInput.DeadlinePassed()));
+            router.process().after(DEADLINE, () -> feed(new RequestInput.DeadlinePassed()));
             if (random.nextInt(4) == 0) {
                 later(this::leave);
             }
@@ -246,7 +250,7 @@
         }
 
         private void feed(RequestInput input) {
-            if (router.life().over()) {
+            if (router.process().hasEnded()) {
                 return;
             }
             for (RequestAction action : machine.on(input, control.clock().instant())) {
@@ -265,7 +269,7 @@
             } else if (action instanceof RequestAction.Send send) {
                 soon(() -> agents.get(send.vm()).invoked(this));
             } else if (action instanceof RequestAction.ReplayAnswer) {
-                answered(request, new String(before.outcome().get().body().get()));
+                answered(request, new String(recordedAnswer.outcome().get().body().get()));
             } else if (action instanceof RequestAction.Refuse reply) {
                 refused(request, reply.refusal());
             }
@@ -276,12 +280,14 @@
                     .release(claim)
                     .thenAccept(
                             confirmed -> feed(new RequestInput.ClaimReleaseFinished(confirmed)));
-            router.life()
-                    .after(RELEASE_LIMIT, () -> feed(new RequestInput.ClaimReleaseFinished(false)));
+            router.process()
+                    .after(
+                            RELEASE_TIMEOUT,
+                            () -> feed(new RequestInput.ClaimReleaseFinished(false)));
         }
 
         private void claimed(VmId vm, ClaimResult result) {
-            if (result instanceof ClaimResult.Held held) {
+            if (result instanceof ClaimResult.Claimed held) {
                 claim = held.claim();
                 feed(new RequestInput.KeyClaimed(vm));
             } else {
@@ -292,8 +298,8 @@
         private void claimRefused(ClaimResult result) {
             if (result instanceof ClaimResult.NotFound) {
                 feed(new RequestInput.KeyNotFound());
-            } else if (result instanceof ClaimResult.Before found) {
-                before = found.settled();
+            } else if (result instanceof ClaimResult.AlreadyAnswered found) {
+                recordedAnswer = found.settled();
                 feed(new RequestInput.RecordedAnswerFound());
             } else {
                 feed(new RequestInput.ClaimRefused(((ClaimResult.Refused) result).refusal()));
@@ -301,7 +307,7 @@
         }
 
         private void served(VmId vm, ClaimRecord.Outcome outcome) {
-            if (router.life().over()) {
+            if (router.process().hasEnded()) {
                 return;
             }
             boolean wanted = !machine.isAnswered();
@@ -315,11 +321,11 @@
         }
     }
 
-    /** An agent that loses frames, refuses, runs, breaks off, and dies with all it knows. */
-    final class FakeAgent implements ClaimRouter.Asked {
+    /** An agent that loses frames, refuses, runs requests, drops links, and restarts empty. */
+    final class FakeAgent implements ClaimRouter.QueriedAgent {
         private final VmId vm;
         private KeyedOutcomes outcomes;
-        private int life;
+        private int incarnation;
 
         FakeAgent(VmId vm) {
             this.vm = vm;
@@ -327,7 +333,7 @@
         }
 
         void die() {
-            life++;
+            incarnation++;
             outcomes = new KeyedOutcomes(vm, 100);
         }
 
@@ -356,13 +362,13 @@
                 Refusal busy = Refusal.notRun(RefusalCode.OVERLOADED, "busy");
                 flow.later(() -> flow.feed(new RequestInput.AgentRefused(vm, busy)));
             } else {
-                int born = life;
-                soon(() -> run(flow, chance, born));
+                int startedIn = incarnation;
+                soon(() -> run(flow, chance, startedIn));
             }
         }
 
-        private void run(Flow flow, int chance, int born) {
-            if (life != born) {
+        private void run(Flow flow, int chance, int startedIn) {
+            if (incarnation != startedIn) {
                 flow.later(() -> flow.feed(new RequestInput.ConnectionLost(vm)));
                 return;
             }
--- a/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/ClaimsTest.java
@@ -22,15 +22,15 @@
 
     private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore();
-    private final ClaimRouter router = ClaimRouter.start(new Life(control), store, "router:1", 1);
+    private final ClaimRouter router =
+            ClaimRouter.start(new SimulatedProcess(control), store, "router:1", 1);
 
     @Test
-    void aClaimThatWasWrittenThoughItsRequestWasRefusedIsTakenBack() {
-        // The store takes the claim, loses its answer, and goes down for longer than the request
-        // can
-        // wait. The request is refused and never sent. Left in the store, its claim would have each
-        // repeat told that the outcome is unknown of a payment that never ran.
-        assertInstanceOf(ClaimResult.Held.class, claimed("pay-1", 1));
+    void aClaimWrittenForARefusedRequestIsReleased() {
+        // The store writes the claim, loses the answer, and is down until the request times out and
+        // is refused unsent. A claim left in the store would have each repeat refused with an
+        // unknown outcome although the payment never ran.
+        assertInstanceOf(ClaimResult.Claimed.class, claimed("pay-1", 1));
         store.loseAnswers(1);
         CompletableFuture<ClaimResult> lost = claim("pay-2");
         control.advance(Duration.ofMillis(20));
@@ -40,15 +40,15 @@
         assertFalse(refusal.notRun());
         store.down(false);
         control.advance(Duration.ofSeconds(5));
-        assertInstanceOf(ClaimResult.Held.class, claimed("pay-2", 1));
+        assertInstanceOf(ClaimResult.Claimed.class, claimed("pay-2", 1));
     }
 
     @Test
-    void aLookNeitherClaimsTheKeyNorRemovesItsClaim() {
-        // A payment's repeat comes while its pool has no agent. The look at a free key leaves it
-        // free, and the look at a claimed one finds the claim and leaves it where it is.
+    void aLookupNeitherClaimsTheKeyNorRemovesItsClaim() {
+        // A payment is repeated while its pool has no agent. Looking up a free key must leave it
+        // free, and looking up a claimed key must find the claim and leave it in place.
         assertInstanceOf(ClaimResult.NotFound.class, lookedUp("pay-3"));
-        assertInstanceOf(ClaimResult.Held.class, claimed("pay-3", 1));
+        assertInstanceOf(ClaimResult.Claimed.class, claimed("pay-3", 1));
         for (int i = 0; i < 2; i++) {
             Refusal refusal =
                     assertInstanceOf(ClaimResult.Refused.class, lookedUp("pay-3")).refusal();
@@ -57,16 +57,16 @@
     }
 
     @Test
-    void aLookInAnOutageEndsSoonAndFindsNothing() {
-        // Store and agents are gone at once. Waiting out the outage would serve nobody, since there
-        // is nobody to run the payment either; so the caller hears soon when to come back.
+    void aLookupDuringAnOutageEndsSoonAndFindsNothing() {
+        // Store and agents are down at the same time. Waiting for the store would be useless, as no
+        // agent could run the payment either; so the caller soon gets an answer with a retry time.
         store.down(true);
         assertInstanceOf(ClaimResult.NotFound.class, lookedUp("pay-4"));
     }
 
     private ClaimResult lookedUp(String key) {
         Request request = router.request(key, control.clock().instant().plus(DEADLINE));
-        Map<VmId, ClaimRouter.Asked> agents = Map.of(AGENT, asked -> Optional.empty());
+        Map<VmId, ClaimRouter.QueriedAgent> agents = Map.of(AGENT, asked -> Optional.empty());
         CompletableFuture<ClaimResult> result =
                 router.lookUp(request, agents).toCompletableFuture();
         control.advance(Duration.ofSeconds(2));
@@ -80,7 +80,7 @@
     }
 
     private CompletableFuture<ClaimResult> claim(String key) {
-        ClaimRouter.Asked knowsNothing = request -> Optional.empty();
+        ClaimRouter.QueriedAgent knowsNothing = request -> Optional.empty();
         return router.claim(
                         null,
                         router.request(key, control.clock().instant().plus(DEADLINE)),
--- a/damaskyoke/src/test/java/io/damaskyoke/router/IdleLinksTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/IdleLinksTest.java
@@ -19,18 +19,18 @@
     private final IdleLinks links = new IdleLinks(Duration.ofMinutes(1), closed::add);
 
     @Test
-    void aLinkThatWasUsedLatelyStays() {
-        links.used(ONE, NOW);
-        links.used(TWO, NOW.plusSeconds(30));
+    void onlyTheLinkThatWasNotUsedRecentlyIsClosed() {
+        links.recordUse(ONE, NOW);
+        links.recordUse(TWO, NOW.plusSeconds(30));
         links.closeIdle(vm -> false, NOW.plusSeconds(60));
         assertEquals(List.of(ONE), closed);
     }
 
-    // The caller of a long stream sees it whole. Its link was used last when it began, a minute
-    // ago; closed as idle, it would cut the stream.
+    // The link of a long stream counts as used only when the stream starts. If it were closed as
+    // idle after a minute, the stream would be cut.
     @Test
-    void aLinkWithARequestOnItIsNotIdle() {
-        links.used(ONE, NOW);
+    void aLinkWithARunningRequestIsNotClosed() {
+        links.recordUse(ONE, NOW);
         links.closeIdle(ONE.vm()::equals, NOW.plusSeconds(120));
         assertEquals(List.of(), closed);
         links.closeIdle(vm -> false, NOW.plusSeconds(121));
--- a/damaskyoke/src/test/java/io/damaskyoke/router/Life.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/router/SimulatedProcess.java
@@ -8,33 +8,33 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Supplier;
 
-/** The control thread of a process that can die and can be frozen. */
-public final class Life implements ControlThread {
+/** The control thread of a simulated process that can end and can be frozen. */
+public final class SimulatedProcess implements ControlThread {
     private final TestControlThread control;
-    private boolean over;
+    private boolean ended;
     private Instant frozenUntil = Instant.MIN;
 
-    Life(TestControlThread control) {
+    SimulatedProcess(TestControlThread control) {
         this.control = control;
     }
 
     void end() {
-        over = true;
+        ended = true;
     }
 
-    /** True once the process is gone. */
-    public boolean over() {
-        return over;
+    /** Returns true once the process has ended. */
+    public boolean hasEnded() {
+        return ended;
     }
 
-    /** Stops the process for so long; what comes meanwhile is done right after. */
+    /** Freezes the process for the given time; steps due meanwhile run right after it. */
     public void freeze(Duration time) {
         Instant end = control.clock().instant().plus(time);
         frozenUntil = end.isAfter(frozenUntil) ? end : frozenUntil;
     }
 
-    /** True while it is stopped. */
-    public boolean frozen() {
+    /** Returns true while the process is frozen. */
+    public boolean isFrozen() {
         return control.clock().instant().isBefore(frozenUntil);
     }
 
@@ -65,10 +65,10 @@
 
     private Runnable whileAlive(Runnable step) {
         return () -> {
-            if (!over && frozen()) {
+            if (!ended && isFrozen()) {
                 Instant now = control.clock().instant();
                 control.after(Duration.between(now, frozenUntil), whileAlive(step));
-            } else if (!over) {
+            } else if (!ended) {
                 step.run();
             }
         };
