--- a/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerBody.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerBody.java
@@ -8,8 +8,8 @@
 import org.apache.pekko.util.ByteString;
 
 /**
- * The bytes of an answer between the link, which brings them, and the consumer, who takes them.
- * What it holds is bounded by the credit that was granted; thread-safe.
+ * Buffers the body of an answer between the link that receives it and the stream that consumes it.
+ * The buffer is bounded by the credit granted to the sender. Thread-safe.
  */
 final class AnswerBody {
     private final Queue<ByteString> chunks = new ArrayDeque<>();
@@ -21,17 +21,17 @@
     private boolean running;
 
     /**
-     * An empty body.
+     * Creates an empty body.
      *
-     * @param taken told how many bytes the consumer has just taken
-     * @param cancelled told when the consumer wants no more
+     * @param taken receives the number of bytes that the consumer has just taken
+     * @param cancelled runs when the consumer cancels the body
      */
     AnswerBody(IntConsumer taken, Runnable cancelled) {
         this.taken = taken;
         this.cancelled = cancelled;
     }
 
-    /** The consumer's side; can be run once. */
+    /** Returns the stream of the body's bytes, which can be run only once. */
     Source<ByteString, NotUsed> source() {
         return Source.fromGraph(new AnswerSource(this));
     }
@@ -47,7 +47,7 @@
         call.run();
     }
 
-    /** No more comes: the body is whole if {@code why} is null, else it fails after the rest. */
+    /** Ends the body: complete if {@code why} is null, else failed after the buffered chunks. */
     void end(Throwable why) {
         Runnable call;
         synchronized (this) {
@@ -60,7 +60,7 @@
         call.run();
     }
 
-    /** Begins the one run; false if there was one. */
+    /** Starts the only run of the stream; returns false if it was started before. */
     synchronized boolean begin(Runnable wakeUp) {
         if (running) {
             return false;
@@ -70,7 +70,7 @@
         return true;
     }
 
-    /** The next chunk; null if there is none now. */
+    /** Returns the next chunk, or null if none is buffered. */
     ByteString poll() {
         ByteString next;
         synchronized (this) {
@@ -82,12 +82,12 @@
         return next;
     }
 
-    /** True if nothing is left and nothing more comes. */
+    /** Returns true if the body has ended and every chunk was taken. */
     synchronized boolean finished() {
         return ended && chunks.isEmpty();
     }
 
-    /** Why a finished body is not whole; null if it is. */
+    /** Returns why a finished body is incomplete, or null if it is complete. */
     synchronized Throwable failure() {
         return failure;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerSource.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerSource.java
@@ -9,7 +9,7 @@
 import org.apache.pekko.stream.stage.GraphStageLogic;
 import org.apache.pekko.util.ByteString;
 
-/** Streams an {@link AnswerBody} to whoever runs it. */
+/** Streams the chunks of an {@link AnswerBody}; a second run of the same body fails. */
 final class AnswerSource extends GraphStage<SourceShape<ByteString>> {
     private final AnswerBody body;
     private final Outlet<ByteString> out = Outlet.create("AnswerSource.out");
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Backoff.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Backoff.java
@@ -5,11 +5,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait before the next connection to one address.
+ * Computes how long to wait before the next connection to one address, with full jitter.
  *
- * <p>Without it, every router would dial a restarted agent at the same instant, again and again.
- * The wait is drawn evenly from zero to a bound that doubles with each failure; a link counts as a
- * success only once it has lived for a while, so that a peer which accepts and drops is spared too.
+ * <p>Without backoff, every router would reconnect to a restarted agent at the same instant, again
+ * and again. The wait is drawn uniformly from zero to a bound that doubles with each failure. A
+ * link counts as a success only after it has been open for {@link #STABLE}, so that a peer which
+ * accepts connections and drops them is not flooded either.
  */
 final class Backoff {
     static final Duration FIRST_BOUND = Duration.ofMillis(100);
@@ -25,12 +26,12 @@
         this.random = random;
     }
 
-    /** What is left to wait; zero if a connection may be opened now. */
+    /** Returns the remaining wait; zero if a connection may be opened now. */
     Duration left(Instant now) {
         return now.isBefore(notBefore) ? Duration.between(now, notBefore) : Duration.ZERO;
     }
 
-    /** Takes note that a connection ended which had been open for this long (zero: never). */
+    /** Records that a connection ended after being open for this long; zero if it never opened. */
     void ended(Instant now, Duration open) {
         failures = open.compareTo(STABLE) >= 0 ? 1 : failures + 1;
         notBefore = now.plusMillis(random.nextLong(bound().toMillis() + 1));
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ClockGuard.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ClockGuard.java
@@ -7,11 +7,11 @@
 import java.time.InstantSource;
 
 /**
- * Lets the times of peers move the own hybrid clock, within reason.
+ * Advances this process's hybrid clock by the times of peers, up to a limit.
  *
- * <p>One VM whose clock stands years ahead would else pull every clock of the fleet there for good,
- * and the merged time line would show all later events at that one instant. A time more than a
- * minute ahead is counted and not taken; honest clocks differ by some hundred milliseconds.
+ * <p>Without the limit, one VM whose clock is years ahead would advance every clock of the fleet
+ * for good, and the merged timeline would show all later events at that one instant. A time more
+ * than a minute ahead is counted and ignored; correct clocks differ by some hundred milliseconds.
  */
 final class ClockGuard {
     static final Duration MAX_AHEAD = Duration.ofMinutes(1);
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/CreditedBody.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/CreditedBody.java
@@ -10,16 +10,16 @@
 import org.apache.pekko.util.ByteString;
 
 /**
- * Takes a body from the upstream only as fast as the other side grants credit. It holds one element
- * at most, and asks for the next only when that one has been sent.
+ * Sends an upstream's body in chunks, only as fast as the receiver grants credit. It holds at most
+ * one stream element, and pulls the next only after that one has been sent.
  */
 final class CreditedBody {
     static final int MAX_CHUNK_BYTES = 16 * 1024;
 
-    /** Told once how the body ended. */
+    /** Called once when the body has ended. */
     @FunctionalInterface
     interface Ended {
-        /** The bytes sent in all, and why the body failed; null if it is whole. */
+        /** Receives the total of bytes sent, and why the body failed; null if it is complete. */
         void ended(long total, Throwable why);
     }
 
@@ -62,14 +62,16 @@
         }
     }
 
-    /** Sends what the credit allows, then asks for more; one thread at a time, in order. */
+    /** Sends what the credit allows, then pulls more; one thread at a time, in order. */
     private void advance() {
         if (step()) {
-            ended.ended(total, new IllegalStateException("the link did not take a chunk"));
+            ended.ended(
+                    total,
+                    new IllegalStateException("the peer link did not accept a chunk of the body"));
         }
     }
 
-    /** True if the link failed to take a chunk, which is the end of this body. */
+    /** Returns true if the link did not accept a chunk, which ends this body. */
     private synchronized boolean step() {
         if (queue == null || over) {
             return false;
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Dialer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Dialer.java
@@ -6,7 +6,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 
-/** Keeps the one connection of this process to one address. */
+/** Maintains the single connection of this process to one peer address, with backoff. */
 final class Dialer {
     private final InstantSource clock;
     private final Backoff backoff;
@@ -17,10 +17,10 @@
     private boolean over = true;
 
     /**
-     * A dialer without a connection.
+     * Creates a dialer without a connection.
      *
-     * @param fresh makes the next link, not yet connected
-     * @param open connects it after a wait, and ends it if that fails
+     * @param fresh creates the next link, not yet connected
+     * @param open connects the link after the given wait, and ends it if connecting fails
      */
     Dialer(
             InstantSource clock,
@@ -33,7 +33,7 @@
         this.open = open;
     }
 
-    /** The present link; a fresh one, with its connection under way, if there is none. */
+    /** Returns the current link, or a new one that is being connected if there is none. */
     synchronized NettyLink want() {
         if (over) {
             begin();
@@ -41,7 +41,7 @@
         return current;
     }
 
-    /** Closes the present link, if any; the next wish opens another. */
+    /** Closes the current link, if any; the next call for a link opens another. */
     void close(PeerException why) {
         NettyLink present = present();
         if (present != null) {
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Exchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Exchange.java
@@ -3,18 +3,19 @@
 import io.damaskyoke.exchange.ExchangeException;
 import java.util.concurrent.CompletionStage;
 
-/** One invocation under way. */
+/** A request sent to an agent, whose answer is pending or streaming. */
 public interface Exchange {
-    /** Completes exactly once and never exceptionally; without a time limit of its own. */
+    /** Completes exactly once and never exceptionally; it has no timeout of its own. */
     CompletionStage<ExchangeResult> result();
 
     /**
-     * Gives up: a pending result becomes {@link ExchangeResult.Lost}, a running body fails with the
-     * code, and the agent is told if it can be. Does nothing once the answer is whole.
+     * Cancels the exchange: a pending result becomes {@link ExchangeResult.Lost}, a streaming body
+     * fails with the code, and a cancel frame is sent to the agent if the link is open. Does
+     * nothing once the answer is complete.
      */
     void cancel(ExchangeException.Code code, String reason);
 
-    /** Gives up since nobody wants the answer any more. */
+    /** Cancels the exchange because the answer is no longer needed. */
     default void cancel(String reason) {
         cancel(ExchangeException.Code.REVOKED, reason);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeClient.java
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Sends requests over links and brings their answers back.
+ * Sends requests to agents over peer links and matches the answer frames to them.
  *
  * <p>{@code network.listen(client); client.invoke(link, request, timeLeft).result()}
  */
@@ -29,7 +29,7 @@
         this.metrics = metrics;
     }
 
-    /** A client; add it to the listeners of the network whose links it is to use. */
+    /** Creates a client; register it as a listener of the network whose links it uses. */
     public static ExchangeClient of(
             PeerSettings settings, LongSupplier configSequence, Metrics metrics) {
         if (settings.creditBytes() < 1) {
@@ -43,11 +43,11 @@
     }
 
     /**
-     * Sends the request. An agent takes an id only once: after {@code Refused} or {@code Lost}, the
-     * same process can't be asked again under the same id.
+     * Sends the request. An agent accepts an id only once: after {@code Refused} or {@code Lost},
+     * the request can't be sent to the same process again under the same id.
      *
-     * @param timeLeft to the deadline, by now
-     * @throws IllegalArgumentException if a request with this id is under way
+     * @param timeLeft the time that remains until the deadline
+     * @throws IllegalArgumentException if a request with this id is running
      */
     public Exchange invoke(PeerLink link, Request request, Duration timeLeft) {
         ExchangeId id = InvokeCodec.toWire(request.id());
@@ -56,13 +56,14 @@
         OutgoingExchange exchange =
                 new OutgoingExchange(id, link, creditBytes, metrics, this::forget);
         if (running.putIfAbsent(id, exchange) != null) {
-            throw new IllegalArgumentException("already under way: " + request.id());
+            throw new IllegalArgumentException(
+                    "an exchange with this id is already running: " + request.id());
         }
         exchange.begin(invoke);
         return exchange;
     }
 
-    /** How many exchanges are under way. */
+    /** Returns the number of running exchanges. */
     public int running() {
         return running.size();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeHandler.java
@@ -1,8 +1,11 @@
 package io.damaskyoke.peer;
 
-/** Takes the requests that come over the links. */
+/** Handles the requests that peers send to this agent. */
 @FunctionalInterface
 public interface ExchangeHandler {
-    /** Must not block: it runs on a traffic thread. Answers now or later, and exactly once. */
+    /**
+     * Handles one request. Runs on a network thread and must not block; it answers the exchange
+     * exactly once, now or later.
+     */
     void handle(IncomingExchange exchange);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeResult.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeResult.java
@@ -10,16 +10,16 @@
 import org.apache.pekko.stream.javadsl.Source;
 import org.apache.pekko.util.ByteString;
 
-/** How an invocation at an agent began, or why it did not. */
+/** The outcome of sending a request to an agent: an answer that has begun, or why there is none. */
 public sealed interface ExchangeResult {
     /**
-     * The upstream answers.
+     * The upstream's answer has begun.
      *
-     * @param body can be run once; completes only when the whole answer has come, and fails with an
-     *     {@link io.damaskyoke.exchange.ExchangeException} otherwise; cancelling it cancels the
-     *     upstream
-     * @param ending completes when the last frame has come, which may be before the body has been
-     *     taken; fails as the body does
+     * @param body can be run only once; completes only when the whole answer was received, and
+     *     fails with an {@link io.damaskyoke.exchange.ExchangeException} otherwise; cancelling it
+     *     cancels the upstream
+     * @param ending completes when the last frame was received, which may be before the body has
+     *     been consumed; fails as the body does
      */
     record Served(
             int status,
@@ -28,21 +28,21 @@
             CompletionStage<Ending> ending)
             implements ExchangeResult {}
 
-    /** The agent's own no; {@link Refusal#notRun()} is the agent's word. */
+    /** The agent refused the request; {@link Refusal#notRun()} is the agent's own statement. */
     record Refused(Refusal refusal, Optional<Load> load) implements ExchangeResult {}
 
-    /** The frame surely did not leave this process; another agent may be asked. */
+    /** The frame certainly did not leave this process; the request may be sent to another agent. */
     record NotSent(String reason) implements ExchangeResult {}
 
-    /** The frame may have arrived and nothing more is known; the request may have run. */
+    /** The frame may have arrived but no answer is known; the request may have run. */
     record Lost(String reason) implements ExchangeResult {}
 
     /**
-     * What came with the end of a whole answer.
+     * The figures that the last frame of a complete answer carries.
      *
-     * @param totalBytes of the body
-     * @param tokensUsed as the upstream reported; 0 where it reports none
-     * @param load of the agent at that time
+     * @param totalBytes the length of the body in bytes
+     * @param tokensUsed the tokens that the upstream reported; 0 if it reported none
+     * @param load the agent's load at that time
      */
     record Ending(long totalBytes, long tokensUsed, Load load) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeServer.java
@@ -18,7 +18,7 @@
 import org.apache.pekko.stream.Materializer;
 
 /**
- * Takes the requests that come over links and hands each to the handler, never one twice.
+ * Receives requests over peer links and passes each to the handler exactly once.
  *
  * <p>{@code network.listen(ExchangeServer.of(handler, clock, materializer, metrics))}
  */
@@ -43,7 +43,7 @@
         this.metrics = Objects.requireNonNull(metrics, "metrics");
     }
 
-    /** A server; add it to the listeners of the network whose requests it is to take. */
+    /** Creates a server; register it as a listener of the network whose requests it receives. */
     public static ExchangeServer of(
             ExchangeHandler handler,
             InstantSource clock,
@@ -52,7 +52,7 @@
         return new ExchangeServer(handler, clock, materializer, metrics);
     }
 
-    /** How many exchanges are under way. */
+    /** Returns the number of running exchanges. */
     public int running() {
         return running.size();
     }
@@ -86,10 +86,10 @@
     }
 
     /**
-     * True if the exchange is new.
+     * Returns true if the exchange is new, else refuses the duplicate.
      *
-     * <p>What runs is looked up before what has ended, and an exchange is remembered as ended
-     * before it leaves those that run: thus no moment is left in which it is in neither.
+     * <p>Running exchanges are looked up before ended ones, and an exchange is recorded as ended
+     * before it is removed from the running ones, so at no moment is it in neither.
      */
     private boolean taken(PeerLink link, ServedExchange exchange) {
         ServedExchange first = running.putIfAbsent(exchange.id(), exchange);
@@ -115,7 +115,10 @@
         try {
             handler.handle(exchange);
         } catch (RuntimeException e) {
-            LOG.error("the handler failed for {}", exchange.request().id(), e);
+            LOG.error(
+                    "exchange handler failed for request {}, refusing the request",
+                    exchange.request().id(),
+                    e);
             metrics.count("exchange_handler_failed");
             exchange.refuse(
                     Refusal.mayHaveRun(RefusalCode.INTERNAL, "the agent failed"),
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/FrameOrder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/FrameOrder.java
@@ -4,31 +4,31 @@
 import io.damaskyoke.peer.wire.Frame;
 
 /**
- * The order in which the frames of one answer have to come: {@code Started}, chunks, {@code End};
- * or {@code Refused} in place of what is left. Numbered from 0 without gaps.
+ * Checks that the frames of one answer come in order: {@code Started}, chunks, {@code End}, or
+ * {@code Refused} in place of the remaining frames; numbered from 0 without gaps.
  *
- * <p>It looks at each frame and says what to do with it. An answer counts as whole only if each
- * frame came and the bytes add up to what the last one says.
+ * <p>Each frame gets a verdict. An answer is complete only if every frame was received and the
+ * bytes add up to the total in the last one.
  */
 final class FrameOrder {
     /** What to do with a frame. */
     enum Verdict {
-        /** The next one in order: take it. */
+        /** The next frame in order: process it. */
         TAKE,
-        /** Of another exchange: drop it. */
+        /** Belongs to another exchange: drop it. */
         CROSSED,
-        /** Seen before: drop it. */
+        /** A duplicate: drop it. */
         DOUBLED,
-        /** The answer is over: drop it. */
+        /** The answer has already ended: drop it. */
         LATE,
         /** Frames before it are missing: the answer is broken. */
         GAP,
-        /** Its kind can't come here: the answer is broken. */
+        /** A frame of this kind is not allowed at this point: the answer is broken. */
         MISPLACED,
         /** The bytes don't add up to the announced total: the answer is broken. */
         WRONG_TOTAL;
 
-        /** True if no more can come of the answer. */
+        /** Returns true if the answer is broken. */
         boolean breaks() {
             return this == GAP || this == MISPLACED || this == WRONG_TOTAL;
         }
@@ -75,7 +75,7 @@
         this.id = id;
     }
 
-    /** Looks at the next frame that came. */
+    /** Checks the next received frame. */
     Verdict next(Frame frame) {
         if (!frame.getExchange().equals(id)) {
             return Verdict.CROSSED;
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Handshake.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Handshake.java
@@ -8,13 +8,13 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Decides whether the first frame of a connection is the hello of a peer that may stay. */
+/** Checks the first frame of a connection, which must be the hello frame of a valid peer. */
 final class Handshake {
     static final int VERSION = 1;
 
     private Handshake() {}
 
-    /** Why the connection has to be closed; empty if the peer may stay. */
+    /** Returns why the connection has to be closed; empty if the peer is accepted. */
     static Optional<Rejection> check(Frame first, Optional<VmId> expected) {
         if (!first.hasHello()) {
             return Optional.of(Rejection.NOT_HELLO);
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/IncomingExchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/IncomingExchange.java
@@ -6,41 +6,44 @@
 import io.damaskyoke.peer.wire.Load;
 import java.util.function.Supplier;
 
-/** A request that came over a link, to be answered once: by {@link #serve} or {@link #refuse}. */
+/** A request received over a link, to be answered once, by {@link #serve} or {@link #refuse}. */
 public interface IncomingExchange {
-    /** The request, its deadline on this process's clock; its key id and tokens stayed behind. */
+    /**
+     * Returns the request, with its deadline on this process's clock but without key id and tokens.
+     */
     Request request();
 
-    /** The link it came on, and on which the answer goes back. */
+    /** Returns the link on which the request came and the answer is sent. */
     PeerLink link();
 
-    /** The configuration that the sender had in force. */
+    /** Returns the sequence number of the configuration that the sender had in force. */
     long configSequence();
 
-    /** The sender's priority; greater goes first. */
+    /** Returns the priority given by the sender; greater goes first. */
     int priority();
 
     /**
-     * Ends the exchange with a refusal. In the middle of an answer this breaks it off, and is then
-     * never passed on as not run. Does nothing if the exchange is over.
+     * Ends the exchange with a refusal. In the middle of an answer this aborts the answer, and the
+     * refusal is then never sent as "not run". Does nothing if the exchange has ended.
      */
     void refuse(Refusal refusal, Load load);
 
     /**
-     * Sends the answer as fast as the other side takes it. A failure of the body breaks the answer
-     * off. If the exchange is over already, the body is cancelled.
+     * Sends the answer as fast as the receiver grants credit. A failure of the body aborts the
+     * answer. If the exchange has already ended, the body is cancelled.
      *
-     * @param load asked at the end
-     * @param tokens the upstream's {@code usage.total_tokens}, asked at the end; 0 for none
+     * @param load supplies this agent's load when the answer ends
+     * @param tokens supplies the upstream's {@code usage.total_tokens} when the answer ends; 0 for
+     *     none
      */
     void serve(Answer.Served answer, Supplier<Load> load, Supplier<Long> tokens);
 
     /**
-     * Runs this, once, when the other side no longer wants the answer or the link is gone; at once
-     * if that is so already. The body need not be cancelled, that is done.
+     * Runs the action once when the sender cancels the exchange or the link closes; at once if that
+     * has already happened. The action need not cancel the body, which is cancelled anyway.
      */
     void onCancel(Runnable action);
 
-    /** True if the other side no longer wants the answer, or the link is gone. */
+    /** Returns true if the sender cancelled the exchange or the link closed. */
     boolean cancelled();
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/InvokeCodec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/InvokeCodec.java
@@ -17,7 +17,7 @@
 import java.util.Optional;
 import org.apache.pekko.util.ByteString;
 
-/** Turns requests into frames and back. No caller key, nor its id, goes into a frame. */
+/** Converts requests to frames and back. Neither a caller key nor its id is put into a frame. */
 final class InvokeCodec {
     private static final KeyId KEY_STAYED_BEHIND = KeyId.of("-");
 
@@ -40,7 +40,7 @@
         return invoke.build();
     }
 
-    /** The request; IllegalArgumentException if a field can't be right. */
+    /** Converts a frame to a request; throws IllegalArgumentException if a field is invalid. */
     static Request toRequest(ExchangeId id, Invoke invoke, Instant now) {
         return new Request(
                 id,
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/LinkEvents.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkEvents.java
@@ -14,7 +14,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Keeps the open links and tells the listeners; a listener that throws harms only itself. */
+/** Tracks the open links and notifies the listeners; a listener that throws affects no other. */
 final class LinkEvents {
     private static final Logger LOG = LogManager.getLogger(LinkEvents.class);
 
@@ -70,7 +70,7 @@
                 call.accept(listener);
             } catch (RuntimeException e) {
                 metrics.count("peer_listener_failed");
-                LOG.error("a listener of the peer links failed", e);
+                LOG.error("peer listener failed, continuing with the next listener", e);
             }
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/LinkHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkHandler.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Runs one connection: hello, then frames and heartbeats, until it ends. */
+/** Handles one connection: the hello frame, then frames and heartbeats, until it closes. */
 final class LinkHandler extends SimpleChannelInboundHandler<Frame> {
-    /** What every connection of a process needs. */
+    /** The settings and services that all connections of a process share. */
     record Context(
             Frame hello,
             Supplier<Heartbeat> heartbeat,
@@ -60,7 +60,7 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof IdleStateEvent && link.remote().isEmpty()) {
-            // This limit and the one on the hello are of the same length, and either may come
+            // The idle timeout and the hello timeout have the same length, and either may fire
             // first.
             reject(ctx, Rejection.NO_HELLO);
         } else if (event instanceof IdleStateEvent) {
@@ -120,9 +120,9 @@
                 .scheduleAtFixedRate(this::heartbeat, 0, interval, TimeUnit.MILLISECONDS);
     }
 
-    // Frames of answers show that this side lives as well as heartbeats do. At the design size a
-    // router has some six hundred links that carry answers all the time; heartbeats on each would
-    // alone take several times what a node may send for control.
+    // Frames of an exchange show that this process is alive as well as heartbeats do. At the design
+    // size a router has some six hundred links that carry answers all the time; heartbeats on each
+    // would alone take several times what a node may send for control.
     private void heartbeat() {
         if (link.takeCarriedAnExchange()) {
             return;
@@ -149,9 +149,10 @@
 
     private PeerException why() {
         return rejection == null
-                ? new PeerException(PeerException.Code.UNREACHABLE, "the connection is gone")
+                ? new PeerException(PeerException.Code.UNREACHABLE, "the peer connection closed")
                 : new PeerException(
-                        PeerException.Code.REJECTED, "no link with it: " + rejection.label());
+                        PeerException.Code.REJECTED,
+                        "the peer connection was rejected: " + rejection.label());
     }
 
     private static void cancel(Future<?> timer) {
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/NettyLink.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/NettyLink.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.RejectedExecutionException;
 
-/** One connection from its first wish to its end; never opened a second time. */
+/** A single connection to a peer over Netty, from its creation to its end; it is never reopened. */
 final class NettyLink implements PeerLink {
     private enum State {
         CONNECTING,
@@ -69,19 +69,19 @@
         return enqueue(stamped);
     }
 
-    /** True if a request's or answer's frame was sent since this was last asked. */
+    /** Returns true if a frame of an exchange was sent since the last call, and resets the mark. */
     boolean takeCarriedAnExchange() {
         boolean carried = carriedAnExchange;
         carriedAnExchange = false;
         return carried;
     }
 
-    /** The VM that has to answer; empty on a connection that the other side opened. */
+    /** Returns the VM expected at the other end; empty on a connection that the peer opened. */
     Optional<VmId> expected() {
         return expected;
     }
 
-    /** Completes when both sides have said hello; fails with a {@link PeerException}. */
+    /** Completes when both hello frames were exchanged; fails with a {@link PeerException}. */
     CompletionStage<PeerLink> ready() {
         return ready.minimalCompletionStage();
     }
@@ -99,7 +99,7 @@
         channel = opened;
     }
 
-    /** Both sides have said hello; false if the link had ended by then. */
+    /** Opens the link with the peer's hello frame; returns false if the link had already ended. */
     synchronized boolean opened(Hello hello) {
         if (state != State.CONNECTING) {
             return false;
@@ -109,12 +109,12 @@
         return true;
     }
 
-    /** Tells whoever waits for {@link #ready()}, once the listeners know of the link. */
+    /** Completes {@link #ready()}; called after the listeners were notified of the link. */
     void announce() {
         ready.complete(this);
     }
 
-    /** The link is over; true for the first caller, and only if it had been open. */
+    /** Ends the link; returns true for the first caller, and only if the link had been open. */
     boolean end(PeerException why) {
         boolean wasOpen;
         synchronized (this) {
@@ -126,7 +126,7 @@
         return wasOpen;
     }
 
-    /** Closes the connection; the handler then sees it go. */
+    /** Closes the connection; the handler is then called for the closed channel. */
     void close() {
         Channel present = channel;
         if (present != null) {
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Closes the connection, or gives it up if there is none yet. */
+    /** Closes the connection, or ends the link if it is not open yet. */
     void close(PeerException why) {
         if (open()) {
             close();
@@ -145,10 +145,10 @@
     }
 
     /**
-     * Hands the frame to the connection's thread, also when that is the present one.
+     * Hands the frame to the connection's event loop, also when called on that loop's thread.
      *
-     * <p>A write from that thread itself would overtake what other threads have queued, and the
-     * other side would see a gap in the numbers of an exchange and break a good answer.
+     * <p>A direct write from that thread would overtake the frames that other threads have queued,
+     * and the receiver would see a gap in an exchange's sequence and abort a good answer.
      */
     private boolean enqueue(Frame stamped) {
         try {
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/OutgoingExchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/OutgoingExchange.java
@@ -17,10 +17,10 @@
 import org.apache.pekko.util.ByteString;
 
 /**
- * The caller side of one exchange.
+ * The sending side of one exchange: sends the request and receives the answer.
  *
- * <p>Numbering a frame and sending it happen under one lock, so that numbers leave in order. Stages
- * are completed outside of it, since whoever waits for them runs there and then.
+ * <p>A frame is numbered and sent under one lock, so that frames are sent in order. Stages are
+ * completed outside the lock, since their dependents run in the completing thread.
  */
 final class OutgoingExchange implements Exchange {
     private static final int GRANTS_PER_WINDOW = 4;
@@ -71,7 +71,7 @@
             left = begun;
         }
         if (!left) {
-            fail(Code.CONNECTION_LOST, "the link did not take the frame");
+            fail(Code.CONNECTION_LOST, "the peer link did not accept the request frame");
         }
     }
 
@@ -107,7 +107,7 @@
 
     void linkClosed(PeerLink closed) {
         if (closed == link) {
-            fail(Code.CONNECTION_LOST, "the link closed");
+            fail(Code.CONNECTION_LOST, "the peer link closed");
         }
     }
 
@@ -165,7 +165,7 @@
         breakOff(RefusalCodec.breaking(frame.getRefused()));
     }
 
-    /** Ends what is pending as lost, and what runs with the code. */
+    /** Completes a pending result as lost, and fails a streaming body with the code. */
     private void fail(Code code, String reason) {
         if (!finish()) {
             return;
@@ -174,7 +174,7 @@
         breakOff(new ExchangeException(code, reason));
     }
 
-    /** Before the invocation was handed to the link, an end of any kind means it was not sent. */
+    /** Returns {@code NotSent} if the link never accepted the invocation, else {@code Lost}. */
     private synchronized ExchangeResult unanswered(String reason) {
         return begun ? new ExchangeResult.Lost(reason) : new ExchangeResult.NotSent(reason);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/PeerException.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/PeerException.java
@@ -2,17 +2,17 @@
 
 import io.damaskyoke.DamaskyokeException;
 
-/** Says that a link could not be had. No frame was sent where this is thrown. */
+/** Thrown when a peer link can't be opened; no frame was sent. */
 public final class PeerException extends DamaskyokeException {
     private static final long serialVersionUID = 1L;
 
-    /** What went wrong. */
+    /** The reason of the failure. */
     public enum Code {
-        /** The own port can't be listened on; most often another process has it. */
+        /** This process can't listen on its port; most often another process uses it. */
         BIND_FAILED,
         /** The peer can't be reached. */
         UNREACHABLE,
-        /** The other side is no peer of this fleet, speaks another version, or is another VM. */
+        /** The other end is not a peer of this fleet, speaks another version, or is another VM. */
         REJECTED,
         /** This process has closed its network. */
         CLOSED
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/PeerLink.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/PeerLink.java
@@ -7,24 +7,26 @@
 
 /** One long-lived connection to another router or agent. */
 public interface PeerLink {
-    /** What the other side said of itself; empty until its first frame has come. */
+    /** Returns the peer's hello frame; empty until it was received. */
     Optional<Hello> remote();
 
-    /** Which life of which process is at the other end; a restart at the same address differs. */
+    /**
+     * Returns the incarnation of the peer process; it changes with a restart at the same address.
+     */
     default Optional<Incarnation> incarnation() {
         return remote().map(hello -> Incarnation.of(hello.getIncarnation()));
     }
 
     /**
-     * Sends a frame, or says at once that it can't.
+     * Sends a frame, or returns at once if it can't be sent.
      *
-     * @return false if the frame surely did not leave this process; true if it may have arrived
+     * @return false if the frame certainly did not leave this process; true if it may have arrived
      */
     boolean send(Frame frame);
 
-    /** True while frames can be sent. */
+    /** Returns true while frames can be sent. */
     boolean open();
 
-    /** False while so much is waiting to be written that senders should hold back. */
+    /** Returns false while the write buffer is so full that senders should wait. */
     boolean writable();
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/PeerListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/PeerListener.java
@@ -2,14 +2,14 @@
 
 import io.damaskyoke.peer.wire.Frame;
 
-/** Hears what happens on the links of a process; called on traffic threads, in order for a link. */
+/** Receives the events of a process's links; called on network threads, in order for each link. */
 public interface PeerListener {
-    /** A frame came from the other side. */
+    /** Called when a frame was received. */
     void received(PeerLink link, Frame frame);
 
-    /** Both sides have said hello. */
+    /** Called when both hello frames were exchanged. */
     default void opened(PeerLink link) {}
 
-    /** The link is gone; nothing more will come, and what was sent last may not have arrived. */
+    /** Called when the link closed; frames sent last may not have arrived. */
     default void closed(PeerLink link) {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetwork.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetwork.java
@@ -31,7 +31,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The links of this process to the other routers and agents.
+ * Manages the links of this process to the other routers and agents.
  *
  * <p>{@code PeerNetwork network = PeerNetwork.builder()....build().start();
  * network.connect(address).thenAccept(link -> link.send(frame));}
@@ -83,7 +83,7 @@
         builder.listeners.forEach(events::add);
     }
 
-    /** Collects what a network needs; settings, hello and timeline must be given. */
+    /** Returns a builder; settings, hello and timeline must be given. */
     public static PeerNetworkBuilder builder() {
         return new PeerNetworkBuilder();
     }
@@ -114,7 +114,7 @@
         return this;
     }
 
-    /** The port listened on; {@link #start()} comes first. */
+    /** Returns the port listened on; call {@link #start()} first. */
     public int port() {
         if (server == null) {
             throw new IllegalStateException("call start() before port()");
@@ -122,29 +122,30 @@
         return ((InetSocketAddress) server.localAddress()).getPort();
     }
 
-    /** Adds a listener, which hears of all that happens from now on. */
+    /** Adds a listener, which is notified of all events from now on. */
     public PeerNetwork listen(PeerListener listener) {
         events.add(listener);
         return this;
     }
 
     /**
-     * The one connection of this process to that address, opened by this call if need be. Until it
-     * is {@link PeerLink#open() open} it sends nothing, and says so; use {@link #connect} to wait.
+     * Returns the single link of this process to that address, opened by this call if needed. Until
+     * it is {@link PeerLink#open() open}, its {@code send} returns false; use {@link #connect} to
+     * wait.
      */
     public PeerLink link(PeerAddress address) {
         return want(address);
     }
 
     /**
-     * The same connection once it is open, which may take a back-off after a failure. Fails with a
-     * {@link PeerException} when the attempt under way does.
+     * Returns the same link once it is open, which may wait for the backoff after a failure. Fails
+     * with a {@link PeerException} when the current attempt fails.
      */
     public CompletionStage<PeerLink> connect(PeerAddress address) {
         return want(address).ready();
     }
 
-    /** Closes the link to an address and forgets it: for VMs that are off the platform's list. */
+    /** Closes and removes the link to an address, for VMs that left the platform's list. */
     public void forget(PeerAddress address) {
         Dialer dialer = dialers.remove(address);
         if (dialer != null) {
@@ -152,12 +153,12 @@
         }
     }
 
-    /** All open links, whichever side opened them. */
+    /** Returns all open links, whichever side opened them. */
     public List<PeerLink> links() {
         return events.open();
     }
 
-    /** Stops listening and closes all links; listeners hear of each. */
+    /** Stops listening and closes all links; listeners are notified of each. */
     @Override
     public void close() {
         closed = true;
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetworkBuilder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetworkBuilder.java
@@ -18,7 +18,7 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** Collects what a {@link PeerNetwork} needs. */
+/** Builds a {@link PeerNetwork}. */
 public final class PeerNetworkBuilder {
     PeerSettings settings;
     Timeline timeline;
@@ -33,13 +33,13 @@
 
     PeerNetworkBuilder() {}
 
-    /** Where to listen, and the limits. All peers need the same greatest frame. */
+    /** Sets the listening address and the limits. All peers need the same maximum frame size. */
     public PeerNetworkBuilder settings(PeerSettings given) {
         settings = Objects.requireNonNull(given, "settings");
         return this;
     }
 
-    /** What this process says of itself. */
+    /** Sets the identity of this process, which its hello frame carries. */
     public PeerNetworkBuilder hello(
             VmId vm, Incarnation incarnation, AvailabilityZone zone, Role role) {
         hello =
@@ -53,37 +53,37 @@
         return this;
     }
 
-    /** Where peers' coming and going is noted; its hybrid clock goes along with the frames. */
+    /** Sets the timeline that records opened and closed links; its clock stamps the frames. */
     public PeerNetworkBuilder timeline(Timeline given) {
         timeline = Objects.requireNonNull(given, "timeline");
         return this;
     }
 
-    /** The clock for back-off, and the one that peers' times are checked against. */
+    /** Sets the clock used for backoff and for checking the times of peers. */
     public PeerNetworkBuilder clock(InstantSource given) {
         clock = Objects.requireNonNull(given, "clock");
         return this;
     }
 
-    /** Where to count. */
+    /** Sets the metrics registry. */
     public PeerNetworkBuilder metrics(Metrics given) {
         metrics = Objects.requireNonNull(given, "metrics");
         return this;
     }
 
-    /** What the heartbeats say; asked on a traffic thread, so it must not block. */
+    /** Sets the supplier of heartbeats; it is called on a network thread and must not block. */
     public PeerNetworkBuilder heartbeat(Supplier<Heartbeat> given) {
         heartbeat = Objects.requireNonNull(given, "heartbeat");
         return this;
     }
 
-    /** Where the jitter of the back-off comes from; must be thread-safe, as {@link Random} is. */
+    /** Sets the source of the backoff jitter; it must be thread-safe, as {@link Random} is. */
     public PeerNetworkBuilder random(RandomGenerator given) {
         random = Objects.requireNonNull(given, "random");
         return this;
     }
 
-    /** Traffic threads of this network; 2 unless set. */
+    /** Sets the number of network threads; 2 by default. */
     public PeerNetworkBuilder threads(int given) {
         if (given < 1) {
             throw new IllegalArgumentException("threads must be at least 1: " + given);
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Runs on threads that the process has already, which are left running when the network closes:
-     * on a part of one core a thread of its own would cost two wake-ups for each frame.
+     * Uses the event loops of the given group, which are left running when the network closes. On a
+     * fraction of a core, a thread of its own would cost two wake-ups for each frame.
      */
     public PeerNetworkBuilder on(EventLoopGroup given) {
         group = Objects.requireNonNull(given, "group");
@@ -107,7 +107,7 @@
         return this;
     }
 
-    /** The network, not yet listening. */
+    /** Returns the network, which is not yet listening. */
     public PeerNetwork build() {
         Objects.requireNonNull(settings, "settings must be given");
         Objects.requireNonNull(hello, "hello must be given");
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Pipeline.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Pipeline.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The stages of a connection: four bytes of length, then a {@link Frame}.
+ * Builds the Netty pipeline of a connection: a four-byte length, then a {@link Frame}.
  *
- * <p>Until a hello has come only a small frame is let in, so that a stranger can't make this
- * process keep megabytes for it.
+ * <p>Until the hello frame was received only a small frame is accepted, so that an unknown client
+ * can't make this process buffer megabytes.
  */
 final class Pipeline {
     static final int MAX_HELLO_BYTES = 4096;
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/RecentIds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/RecentIds.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 
 /**
- * Remembers which exchanges have been taken here, so that none is handled twice.
+ * Remembers recently ended exchanges, so that a duplicate invocation is not handled again.
  *
- * <p>An invocation that comes a second time was sent before the first one's answer was in, so it is
- * at most one deadline younger. At 100 requests a second, far above what one upstream of rarely
- * used models sees, 32,768 ids reach back more than five minutes, and take some 7 MB. What still
- * runs is never forgotten, since the server keeps that apart.
+ * <p>A duplicate invocation was sent before the answer to the first was received, so it is at most
+ * one deadline younger. At 100 requests a second, far above the rate of one upstream with rarely
+ * used models, 32,768 ids cover more than five minutes and take some 7 MB. Running exchanges are
+ * never forgotten, since the server tracks them separately.
  */
 final class RecentIds {
     static final int CAPACITY = 32_768;
@@ -28,12 +28,12 @@
                 }
             };
 
-    /** Remembers an ended exchange, with the refusal that was its whole answer, if any. */
+    /** Records an ended exchange, with the refusal if that was its whole answer. */
     synchronized void ended(ExchangeId id, Optional<Refused> refusal) {
         ended.put(id, refusal);
     }
 
-    /** Empty if the exchange never ended here; else the refusal that was its whole answer. */
+    /** Returns empty if the exchange is not known to have ended, else its refusal, if any. */
     synchronized Optional<Optional<Refused>> find(ExchangeId id) {
         return Optional.ofNullable(ended.get(id));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/RefusalCodec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/RefusalCodec.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Turns refusals into frames and back. */
+/** Converts refusals to frames and back. */
 final class RefusalCodec {
     private RefusalCodec() {}
 
@@ -36,7 +36,7 @@
         return refused.hasLoad() ? Optional.of(refused.getLoad()) : Optional.empty();
     }
 
-    /** A refusal in the middle of an answer. */
+    /** Converts a refusal in the middle of an answer to the failure of its body. */
     static ExchangeException breaking(Refused refused) {
         return new ExchangeException(breakCode(code(refused.getCode())), refused.getMessage());
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Rejection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Rejection.java
@@ -8,28 +8,28 @@
 
 /** Why a connection was closed from this side; the label of {@code peer_rejected}. */
 enum Rejection {
-    /** No whole first frame came within the time limit. */
+    /** No complete first frame was received within the timeout. */
     NO_HELLO,
-    /** The other side went away before its first frame: a port scan or a crash. */
+    /** The other end disconnected before its first frame: a port scan or a crash. */
     GONE_BEFORE_HELLO,
-    /** The first frame was something else. */
+    /** The first frame was not a hello frame. */
     NOT_HELLO,
-    /** The other side speaks another version of the protocol. */
+    /** The peer speaks another version of the protocol. */
     VERSION,
-    /** The hello lacks a part, or a part can't be right. */
+    /** A field of the hello frame is missing or invalid. */
     BAD_HELLO,
-    /** Another VM has the address by now. */
+    /** Another VM now has the address. */
     WRONG_VM,
-    /** A frame longer than the limit was announced; so does most of what is no frame at all. */
+    /** The length prefix exceeds the limit; most data that is not a frame shows as this, too. */
     OVERSIZE,
-    /** What came is not a frame. */
+    /** The received bytes can't be decoded as a frame. */
     UNDECODABLE;
 
     String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** What an error of the decoders means; empty for an error of the connection itself. */
+    /** Returns the rejection for a decoder error; empty for an error of the connection itself. */
     static Optional<Rejection> of(Throwable cause) {
         if (cause instanceof TooLongFrameException) {
             return Optional.of(OVERSIZE);
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Role.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Role.java
@@ -2,14 +2,14 @@
 
 import java.util.Locale;
 
-/** What a process is to its peers. */
+/** The role of a process in the fleet. */
 public enum Role {
-    /** Meets callers and operators. */
+    /** Accepts requests of callers and operators. */
     ROUTER,
-    /** Stands beside an upstream. */
+    /** Runs next to an upstream and passes requests to it. */
     AGENT;
 
-    /** The role as the hello frame names it: {@code router}. */
+    /** Returns the role as written in the hello frame: {@code router}. */
     public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Sequence.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Sequence.java
@@ -1,8 +1,8 @@
 package io.damaskyoke.peer;
 
-/** The numbers of the frames of one exchange in one direction: 0, 1, 2 ... as unsigned 32 bits. */
+/** Checks the frame numbers of an exchange in one direction: 0, 1, 2 ... as unsigned 32 bits. */
 final class Sequence {
-    /** How a number stands to those before it. */
+    /** The position of a frame number relative to the numbers before it. */
     enum Place {
         IN_ORDER,
         DOUBLED,
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ServedExchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ServedExchange.java
@@ -21,7 +21,7 @@
 import org.apache.pekko.stream.javadsl.Sink;
 import org.apache.pekko.util.ByteString;
 
-/** The agent side of one exchange; numbers and sends its frames under one lock, in order. */
+/** The receiving side of one exchange; numbers and sends its frames under one lock, in order. */
 final class ServedExchange implements IncomingExchange {
     private final ExchangeId id;
     private final Frame invoke;
@@ -133,7 +133,7 @@
         return cancelled;
     }
 
-    /** The refusal, if that was all of the answer. */
+    /** Returns the refusal, if it was the whole answer. */
     synchronized Optional<Refused> wholeRefusal() {
         return Optional.ofNullable(wholeRefusal);
     }
@@ -163,7 +163,7 @@
         }
     }
 
-    /** For a link that closed before this exchange stood among those that run. */
+    /** Cancels the exchange if its link closed before it was registered as running. */
     void endIfLinkGone() {
         if (!link.open()) {
             cancel();
@@ -265,7 +265,7 @@
         }
     }
 
-    /** Once an answer has begun, the request has run, whatever the refusal says. */
+    /** Clears {@code notRun} once an answer has begun, since the request has then run. */
     private Refusal safe(Refusal refusal) {
         return body == null
                 ? refusal
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/package-info.java
@@ -1,2 +1,2 @@
-/** The other routers and agents, as peers: links, frames and exchanges over them. */
+/** Links to the other routers and agents, and the exchanges of requests and answers over them. */
 package io.damaskyoke.peer;
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/ExchangeTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/ExchangeTest.java
@@ -110,7 +110,7 @@
 
     // A caller reads slowly while the upstream could send without end. The agent must take from
     // the upstream no more than the credit, one element in hand and one in the stream's buffer,
-    // or a few slow callers would fill the memory of router and agent.
+    // or a few slow callers would exhaust the memory of router and agent.
     @Test
     void aSlowCallerMakesNobodyHoldMoreThanTheCredit() throws Exception {
         Exchange exchange = invoke(1);
@@ -157,8 +157,8 @@
                 new ExchangeResult.Refused(refusal, Optional.of(LOAD)), get(exchange.result()));
     }
 
-    // The upstream breaks off in the middle of an answer. The caller must see a failed body, not a
-    // short one that looks whole; and since the request ran, never "not run".
+    // The upstream cuts off in the middle of an answer. The caller must see a failed body, not a
+    // short one that looks complete; and since the request ran, never "not run".
     @Test
     void anUpstreamThatBreaksOffFailsTheBody() throws Exception {
         Exchange exchange = invoke(1);
@@ -169,9 +169,10 @@
         assertBroken("UPSTREAM_CUT", served(exchange));
     }
 
-    // The link goes while one request waits for its first frame and another one streams. The first
-    // may have run, so it is lost rather than not sent; the second fails in the middle; and the
-    // agent stops both upstream calls.
+    // The link closes while one request waits for its first frame and another one streams. The
+    // first
+    // may have run, so it is Lost rather than NotSent; the second fails in the middle; and the
+    // agent cancels both upstream calls.
     @Test
     void aLostLinkLosesWhatWaitsAndFailsWhatStreams() throws Exception {
         Exchange streaming = invoke(1);
@@ -205,9 +206,9 @@
         assertEquals(0, server.running());
     }
 
-    // The router gives a payment up as lost and, wrongly, sends it once more. The agent must not
-    // run it a second time: the grower would be charged twice. The second one is refused, as one
-    // that may have run.
+    // The router wrongly resends a request that it gave up as lost. The agent must not run it a
+    // second time, or a payment would be charged twice; it refuses the duplicate as one that may
+    // have run.
     @Test
     void anInvocationThatComesTwiceIsHandledOnce() throws Exception {
         Exchange first = invoke(1);
@@ -236,8 +237,8 @@
     @Test
     void crossedAnswersNeverMix() throws Exception {
         // Twenty callers wait on one link. The agent answers them in reverse order and all at once,
-        // so their frames interleave; frames of an answer that is over come once more. Each caller
-        // gets its own answer whole.
+        // so their frames interleave; a frame of an ended answer is sent again. Each caller
+        // gets its own complete answer.
         List<Exchange> exchanges = new ArrayList<>();
         for (long id = 1; id <= 20; id++) {
             exchanges.add(invoke(id));
@@ -279,7 +280,7 @@
 
     private IncomingExchange taken() throws Exception {
         IncomingExchange exchange = incoming.poll(20, TimeUnit.SECONDS);
-        assertTrue(exchange != null, "no invocation came");
+        assertTrue(exchange != null, "no invocation was received");
         return exchange;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/FrameOrderTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/FrameOrderTest.java
@@ -45,7 +45,7 @@
         assertEquals(naive(frames), verdicts);
     }
 
-    /** Looks at the whole past again for each frame. */
+    /** Reference implementation: checks each frame against all the frames before it. */
     private static List<Verdict> naive(List<Frame> frames) {
         List<Verdict> verdicts = new ArrayList<>();
         List<Frame> taken = new ArrayList<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/PeerNetworkTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/PeerNetworkTest.java
@@ -71,9 +71,8 @@
         await().until(() -> heard.stream().anyMatch(Frame::hasDraining));
     }
 
-    // A VM is replaced and its address is given to another one. The router still has the old
-    // name for that address: it must not send it requests, or a payment meant for one service
-    // would reach another.
+    // The address of a replaced VM is given to another VM while the router still expects the old
+    // one. It must send no requests there, or a payment meant for one service would reach another.
     @Test
     void anAddressAtWhichAnotherVmAnswersGivesNoLink() {
         ExecutionException thrown =
@@ -83,9 +82,9 @@
         assertEquals("REJECTED", ((PeerException) thrown.getCause()).codeName());
     }
 
-    // The agent's process ends and a new one takes its place at the same address. The router hears
-    // once that the link closed, sends nothing on it any more, and its next wish gives a link to
-    // the new incarnation.
+    // An agent restarts at the same address. The router is notified once that the link closed,
+    // sends
+    // nothing on it any more, and its next connect gives a link to the new incarnation.
     @Test
     void aRestartAtTheSameAddressShowsAsAnotherIncarnation() throws Exception {
         AtomicInteger routerClosed = new AtomicInteger();
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/TestPeers.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/TestPeers.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.pekko.util.ByteString;
 
-/** Small literals for the tests of the peers. */
+/** Fixtures for the tests of the peer package. */
 final class TestPeers {
     static final int CREDIT = 64 * 1024;
     static final int MAX_FRAME = 256 * 1024;
