--- a/damaskyoke/src/main/java/io/damaskyoke/exchange/AnswerRecorder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/exchange/AnswerRecorder.java
@@ -6,7 +6,7 @@
 import org.apache.pekko.stream.javadsl.Source;
 import org.apache.pekko.util.ByteString;
 
-/** Keeps a copy of an answer's body as it passes by. */
+/** Records a copy of an answer's body while the body is streamed. */
 public final class AnswerRecorder {
     private final int maxBytes;
     private final Consumer<Optional<byte[]>> whole;
@@ -19,10 +19,10 @@
     }
 
     /**
-     * The same body, which can be run once as before.
+     * Returns the same body, to be run once, with its chunks recorded.
      *
-     * @param whole told when the body has passed whole, with a copy of it if it has at most {@code
-     *     maxBytes}; never told of a body that was cut or cancelled
+     * @param whole called when the whole body has been streamed, with a copy if it has at most
+     *     {@code maxBytes} bytes; never called for a body that was cut or cancelled
      */
     public static Source<ByteString, NotUsed> tap(
             Source<ByteString, NotUsed> body, int maxBytes, Consumer<Optional<byte[]>> whole) {
@@ -36,8 +36,8 @@
         return chunk;
     }
 
-    // Reached only when the body has completed. A stream's own signal of termination would not do:
-    // it reports a consumer that stops half-way as success, and half an answer would be recorded.
+    // Runs only when the body has completed. The stream's termination signal can't be used: it
+    // reports a consumer that stops half-way as success, and half an answer would be recorded.
     private Source<ByteString, NotUsed> end() {
         whole.accept(tooLarge ? Optional.empty() : Optional.of(kept.toArray()));
         return Source.empty();
--- a/damaskyoke/src/main/java/io/damaskyoke/exchange/CancelSignal.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/exchange/CancelSignal.java
@@ -5,17 +5,17 @@
 import java.util.Objects;
 
 /**
- * Tells whoever works on a request that its caller has gone; thread-safe, and never taken back.
+ * Signals that the caller of a request has disconnected; thread-safe, and never reset.
  *
- * <p>The caller side calls {@code signal.cancel()}; the dispatcher has said before what to do then:
+ * <p>The caller side calls {@code signal.cancel()}; the dispatcher registers its actions with
  * {@code signal.onCancel(() -> queue.remove(request))}. Once the dispatch is answered the signal
- * says nothing more: from then on the body of the answer is cancelled instead.
+ * has no effect: from then on the body of the answer is cancelled instead.
  */
 public final class CancelSignal {
     private final List<Runnable> actions = new ArrayList<>();
     private boolean cancelled;
 
-    /** Runs every action given so far, once, on this thread; the second call does nothing. */
+    /** Runs every registered action once, on this thread; a second call does nothing. */
     public void cancel() {
         for (Runnable action : close()) {
             action.run();
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Gives an action for the moment of the cancel; runs it at once if that is over. It runs on the
-     * thread that cancels, so it must be short and must not throw.
+     * Registers an action to run on cancellation; runs it at once if already cancelled. It runs on
+     * the thread that cancels, so it must be short and must not throw.
      */
     public void onCancel(Runnable action) {
         Objects.requireNonNull(action, "action");
@@ -33,7 +33,7 @@
         }
     }
 
-    /** True once cancelled. */
+    /** Returns true once cancelled. */
     public synchronized boolean cancelled() {
         return cancelled;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/exchange/Refusal.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/exchange/Refusal.java
@@ -5,33 +5,33 @@
 import java.util.Optional;
 
 /**
- * A final answer that is not the upstream's.
+ * A final answer given by the system instead of the upstream.
  *
- * @param code the reason
- * @param message one sentence for people
+ * @param code the reason of the refusal
+ * @param message one sentence for the caller to read
  * @param notRun true only if it is known that no upstream began the request
- * @param retryAfter when coming back can help
+ * @param retryAfter the time after which a retry can succeed
  */
 public record Refusal(
         RefusalCode code, String message, boolean notRun, Optional<Duration> retryAfter) {
-    /** Refuses missing parts and a negative time to come back. */
+    /** Rejects missing fields and a negative retry time. */
     public Refusal {
         Objects.requireNonNull(code, "code");
         Objects.requireNonNull(message, "message");
         retryAfter.ifPresent(Refusal::checkNotNegative);
     }
 
-    /** A refusal of a request that no upstream began. */
+    /** Returns a refusal of a request that no upstream began. */
     public static Refusal notRun(RefusalCode code, String message) {
         return new Refusal(code, message, true, Optional.empty());
     }
 
-    /** A refusal of a request that an upstream may have begun. */
+    /** Returns a refusal of a request that an upstream may have begun. */
     public static Refusal mayHaveRun(RefusalCode code, String message) {
         return new Refusal(code, message, false, Optional.empty());
     }
 
-    /** The same refusal, telling the caller when to come back. */
+    /** Returns the same refusal with the time after which to retry. */
     public Refusal retryAfter(Duration wait) {
         return new Refusal(code, message, notRun, Optional.of(wait));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/exchange/Request.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/exchange/Request.java
@@ -10,20 +10,20 @@
 import org.apache.pekko.util.ByteString;
 
 /**
- * A caller's request after its key was checked. Holds the id of that key and never the key.
+ * A caller's request after its key was checked. It holds the id of that key, never the key.
  *
  * @param id unique in the fleet
  * @param workspace the workspace of the key that came with the request
- * @param key which key it was, so that a waiting request can be refused once the key is withdrawn
- * @param target the model or service asked for
+ * @param key the id of that key, so that a waiting request can be refused once the key is withdrawn
+ * @param target the requested model or service
  * @param method the HTTP method for the upstream
  * @param path path and query as the upstream gets them
  * @param headers headers that may be passed on; never {@code Authorization}
  * @param body the whole body, within the limit of the settings
- * @param deadline when the caller no longer wants the answer, on this process's monotonic clock
- * @param idempotencyKey the caller's name for a non-idempotent request
- * @param idempotent whether it may be run again
- * @param tokens the estimate that is charged at admission
+ * @param deadline when the caller stops waiting for the answer, on this process's monotonic clock
+ * @param idempotencyKey the caller's key that identifies a non-idempotent request
+ * @param idempotent whether the request may be run again
+ * @param tokens the estimated tokens charged at admission
  */
 public record Request(
         ExchangeId id,
@@ -38,12 +38,12 @@
         Optional<IdempotencyKey> idempotencyKey,
         boolean idempotent,
         long tokens) {
-    /** True for a non-idempotent request with a key, which is claimed before it is sent. */
+    /** Returns true for a non-idempotent request with a key, which is claimed before it is sent. */
     public boolean claimable() {
         return !idempotent && idempotencyKey.isPresent();
     }
 
-    /** Copies the headers, so that the request cannot change on its way. */
+    /** Copies the headers, so that the request cannot change while it is processed. */
     public Request {
         headers = List.copyOf(headers);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/exchange/Target.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/exchange/Target.java
@@ -3,9 +3,9 @@
 import io.damaskyoke.id.ModelName;
 import io.damaskyoke.id.ServiceName;
 
-/** What a request is for: a model (or adapter) by its name, or a plain service. */
+/** The target of a request: a model or adapter by its name, or a plain service. */
 public sealed interface Target {
-    /** The name callers use, for messages and the time line. */
+    /** Returns the name that callers use, for messages and the timeline. */
     String name();
 
     /** A model or adapter, which may have to be loaded first. */
--- a/damaskyoke/src/main/java/io/damaskyoke/exchange/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/exchange/package-info.java
@@ -1,2 +1,2 @@
-/** A request and its answer, as they pass from the caller side through the peers to an upstream. */
+/** A request and its answer, as passed from the caller side through the peers to an upstream. */
 package io.damaskyoke.exchange;
