--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
@@ -160,8 +160,8 @@
                         node.metrics());
         return node.network(settings.peer())
                 .heartbeat(this::heartbeat)
-                .listen(server)
-                .listen(new ClaimAnswers(node.control(), outcomes))
+                .addListener(server)
+                .addListener(new ClaimAnswers(node.control(), outcomes))
                 .build()
                 .start();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -399,9 +399,9 @@
                 .timeline(timeline)
                 .clock(clock)
                 .metrics(metrics)
-                .on(loop.group())
-                .listen(ratePeers)
-                .listen(neighbours)
+                .eventLoops(loop.group())
+                .addListener(ratePeers)
+                .addListener(neighbours)
                 .build()
                 .start();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/node/RelayClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/node/RelayClient.java
@@ -100,7 +100,7 @@
     }
 
     void start() {
-        network.listen(this);
+        network.addListener(this);
         configuration.onChange(server::pushConfiguration);
         agents.onChange(all -> server.pushAgents());
         control.every(TICK, this::tick);
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/FrameOrder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerFrameOrder.java
@@ -10,7 +10,7 @@
  * <p>Each frame gets a verdict. An answer is complete only if every frame was received and the
  * bytes add up to the total in the last one.
  */
-final class FrameOrder {
+final class AnswerFrameOrder {
     /** What to do with a frame. */
     enum Verdict {
         /** The next frame in order: process it. */
@@ -37,7 +37,7 @@
     private enum State {
         AWAITING {
             @Override
-            Verdict step(FrameOrder order, Frame frame) {
+            Verdict step(AnswerFrameOrder order, Frame frame) {
                 return switch (frame.getKindCase()) {
                     case STARTED -> order.to(STREAMING);
                     case REFUSED -> order.to(DONE);
@@ -47,7 +47,7 @@
         },
         STREAMING {
             @Override
-            Verdict step(FrameOrder order, Frame frame) {
+            Verdict step(AnswerFrameOrder order, Frame frame) {
                 return switch (frame.getKindCase()) {
                     case CHUNK -> order.add(frame.getChunk().getData().size());
                     case END -> order.end(frame.getEnd().getTotalBytes());
@@ -58,20 +58,20 @@
         },
         DONE {
             @Override
-            Verdict step(FrameOrder order, Frame frame) {
+            Verdict step(AnswerFrameOrder order, Frame frame) {
                 return Verdict.LATE;
             }
         };
 
-        abstract Verdict step(FrameOrder order, Frame frame);
+        abstract Verdict step(AnswerFrameOrder order, Frame frame);
     }
 
     private final ExchangeId id;
-    private final Sequence sequence = new Sequence();
+    private final FrameSequence sequence = new FrameSequence();
     private State state = State.AWAITING;
     private long bytes;
 
-    FrameOrder(ExchangeId id) {
+    AnswerFrameOrder(ExchangeId id) {
         this.id = id;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Backoff.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Backoff.java
@@ -27,12 +27,12 @@
     }
 
     /** Returns the remaining wait; zero if a connection may be opened now. */
-    Duration left(Instant now) {
+    Duration remaining(Instant now) {
         return now.isBefore(notBefore) ? Duration.between(now, notBefore) : Duration.ZERO;
     }
 
     /** Records that a connection ended after being open for this long; zero if it never opened. */
-    void ended(Instant now, Duration open) {
+    void recordConnectionEnd(Instant now, Duration open) {
         failures = open.compareTo(STABLE) >= 0 ? 1 : failures + 1;
         notBefore = now.plusMillis(random.nextLong(bound().toMillis() + 1));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/CreditedBody.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/BodySender.java
@@ -13,7 +13,7 @@
  * Sends an upstream's body in chunks, only as fast as the receiver grants credit. It holds at most
  * one stream element, and pulls the next only after that one has been sent.
  */
-final class CreditedBody {
+final class BodySender {
     static final int MAX_CHUNK_BYTES = 16 * 1024;
 
     /** Called once when the body has ended. */
@@ -33,7 +33,7 @@
     private boolean waiting;
     private boolean over;
 
-    CreditedBody(Predicate<ByteString> chunk, Ended ended) {
+    BodySender(Predicate<ByteString> chunk, Ended ended) {
         this.chunk = chunk;
         this.ended = ended;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ClockGuard.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ClockGuard.java
@@ -26,7 +26,7 @@
         this.metrics = metrics;
     }
 
-    void heard(long packed) {
+    void observe(long packed) {
         long limit = wall.millis() + MAX_AHEAD.toMillis();
         if (new HybridTime(packed).millis() > limit) {
             metrics.count("peer_clock_ahead");
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Dialer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Dialer.java
@@ -34,7 +34,7 @@
     }
 
     /** Returns the current link, or a new one that is being connected if there is none. */
-    synchronized NettyLink want() {
+    synchronized NettyLink currentOrNewLink() {
         if (over) {
             begin();
         }
@@ -43,7 +43,7 @@
 
     /** Closes the current link, if any; the next call for a link opens another. */
     void close(PeerException why) {
-        NettyLink present = present();
+        NettyLink present = currentLink();
         if (present != null) {
             present.close(why);
         }
@@ -54,8 +54,8 @@
         openedAt = null;
         current = fresh.get();
         current.ready().thenRun(this::opened);
-        current.over().thenRun(this::ended);
-        open.accept(current, backoff.left(clock.instant()));
+        current.whenEnded().thenRun(this::ended);
+        open.accept(current, backoff.remaining(clock.instant()));
     }
 
     private synchronized void opened() {
@@ -64,11 +64,12 @@
 
     private synchronized void ended() {
         Instant now = clock.instant();
-        backoff.ended(now, openedAt == null ? Duration.ZERO : Duration.between(openedAt, now));
+        backoff.recordConnectionEnd(
+                now, openedAt == null ? Duration.ZERO : Duration.between(openedAt, now));
         over = true;
     }
 
-    private synchronized NettyLink present() {
+    private synchronized NettyLink currentLink() {
         return current;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/RecentIds.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/EndedExchanges.java
@@ -14,7 +14,7 @@
  * used models, 32,768 ids cover more than five minutes and take some 7 MB. Running exchanges are
  * never forgotten, since the server tracks them separately.
  */
-final class RecentIds {
+final class EndedExchanges {
     static final int CAPACITY = 32_768;
 
     private final Map<ExchangeId, Optional<Refused>> ended =
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeServer.java
@@ -30,7 +30,7 @@
     private final Materializer materializer;
     private final Metrics metrics;
     private final ConcurrentMap<ExchangeId, ServedExchange> running = new ConcurrentHashMap<>();
-    private final RecentIds recent = new RecentIds();
+    private final EndedExchanges recent = new EndedExchanges();
 
     private ExchangeServer(
             ExchangeHandler handler,
@@ -111,7 +111,7 @@
     }
 
     private void handle(ServedExchange exchange) {
-        exchange.endIfLinkGone();
+        exchange.cancelIfLinkClosed();
         try {
             handler.handle(exchange);
         } catch (RuntimeException e) {
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Sequence.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/FrameSequence.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.peer;
 
 /** Checks the frame numbers of an exchange in one direction: 0, 1, 2 ... as unsigned 32 bits. */
-final class Sequence {
+final class FrameSequence {
     /** The position of a frame number relative to the numbers before it. */
     enum Place {
         IN_ORDER,
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/LinkHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkHandler.java
@@ -21,7 +21,7 @@
             Duration silence,
             int maxFrameBytes,
             ClockGuard clock,
-            LinkEvents events) {}
+            LinkRegistry events) {}
 
     private final NettyLink link;
     private final Context context;
@@ -88,7 +88,7 @@
     }
 
     private void receive(Frame frame) {
-        context.clock().heard(frame.getSentAt());
+        context.clock().observe(frame.getSentAt());
         if (frame.hasHello()) {
             context.events().count("peer_late_hello");
             return;
@@ -103,15 +103,15 @@
             return;
         }
         cancel(helloLimit);
-        context.clock().heard(first.getSentAt());
+        context.clock().observe(first.getSentAt());
         if (!link.opened(first.getHello())) {
             ctx.close();
             return;
         }
-        Pipeline.allowFullFrames(ctx.pipeline(), context);
+        LinkPipeline.allowFullFrames(ctx.pipeline(), context);
         heartbeats = beat(ctx);
         context.events().opened(link);
-        link.announce();
+        link.completeReady();
     }
 
     private Future<?> beat(ChannelHandlerContext ctx) {
@@ -124,7 +124,7 @@
     // size a router has some six hundred links that carry answers all the time; heartbeats on each
     // would alone take several times what a node may send for control.
     private void heartbeat() {
-        if (link.takeCarriedAnExchange()) {
+        if (link.takeExchangeFrameSent()) {
             return;
         }
         try {
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Pipeline.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkPipeline.java
@@ -17,12 +17,12 @@
  * <p>Until the hello frame was received only a small frame is accepted, so that an unknown client
  * can't make this process buffer megabytes.
  */
-final class Pipeline {
+final class LinkPipeline {
     static final int MAX_HELLO_BYTES = 4096;
     private static final int LENGTH_BYTES = 4;
     private static final String FRAMES = "frames";
 
-    private Pipeline() {}
+    private LinkPipeline() {}
 
     static void build(Channel channel, NettyLink link, LinkHandler.Context context) {
         link.attach(channel);
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/LinkEvents.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkRegistry.java
@@ -15,15 +15,15 @@
 import org.apache.logging.log4j.Logger;
 
 /** Tracks the open links and notifies the listeners; a listener that throws affects no other. */
-final class LinkEvents {
-    private static final Logger LOG = LogManager.getLogger(LinkEvents.class);
+final class LinkRegistry {
+    private static final Logger LOG = LogManager.getLogger(LinkRegistry.class);
 
     private final List<PeerListener> listeners = new CopyOnWriteArrayList<>();
     private final Set<PeerLink> open = ConcurrentHashMap.newKeySet();
     private final Timeline timeline;
     private final Metrics metrics;
 
-    LinkEvents(Timeline timeline, Metrics metrics) {
+    LinkRegistry(Timeline timeline, Metrics metrics) {
         this.timeline = timeline;
         this.metrics = metrics;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/NettyLink.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/NettyLink.java
@@ -70,7 +70,7 @@
     }
 
     /** Returns true if a frame of an exchange was sent since the last call, and resets the mark. */
-    boolean takeCarriedAnExchange() {
+    boolean takeExchangeFrameSent() {
         boolean carried = carriedAnExchange;
         carriedAnExchange = false;
         return carried;
@@ -87,7 +87,7 @@
     }
 
     /** Completes when the link has ended, whether it was ever open or not. */
-    CompletionStage<Void> over() {
+    CompletionStage<Void> whenEnded() {
         return over.minimalCompletionStage();
     }
 
@@ -110,7 +110,7 @@
     }
 
     /** Completes {@link #ready()}; called after the listeners were notified of the link. */
-    void announce() {
+    void completeReady() {
         ready.complete(this);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/OutgoingExchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/OutgoingExchange.java
@@ -30,7 +30,7 @@
     private final int window;
     private final Metrics metrics;
     private final Consumer<OutgoingExchange> over;
-    private final FrameOrder order;
+    private final AnswerFrameOrder order;
     private final AnswerBody body = new AnswerBody(this::taken, this::consumerCancelled);
     private final CompletableFuture<ExchangeResult> result = new CompletableFuture<>();
     private final CompletableFuture<ExchangeResult.Ending> ending = new CompletableFuture<>();
@@ -52,7 +52,7 @@
         this.metrics = metrics;
         this.over = over;
         this.allowance = window;
-        this.order = new FrameOrder(id);
+        this.order = new AnswerFrameOrder(id);
     }
 
     ExchangeId id() {
@@ -91,11 +91,11 @@
             drop("crossed");
             return;
         }
-        FrameOrder.Verdict verdict;
+        AnswerFrameOrder.Verdict verdict;
         synchronized (this) {
-            verdict = done ? FrameOrder.Verdict.LATE : order.next(frame);
+            verdict = done ? AnswerFrameOrder.Verdict.LATE : order.next(frame);
         }
-        if (verdict == FrameOrder.Verdict.TAKE) {
+        if (verdict == AnswerFrameOrder.Verdict.TAKE) {
             take(frame);
             return;
         }
@@ -162,7 +162,7 @@
                 new ExchangeResult.Refused(
                         RefusalCodec.fromWire(frame.getRefused()),
                         RefusalCodec.load(frame.getRefused())));
-        breakOff(RefusalCodec.breaking(frame.getRefused()));
+        breakOff(RefusalCodec.toException(frame.getRefused()));
     }
 
     /** Completes a pending result as lost, and fails a streaming body with the code. */
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetwork.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetwork.java
@@ -48,7 +48,7 @@
     private final InstantSource clock;
     private final RandomGenerator random;
     private final Metrics metrics;
-    private final LinkEvents events;
+    private final LinkRegistry events;
     private final ClockGuard guard;
     private final LinkHandler.Context context;
     private final EventLoopGroup group;
@@ -69,7 +69,7 @@
         clock = builder.clock;
         random = builder.random;
         metrics = builder.metrics;
-        events = new LinkEvents(builder.timeline, metrics);
+        events = new LinkRegistry(builder.timeline, metrics);
         guard = new ClockGuard(builder.timeline.clock(), clock, metrics);
         context =
                 new LinkHandler.Context(
@@ -123,7 +123,7 @@
     }
 
     /** Adds a listener, which is notified of all events from now on. */
-    public PeerNetwork listen(PeerListener listener) {
+    public PeerNetwork addListener(PeerListener listener) {
         events.add(listener);
         return this;
     }
@@ -171,7 +171,7 @@
     }
 
     private NettyLink want(PeerAddress address) {
-        return dialers.computeIfAbsent(address, this::dialer).want();
+        return dialers.computeIfAbsent(address, this::dialer).currentOrNewLink();
     }
 
     private Dialer dialer(PeerAddress address) {
@@ -242,7 +242,7 @@
 
     private void prepare(Channel channel, NettyLink link) {
         channels.add(channel);
-        Pipeline.build(channel, link, context);
+        LinkPipeline.build(channel, link, context);
         if (closed || link.ended()) {
             channel.close();
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetworkBuilder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetworkBuilder.java
@@ -96,13 +96,13 @@
      * Uses the event loops of the given group, which are left running when the network closes. On a
      * fraction of a core, a thread of its own would cost two wake-ups for each frame.
      */
-    public PeerNetworkBuilder on(EventLoopGroup given) {
+    public PeerNetworkBuilder eventLoops(EventLoopGroup given) {
         group = Objects.requireNonNull(given, "group");
         return this;
     }
 
     /** Adds a listener; may be called again. */
-    public PeerNetworkBuilder listen(PeerListener listener) {
+    public PeerNetworkBuilder addListener(PeerListener listener) {
         listeners.add(Objects.requireNonNull(listener, "listener"));
         return this;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/RefusalCodec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/RefusalCodec.java
@@ -37,7 +37,7 @@
     }
 
     /** Converts a refusal in the middle of an answer to the failure of its body. */
-    static ExchangeException breaking(Refused refused) {
+    static ExchangeException toException(Refused refused) {
         return new ExchangeException(breakCode(code(refused.getCode())), refused.getMessage());
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ServedExchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ServedExchange.java
@@ -30,9 +30,9 @@
     private final Materializer materializer;
     private final Metrics metrics;
     private final Consumer<ServedExchange> over;
-    private final Sequence incoming = new Sequence();
+    private final FrameSequence incoming = new FrameSequence();
     private final List<Runnable> onCancel = new ArrayList<>();
-    private CreditedBody body;
+    private BodySender body;
     private long credit;
     private int sent;
     private boolean done;
@@ -83,7 +83,7 @@
 
     @Override
     public void refuse(Refusal refusal, Load load) {
-        CreditedBody running;
+        BodySender running;
         synchronized (this) {
             if (done) {
                 return;
@@ -99,11 +99,11 @@
 
     @Override
     public void serve(Answer.Served answer, Supplier<Load> load, Supplier<Long> tokens) {
-        CreditedBody fresh = null;
+        BodySender fresh = null;
         synchronized (this) {
             if (!done && body == null) {
                 fresh =
-                        new CreditedBody(
+                        new BodySender(
                                 this::chunk, (total, why) -> ended(total, why, load, tokens));
                 fresh.grant(credit);
                 body = fresh;
@@ -143,7 +143,7 @@
             drop("crossed");
             return;
         }
-        Sequence.Place place;
+        FrameSequence.Place place;
         synchronized (this) {
             place = incoming.next(frame.getSequence());
         }
@@ -164,7 +164,7 @@
     }
 
     /** Cancels the exchange if its link closed before it was registered as running. */
-    void endIfLinkGone() {
+    void cancelIfLinkClosed() {
         if (!link.open()) {
             cancel();
         }
@@ -176,7 +176,7 @@
             return;
         }
         long granted = Integer.toUnsignedLong(frame.getCredit().getBytes());
-        CreditedBody running;
+        BodySender running;
         synchronized (this) {
             running = body;
             credit += running == null ? granted : 0;
@@ -192,7 +192,7 @@
 
     private void cancel(Optional<Refused> lastWord) {
         List<Runnable> actions;
-        CreditedBody running;
+        BodySender running;
         synchronized (this) {
             if (done) {
                 return;
@@ -207,7 +207,7 @@
         actions.forEach(this::run);
     }
 
-    private void end(CreditedBody running) {
+    private void end(BodySender running) {
         over.accept(this);
         if (running != null) {
             running.cancel();
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
@@ -79,11 +79,11 @@
         RatePeers ratePeers = new RatePeers(node.control(), rates);
         this.network =
                 node.network(settings.peer())
-                        .listen(client)
-                        .listen(queries)
-                        .listen(new AgentListener(node.control(), fleet))
-                        .listen(heard)
-                        .listen(ratePeers)
+                        .addListener(client)
+                        .addListener(queries)
+                        .addListener(new AgentListener(node.control(), fleet))
+                        .addListener(heard)
+                        .addListener(ratePeers)
                         .build()
                         .start();
         ratePeers.over(network);
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/FrameOrderTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/AnswerFrameOrderTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.google.protobuf.ByteString;
-import io.damaskyoke.peer.FrameOrder.Verdict;
+import io.damaskyoke.peer.AnswerFrameOrder.Verdict;
 import io.damaskyoke.peer.wire.Chunk;
 import io.damaskyoke.peer.wire.End;
 import io.damaskyoke.peer.wire.ExchangeId;
@@ -18,13 +18,13 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class FrameOrderTest {
+class AnswerFrameOrderTest {
     private static final ExchangeId MINE = id(1);
     private static final ExchangeId OTHER = id(2);
 
     @Test
     void anEndThatAnnouncesMoreThanCameBreaksTheAnswer() {
-        FrameOrder order = new FrameOrder(MINE);
+        AnswerFrameOrder order = new AnswerFrameOrder(MINE);
         order.next(started());
         order.next(chunk(1, 3));
         assertEquals(Verdict.WRONG_TOTAL, order.next(end(2, 4)));
@@ -33,14 +33,14 @@
 
     @Test
     void aChunkBeforeTheStartBreaksTheAnswer() {
-        assertEquals(Verdict.MISPLACED, new FrameOrder(MINE).next(chunk(0, 3)));
+        assertEquals(Verdict.MISPLACED, new AnswerFrameOrder(MINE).next(chunk(0, 3)));
     }
 
     @Property(seed = "20261201", tries = 3000)
     void agreesWithANaiveVersionOnDoubledLateCrossedAndCutLists(
             @ForAll long seed, @ForAll @IntRange(max = 8) int chunks) {
         List<Frame> frames = disturbed(whole(chunks), new Random(seed));
-        FrameOrder order = new FrameOrder(MINE);
+        AnswerFrameOrder order = new AnswerFrameOrder(MINE);
         List<Verdict> verdicts = frames.stream().map(order::next).toList();
         assertEquals(naive(frames), verdicts);
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/BackoffTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/BackoffTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void theFirstConnectionNeedNotWait() {
-        assertEquals(Duration.ZERO, new Backoff(new Random(1)).left(NOW));
+        assertEquals(Duration.ZERO, new Backoff(new Random(1)).remaining(NOW));
     }
 
     @Test
@@ -21,8 +21,8 @@
         Backoff backoff = new Backoff(new Random(1));
         Duration longest = Duration.ZERO;
         for (int i = 0; i < 1_000; i++) {
-            backoff.ended(NOW, Duration.ZERO);
-            Duration left = backoff.left(NOW);
+            backoff.recordConnectionEnd(NOW, Duration.ZERO);
+            Duration left = backoff.remaining(NOW);
             longest = left.compareTo(longest) > 0 ? left : longest;
         }
         assertTrue(longest.compareTo(Backoff.LAST_BOUND) <= 0);
@@ -33,9 +33,9 @@
     void aLinkThatLivedBeginsAgainWithAShortWait() {
         Backoff backoff = new Backoff(new Random(1));
         for (int i = 0; i < 20; i++) {
-            backoff.ended(NOW, Duration.ZERO);
+            backoff.recordConnectionEnd(NOW, Duration.ZERO);
         }
-        backoff.ended(NOW, Backoff.STABLE);
-        assertTrue(backoff.left(NOW).compareTo(Backoff.FIRST_BOUND) <= 0);
+        backoff.recordConnectionEnd(NOW, Backoff.STABLE);
+        assertTrue(backoff.remaining(NOW).compareTo(Backoff.FIRST_BOUND) <= 0);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/ClockGuardTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/ClockGuardTest.java
@@ -16,9 +16,9 @@
     void aTimeWithinAMinuteIsTakenAndOneBeyondIsNot() {
         Metrics metrics = new Metrics();
         ClockGuard guard = new ClockGuard(HybridClock.over(WALL), WALL, metrics);
-        guard.heard(HybridTime.of(65_000, 0).packed());
-        guard.heard(HybridTime.of(65_001, 0).packed());
-        guard.heard(-1L);
+        guard.observe(HybridTime.of(65_000, 0).packed());
+        guard.observe(HybridTime.of(65_001, 0).packed());
+        guard.observe(-1L);
         assertEquals(HybridTime.of(65_000, 1).packed(), guard.now());
         assertEquals(2, metrics.counter("peer_clock_ahead").getCount());
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/ExchangeTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/ExchangeTest.java
@@ -65,9 +65,9 @@
                     SystemMaterializer.get(SYSTEM).materializer(),
                     metrics);
     private final PeerNetwork router =
-            network("router-1", metrics, LONG).listen(client).build().start();
+            network("router-1", metrics, LONG).addListener(client).build().start();
     private final PeerNetwork agent =
-            network("agent-1", metrics, LONG).listen(server).build().start();
+            network("agent-1", metrics, LONG).addListener(server).build().start();
     private PeerLink link;
 
     @BeforeEach
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/PeerNetworkTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/PeerNetworkTest.java
@@ -39,7 +39,7 @@
     private final AtomicInteger closed = new AtomicInteger();
     private final PeerNetwork router = network("router-1", new Metrics(), LONG).build().start();
     private PeerNetwork agent =
-            network("agent-1", metrics, LONG).listen(new Recorder()).build().start();
+            network("agent-1", metrics, LONG).addListener(new Recorder()).build().start();
 
     @AfterEach
     void close() {
@@ -88,7 +88,7 @@
     @Test
     void aRestartAtTheSameAddressShowsAsAnotherIncarnation() throws Exception {
         AtomicInteger routerClosed = new AtomicInteger();
-        router.listen(new CountingListener(routerClosed));
+        router.addListener(new CountingListener(routerClosed));
         int port = agent.port();
         PeerLink first = get(router.connect(address("agent-1", port)));
         agent.close();
@@ -136,7 +136,7 @@
     void aLinkOnWhichNothingComesIsClosed() throws Exception {
         try (PeerNetwork strict =
                 network("agent-2", metrics, Duration.ofMillis(300))
-                        .listen(new Recorder())
+                        .addListener(new Recorder())
                         .build()
                         .start()) {
             try (Socket socket = new Socket("127.0.0.1", strict.port())) {
