--- a/damaskyoke/src/main/java/io/damaskyoke/exchange/CancelSignal.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/exchange/CancelSignal.java
@@ -17,7 +17,7 @@
 
     /** Runs every registered action once, on this thread; a second call does nothing. */
     public void cancel() {
-        for (Runnable action : close()) {
+        for (Runnable action : takeActions()) {
             action.run();
         }
     }
@@ -28,7 +28,7 @@
      */
     public void onCancel(Runnable action) {
         Objects.requireNonNull(action, "action");
-        if (!added(action)) {
+        if (!addIfActive(action)) {
             action.run();
         }
     }
@@ -38,14 +38,14 @@
         return cancelled;
     }
 
-    private synchronized List<Runnable> close() {
+    private synchronized List<Runnable> takeActions() {
         cancelled = true;
-        List<Runnable> due = List.copyOf(actions);
+        List<Runnable> pending = List.copyOf(actions);
         actions.clear();
-        return due;
+        return pending;
     }
 
-    private synchronized boolean added(Runnable action) {
+    private synchronized boolean addIfActive(Runnable action) {
         if (cancelled) {
             return false;
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerBody.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerBody.java
@@ -13,8 +13,8 @@
  */
 final class AnswerBody {
     private final Queue<ByteString> chunks = new ArrayDeque<>();
-    private final IntConsumer taken;
-    private final Runnable cancelled;
+    private final IntConsumer onTaken;
+    private final Runnable onCancelled;
     private Runnable wake = () -> {};
     private boolean ended;
     private Throwable failure;
@@ -23,12 +23,12 @@
     /**
      * Creates an empty body.
      *
-     * @param taken receives the number of bytes that the consumer has just taken
-     * @param cancelled runs when the consumer cancels the body
+     * @param onTaken receives the number of bytes that the consumer has just taken
+     * @param onCancelled runs when the consumer cancels the body
      */
-    AnswerBody(IntConsumer taken, Runnable cancelled) {
-        this.taken = taken;
-        this.cancelled = cancelled;
+    AnswerBody(IntConsumer onTaken, Runnable onCancelled) {
+        this.onTaken = onTaken;
+        this.onCancelled = onCancelled;
     }
 
     /** Returns the stream of the body's bytes, which can be run only once. */
@@ -61,12 +61,12 @@
     }
 
     /** Starts the only run of the stream; returns false if it was started before. */
-    synchronized boolean begin(Runnable wakeUp) {
+    synchronized boolean begin(Runnable onProgress) {
         if (running) {
             return false;
         }
         running = true;
-        wake = wakeUp;
+        wake = onProgress;
         return true;
     }
 
@@ -77,7 +77,7 @@
             next = chunks.poll();
         }
         if (next != null) {
-            taken.accept(next.size());
+            onTaken.accept(next.size());
         }
         return next;
     }
@@ -97,6 +97,6 @@
             ended = true;
             chunks.clear();
         }
-        cancelled.run();
+        onCancelled.run();
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerFrameOrder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerFrameOrder.java
@@ -39,9 +39,9 @@
             @Override
             Verdict step(AnswerFrameOrder order, Frame frame) {
                 return switch (frame.getKindCase()) {
-                    case STARTED -> order.to(STREAMING);
-                    case REFUSED -> order.to(DONE);
-                    default -> order.broken(Verdict.MISPLACED);
+                    case STARTED -> order.moveTo(STREAMING);
+                    case REFUSED -> order.moveTo(DONE);
+                    default -> order.breakWith(Verdict.MISPLACED);
                 };
             }
         },
@@ -51,8 +51,8 @@
                 return switch (frame.getKindCase()) {
                     case CHUNK -> order.add(frame.getChunk().getData().size());
                     case END -> order.end(frame.getEnd().getTotalBytes());
-                    case REFUSED -> order.to(DONE);
-                    default -> order.broken(Verdict.MISPLACED);
+                    case REFUSED -> order.moveTo(DONE);
+                    default -> order.breakWith(Verdict.MISPLACED);
                 };
             }
         },
@@ -85,7 +85,7 @@
         }
         return switch (sequence.next(frame.getSequence())) {
             case DOUBLED -> Verdict.DOUBLED;
-            case GAP -> broken(Verdict.GAP);
+            case GAP -> breakWith(Verdict.GAP);
             case IN_ORDER -> state.step(this, frame);
         };
     }
@@ -100,12 +100,12 @@
         return total == bytes ? Verdict.TAKE : Verdict.WRONG_TOTAL;
     }
 
-    private Verdict to(State next) {
+    private Verdict moveTo(State next) {
         state = next;
         return Verdict.TAKE;
     }
 
-    private Verdict broken(Verdict how) {
+    private Verdict breakWith(Verdict how) {
         state = State.DONE;
         return how;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerSource.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/AnswerSource.java
@@ -30,7 +30,7 @@
     }
 
     private final class Logic extends GraphStageLogic {
-        private boolean mine;
+        private boolean bodyStarted;
 
         Logic() {
             super(shape);
@@ -44,7 +44,7 @@
 
                         @Override
                         public void onDownstreamFinish(Throwable cause) {
-                            if (mine) {
+                            if (bodyStarted) {
                                 body.cancel();
                             }
                             completeStage();
@@ -55,8 +55,8 @@
         @Override
         public void preStart() {
             AsyncCallback<Boolean> wake = createAsyncCallback(ignored -> advance());
-            mine = body.begin(() -> wake.invoke(true));
-            if (!mine) {
+            bodyStarted = body.begin(() -> wake.invoke(true));
+            if (!bodyStarted) {
                 failStage(new IllegalStateException("the body of an answer can be run only once"));
                 return;
             }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/BodySender.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/BodySender.java
@@ -18,30 +18,30 @@
 
     /** Called once when the body has ended. */
     @FunctionalInterface
-    interface Ended {
+    interface EndListener {
         /** Receives the total of bytes sent, and why the body failed; null if it is complete. */
         void ended(long total, Throwable why);
     }
 
-    private final Predicate<ByteString> chunk;
-    private final Ended ended;
+    private final Predicate<ByteString> sendChunk;
+    private final EndListener onEnd;
     private SinkQueueWithCancel<ByteString> queue;
     private Materializer materializer;
-    private ByteString rest = ByteString.emptyByteString();
+    private ByteString remainder = ByteString.emptyByteString();
     private long credit;
     private long total;
-    private boolean waiting;
-    private boolean over;
+    private boolean pulling;
+    private boolean stopped;
 
-    BodySender(Predicate<ByteString> chunk, Ended ended) {
-        this.chunk = chunk;
-        this.ended = ended;
+    BodySender(Predicate<ByteString> sendChunk, EndListener onEnd) {
+        this.sendChunk = sendChunk;
+        this.onEnd = onEnd;
     }
 
-    void run(Source<ByteString, NotUsed> body, Materializer runBy) {
+    void run(Source<ByteString, NotUsed> body, Materializer givenMaterializer) {
         synchronized (this) {
-            materializer = runBy;
-            queue = body.runWith(Sink.queue(1), runBy);
+            materializer = givenMaterializer;
+            queue = body.runWith(Sink.queue(1), givenMaterializer);
         }
         advance();
     }
@@ -55,7 +55,7 @@
 
     void cancel() {
         synchronized (this) {
-            over = true;
+            stopped = true;
             if (queue != null) {
                 queue.cancel();
             }
@@ -64,38 +64,38 @@
 
     /** Sends what the credit allows, then pulls more; one thread at a time, in order. */
     private void advance() {
-        if (step()) {
-            ended.ended(
+        if (sendAllowed()) {
+            onEnd.ended(
                     total,
                     new IllegalStateException("the peer link did not accept a chunk of the body"));
         }
     }
 
     /** Returns true if the link did not accept a chunk, which ends this body. */
-    private synchronized boolean step() {
-        if (queue == null || over) {
+    private synchronized boolean sendAllowed() {
+        if (queue == null || stopped) {
             return false;
         }
-        while (!rest.isEmpty() && credit > 0) {
+        while (!remainder.isEmpty() && credit > 0) {
             if (!sendOne()) {
                 cancel();
                 return true;
             }
         }
-        if (rest.isEmpty() && !waiting) {
-            waiting = true;
+        if (remainder.isEmpty() && !pulling) {
+            pulling = true;
             queue.pull().whenCompleteAsync(this::pulled, materializer.executionContext());
         }
         return false;
     }
 
     private boolean sendOne() {
-        int size = (int) Math.min(Math.min(credit, rest.size()), MAX_CHUNK_BYTES);
-        ByteString next = rest.take(size);
-        rest = rest.drop(size);
+        int size = (int) Math.min(Math.min(credit, remainder.size()), MAX_CHUNK_BYTES);
+        ByteString next = remainder.take(size);
+        remainder = remainder.drop(size);
         credit -= size;
         total += size;
-        return chunk.test(next);
+        return sendChunk.test(next);
     }
 
     private void pulled(Optional<ByteString> element, Throwable failure) {
@@ -103,18 +103,18 @@
             take(element.get());
             advance();
         } else if (stop()) {
-            ended.ended(total, failure);
+            onEnd.ended(total, failure);
         }
     }
 
     private synchronized void take(ByteString element) {
-        waiting = false;
-        rest = element;
+        pulling = false;
+        remainder = element;
     }
 
     private synchronized boolean stop() {
-        boolean first = !over;
-        over = true;
+        boolean first = !stopped;
+        stopped = true;
         return first;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Dialer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Dialer.java
@@ -10,32 +10,32 @@
 final class Dialer {
     private final InstantSource clock;
     private final Backoff backoff;
-    private final Supplier<NettyLink> fresh;
-    private final BiConsumer<NettyLink, Duration> open;
+    private final Supplier<NettyLink> newLink;
+    private final BiConsumer<NettyLink, Duration> connect;
     private NettyLink current;
     private Instant openedAt;
-    private boolean over = true;
+    private boolean linkEnded = true;
 
     /**
      * Creates a dialer without a connection.
      *
-     * @param fresh creates the next link, not yet connected
-     * @param open connects the link after the given wait, and ends it if connecting fails
+     * @param newLink creates the next link, not yet connected
+     * @param connect connects the link after the given wait, and ends it if connecting fails
      */
     Dialer(
             InstantSource clock,
             Backoff backoff,
-            Supplier<NettyLink> fresh,
-            BiConsumer<NettyLink, Duration> open) {
+            Supplier<NettyLink> newLink,
+            BiConsumer<NettyLink, Duration> connect) {
         this.clock = clock;
         this.backoff = backoff;
-        this.fresh = fresh;
-        this.open = open;
+        this.newLink = newLink;
+        this.connect = connect;
     }
 
     /** Returns the current link, or a new one that is being connected if there is none. */
     synchronized NettyLink currentOrNewLink() {
-        if (over) {
+        if (linkEnded) {
             begin();
         }
         return current;
@@ -50,12 +50,12 @@
     }
 
     private void begin() {
-        over = false;
+        linkEnded = false;
         openedAt = null;
-        current = fresh.get();
+        current = newLink.get();
         current.ready().thenRun(this::opened);
         current.whenEnded().thenRun(this::ended);
-        open.accept(current, backoff.remaining(clock.instant()));
+        connect.accept(current, backoff.remaining(clock.instant()));
     }
 
     private synchronized void opened() {
@@ -66,7 +66,7 @@
         Instant now = clock.instant();
         backoff.recordConnectionEnd(
                 now, openedAt == null ? Duration.ZERO : Duration.between(openedAt, now));
-        over = true;
+        linkEnded = true;
     }
 
     private synchronized NettyLink currentLink() {
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeClient.java
@@ -15,7 +15,7 @@
 /**
  * Sends requests to agents over peer links and matches the answer frames to them.
  *
- * <p>{@code network.listen(client); client.invoke(link, request, timeLeft).result()}
+ * <p>{@code network.addListener(client); client.invoke(link, request, timeLeft).result()}
  */
 public final class ExchangeClient implements PeerListener {
     private final int creditBytes;
@@ -70,7 +70,7 @@
 
     @Override
     public void received(PeerLink link, Frame frame) {
-        if (!answers(frame)) {
+        if (!isAnswerFrame(frame)) {
             return;
         }
         OutgoingExchange exchange = running.get(frame.getExchange());
@@ -86,7 +86,7 @@
         running.values().forEach(exchange -> exchange.linkClosed(link));
     }
 
-    private static boolean answers(Frame frame) {
+    private static boolean isAnswerFrame(Frame frame) {
         return switch (frame.getKindCase()) {
             case STARTED, CHUNK, END, REFUSED -> true;
             default -> false;
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeServer.java
@@ -20,7 +20,7 @@
 /**
  * Receives requests over peer links and passes each to the handler exactly once.
  *
- * <p>{@code network.listen(ExchangeServer.of(handler, clock, materializer, metrics))}
+ * <p>{@code network.addListener(ExchangeServer.of(handler, clock, materializer, metrics))}
  */
 public final class ExchangeServer implements PeerListener {
     private static final Logger LOG = LogManager.getLogger(ExchangeServer.class);
@@ -30,7 +30,7 @@
     private final Materializer materializer;
     private final Metrics metrics;
     private final ConcurrentMap<ExchangeId, ServedExchange> running = new ConcurrentHashMap<>();
-    private final EndedExchanges recent = new EndedExchanges();
+    private final EndedExchanges endedExchanges = new EndedExchanges();
 
     private ExchangeServer(
             ExchangeHandler handler,
@@ -61,7 +61,7 @@
     public void received(PeerLink link, Frame frame) {
         switch (frame.getKindCase()) {
             case INVOKE -> invoked(link, frame);
-            case CREDIT, CANCEL -> passOn(link, frame);
+            case CREDIT, CANCEL -> forward(link, frame);
             default -> {}
         }
     }
@@ -74,13 +74,13 @@
     private void invoked(PeerLink link, Frame frame) {
         ServedExchange exchange;
         try {
-            exchange = exchange(link, frame);
+            exchange = decode(link, frame);
         } catch (IllegalArgumentException e) {
             metrics.count("exchange_malformed");
             refuse(link, frame.getExchange(), malformed(e.getMessage()));
             return;
         }
-        if (taken(link, exchange)) {
+        if (registerIfNew(link, exchange)) {
             handle(exchange);
         }
     }
@@ -91,22 +91,22 @@
      * <p>Running exchanges are looked up before ended ones, and an exchange is recorded as ended
      * before it is removed from the running ones, so at no moment is it in neither.
      */
-    private boolean taken(PeerLink link, ServedExchange exchange) {
+    private boolean registerIfNew(PeerLink link, ServedExchange exchange) {
         ServedExchange first = running.putIfAbsent(exchange.id(), exchange);
         if (first != null) {
             metrics.count("exchange_doubled");
             if (first.link() != link) {
-                refuse(link, exchange.id(), doubled());
+                refuse(link, exchange.id(), duplicate());
             }
             return false;
         }
-        Optional<Optional<Refused>> before = recent.find(exchange.id());
+        Optional<Optional<Refused>> before = endedExchanges.find(exchange.id());
         if (before.isEmpty()) {
             return true;
         }
         running.remove(exchange.id(), exchange);
         metrics.count("exchange_doubled");
-        refuse(link, exchange.id(), before.get().orElseGet(ExchangeServer::doubled));
+        refuse(link, exchange.id(), before.get().orElseGet(ExchangeServer::duplicate));
         return false;
     }
 
@@ -126,7 +126,7 @@
         }
     }
 
-    private void passOn(PeerLink link, Frame frame) {
+    private void forward(PeerLink link, Frame frame) {
         ServedExchange exchange = running.get(frame.getExchange());
         if (exchange == null) {
             metrics.count("exchange_frames_dropped", "reason", "unknown");
@@ -135,7 +135,7 @@
         }
     }
 
-    private ServedExchange exchange(PeerLink link, Frame frame) {
+    private ServedExchange decode(PeerLink link, Frame frame) {
         Request request =
                 InvokeCodec.toRequest(
                         InvokeCodec.fromWire(frame.getExchange()),
@@ -148,7 +148,7 @@
     }
 
     private void ended(ServedExchange exchange) {
-        recent.ended(exchange.id(), exchange.wholeRefusal());
+        endedExchanges.ended(exchange.id(), exchange.wholeRefusal());
         running.remove(exchange.id(), exchange);
     }
 
@@ -161,7 +161,7 @@
         return RefusalCodec.toWire(refusal, Load.getDefaultInstance());
     }
 
-    private static Refused doubled() {
+    private static Refused duplicate() {
         Refusal refusal =
                 Refusal.mayHaveRun(
                         RefusalCode.OUTCOME_UNKNOWN, "this request has been taken here before");
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/FrameSequence.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/FrameSequence.java
@@ -3,7 +3,7 @@
 /** Checks the frame numbers of an exchange in one direction: 0, 1, 2 ... as unsigned 32 bits. */
 final class FrameSequence {
     /** The position of a frame number relative to the numbers before it. */
-    enum Place {
+    enum Position {
         IN_ORDER,
         DOUBLED,
         GAP
@@ -11,15 +11,15 @@
 
     private long expected;
 
-    Place next(int number) {
+    Position next(int number) {
         long given = Integer.toUnsignedLong(number);
         if (given < expected) {
-            return Place.DOUBLED;
+            return Position.DOUBLED;
         }
         if (given > expected) {
-            return Place.GAP;
+            return Position.GAP;
         }
         expected++;
-        return Place.IN_ORDER;
+        return Position.IN_ORDER;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/InvokeCodec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/InvokeCodec.java
@@ -19,7 +19,7 @@
 
 /** Converts requests to frames and back. Neither a caller key nor its id is put into a frame. */
 final class InvokeCodec {
-    private static final KeyId KEY_STAYED_BEHIND = KeyId.of("-");
+    private static final KeyId PLACEHOLDER_KEY = KeyId.of("-");
 
     private InvokeCodec() {}
 
@@ -45,7 +45,7 @@
         return new Request(
                 id,
                 WorkspaceId.of(invoke.getWorkspace()),
-                KEY_STAYED_BEHIND,
+                PLACEHOLDER_KEY,
                 target(invoke),
                 invoke.getMethod(),
                 invoke.getPath(),
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/LinkHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkHandler.java
@@ -25,7 +25,7 @@
 
     private final NettyLink link;
     private final Context context;
-    private Future<?> helloLimit;
+    private Future<?> helloTimeout;
     private Future<?> heartbeats;
     private Rejection rejection;
 
@@ -37,7 +37,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         ctx.writeAndFlush(context.hello().toBuilder().setSentAt(context.clock().now()).build());
-        helloLimit =
+        helloTimeout =
                 ctx.executor()
                         .schedule(
                                 () -> reject(ctx, Rejection.NO_HELLO),
@@ -53,7 +53,7 @@
         if (link.open()) {
             receive(frame);
         } else {
-            greet(ctx, frame);
+            handshake(ctx, frame);
         }
     }
 
@@ -71,18 +71,19 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Rejection.of(cause).ifPresentOrElse(reason -> reject(ctx, reason), () -> brokenOff(ctx));
+        Rejection.of(cause)
+                .ifPresentOrElse(reason -> reject(ctx, reason), () -> connectionFailed(ctx));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        cancel(helloLimit);
+        cancel(helloTimeout);
         cancel(heartbeats);
         if (!link.open() && !link.ended() && rejection == null) {
             rejection = Rejection.GONE_BEFORE_HELLO;
             context.events().rejected(rejection);
         }
-        if (link.end(why())) {
+        if (link.end(closeReason())) {
             context.events().closed(link);
         }
     }
@@ -96,25 +97,25 @@
         context.events().received(link, frame);
     }
 
-    private void greet(ChannelHandlerContext ctx, Frame first) {
+    private void handshake(ChannelHandlerContext ctx, Frame first) {
         Optional<Rejection> refused = Handshake.check(first, link.expected());
         if (refused.isPresent()) {
             reject(ctx, refused.get());
             return;
         }
-        cancel(helloLimit);
+        cancel(helloTimeout);
         context.clock().observe(first.getSentAt());
         if (!link.opened(first.getHello())) {
             ctx.close();
             return;
         }
         LinkPipeline.allowFullFrames(ctx.pipeline(), context);
-        heartbeats = beat(ctx);
+        heartbeats = startHeartbeats(ctx);
         context.events().opened(link);
         link.completeReady();
     }
 
-    private Future<?> beat(ChannelHandlerContext ctx) {
+    private Future<?> startHeartbeats(ChannelHandlerContext ctx) {
         long interval = context.interval().toMillis();
         return ctx.executor()
                 .scheduleAtFixedRate(this::heartbeat, 0, interval, TimeUnit.MILLISECONDS);
@@ -142,12 +143,12 @@
         ctx.close();
     }
 
-    private void brokenOff(ChannelHandlerContext ctx) {
+    private void connectionFailed(ChannelHandlerContext ctx) {
         context.events().count("peer_broken_off");
         ctx.close();
     }
 
-    private PeerException why() {
+    private PeerException closeReason() {
         return rejection == null
                 ? new PeerException(PeerException.Code.UNREACHABLE, "the peer connection closed")
                 : new PeerException(
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/LinkPipeline.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkPipeline.java
@@ -20,7 +20,7 @@
 final class LinkPipeline {
     static final int MAX_HELLO_BYTES = 4096;
     private static final int LENGTH_BYTES = 4;
-    private static final String FRAMES = "frames";
+    private static final String FRAME_DECODER = "frames";
 
     private LinkPipeline() {}
 
@@ -30,7 +30,7 @@
         channel.pipeline()
                 .addLast(new FlushConsolidationHandler())
                 .addLast(new IdleStateHandler(silence, 0, 0, TimeUnit.MILLISECONDS))
-                .addLast(FRAMES, frames(MAX_HELLO_BYTES))
+                .addLast(FRAME_DECODER, frameDecoder(MAX_HELLO_BYTES))
                 .addLast(new ProtobufDecoder(Frame.getDefaultInstance()))
                 .addLast(new LengthFieldPrepender(LENGTH_BYTES))
                 .addLast(new ProtobufEncoder())
@@ -38,10 +38,10 @@
     }
 
     static void allowFullFrames(ChannelPipeline pipeline, LinkHandler.Context context) {
-        pipeline.replace(FRAMES, FRAMES, frames(context.maxFrameBytes()));
+        pipeline.replace(FRAME_DECODER, FRAME_DECODER, frameDecoder(context.maxFrameBytes()));
     }
 
-    private static LengthFieldBasedFrameDecoder frames(int maxBytes) {
+    private static LengthFieldBasedFrameDecoder frameDecoder(int maxBytes) {
         return new LengthFieldBasedFrameDecoder(
                 maxBytes + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/LinkRegistry.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkRegistry.java
@@ -38,18 +38,18 @@
 
     void opened(PeerLink link) {
         open.add(link);
-        link.remote().ifPresent(hello -> note(EventType.PEER_UP, hello));
-        each(listener -> listener.opened(link));
+        link.remote().ifPresent(hello -> record(EventType.PEER_UP, hello));
+        notifyEach(listener -> listener.opened(link));
     }
 
     void received(PeerLink link, Frame frame) {
-        each(listener -> listener.received(link, frame));
+        notifyEach(listener -> listener.received(link, frame));
     }
 
     void closed(PeerLink link) {
         open.remove(link);
-        link.remote().ifPresent(hello -> note(EventType.PEER_DOWN, hello));
-        each(listener -> listener.closed(link));
+        link.remote().ifPresent(hello -> record(EventType.PEER_DOWN, hello));
+        notifyEach(listener -> listener.closed(link));
     }
 
     void rejected(Rejection reason) {
@@ -60,11 +60,11 @@
         metrics.count(name);
     }
 
-    private void note(EventType type, Hello hello) {
+    private void record(EventType type, Hello hello) {
         timeline.add(type, hello.getVm(), Map.of("incarnation", hello.getIncarnation()));
     }
 
-    private void each(Consumer<PeerListener> call) {
+    private void notifyEach(Consumer<PeerListener> call) {
         for (PeerListener listener : listeners) {
             try {
                 call.accept(listener);
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/NettyLink.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/NettyLink.java
@@ -25,11 +25,11 @@
     private final int maxFrameBytes;
     private final Metrics metrics;
     private final CompletableFuture<PeerLink> ready = new CompletableFuture<>();
-    private final CompletableFuture<Void> over = new CompletableFuture<>();
+    private final CompletableFuture<Void> whenEnded = new CompletableFuture<>();
     private volatile State state = State.CONNECTING;
     private volatile Channel channel;
     private volatile Hello remote;
-    private volatile boolean carriedAnExchange;
+    private volatile boolean exchangeFrameSent;
 
     NettyLink(Optional<VmId> expected, ClockGuard clock, int maxFrameBytes, Metrics metrics) {
         this.expected = expected;
@@ -64,15 +64,15 @@
             return false;
         }
         if (stamped.hasExchange()) {
-            carriedAnExchange = true;
+            exchangeFrameSent = true;
         }
         return enqueue(stamped);
     }
 
     /** Returns true if a frame of an exchange was sent since the last call, and resets the mark. */
     boolean takeExchangeFrameSent() {
-        boolean carried = carriedAnExchange;
-        carriedAnExchange = false;
+        boolean carried = exchangeFrameSent;
+        exchangeFrameSent = false;
         return carried;
     }
 
@@ -88,7 +88,7 @@
 
     /** Completes when the link has ended, whether it was ever open or not. */
     CompletionStage<Void> whenEnded() {
-        return over.minimalCompletionStage();
+        return whenEnded.minimalCompletionStage();
     }
 
     boolean ended() {
@@ -122,7 +122,7 @@
             state = State.CLOSED;
         }
         ready.completeExceptionally(why);
-        over.complete(null);
+        whenEnded.complete(null);
         return wasOpen;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/OutgoingExchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/OutgoingExchange.java
@@ -27,31 +27,31 @@
 
     private final ExchangeId id;
     private final PeerLink link;
-    private final int window;
+    private final int windowBytes;
     private final Metrics metrics;
-    private final Consumer<OutgoingExchange> over;
+    private final Consumer<OutgoingExchange> onEnd;
     private final AnswerFrameOrder order;
-    private final AnswerBody body = new AnswerBody(this::taken, this::consumerCancelled);
+    private final AnswerBody body = new AnswerBody(this::recordConsumed, this::consumerCancelled);
     private final CompletableFuture<ExchangeResult> result = new CompletableFuture<>();
     private final CompletableFuture<ExchangeResult.Ending> ending = new CompletableFuture<>();
     private int sent;
-    private boolean begun;
+    private boolean invokeSent;
     private boolean done;
-    private long allowance;
-    private int ungranted;
+    private long remainingCredit;
+    private int consumedSinceGrant;
 
     OutgoingExchange(
             ExchangeId id,
             PeerLink link,
-            int window,
+            int windowBytes,
             Metrics metrics,
-            Consumer<OutgoingExchange> over) {
+            Consumer<OutgoingExchange> onEnd) {
         this.id = id;
         this.link = link;
-        this.window = window;
+        this.windowBytes = windowBytes;
         this.metrics = metrics;
-        this.over = over;
-        this.allowance = window;
+        this.onEnd = onEnd;
+        this.remainingCredit = windowBytes;
         this.order = new AnswerFrameOrder(id);
     }
 
@@ -65,12 +65,12 @@
     }
 
     void begin(Invoke invoke) {
-        boolean left;
+        boolean accepted;
         synchronized (this) {
-            begun = !done && send(frame().setInvoke(invoke));
-            left = begun;
+            invokeSent = !done && send(frame().setInvoke(invoke));
+            accepted = invokeSent;
         }
-        if (!left) {
+        if (!accepted) {
             fail(Code.CONNECTION_LOST, "the peer link did not accept the request frame");
         }
     }
@@ -96,7 +96,7 @@
             verdict = done ? AnswerFrameOrder.Verdict.LATE : order.next(frame);
         }
         if (verdict == AnswerFrameOrder.Verdict.TAKE) {
-            take(frame);
+            handle(frame);
             return;
         }
         drop(verdict.name().toLowerCase(Locale.ROOT));
@@ -111,7 +111,7 @@
         }
     }
 
-    private void take(Frame frame) {
+    private void handle(Frame frame) {
         switch (frame.getKindCase()) {
             case STARTED -> started(frame.getStarted());
             case CHUNK -> chunk(frame);
@@ -134,8 +134,8 @@
                 ByteString.fromByteBuffer(frame.getChunk().getData().asReadOnlyByteBuffer());
         boolean allowed;
         synchronized (this) {
-            allowance -= data.size();
-            allowed = allowance >= 0;
+            remainingCredit -= data.size();
+            allowed = remainingCredit >= 0;
         }
         if (allowed) {
             body.add(data);
@@ -162,7 +162,7 @@
                 new ExchangeResult.Refused(
                         RefusalCodec.fromWire(frame.getRefused()),
                         RefusalCodec.load(frame.getRefused())));
-        breakOff(RefusalCodec.toException(frame.getRefused()));
+        failBody(RefusalCodec.toException(frame.getRefused()));
     }
 
     /** Completes a pending result as lost, and fails a streaming body with the code. */
@@ -170,16 +170,16 @@
         if (!finish()) {
             return;
         }
-        result.complete(unanswered(reason));
-        breakOff(new ExchangeException(code, reason));
+        result.complete(lostOrNotSent(reason));
+        failBody(new ExchangeException(code, reason));
     }
 
     /** Returns {@code NotSent} if the link never accepted the invocation, else {@code Lost}. */
-    private synchronized ExchangeResult unanswered(String reason) {
-        return begun ? new ExchangeResult.Lost(reason) : new ExchangeResult.NotSent(reason);
+    private synchronized ExchangeResult lostOrNotSent(String reason) {
+        return invokeSent ? new ExchangeResult.Lost(reason) : new ExchangeResult.NotSent(reason);
     }
 
-    private void breakOff(ExchangeException why) {
+    private void failBody(ExchangeException why) {
         body.end(why);
         ending.completeExceptionally(why);
     }
@@ -191,7 +191,7 @@
             }
             done = true;
         }
-        over.accept(this);
+        onEnd.accept(this);
         return true;
     }
 
@@ -199,14 +199,14 @@
         cancel(Code.REVOKED, "the consumer cancelled the body");
     }
 
-    private synchronized void taken(int bytes) {
-        ungranted += bytes;
-        if (done || ungranted < Math.max(1, window / GRANTS_PER_WINDOW)) {
+    private synchronized void recordConsumed(int bytes) {
+        consumedSinceGrant += bytes;
+        if (done || consumedSinceGrant < Math.max(1, windowBytes / GRANTS_PER_WINDOW)) {
             return;
         }
-        allowance += ungranted;
-        send(frame().setCredit(Credit.newBuilder().setBytes(ungranted)));
-        ungranted = 0;
+        remainingCredit += consumedSinceGrant;
+        send(frame().setCredit(Credit.newBuilder().setBytes(consumedSinceGrant)));
+        consumedSinceGrant = 0;
     }
 
     private void sendCancel(String reason) {
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetwork.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetwork.java
@@ -40,7 +40,7 @@
  */
 public final class PeerNetwork implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 3_000;
-    private static final int STOP_SECONDS = 2;
+    private static final int STOP_TIMEOUT_SECONDS = 2;
     private static final WriteBufferWaterMark WATER_MARK =
             new WriteBufferWaterMark(256 * 1024, 1024 * 1024);
 
@@ -52,7 +52,7 @@
     private final ClockGuard guard;
     private final LinkHandler.Context context;
     private final EventLoopGroup group;
-    private final boolean ownThreads;
+    private final boolean ownsThreads;
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final ConcurrentMap<PeerAddress, Dialer> dialers = new ConcurrentHashMap<>();
     private volatile Channel server;
@@ -60,9 +60,9 @@
 
     PeerNetwork(PeerNetworkBuilder builder) {
         settings = builder.settings;
-        ownThreads = builder.group == null;
+        ownsThreads = builder.group == null;
         group =
-                ownThreads
+                ownsThreads
                         ? new MultiThreadIoEventLoopGroup(
                                 builder.threads, NioIoHandler.newFactory())
                         : builder.group;
@@ -134,7 +134,7 @@
      * wait.
      */
     public PeerLink link(PeerAddress address) {
-        return want(address);
+        return linkTo(address);
     }
 
     /**
@@ -142,14 +142,14 @@
      * with a {@link PeerException} when the current attempt fails.
      */
     public CompletionStage<PeerLink> connect(PeerAddress address) {
-        return want(address).ready();
+        return linkTo(address).ready();
     }
 
     /** Closes and removes the link to an address, for VMs that left the platform's list. */
     public void forget(PeerAddress address) {
         Dialer dialer = dialers.remove(address);
         if (dialer != null) {
-            dialer.close(closedHere());
+            dialer.close(closedLocally());
         }
     }
 
@@ -162,15 +162,15 @@
     @Override
     public void close() {
         closed = true;
-        dialers.values().forEach(dialer -> dialer.close(closedHere()));
-        channels.close().awaitUninterruptibly(STOP_SECONDS, TimeUnit.SECONDS);
-        if (ownThreads) {
-            group.shutdownGracefully(0, STOP_SECONDS, TimeUnit.SECONDS)
-                    .awaitUninterruptibly(STOP_SECONDS, TimeUnit.SECONDS);
+        dialers.values().forEach(dialer -> dialer.close(closedLocally()));
+        channels.close().awaitUninterruptibly(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        if (ownsThreads) {
+            group.shutdownGracefully(0, STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                    .awaitUninterruptibly(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
-    private NettyLink want(PeerAddress address) {
+    private NettyLink linkTo(PeerAddress address) {
         return dialers.computeIfAbsent(address, this::dialer).currentOrNewLink();
     }
 
@@ -178,25 +178,25 @@
         return new Dialer(
                 clock,
                 new Backoff(random),
-                () -> fresh(Optional.of(address.vm())),
-                (link, wait) -> openAfter(wait, link, address));
+                () -> newLink(Optional.of(address.vm())),
+                (link, wait) -> connectAfter(wait, link, address));
     }
 
-    private NettyLink fresh(Optional<VmId> expected) {
+    private NettyLink newLink(Optional<VmId> expected) {
         return new NettyLink(expected, guard, settings.maxFrameBytes(), metrics);
     }
 
-    private void openAfter(Duration wait, NettyLink link, PeerAddress address) {
+    private void connectAfter(Duration wait, NettyLink link, PeerAddress address) {
         try {
             group.schedule(() -> open(link, address), wait.toMillis(), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            link.end(closedHere());
+            link.end(closedLocally());
         }
     }
 
     private void open(NettyLink link, PeerAddress address) {
         if (closed) {
-            link.end(closedHere());
+            link.end(closedLocally());
         }
         if (link.ended()) {
             return;
@@ -209,10 +209,10 @@
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
                 .handler(outbound(link))
                 .connect(address.host(), address.port())
-                .addListener(connected -> unreachable(link, address, connected.cause()));
+                .addListener(connected -> endIfFailed(link, address, connected.cause()));
     }
 
-    private void unreachable(NettyLink link, PeerAddress address, Throwable cause) {
+    private void endIfFailed(NettyLink link, PeerAddress address, Throwable cause) {
         if (cause == null) {
             return;
         }
@@ -226,7 +226,7 @@
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                prepare(channel, fresh(Optional.empty()));
+                prepare(channel, newLink(Optional.empty()));
             }
         };
     }
@@ -248,7 +248,7 @@
         }
     }
 
-    private static PeerException closedHere() {
+    private static PeerException closedLocally() {
         return new PeerException(PeerException.Code.CLOSED, "closed by this process");
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/RefusalCodec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/RefusalCodec.java
@@ -17,7 +17,8 @@
                 .setCode(refusal.code().name())
                 .setMessage(refusal.message())
                 .setNotRun(refusal.notRun())
-                .setRetryAfterMs(refusal.retryAfter().map(RefusalCodec::atLeastOne).orElse(0L))
+                .setRetryAfterMs(
+                        refusal.retryAfter().map(RefusalCodec::atLeastOneMillisecond).orElse(0L))
                 .setLoad(load)
                 .build();
     }
@@ -38,10 +39,10 @@
 
     /** Converts a refusal in the middle of an answer to the failure of its body. */
     static ExchangeException toException(Refused refused) {
-        return new ExchangeException(breakCode(code(refused.getCode())), refused.getMessage());
+        return new ExchangeException(exceptionCode(code(refused.getCode())), refused.getMessage());
     }
 
-    private static long atLeastOne(Duration wait) {
+    private static long atLeastOneMillisecond(Duration wait) {
         return Math.max(1, wait.toMillis());
     }
 
@@ -53,7 +54,7 @@
         }
     }
 
-    private static ExchangeException.Code breakCode(RefusalCode code) {
+    private static ExchangeException.Code exceptionCode(RefusalCode code) {
         return switch (code) {
             case DEADLINE_EXCEEDED -> ExchangeException.Code.DEADLINE_EXCEEDED;
             case KEY_WITHDRAWN, STOPPING -> ExchangeException.Code.REVOKED;
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ServedExchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ServedExchange.java
@@ -29,7 +29,7 @@
     private final PeerLink link;
     private final Materializer materializer;
     private final Metrics metrics;
-    private final Consumer<ServedExchange> over;
+    private final Consumer<ServedExchange> onEnd;
     private final FrameSequence incoming = new FrameSequence();
     private final List<Runnable> onCancel = new ArrayList<>();
     private BodySender body;
@@ -45,14 +45,14 @@
             PeerLink link,
             Materializer materializer,
             Metrics metrics,
-            Consumer<ServedExchange> over) {
+            Consumer<ServedExchange> onEnd) {
         this.id = invoke.getExchange();
         this.invoke = invoke.toBuilder().setInvoke(withoutBody(invoke)).build();
         this.request = request;
         this.link = link;
         this.materializer = materializer;
         this.metrics = metrics;
-        this.over = over;
+        this.onEnd = onEnd;
         this.credit = Integer.toUnsignedLong(invoke.getInvoke().getCreditBytes());
         incoming.next(invoke.getSequence());
     }
@@ -90,7 +90,7 @@
             }
             done = true;
             running = body;
-            Refused refused = RefusalCodec.toWire(safe(refusal), load);
+            Refused refused = RefusalCodec.toWire(clearNotRunIfStarted(refusal), load);
             wholeRefusal = running == null ? refused : null;
             send(frame().setRefused(refused));
         }
@@ -143,16 +143,16 @@
             drop("crossed");
             return;
         }
-        FrameSequence.Place place;
+        FrameSequence.Position position;
         synchronized (this) {
-            place = incoming.next(frame.getSequence());
+            position = incoming.next(frame.getSequence());
         }
-        switch (place) {
-            case IN_ORDER -> take(frame);
+        switch (position) {
+            case IN_ORDER -> handle(frame);
             case DOUBLED -> drop("doubled");
             default -> {
                 drop("gap");
-                cancel(Optional.of(gap()));
+                cancel(Optional.of(missingFrames()));
             }
         }
     }
@@ -170,7 +170,7 @@
         }
     }
 
-    private void take(Frame frame) {
+    private void handle(Frame frame) {
         if (frame.hasCancel()) {
             cancel();
             return;
@@ -190,7 +190,7 @@
         cancel(Optional.empty());
     }
 
-    private void cancel(Optional<Refused> lastWord) {
+    private void cancel(Optional<Refused> finalFrame) {
         List<Runnable> actions;
         BodySender running;
         synchronized (this) {
@@ -199,7 +199,7 @@
             }
             done = true;
             cancelled = true;
-            lastWord.ifPresent(refused -> send(frame().setRefused(refused)));
+            finalFrame.ifPresent(refused -> send(frame().setRefused(refused)));
             running = body;
             actions = List.copyOf(onCancel);
         }
@@ -208,7 +208,7 @@
     }
 
     private void end(BodySender running) {
-        over.accept(this);
+        onEnd.accept(this);
         if (running != null) {
             running.cancel();
         }
@@ -236,14 +236,14 @@
             metrics.count("exchange_body_failed");
             refuse(
                     Refusal.mayHaveRun(RefusalCode.UPSTREAM_FAILED, "the upstream broke off"),
-                    asked(load, Load.getDefaultInstance()));
+                    valueOrDefault(load, Load.getDefaultInstance()));
             return;
         }
         End end =
                 End.newBuilder()
                         .setTotalBytes(total)
-                        .setTokensUsed(Math.max(0, asked(tokens, 0L)))
-                        .setLoad(asked(load, Load.getDefaultInstance()))
+                        .setTokensUsed(Math.max(0, valueOrDefault(tokens, 0L)))
+                        .setLoad(valueOrDefault(load, Load.getDefaultInstance()))
                         .build();
         synchronized (this) {
             if (done) {
@@ -252,10 +252,10 @@
             done = true;
             send(frame().setEnd(end));
         }
-        over.accept(this);
+        onEnd.accept(this);
     }
 
-    private <T> T asked(Supplier<T> supplier, T otherwise) {
+    private <T> T valueOrDefault(Supplier<T> supplier, T otherwise) {
         try {
             T given = supplier.get();
             return given == null ? otherwise : given;
@@ -266,7 +266,7 @@
     }
 
     /** Clears {@code notRun} once an answer has begun, since the request has then run. */
-    private Refusal safe(Refusal refusal) {
+    private Refusal clearNotRunIfStarted(Refusal refusal) {
         return body == null
                 ? refusal
                 : new Refusal(refusal.code(), refusal.message(), false, refusal.retryAfter());
@@ -284,7 +284,7 @@
         metrics.count("exchange_frames_dropped", "reason", reason);
     }
 
-    private static Refused gap() {
+    private static Refused missingFrames() {
         Refusal refusal =
                 Refusal.mayHaveRun(
                         RefusalCode.UPSTREAM_FAILED, "frames of the request are missing");
--- a/damaskyoke/src/test/java/io/damaskyoke/exchange/CancelSignalTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/exchange/CancelSignalTest.java
@@ -11,7 +11,7 @@
     private final AtomicInteger runs = new AtomicInteger();
 
     @Test
-    void actionsRunOnceHoweverOftenItIsCancelled() {
+    void actionsRunOnceEvenIfCancelledTwice() {
         signal.onCancel(runs::incrementAndGet);
         signal.cancel();
         signal.cancel();
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void anActionThatComesAfterTheCancelRunsAtOnce() {
+    void anActionRegisteredAfterTheCancelRunsAtOnce() {
         signal.cancel();
         signal.onCancel(runs::incrementAndGet);
         assertEquals(1, runs.get());
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/BackoffTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/BackoffTest.java
@@ -12,12 +12,12 @@
     private static final Instant NOW = Instant.EPOCH;
 
     @Test
-    void theFirstConnectionNeedNotWait() {
+    void theFirstConnectionDoesNotWait() {
         assertEquals(Duration.ZERO, new Backoff(new Random(1)).remaining(NOW));
     }
 
     @Test
-    void noWaitIsAboveTheBoundHoweverManyFailures() {
+    void theWaitStaysWithinTheMaximumAfterManyFailures() {
         Backoff backoff = new Backoff(new Random(1));
         Duration longest = Duration.ZERO;
         for (int i = 0; i < 1_000; i++) {
@@ -25,17 +25,17 @@
             Duration left = backoff.remaining(NOW);
             longest = left.compareTo(longest) > 0 ? left : longest;
         }
-        assertTrue(longest.compareTo(Backoff.LAST_BOUND) <= 0);
-        assertTrue(longest.compareTo(Backoff.LAST_BOUND.dividedBy(2)) > 0);
+        assertTrue(longest.compareTo(Backoff.MAX_BOUND) <= 0);
+        assertTrue(longest.compareTo(Backoff.MAX_BOUND.dividedBy(2)) > 0);
     }
 
     @Test
-    void aLinkThatLivedBeginsAgainWithAShortWait() {
+    void aStableLinkResetsTheWaitToTheInitialBound() {
         Backoff backoff = new Backoff(new Random(1));
         for (int i = 0; i < 20; i++) {
             backoff.recordConnectionEnd(NOW, Duration.ZERO);
         }
-        backoff.recordConnectionEnd(NOW, Backoff.STABLE);
-        assertTrue(backoff.remaining(NOW).compareTo(Backoff.FIRST_BOUND) <= 0);
+        backoff.recordConnectionEnd(NOW, Backoff.STABLE_AFTER);
+        assertTrue(backoff.remaining(NOW).compareTo(Backoff.INITIAL_BOUND) <= 0);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/ClockGuardTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/ClockGuardTest.java
@@ -13,7 +13,7 @@
     private static final InstantSource WALL = () -> Instant.ofEpochMilli(5_000);
 
     @Test
-    void aTimeWithinAMinuteIsTakenAndOneBeyondIsNot() {
+    void aTimeMoreThanAMinuteAheadIsCountedAndIgnored() {
         Metrics metrics = new Metrics();
         ClockGuard guard = new ClockGuard(HybridClock.over(WALL), WALL, metrics);
         guard.observe(HybridTime.of(65_000, 0).packed());
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/ExchangeTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/ExchangeTest.java
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void anAnswerComesBackWholeWithItsTokensAndLoad() throws Exception {
+    void anAnswerIsReceivedCompleteWithItsTokensAndLoad() throws Exception {
         Exchange exchange = invoke(1);
         IncomingExchange taken = taken();
         assertEquals(42L, taken.configSequence());
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aBodyOfManyWindowsArrivesWhole() throws Exception {
+    void aBodyLargerThanTheCreditWindowIsReceivedComplete() throws Exception {
         Exchange exchange = invoke(1);
         ByteString block = ByteString.fromArray(new byte[100_000]);
         serve(taken(), Source.repeat(block).take(50));
@@ -112,7 +112,7 @@
     // the upstream no more than the credit, one element in hand and one in the stream's buffer,
     // or a few slow callers would exhaust the memory of router and agent.
     @Test
-    void aSlowCallerMakesNobodyHoldMoreThanTheCredit() throws Exception {
+    void aSlowCallerLimitsBufferingToTheCredit() throws Exception {
         Exchange exchange = invoke(1);
         AtomicLong produced = new AtomicLong();
         Source<ByteString, NotUsed> endless =
@@ -135,20 +135,20 @@
     }
 
     @Test
-    void aCallerWhoGoesAwayCancelsTheUpstream() throws Exception {
+    void aCallerThatCancelsTheBodyCancelsTheUpstream() throws Exception {
         Exchange exchange = invoke(1);
         IncomingExchange taken = taken();
         AtomicInteger cancels = new AtomicInteger();
         taken.onCancel(cancels::incrementAndGet);
-        CompletionStage<Done> upstreamEnd =
+        CompletionStage<Done> upstreamTermination =
                 serveWatched(taken, Source.repeat(ByteString.fromString("token ")));
         served(exchange).body().runWith(Sink.cancelled(), SYSTEM);
-        get(upstreamEnd);
+        get(upstreamTermination);
         await().until(() -> cancels.get() == 1 && taken.cancelled());
     }
 
     @Test
-    void aRefusalKeepsItsCodeItsWordOnNotRunAndTheTimeToComeBack() throws Exception {
+    void aRefusalKeepsItsCodeNotRunAndRetryAfter() throws Exception {
         Exchange exchange = invoke(1);
         Refusal refusal =
                 Refusal.notRun(RefusalCode.OVERLOADED, "full").retryAfter(Duration.ofSeconds(2));
@@ -160,7 +160,7 @@
     // The upstream cuts off in the middle of an answer. The caller must see a failed body, not a
     // short one that looks complete; and since the request ran, never "not run".
     @Test
-    void anUpstreamThatBreaksOffFailsTheBody() throws Exception {
+    void anUpstreamFailureInTheMiddleFailsTheBody() throws Exception {
         Exchange exchange = invoke(1);
         serve(
                 taken(),
@@ -174,10 +174,10 @@
     // may have run, so it is Lost rather than NotSent; the second fails in the middle; and the
     // agent cancels both upstream calls.
     @Test
-    void aLostLinkLosesWhatWaitsAndFailsWhatStreams() throws Exception {
+    void aClosedLinkLosesPendingExchangesAndFailsStreamingBodies() throws Exception {
         Exchange streaming = invoke(1);
         IncomingExchange first = taken();
-        CompletionStage<Done> upstreamEnd =
+        CompletionStage<Done> upstreamTermination =
                 serveWatched(
                         first,
                         Source.maybe()
@@ -189,14 +189,14 @@
         router.forget(address("agent-1", agent.port()));
         assertInstanceOf(ExchangeResult.Lost.class, get(waiting.result()));
         assertBroken("CONNECTION_LOST", served);
-        get(upstreamEnd);
+        get(upstreamTermination);
         await().until(() -> first.cancelled() && second.cancelled());
         Exchange late = invoke(3);
         assertInstanceOf(ExchangeResult.NotSent.class, get(late.result()));
     }
 
     @Test
-    void cancellingBeforeTheFirstFrameGivesLostAndTellsTheAgent() throws Exception {
+    void cancellingBeforeTheFirstFrameGivesLostAndCancelsAtTheAgent() throws Exception {
         Exchange exchange = invoke(1);
         IncomingExchange taken = taken();
         exchange.cancel("deadline");
@@ -210,7 +210,7 @@
     // second time, or a payment would be charged twice; it refuses the duplicate as one that may
     // have run.
     @Test
-    void anInvocationThatComesTwiceIsHandledOnce() throws Exception {
+    void aDuplicateInvocationIsHandledOnce() throws Exception {
         Exchange first = invoke(1);
         serve(taken(), Source.single(ByteString.fromString("paid")));
         get(collected(served(first)));
@@ -223,7 +223,7 @@
     }
 
     @Test
-    void anEndThatDoesNotAddUpIsNeverPassedOffAsWhole() throws Exception {
+    void anEndWithAWrongTotalFailsTheBody() throws Exception {
         Exchange exchange = invoke(1);
         PeerLink back = taken().link();
         Frame.Builder frame = Frame.newBuilder().setExchange(InvokeCodec.toWire(request(1).id()));
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void crossedAnswersNeverMix() throws Exception {
+    void interleavedAnswersReachTheirOwnCallers() throws Exception {
         // Twenty callers wait on one link. The agent answers them in reverse order and all at once,
         // so their frames interleave; a frame of an ended answer is sent again. Each caller
         // gets its own complete answer.
@@ -266,7 +266,7 @@
     }
 
     @Test
-    void noKeyAndNoKeyIdIsInTheBytesOfAnInvocation() {
+    void anInvocationContainsNeitherTheKeyNorItsId() {
         Header key = new Header("authorization", "Bearer planted-secret");
         byte[] bytes = InvokeCodec.toInvoke(request(1, key), LONG, 1, 1).toByteArray();
         String sent = new String(bytes, StandardCharsets.ISO_8859_1);
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/PeerNetworkTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/PeerNetworkTest.java
@@ -35,7 +35,7 @@
             Frame.newBuilder().setDraining(Draining.getDefaultInstance()).build();
 
     private final Metrics metrics = new Metrics();
-    private final List<Frame> heard = new CopyOnWriteArrayList<>();
+    private final List<Frame> receivedFrames = new CopyOnWriteArrayList<>();
     private final AtomicInteger closed = new AtomicInteger();
     private final PeerNetwork router = network("router-1", new Metrics(), LONG).build().start();
     private PeerNetwork agent =
@@ -48,33 +48,33 @@
     }
 
     @Test
-    void aFrameArrivesOverTheOneLinkToAnAddress() throws Exception {
+    void framesToAnAddressShareOneLink() throws Exception {
         PeerLink link = get(router.connect(address("agent-1", agent.port())));
         assertSame(link, router.link(address("agent-1", agent.port())));
         assertTrue(link.send(DRAINING));
-        await().until(() -> heard.stream().anyMatch(Frame::hasDraining));
+        await().until(() -> receivedFrames.stream().anyMatch(Frame::hasDraining));
     }
 
     @Test
-    void heartbeatsComeWithoutBeingAskedFor() throws Exception {
+    void heartbeatsAreSentOnAnOpenLink() throws Exception {
         get(router.connect(address("agent-1", agent.port())));
-        await().until(() -> heard.stream().filter(Frame::hasHeartbeat).count() >= 3);
+        await().until(() -> receivedFrames.stream().filter(Frame::hasHeartbeat).count() >= 3);
     }
 
     @Test
-    void aFrameAboveTheLimitIsNotSentAndHarmsNotTheLink() throws Exception {
+    void aFrameAboveTheLimitIsNotSentAndTheLinkStaysOpen() throws Exception {
         PeerLink link = get(router.connect(address("agent-1", agent.port())));
         ByteString large = ByteString.copyFrom(new byte[TestPeers.MAX_FRAME]);
         Chunk chunk = Chunk.newBuilder().setData(large).build();
         assertFalse(link.send(Frame.newBuilder().setChunk(chunk).build()));
         assertTrue(link.send(DRAINING));
-        await().until(() -> heard.stream().anyMatch(Frame::hasDraining));
+        await().until(() -> receivedFrames.stream().anyMatch(Frame::hasDraining));
     }
 
     // The address of a replaced VM is given to another VM while the router still expects the old
     // one. It must send no requests there, or a payment meant for one service would reach another.
     @Test
-    void anAddressAtWhichAnotherVmAnswersGivesNoLink() {
+    void aConnectionIsRejectedIfAnotherVmAnswersAtTheAddress() {
         ExecutionException thrown =
                 assertThrows(
                         ExecutionException.class,
@@ -86,7 +86,7 @@
     // sends
     // nothing on it any more, and its next connect gives a link to the new incarnation.
     @Test
-    void aRestartAtTheSameAddressShowsAsAnotherIncarnation() throws Exception {
+    void aRestartAtTheSameAddressGivesAnotherIncarnation() throws Exception {
         AtomicInteger routerClosed = new AtomicInteger();
         router.addListener(new CountingListener(routerClosed));
         int port = agent.port();
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void strangersOnThePeerPortHarmNobody() throws Exception {
+    void invalidDataOnThePeerPortIsRejectedAndOtherLinksStayOpen() throws Exception {
         PeerLink link = get(router.connect(address("agent-1", agent.port())));
         byte[] random = new byte[5_000];
         new Random(3).nextBytes(random);
@@ -116,12 +116,12 @@
         assertTrue(rejected("oversize") >= 2);
         assertEquals(1, rejected("not_hello"));
         assertTrue(link.send(DRAINING));
-        await().until(() -> heard.stream().anyMatch(Frame::hasDraining));
+        await().until(() -> receivedFrames.stream().anyMatch(Frame::hasDraining));
         assertEquals(0, closed.get());
     }
 
     @Test
-    void aHalfWrittenHelloIsGivenUp() throws Exception {
+    void anIncompleteHelloTimesOut() throws Exception {
         try (PeerNetwork strict =
                 network("agent-2", metrics, Duration.ofMillis(300)).build().start()) {
             try (Socket socket = new Socket("127.0.0.1", strict.port())) {
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aLinkOnWhichNothingComesIsClosed() throws Exception {
+    void aSilentLinkIsClosed() throws Exception {
         try (PeerNetwork strict =
                 network("agent-2", metrics, Duration.ofMillis(300))
                         .addListener(new Recorder())
@@ -157,14 +157,14 @@
     }
 
     @Test
-    void aPeersClockFarAheadIsCountedAndNotTaken() throws Exception {
+    void aPeerClockFarAheadIsCountedAndIgnored() throws Exception {
         try (Socket socket = new Socket("127.0.0.1", agent.port())) {
             writeHello(socket, Handshake.VERSION, -1L);
             await().until(() -> count(metrics, "peer_clock_ahead") == 1);
         }
         PeerLink link = get(router.connect(address("agent-1", agent.port())));
         link.send(DRAINING);
-        await().until(() -> heard.stream().anyMatch(Frame::hasDraining));
+        await().until(() -> receivedFrames.stream().anyMatch(Frame::hasDraining));
     }
 
     private long rejected(String reason) {
@@ -216,7 +216,7 @@
     private final class Recorder implements PeerListener {
         @Override
         public void received(PeerLink link, Frame frame) {
-            heard.add(frame);
+            receivedFrames.add(frame);
         }
 
         @Override
