--- a/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/agent/Agent.java
@@ -164,8 +164,8 @@
                         node.metrics());
         return node.network(settings.peer())
                 .heartbeat(this::heartbeat)
-                .listen(server)
-                .listen(new ClaimQueryResponder(node.control(), outcomes))
+                .addListener(server)
+                .addListener(new ClaimQueryResponder(node.control(), outcomes))
                 .build()
                 .start();
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Dialer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/Dialer.java
@@ -6,56 +6,56 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 
-/** Keeps the one connection of this process to one address. */
+/** Maintains the single connection of this process to one peer address, with backoff. */
 final class Dialer {
     private final InstantSource clock;
     private final Backoff backoff;
-    private final Supplier<NettyLink> fresh;
-    private final BiConsumer<NettyLink, Duration> open;
+    private final Supplier<NettyLink> newLink;
+    private final BiConsumer<NettyLink, Duration> connect;
     private NettyLink current;
     private Instant openedAt;
-    private boolean over = true;
+    private boolean linkEnded = true;
 
     /**
-     * A dialer without a connection.
+     * Creates a dialer without a connection.
      *
-     * @param fresh makes the next link, not yet connected
-     * @param open connects it after a wait, and ends it if that fails
+     * @param newLink creates the next link, not yet connected
+     * @param connect connects the link after the given wait, and ends it if connecting fails
      */
     Dialer(
             InstantSource clock,
             Backoff backoff,
-            Supplier<NettyLink> fresh,
-            BiConsumer<NettyLink, Duration> open) {
+            Supplier<NettyLink> newLink,
+            BiConsumer<NettyLink, Duration> connect) {
         this.clock = clock;
         this.backoff = backoff;
-        this.fresh = fresh;
-        this.open = open;
+        this.newLink = newLink;
+        this.connect = connect;
     }
 
-    /** The present link; a fresh one, with its connection under way, if there is none. */
-    synchronized NettyLink want() {
-        if (over) {
+    /** Returns the current link, or a new one that is being connected if there is none. */
+    synchronized NettyLink currentOrNewLink() {
+        if (linkEnded) {
             begin();
         }
         return current;
     }
 
-    /** Closes the present link, if any; the next wish opens another. */
+    /** Closes the current link, if any; the next call for a link opens another. */
     void close(PeerException why) {
-        NettyLink present = present();
+        NettyLink present = currentLink();
         if (present != null) {
             present.close(why);
         }
     }
 
     private void begin() {
-        over = false;
+        linkEnded = false;
         openedAt = null;
-        current = fresh.get();
+        current = newLink.get();
         current.ready().thenRun(this::opened);
-        current.over().thenRun(this::ended);
-        open.accept(current, backoff.left(clock.instant()));
+        current.whenEnded().thenRun(this::ended);
+        connect.accept(current, backoff.remaining(clock.instant()));
     }
 
     private synchronized void opened() {
@@ -64,11 +64,12 @@
 
     private synchronized void ended() {
         Instant now = clock.instant();
-        backoff.ended(now, openedAt == null ? Duration.ZERO : Duration.between(openedAt, now));
-        over = true;
+        backoff.recordConnectionEnd(
+                now, openedAt == null ? Duration.ZERO : Duration.between(openedAt, now));
+        linkEnded = true;
     }
 
-    private synchronized NettyLink present() {
+    private synchronized NettyLink currentLink() {
         return current;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ExchangeServer.java
@@ -18,9 +18,9 @@
 import org.apache.pekko.stream.Materializer;
 
 /**
- * Takes the requests that come over links and hands each to the handler, never one twice.
+ * Receives requests over peer links and passes each to the handler exactly once.
  *
- * <p>{@code network.listen(ExchangeServer.of(handler, clock, materializer, metrics))}
+ * <p>{@code network.addListener(ExchangeServer.of(handler, clock, materializer, metrics))}
  */
 public final class ExchangeServer implements PeerListener {
     private static final Logger LOG = LogManager.getLogger(ExchangeServer.class);
@@ -30,7 +30,7 @@
     private final Materializer materializer;
     private final Metrics metrics;
     private final ConcurrentMap<ExchangeId, ServedExchange> running = new ConcurrentHashMap<>();
-    private final RecentIds recent = new RecentIds();
+    private final EndedExchanges endedExchanges = new EndedExchanges();
 
     private ExchangeServer(
             ExchangeHandler handler,
@@ -43,7 +43,7 @@
         this.metrics = Objects.requireNonNull(metrics, "metrics");
     }
 
-    /** A server; add it to the listeners of the network whose requests it is to take. */
+    /** Creates a server; register it as a listener of the network whose requests it receives. */
     public static ExchangeServer of(
             ExchangeHandler handler,
             InstantSource clock,
@@ -52,7 +52,7 @@
         return new ExchangeServer(handler, clock, materializer, metrics);
     }
 
-    /** How many exchanges are under way. */
+    /** Returns the number of running exchanges. */
     public int running() {
         return running.size();
     }
@@ -61,7 +61,7 @@
     public void received(PeerLink link, Frame frame) {
         switch (frame.getKindCase()) {
             case INVOKE -> invoked(link, frame);
-            case CREDIT, CANCEL -> passOn(link, frame);
+            case CREDIT, CANCEL -> forward(link, frame);
             default -> {}
         }
     }
@@ -74,48 +74,51 @@
     private void invoked(PeerLink link, Frame frame) {
         ServedExchange exchange;
         try {
-            exchange = exchange(link, frame);
+            exchange = decode(link, frame);
         } catch (IllegalArgumentException e) {
             metrics.count("exchange_malformed");
             refuse(link, frame.getExchange(), malformed(e.getMessage()));
             return;
         }
-        if (taken(link, exchange)) {
+        if (registerIfNew(link, exchange)) {
             handle(exchange);
         }
     }
 
     /**
-     * True if the exchange is new.
+     * Returns true if the exchange is new, else refuses the duplicate.
      *
-     * <p>What runs is looked up before what has ended, and an exchange is remembered as ended
-     * before it leaves those that run: thus no moment is left in which it is in neither.
+     * <p>Running exchanges are looked up before ended ones, and an exchange is recorded as ended
+     * before it is removed from the running ones, so at no moment is it in neither.
      */
-    private boolean taken(PeerLink link, ServedExchange exchange) {
+    private boolean registerIfNew(PeerLink link, ServedExchange exchange) {
         ServedExchange first = running.putIfAbsent(exchange.id(), exchange);
         if (first != null) {
             metrics.count("exchange_doubled");
             if (first.link() != link) {
-                refuse(link, exchange.id(), doubled());
+                refuse(link, exchange.id(), duplicate());
             }
             return false;
         }
-        Optional<Optional<Refused>> before = recent.find(exchange.id());
+        Optional<Optional<Refused>> before = endedExchanges.find(exchange.id());
         if (before.isEmpty()) {
             return true;
         }
         running.remove(exchange.id(), exchange);
         metrics.count("exchange_doubled");
-        refuse(link, exchange.id(), before.get().orElseGet(ExchangeServer::doubled));
+        refuse(link, exchange.id(), before.get().orElseGet(ExchangeServer::duplicate));
         return false;
     }
 
     private void handle(ServedExchange exchange) {
-        exchange.endIfLinkGone();
+        exchange.cancelIfLinkClosed();
         try {
             handler.handle(exchange);
         } catch (RuntimeException e) {
-            LOG.error("the handler failed for {}", exchange.request().id(), e);
+            LOG.error(
+                    "exchange handler failed for request {}, refusing the request",
+                    exchange.request().id(),
+                    e);
             metrics.count("exchange_handler_failed");
             exchange.refuse(
                     Refusal.mayHaveRun(RefusalCode.INTERNAL, "the agent failed"),
@@ -123,7 +126,7 @@
         }
     }
 
-    private void passOn(PeerLink link, Frame frame) {
+    private void forward(PeerLink link, Frame frame) {
         ServedExchange exchange = running.get(frame.getExchange());
         if (exchange == null) {
             metrics.count("exchange_frames_dropped", "reason", "unknown");
@@ -132,7 +135,7 @@
         }
     }
 
-    private ServedExchange exchange(PeerLink link, Frame frame) {
+    private ServedExchange decode(PeerLink link, Frame frame) {
         Request request =
                 InvokeCodec.toRequest(
                         InvokeCodec.fromWire(frame.getExchange()),
@@ -145,7 +148,7 @@
     }
 
     private void ended(ServedExchange exchange) {
-        recent.ended(exchange.id(), exchange.wholeRefusal());
+        endedExchanges.ended(exchange.id(), exchange.wholeRefusal());
         running.remove(exchange.id(), exchange);
     }
 
@@ -158,7 +161,7 @@
         return RefusalCodec.toWire(refusal, Load.getDefaultInstance());
     }
 
-    private static Refused doubled() {
+    private static Refused duplicate() {
         Refusal refusal =
                 Refusal.mayHaveRun(
                         RefusalCode.OUTCOME_UNKNOWN, "this request has been taken here before");
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/InvokeCodec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/InvokeCodec.java
@@ -17,9 +17,9 @@
 import java.util.Optional;
 import org.apache.pekko.util.ByteString;
 
-/** Turns requests into frames and back. No caller key, nor its id, goes into a frame. */
+/** Converts requests to frames and back. Neither a caller key nor its id is put into a frame. */
 final class InvokeCodec {
-    private static final KeyId KEY_STAYED_BEHIND = KeyId.of("-");
+    private static final KeyId PLACEHOLDER_KEY = KeyId.of("-");
 
     private InvokeCodec() {}
 
@@ -40,12 +40,12 @@
         return invoke.build();
     }
 
-    /** The request; IllegalArgumentException if a field can't be right. */
+    /** Converts a frame to a request; throws IllegalArgumentException if a field is invalid. */
     static Request toRequest(ExchangeId id, Invoke invoke, Instant now) {
         return new Request(
                 id,
                 WorkspaceId.of(invoke.getWorkspace()),
-                KEY_STAYED_BEHIND,
+                PLACEHOLDER_KEY,
                 target(invoke),
                 invoke.getMethod(),
                 invoke.getPath(),
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/LinkHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkHandler.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Runs one connection: hello, then frames and heartbeats, until it ends. */
+/** Handles one connection: the hello frame, then frames and heartbeats, until it closes. */
 final class LinkHandler extends SimpleChannelInboundHandler<Frame> {
-    /** What every connection of a process needs. */
+    /** The settings and services that all connections of a process share. */
     record Context(
             Frame hello,
             Supplier<Heartbeat> heartbeat,
@@ -21,11 +21,11 @@
             Duration silence,
             int maxFrameBytes,
             ClockGuard clock,
-            LinkEvents events) {}
+            LinkRegistry events) {}
 
     private final NettyLink link;
     private final Context context;
-    private Future<?> helloLimit;
+    private Future<?> helloTimeout;
     private Future<?> heartbeats;
     private Rejection rejection;
 
@@ -37,7 +37,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         ctx.writeAndFlush(context.hello().toBuilder().setSentAt(context.clock().now()).build());
-        helloLimit =
+        helloTimeout =
                 ctx.executor()
                         .schedule(
                                 () -> reject(ctx, Rejection.NO_HELLO),
@@ -53,14 +53,14 @@
         if (link.open()) {
             receive(frame);
         } else {
-            greet(ctx, frame);
+            handshake(ctx, frame);
         }
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof IdleStateEvent && link.remote().isEmpty()) {
-            // This limit and the one on the hello are of the same length, and either may come
+            // The idle timeout and the hello timeout have the same length, and either may fire
             // first.
             reject(ctx, Rejection.NO_HELLO);
         } else if (event instanceof IdleStateEvent) {
@@ -71,24 +71,25 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Rejection.of(cause).ifPresentOrElse(reason -> reject(ctx, reason), () -> brokenOff(ctx));
+        Rejection.of(cause)
+                .ifPresentOrElse(reason -> reject(ctx, reason), () -> connectionFailed(ctx));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        cancel(helloLimit);
+        cancel(helloTimeout);
         cancel(heartbeats);
         if (!link.open() && !link.ended() && rejection == null) {
             rejection = Rejection.GONE_BEFORE_HELLO;
             context.events().rejected(rejection);
         }
-        if (link.end(why())) {
+        if (link.end(closeReason())) {
             context.events().closed(link);
         }
     }
 
     private void receive(Frame frame) {
-        context.clock().heard(frame.getSentAt());
+        context.clock().observe(frame.getSentAt());
         if (frame.hasHello()) {
             context.events().count("peer_late_hello");
             return;
@@ -96,35 +97,35 @@
         context.events().received(link, frame);
     }
 
-    private void greet(ChannelHandlerContext ctx, Frame first) {
+    private void handshake(ChannelHandlerContext ctx, Frame first) {
         Optional<Rejection> refused = Handshake.check(first, link.expected());
         if (refused.isPresent()) {
             reject(ctx, refused.get());
             return;
         }
-        cancel(helloLimit);
-        context.clock().heard(first.getSentAt());
+        cancel(helloTimeout);
+        context.clock().observe(first.getSentAt());
         if (!link.opened(first.getHello())) {
             ctx.close();
             return;
         }
-        Pipeline.allowFullFrames(ctx.pipeline(), context);
-        heartbeats = beat(ctx);
+        LinkPipeline.allowFullFrames(ctx.pipeline(), context);
+        heartbeats = startHeartbeats(ctx);
         context.events().opened(link);
-        link.announce();
+        link.completeReady();
     }
 
-    private Future<?> beat(ChannelHandlerContext ctx) {
+    private Future<?> startHeartbeats(ChannelHandlerContext ctx) {
         long interval = context.interval().toMillis();
         return ctx.executor()
                 .scheduleAtFixedRate(this::heartbeat, 0, interval, TimeUnit.MILLISECONDS);
     }
 
-    // Frames of answers show that this side lives as well as heartbeats do. At the design size a
-    // router has some six hundred links that carry answers all the time; heartbeats on each would
-    // alone take several times what a node may send for control.
+    // Frames of an exchange show that this process is alive as well as heartbeats do. At the design
+    // size a router has some six hundred links that carry answers all the time; heartbeats on each
+    // would alone take several times what a node may send for control.
     private void heartbeat() {
-        if (link.takeCarriedAnExchange()) {
+        if (link.takeExchangeFrameSent()) {
             return;
         }
         try {
@@ -142,16 +143,17 @@
         ctx.close();
     }
 
-    private void brokenOff(ChannelHandlerContext ctx) {
+    private void connectionFailed(ChannelHandlerContext ctx) {
         context.events().count("peer_broken_off");
         ctx.close();
     }
 
-    private PeerException why() {
+    private PeerException closeReason() {
         return rejection == null
-                ? new PeerException(PeerException.Code.UNREACHABLE, "the connection is gone")
+                ? new PeerException(PeerException.Code.UNREACHABLE, "the peer connection closed")
                 : new PeerException(
-                        PeerException.Code.REJECTED, "no link with it: " + rejection.label());
+                        PeerException.Code.REJECTED,
+                        "the peer connection was rejected: " + rejection.label());
     }
 
     private static void cancel(Future<?> timer) {
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/Pipeline.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkPipeline.java
@@ -12,17 +12,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The stages of a connection: four bytes of length, then a {@link Frame}.
+ * Builds the Netty pipeline of a connection: a four-byte length, then a {@link Frame}.
  *
- * <p>Until a hello has come only a small frame is let in, so that a stranger can't make this
- * process keep megabytes for it.
+ * <p>Until the hello frame was received only a small frame is accepted, so that an unknown client
+ * can't make this process buffer megabytes.
  */
-final class Pipeline {
+final class LinkPipeline {
     static final int MAX_HELLO_BYTES = 4096;
     private static final int LENGTH_BYTES = 4;
-    private static final String FRAMES = "frames";
+    private static final String FRAME_DECODER = "frames";
 
-    private Pipeline() {}
+    private LinkPipeline() {}
 
     static void build(Channel channel, NettyLink link, LinkHandler.Context context) {
         link.attach(channel);
@@ -30,7 +30,7 @@
         channel.pipeline()
                 .addLast(new FlushConsolidationHandler())
                 .addLast(new IdleStateHandler(silence, 0, 0, TimeUnit.MILLISECONDS))
-                .addLast(FRAMES, frames(MAX_HELLO_BYTES))
+                .addLast(FRAME_DECODER, frameDecoder(MAX_HELLO_BYTES))
                 .addLast(new ProtobufDecoder(Frame.getDefaultInstance()))
                 .addLast(new LengthFieldPrepender(LENGTH_BYTES))
                 .addLast(new ProtobufEncoder())
@@ -38,10 +38,10 @@
     }
 
     static void allowFullFrames(ChannelPipeline pipeline, LinkHandler.Context context) {
-        pipeline.replace(FRAMES, FRAMES, frames(context.maxFrameBytes()));
+        pipeline.replace(FRAME_DECODER, FRAME_DECODER, frameDecoder(context.maxFrameBytes()));
     }
 
-    private static LengthFieldBasedFrameDecoder frames(int maxBytes) {
+    private static LengthFieldBasedFrameDecoder frameDecoder(int maxBytes) {
         return new LengthFieldBasedFrameDecoder(
                 maxBytes + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/LinkEvents.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/LinkRegistry.java
@@ -14,16 +14,16 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Keeps the open links and tells the listeners; a listener that throws harms only itself. */
-final class LinkEvents {
-    private static final Logger LOG = LogManager.getLogger(LinkEvents.class);
+/** Tracks the open links and notifies the listeners; a listener that throws affects no other. */
+final class LinkRegistry {
+    private static final Logger LOG = LogManager.getLogger(LinkRegistry.class);
 
     private final List<PeerListener> listeners = new CopyOnWriteArrayList<>();
     private final Set<PeerLink> open = ConcurrentHashMap.newKeySet();
     private final Timeline timeline;
     private final Metrics metrics;
 
-    LinkEvents(Timeline timeline, Metrics metrics) {
+    LinkRegistry(Timeline timeline, Metrics metrics) {
         this.timeline = timeline;
         this.metrics = metrics;
     }
@@ -38,18 +38,18 @@
 
     void opened(PeerLink link) {
         open.add(link);
-        link.remote().ifPresent(hello -> note(EventType.PEER_UP, hello));
-        each(listener -> listener.opened(link));
+        link.remote().ifPresent(hello -> record(EventType.PEER_UP, hello));
+        notifyEach(listener -> listener.opened(link));
     }
 
     void received(PeerLink link, Frame frame) {
-        each(listener -> listener.received(link, frame));
+        notifyEach(listener -> listener.received(link, frame));
     }
 
     void closed(PeerLink link) {
         open.remove(link);
-        link.remote().ifPresent(hello -> note(EventType.PEER_DOWN, hello));
-        each(listener -> listener.closed(link));
+        link.remote().ifPresent(hello -> record(EventType.PEER_DOWN, hello));
+        notifyEach(listener -> listener.closed(link));
     }
 
     void rejected(Rejection reason) {
@@ -60,17 +60,17 @@
         metrics.count(name);
     }
 
-    private void note(EventType type, Hello hello) {
+    private void record(EventType type, Hello hello) {
         timeline.add(type, hello.getVm(), Map.of("incarnation", hello.getIncarnation()));
     }
 
-    private void each(Consumer<PeerListener> call) {
+    private void notifyEach(Consumer<PeerListener> call) {
         for (PeerListener listener : listeners) {
             try {
                 call.accept(listener);
             } catch (RuntimeException e) {
                 metrics.count("peer_listener_failed");
-                LOG.error("a listener of the peer links failed", e);
+                LOG.error("peer listener failed, continuing with the next listener", e);
             }
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/OutgoingExchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/OutgoingExchange.java
@@ -17,42 +17,42 @@
 import org.apache.pekko.util.ByteString;
 
 /**
- * The caller side of one exchange.
+ * The sending side of one exchange: sends the request and receives the answer.
  *
- * <p>Numbering a frame and sending it happen under one lock, so that numbers leave in order. Stages
- * are completed outside of it, since whoever waits for them runs there and then.
+ * <p>A frame is numbered and sent under one lock, so that frames are sent in order. Stages are
+ * completed outside the lock, since their dependents run in the completing thread.
  */
 final class OutgoingExchange implements Exchange {
     private static final int GRANTS_PER_WINDOW = 4;
 
     private final ExchangeId id;
     private final PeerLink link;
-    private final int window;
+    private final int windowBytes;
     private final Metrics metrics;
-    private final Consumer<OutgoingExchange> over;
-    private final FrameOrder order;
-    private final AnswerBody body = new AnswerBody(this::taken, this::consumerCancelled);
+    private final Consumer<OutgoingExchange> onEnd;
+    private final AnswerFrameOrder order;
+    private final AnswerBody body = new AnswerBody(this::recordConsumed, this::consumerCancelled);
     private final CompletableFuture<ExchangeResult> result = new CompletableFuture<>();
     private final CompletableFuture<ExchangeResult.Ending> ending = new CompletableFuture<>();
     private int sent;
-    private boolean begun;
+    private boolean invokeSent;
     private boolean done;
-    private long allowance;
-    private int ungranted;
+    private long remainingCredit;
+    private int consumedSinceGrant;
 
     OutgoingExchange(
             ExchangeId id,
             PeerLink link,
-            int window,
+            int windowBytes,
             Metrics metrics,
-            Consumer<OutgoingExchange> over) {
+            Consumer<OutgoingExchange> onEnd) {
         this.id = id;
         this.link = link;
-        this.window = window;
+        this.windowBytes = windowBytes;
         this.metrics = metrics;
-        this.over = over;
-        this.allowance = window;
-        this.order = new FrameOrder(id);
+        this.onEnd = onEnd;
+        this.remainingCredit = windowBytes;
+        this.order = new AnswerFrameOrder(id);
     }
 
     ExchangeId id() {
@@ -65,13 +65,13 @@
     }
 
     void begin(Invoke invoke) {
-        boolean left;
+        boolean accepted;
         synchronized (this) {
-            begun = !done && send(frame().setInvoke(invoke));
-            left = begun;
+            invokeSent = !done && send(frame().setInvoke(invoke));
+            accepted = invokeSent;
         }
-        if (!left) {
-            fail(Code.CONNECTION_LOST, "the link did not take the frame");
+        if (!accepted) {
+            fail(Code.CONNECTION_LOST, "the peer link did not accept the request frame");
         }
     }
 
@@ -91,12 +91,12 @@
             drop("crossed");
             return;
         }
-        FrameOrder.Verdict verdict;
+        AnswerFrameOrder.Verdict verdict;
         synchronized (this) {
-            verdict = done ? FrameOrder.Verdict.LATE : order.next(frame);
+            verdict = done ? AnswerFrameOrder.Verdict.LATE : order.next(frame);
         }
-        if (verdict == FrameOrder.Verdict.TAKE) {
-            take(frame);
+        if (verdict == AnswerFrameOrder.Verdict.TAKE) {
+            handle(frame);
             return;
         }
         drop(verdict.name().toLowerCase(Locale.ROOT));
@@ -107,11 +107,11 @@
 
     void linkClosed(PeerLink closed) {
         if (closed == link) {
-            fail(Code.CONNECTION_LOST, "the link closed");
+            fail(Code.CONNECTION_LOST, "the peer link closed");
         }
     }
 
-    private void take(Frame frame) {
+    private void handle(Frame frame) {
         switch (frame.getKindCase()) {
             case STARTED -> started(frame.getStarted());
             case CHUNK -> chunk(frame);
@@ -134,8 +134,8 @@
                 ByteString.fromByteBuffer(frame.getChunk().getData().asReadOnlyByteBuffer());
         boolean allowed;
         synchronized (this) {
-            allowance -= data.size();
-            allowed = allowance >= 0;
+            remainingCredit -= data.size();
+            allowed = remainingCredit >= 0;
         }
         if (allowed) {
             body.add(data);
@@ -162,24 +162,24 @@
                 new ExchangeResult.Refused(
                         RefusalCodec.fromWire(frame.getRefused()),
                         RefusalCodec.load(frame.getRefused())));
-        breakOff(RefusalCodec.breaking(frame.getRefused()));
+        failBody(RefusalCodec.toException(frame.getRefused()));
     }
 
-    /** Ends what is pending as lost, and what runs with the code. */
+    /** Completes a pending result as lost, and fails a streaming body with the code. */
     private void fail(Code code, String reason) {
         if (!finish()) {
             return;
         }
-        result.complete(unanswered(reason));
-        breakOff(new ExchangeException(code, reason));
+        result.complete(lostOrNotSent(reason));
+        failBody(new ExchangeException(code, reason));
     }
 
-    /** Before the invocation was handed to the link, an end of any kind means it was not sent. */
-    private synchronized ExchangeResult unanswered(String reason) {
-        return begun ? new ExchangeResult.Lost(reason) : new ExchangeResult.NotSent(reason);
+    /** Returns {@code NotSent} if the link never accepted the invocation, else {@code Lost}. */
+    private synchronized ExchangeResult lostOrNotSent(String reason) {
+        return invokeSent ? new ExchangeResult.Lost(reason) : new ExchangeResult.NotSent(reason);
     }
 
-    private void breakOff(ExchangeException why) {
+    private void failBody(ExchangeException why) {
         body.end(why);
         ending.completeExceptionally(why);
     }
@@ -191,7 +191,7 @@
             }
             done = true;
         }
-        over.accept(this);
+        onEnd.accept(this);
         return true;
     }
 
@@ -199,14 +199,14 @@
         cancel(Code.REVOKED, "the consumer cancelled the body");
     }
 
-    private synchronized void taken(int bytes) {
-        ungranted += bytes;
-        if (done || ungranted < Math.max(1, window / GRANTS_PER_WINDOW)) {
+    private synchronized void recordConsumed(int bytes) {
+        consumedSinceGrant += bytes;
+        if (done || consumedSinceGrant < Math.max(1, windowBytes / GRANTS_PER_WINDOW)) {
             return;
         }
-        allowance += ungranted;
-        send(frame().setCredit(Credit.newBuilder().setBytes(ungranted)));
-        ungranted = 0;
+        remainingCredit += consumedSinceGrant;
+        send(frame().setCredit(Credit.newBuilder().setBytes(consumedSinceGrant)));
+        consumedSinceGrant = 0;
     }
 
     private void sendCancel(String reason) {
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetwork.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/PeerNetwork.java
@@ -31,7 +31,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The links of this process to the other routers and agents.
+ * Manages the links of this process to the other routers and agents.
  *
  * <p>{@code PeerNetwork network = PeerNetwork.builder()....build().start();
  * network.connect(address).thenAccept(link -> link.send(frame));}
@@ -40,7 +40,7 @@
  */
 public final class PeerNetwork implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 3_000;
-    private static final int STOP_SECONDS = 2;
+    private static final int STOP_TIMEOUT_SECONDS = 2;
     private static final WriteBufferWaterMark WATER_MARK =
             new WriteBufferWaterMark(256 * 1024, 1024 * 1024);
 
@@ -48,11 +48,11 @@
     private final InstantSource clock;
     private final RandomGenerator random;
     private final Metrics metrics;
-    private final LinkEvents events;
+    private final LinkRegistry events;
     private final ClockGuard guard;
     private final LinkHandler.Context context;
     private final EventLoopGroup group;
-    private final boolean ownThreads;
+    private final boolean ownsThreads;
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final ConcurrentMap<PeerAddress, Dialer> dialers = new ConcurrentHashMap<>();
     private volatile Channel server;
@@ -60,16 +60,16 @@
 
     PeerNetwork(PeerNetworkBuilder builder) {
         settings = builder.settings;
-        ownThreads = builder.group == null;
+        ownsThreads = builder.group == null;
         group =
-                ownThreads
+                ownsThreads
                         ? new MultiThreadIoEventLoopGroup(
                                 builder.threads, NioIoHandler.newFactory())
                         : builder.group;
         clock = builder.clock;
         random = builder.random;
         metrics = builder.metrics;
-        events = new LinkEvents(builder.timeline, metrics);
+        events = new LinkRegistry(builder.timeline, metrics);
         guard = new ClockGuard(builder.timeline.clock(), clock, metrics);
         context =
                 new LinkHandler.Context(
@@ -83,7 +83,7 @@
         builder.listeners.forEach(events::add);
     }
 
-    /** Collects what a network needs; settings, hello and timeline must be given. */
+    /** Returns a builder; settings, hello and timeline must be given. */
     public static PeerNetworkBuilder builder() {
         return new PeerNetworkBuilder();
     }
@@ -114,7 +114,7 @@
         return this;
     }
 
-    /** The port listened on; {@link #start()} comes first. */
+    /** Returns the port listened on; call {@link #start()} first. */
     public int port() {
         if (server == null) {
             throw new IllegalStateException("call start() before port()");
@@ -122,80 +122,81 @@
         return ((InetSocketAddress) server.localAddress()).getPort();
     }
 
-    /** Adds a listener, which hears of all that happens from now on. */
-    public PeerNetwork listen(PeerListener listener) {
+    /** Adds a listener, which is notified of all events from now on. */
+    public PeerNetwork addListener(PeerListener listener) {
         events.add(listener);
         return this;
     }
 
     /**
-     * The one connection of this process to that address, opened by this call if need be. Until it
-     * is {@link PeerLink#open() open} it sends nothing, and says so; use {@link #connect} to wait.
+     * Returns the single link of this process to that address, opened by this call if needed. Until
+     * it is {@link PeerLink#open() open}, its {@code send} returns false; use {@link #connect} to
+     * wait.
      */
     public PeerLink link(PeerAddress address) {
-        return want(address);
+        return linkTo(address);
     }
 
     /**
-     * The same connection once it is open, which may take a back-off after a failure. Fails with a
-     * {@link PeerException} when the attempt under way does.
+     * Returns the same link once it is open, which may wait for the backoff after a failure. Fails
+     * with a {@link PeerException} when the current attempt fails.
      */
     public CompletionStage<PeerLink> connect(PeerAddress address) {
-        return want(address).ready();
+        return linkTo(address).ready();
     }
 
-    /** Closes the link to an address and forgets it: for VMs that are off the platform's list. */
+    /** Closes and removes the link to an address, for VMs that left the platform's list. */
     public void forget(PeerAddress address) {
         Dialer dialer = dialers.remove(address);
         if (dialer != null) {
-            dialer.close(closedHere());
+            dialer.close(closedLocally());
         }
     }
 
-    /** All open links, whichever side opened them. */
+    /** Returns all open links, whichever side opened them. */
     public List<PeerLink> links() {
         return events.open();
     }
 
-    /** Stops listening and closes all links; listeners hear of each. */
+    /** Stops listening and closes all links; listeners are notified of each. */
     @Override
     public void close() {
         closed = true;
-        dialers.values().forEach(dialer -> dialer.close(closedHere()));
-        channels.close().awaitUninterruptibly(STOP_SECONDS, TimeUnit.SECONDS);
-        if (ownThreads) {
-            group.shutdownGracefully(0, STOP_SECONDS, TimeUnit.SECONDS)
-                    .awaitUninterruptibly(STOP_SECONDS, TimeUnit.SECONDS);
+        dialers.values().forEach(dialer -> dialer.close(closedLocally()));
+        channels.close().awaitUninterruptibly(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        if (ownsThreads) {
+            group.shutdownGracefully(0, STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                    .awaitUninterruptibly(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
-    private NettyLink want(PeerAddress address) {
-        return dialers.computeIfAbsent(address, this::dialer).want();
+    private NettyLink linkTo(PeerAddress address) {
+        return dialers.computeIfAbsent(address, this::dialer).currentOrNewLink();
     }
 
     private Dialer dialer(PeerAddress address) {
         return new Dialer(
                 clock,
                 new Backoff(random),
-                () -> fresh(Optional.of(address.vm())),
-                (link, wait) -> openAfter(wait, link, address));
+                () -> newLink(Optional.of(address.vm())),
+                (link, wait) -> connectAfter(wait, link, address));
     }
 
-    private NettyLink fresh(Optional<VmId> expected) {
+    private NettyLink newLink(Optional<VmId> expected) {
         return new NettyLink(expected, guard, settings.maxFrameBytes(), metrics);
     }
 
-    private void openAfter(Duration wait, NettyLink link, PeerAddress address) {
+    private void connectAfter(Duration wait, NettyLink link, PeerAddress address) {
         try {
             group.schedule(() -> open(link, address), wait.toMillis(), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            link.end(closedHere());
+            link.end(closedLocally());
         }
     }
 
     private void open(NettyLink link, PeerAddress address) {
         if (closed) {
-            link.end(closedHere());
+            link.end(closedLocally());
         }
         if (link.ended()) {
             return;
@@ -208,10 +209,10 @@
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
                 .handler(outbound(link))
                 .connect(address.host(), address.port())
-                .addListener(connected -> unreachable(link, address, connected.cause()));
+                .addListener(connected -> endIfFailed(link, address, connected.cause()));
     }
 
-    private void unreachable(NettyLink link, PeerAddress address, Throwable cause) {
+    private void endIfFailed(NettyLink link, PeerAddress address, Throwable cause) {
         if (cause == null) {
             return;
         }
@@ -225,7 +226,7 @@
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                prepare(channel, fresh(Optional.empty()));
+                prepare(channel, newLink(Optional.empty()));
             }
         };
     }
@@ -241,13 +242,13 @@
 
     private void prepare(Channel channel, NettyLink link) {
         channels.add(channel);
-        Pipeline.build(channel, link, context);
+        LinkPipeline.build(channel, link, context);
         if (closed || link.ended()) {
             channel.close();
         }
     }
 
-    private static PeerException closedHere() {
+    private static PeerException closedLocally() {
         return new PeerException(PeerException.Code.CLOSED, "closed by this process");
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/RefusalCodec.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/RefusalCodec.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Turns refusals into frames and back. */
+/** Converts refusals to frames and back. */
 final class RefusalCodec {
     private RefusalCodec() {}
 
@@ -17,7 +17,8 @@
                 .setCode(refusal.code().name())
                 .setMessage(refusal.message())
                 .setNotRun(refusal.notRun())
-                .setRetryAfterMs(refusal.retryAfter().map(RefusalCodec::atLeastOne).orElse(0L))
+                .setRetryAfterMs(
+                        refusal.retryAfter().map(RefusalCodec::atLeastOneMillisecond).orElse(0L))
                 .setLoad(load)
                 .build();
     }
@@ -36,12 +37,12 @@
         return refused.hasLoad() ? Optional.of(refused.getLoad()) : Optional.empty();
     }
 
-    /** A refusal in the middle of an answer. */
-    static ExchangeException breaking(Refused refused) {
-        return new ExchangeException(breakCode(code(refused.getCode())), refused.getMessage());
+    /** Converts a refusal in the middle of an answer to the failure of its body. */
+    static ExchangeException toException(Refused refused) {
+        return new ExchangeException(exceptionCode(code(refused.getCode())), refused.getMessage());
     }
 
-    private static long atLeastOne(Duration wait) {
+    private static long atLeastOneMillisecond(Duration wait) {
         return Math.max(1, wait.toMillis());
     }
 
@@ -53,7 +54,7 @@
         }
     }
 
-    private static ExchangeException.Code breakCode(RefusalCode code) {
+    private static ExchangeException.Code exceptionCode(RefusalCode code) {
         return switch (code) {
             case DEADLINE_EXCEEDED -> ExchangeException.Code.DEADLINE_EXCEEDED;
             case KEY_WITHDRAWN, STOPPING -> ExchangeException.Code.REVOKED;
--- a/damaskyoke/src/main/java/io/damaskyoke/peer/ServedExchange.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/peer/ServedExchange.java
@@ -21,7 +21,7 @@
 import org.apache.pekko.stream.javadsl.Sink;
 import org.apache.pekko.util.ByteString;
 
-/** The agent side of one exchange; numbers and sends its frames under one lock, in order. */
+/** The receiving side of one exchange; numbers and sends its frames under one lock, in order. */
 final class ServedExchange implements IncomingExchange {
     private final ExchangeId id;
     private final Frame invoke;
@@ -29,10 +29,10 @@
     private final PeerLink link;
     private final Materializer materializer;
     private final Metrics metrics;
-    private final Consumer<ServedExchange> over;
-    private final Sequence incoming = new Sequence();
+    private final Consumer<ServedExchange> onEnd;
+    private final FrameSequence incoming = new FrameSequence();
     private final List<Runnable> onCancel = new ArrayList<>();
-    private CreditedBody body;
+    private BodySender body;
     private long credit;
     private int sent;
     private boolean done;
@@ -45,14 +45,14 @@
             PeerLink link,
             Materializer materializer,
             Metrics metrics,
-            Consumer<ServedExchange> over) {
+            Consumer<ServedExchange> onEnd) {
         this.id = invoke.getExchange();
         this.invoke = invoke.toBuilder().setInvoke(withoutBody(invoke)).build();
         this.request = request;
         this.link = link;
         this.materializer = materializer;
         this.metrics = metrics;
-        this.over = over;
+        this.onEnd = onEnd;
         this.credit = Integer.toUnsignedLong(invoke.getInvoke().getCreditBytes());
         incoming.next(invoke.getSequence());
     }
@@ -83,14 +83,14 @@
 
     @Override
     public void refuse(Refusal refusal, Load load) {
-        CreditedBody running;
+        BodySender running;
         synchronized (this) {
             if (done) {
                 return;
             }
             done = true;
             running = body;
-            Refused refused = RefusalCodec.toWire(safe(refusal), load);
+            Refused refused = RefusalCodec.toWire(clearNotRunIfStarted(refusal), load);
             wholeRefusal = running == null ? refused : null;
             send(frame().setRefused(refused));
         }
@@ -99,11 +99,11 @@
 
     @Override
     public void serve(Answer.Served answer, Supplier<Load> load, Supplier<Long> tokens) {
-        CreditedBody fresh = null;
+        BodySender fresh = null;
         synchronized (this) {
             if (!done && body == null) {
                 fresh =
-                        new CreditedBody(
+                        new BodySender(
                                 this::chunk, (total, why) -> ended(total, why, load, tokens));
                 fresh.grant(credit);
                 body = fresh;
@@ -133,7 +133,7 @@
         return cancelled;
     }
 
-    /** The refusal, if that was all of the answer. */
+    /** Returns the refusal, if it was the whole answer. */
     synchronized Optional<Refused> wholeRefusal() {
         return Optional.ofNullable(wholeRefusal);
     }
@@ -143,16 +143,16 @@
             drop("crossed");
             return;
         }
-        Sequence.Place place;
+        FrameSequence.Position position;
         synchronized (this) {
-            place = incoming.next(frame.getSequence());
+            position = incoming.next(frame.getSequence());
         }
-        switch (place) {
-            case IN_ORDER -> take(frame);
+        switch (position) {
+            case IN_ORDER -> handle(frame);
             case DOUBLED -> drop("doubled");
             default -> {
                 drop("gap");
-                cancel(Optional.of(gap()));
+                cancel(Optional.of(missingFrames()));
             }
         }
     }
@@ -163,20 +163,20 @@
         }
     }
 
-    /** For a link that closed before this exchange stood among those that run. */
-    void endIfLinkGone() {
+    /** Cancels the exchange if its link closed before it was registered as running. */
+    void cancelIfLinkClosed() {
         if (!link.open()) {
             cancel();
         }
     }
 
-    private void take(Frame frame) {
+    private void handle(Frame frame) {
         if (frame.hasCancel()) {
             cancel();
             return;
         }
         long granted = Integer.toUnsignedLong(frame.getCredit().getBytes());
-        CreditedBody running;
+        BodySender running;
         synchronized (this) {
             running = body;
             credit += running == null ? granted : 0;
@@ -190,16 +190,16 @@
         cancel(Optional.empty());
     }
 
-    private void cancel(Optional<Refused> lastWord) {
+    private void cancel(Optional<Refused> finalFrame) {
         List<Runnable> actions;
-        CreditedBody running;
+        BodySender running;
         synchronized (this) {
             if (done) {
                 return;
             }
             done = true;
             cancelled = true;
-            lastWord.ifPresent(refused -> send(frame().setRefused(refused)));
+            finalFrame.ifPresent(refused -> send(frame().setRefused(refused)));
             running = body;
             actions = List.copyOf(onCancel);
         }
@@ -207,8 +207,8 @@
         actions.forEach(this::run);
     }
 
-    private void end(CreditedBody running) {
-        over.accept(this);
+    private void end(BodySender running) {
+        onEnd.accept(this);
         if (running != null) {
             running.cancel();
         }
@@ -236,14 +236,14 @@
             metrics.count("exchange_body_failed");
             refuse(
                     Refusal.mayHaveRun(RefusalCode.UPSTREAM_FAILED, "the upstream broke off"),
-                    asked(load, Load.getDefaultInstance()));
+                    valueOrDefault(load, Load.getDefaultInstance()));
             return;
         }
         End end =
                 End.newBuilder()
                         .setTotalBytes(total)
-                        .setTokensUsed(Math.max(0, asked(tokens, 0L)))
-                        .setLoad(asked(load, Load.getDefaultInstance()))
+                        .setTokensUsed(Math.max(0, valueOrDefault(tokens, 0L)))
+                        .setLoad(valueOrDefault(load, Load.getDefaultInstance()))
                         .build();
         synchronized (this) {
             if (done) {
@@ -252,10 +252,10 @@
             done = true;
             send(frame().setEnd(end));
         }
-        over.accept(this);
+        onEnd.accept(this);
     }
 
-    private <T> T asked(Supplier<T> supplier, T otherwise) {
+    private <T> T valueOrDefault(Supplier<T> supplier, T otherwise) {
         try {
             T given = supplier.get();
             return given == null ? otherwise : given;
@@ -265,8 +265,8 @@
         }
     }
 
-    /** Once an answer has begun, the request has run, whatever the refusal says. */
-    private Refusal safe(Refusal refusal) {
+    /** Clears {@code notRun} once an answer has begun, since the request has then run. */
+    private Refusal clearNotRunIfStarted(Refusal refusal) {
         return body == null
                 ? refusal
                 : new Refusal(refusal.code(), refusal.message(), false, refusal.retryAfter());
@@ -284,7 +284,7 @@
         metrics.count("exchange_frames_dropped", "reason", reason);
     }
 
-    private static Refused gap() {
+    private static Refused missingFrames() {
         Refusal refusal =
                 Refusal.mayHaveRun(
                         RefusalCode.UPSTREAM_FAILED, "frames of the request are missing");
--- a/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/router/Router.java
@@ -77,11 +77,11 @@
         RatePeers ratePeers = new RatePeers(node.control(), rates);
         this.network =
                 node.network(settings.peer())
-                        .listen(client)
-                        .listen(queries)
-                        .listen(new AgentListener(node.control(), fleet))
-                        .listen(liveness)
-                        .listen(ratePeers)
+                        .addListener(client)
+                        .addListener(queries)
+                        .addListener(new AgentListener(node.control(), fleet))
+                        .addListener(liveness)
+                        .addListener(ratePeers)
                         .build()
                         .start();
         ratePeers.over(network);
--- a/damaskyoke/src/test/java/io/damaskyoke/peer/ExchangeTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/peer/ExchangeTest.java
@@ -65,9 +65,9 @@
                     SystemMaterializer.get(SYSTEM).materializer(),
                     metrics);
     private final PeerNetwork router =
-            network("router-1", metrics, LONG).listen(client).build().start();
+            network("router-1", metrics, LONG).addListener(client).build().start();
     private final PeerNetwork agent =
-            network("agent-1", metrics, LONG).listen(server).build().start();
+            network("agent-1", metrics, LONG).addListener(server).build().start();
     private PeerLink link;
 
     @BeforeEach
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void anAnswerComesBackWholeWithItsTokensAndLoad() throws Exception {
+    void anAnswerIsReceivedCompleteWithItsTokensAndLoad() throws Exception {
         Exchange exchange = invoke(1);
         IncomingExchange taken = taken();
         assertEquals(42L, taken.configSequence());
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aBodyOfManyWindowsArrivesWhole() throws Exception {
+    void aBodyLargerThanTheCreditWindowIsReceivedComplete() throws Exception {
         Exchange exchange = invoke(1);
         ByteString block = ByteString.fromArray(new byte[100_000]);
         serve(taken(), Source.repeat(block).take(50));
@@ -110,9 +110,9 @@
 
     // A caller reads slowly while the upstream could send without end. The agent must take from
     // the upstream no more than the credit, one element in hand and one in the stream's buffer,
-    // or a few slow callers would fill the memory of router and agent.
+    // or a few slow callers would exhaust the memory of router and agent.
     @Test
-    void aSlowCallerMakesNobodyHoldMoreThanTheCredit() throws Exception {
+    void aSlowCallerLimitsBufferingToTheCredit() throws Exception {
         Exchange exchange = invoke(1);
         AtomicLong produced = new AtomicLong();
         Source<ByteString, NotUsed> endless =
@@ -135,20 +135,20 @@
     }
 
     @Test
-    void aCallerWhoGoesAwayCancelsTheUpstream() throws Exception {
+    void aCallerThatCancelsTheBodyCancelsTheUpstream() throws Exception {
         Exchange exchange = invoke(1);
         IncomingExchange taken = taken();
         AtomicInteger cancels = new AtomicInteger();
         taken.onCancel(cancels::incrementAndGet);
-        CompletionStage<Done> upstreamEnd =
+        CompletionStage<Done> upstreamTermination =
                 serveWatched(taken, Source.repeat(ByteString.fromString("token ")));
         served(exchange).body().runWith(Sink.cancelled(), SYSTEM);
-        get(upstreamEnd);
+        get(upstreamTermination);
         await().until(() -> cancels.get() == 1 && taken.cancelled());
     }
 
     @Test
-    void aRefusalKeepsItsCodeItsWordOnNotRunAndTheTimeToComeBack() throws Exception {
+    void aRefusalKeepsItsCodeNotRunAndRetryAfter() throws Exception {
         Exchange exchange = invoke(1);
         Refusal refusal =
                 Refusal.notRun(RefusalCode.OVERLOADED, "full").retryAfter(Duration.ofSeconds(2));
@@ -157,10 +157,10 @@
                 new ExchangeResult.Refused(refusal, Optional.of(LOAD)), get(exchange.result()));
     }
 
-    // The upstream breaks off in the middle of an answer. The caller must see a failed body, not a
-    // short one that looks whole; and since the request ran, never "not run".
+    // The upstream cuts off in the middle of an answer. The caller must see a failed body, not a
+    // short one that looks complete; and since the request ran, never "not run".
     @Test
-    void anUpstreamThatBreaksOffFailsTheBody() throws Exception {
+    void anUpstreamFailureInTheMiddleFailsTheBody() throws Exception {
         Exchange exchange = invoke(1);
         serve(
                 taken(),
@@ -169,14 +169,15 @@
         assertBroken("UPSTREAM_CUT", served(exchange));
     }
 
-    // The link goes while one request waits for its first frame and another one streams. The first
-    // may have run, so it is lost rather than not sent; the second fails in the middle; and the
-    // agent stops both upstream calls.
+    // The link closes while one request waits for its first frame and another one streams. The
+    // first
+    // may have run, so it is Lost rather than NotSent; the second fails in the middle; and the
+    // agent cancels both upstream calls.
     @Test
-    void aLostLinkLosesWhatWaitsAndFailsWhatStreams() throws Exception {
+    void aClosedLinkLosesPendingExchangesAndFailsStreamingBodies() throws Exception {
         Exchange streaming = invoke(1);
         IncomingExchange first = taken();
-        CompletionStage<Done> upstreamEnd =
+        CompletionStage<Done> upstreamTermination =
                 serveWatched(
                         first,
                         Source.maybe()
@@ -188,14 +189,14 @@
         router.forget(address("agent-1", agent.port()));
         assertInstanceOf(ExchangeResult.Lost.class, get(waiting.result()));
         assertBroken("CONNECTION_LOST", served);
-        get(upstreamEnd);
+        get(upstreamTermination);
         await().until(() -> first.cancelled() && second.cancelled());
         Exchange late = invoke(3);
         assertInstanceOf(ExchangeResult.NotSent.class, get(late.result()));
     }
 
     @Test
-    void cancellingBeforeTheFirstFrameGivesLostAndTellsTheAgent() throws Exception {
+    void cancellingBeforeTheFirstFrameGivesLostAndCancelsAtTheAgent() throws Exception {
         Exchange exchange = invoke(1);
         IncomingExchange taken = taken();
         exchange.cancel("deadline");
@@ -205,11 +206,11 @@
         assertEquals(0, server.running());
     }
 
-    // The router gives a payment up as lost and, wrongly, sends it once more. The agent must not
-    // run it a second time: the grower would be charged twice. The second one is refused, as one
-    // that may have run.
+    // The router wrongly resends a request that it gave up as lost. The agent must not run it a
+    // second time, or a payment would be charged twice; it refuses the duplicate as one that may
+    // have run.
     @Test
-    void anInvocationThatComesTwiceIsHandledOnce() throws Exception {
+    void aDuplicateInvocationIsHandledOnce() throws Exception {
         Exchange first = invoke(1);
         serve(taken(), Source.single(ByteString.fromString("paid")));
         get(collected(served(first)));
@@ -222,7 +223,7 @@
     }
 
     @Test
-    void anEndThatDoesNotAddUpIsNeverPassedOffAsWhole() throws Exception {
+    void anEndWithAWrongTotalFailsTheBody() throws Exception {
         Exchange exchange = invoke(1);
         PeerLink back = taken().link();
         Frame.Builder frame = Frame.newBuilder().setExchange(InvokeCodec.toWire(request(1).id()));
@@ -234,10 +235,10 @@
     }
 
     @Test
-    void crossedAnswersNeverMix() throws Exception {
+    void interleavedAnswersReachTheirOwnCallers() throws Exception {
         // Twenty callers wait on one link. The agent answers them in reverse order and all at once,
-        // so their frames interleave; frames of an answer that is over come once more. Each caller
-        // gets its own answer whole.
+        // so their frames interleave; a frame of an ended answer is sent again. Each caller
+        // gets its own complete answer.
         List<Exchange> exchanges = new ArrayList<>();
         for (long id = 1; id <= 20; id++) {
             exchanges.add(invoke(id));
@@ -265,7 +266,7 @@
     }
 
     @Test
-    void noKeyAndNoKeyIdIsInTheBytesOfAnInvocation() {
+    void anInvocationContainsNeitherTheKeyNorItsId() {
         Header key = new Header("authorization", "Bearer planted-secret");
         byte[] bytes = InvokeCodec.toInvoke(request(1, key), LONG, 1, 1).toByteArray();
         String sent = new String(bytes, StandardCharsets.ISO_8859_1);
@@ -279,7 +280,7 @@
 
     private IncomingExchange taken() throws Exception {
         IncomingExchange exchange = incoming.poll(20, TimeUnit.SECONDS);
-        assertTrue(exchange != null, "no invocation came");
+        assertTrue(exchange != null, "no invocation was received");
         return exchange;
     }
 
