--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Call.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Call.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** One call to the store; it is the same as another only if it is that call. */
+/**
+ * One outstanding call to the store or to a relay: when it was sent and how long it may take. Calls
+ * are compared by identity.
+ */
 final class Call {
     private final Instant at;
     private final Duration patience;
@@ -21,41 +24,44 @@
         this.relayed = relayed;
     }
 
-    /** True if it went to a relay and not to the store. */
+    /** Returns true if the call went to a relay and not to the store. */
     boolean relayed() {
         return relayed;
     }
 
-    /** When it was sent. */
+    /** Returns when the call was sent. */
     Instant at() {
         return at;
     }
 
-    /** How long the store may wait for a change before it answers. */
+    /** Returns how long the store may wait for a change before it answers. */
     Duration patience() {
         return patience;
     }
 
-    /** What to do beside it if it is not answered. */
+    /** Returns the step that sends a second call in parallel if this one is overdue. */
     Runnable again() {
         return again;
     }
 
-    /** When its answer should be here. */
+    /** Returns when the call is overdue. */
     Instant due() {
         return at.plus(patience).plus(Pace.ANSWER);
     }
 
     /**
-     * When the store answered, at the latest; an answer that waits at a VM that stands still is in
-     * later.
+     * Returns the latest time at which the store can have answered. This is earlier than {@code
+     * now} if the answer lay unread while the VM was paused.
      */
     Instant answeredBy(Instant now) {
         Instant latest = at.plus(patience);
         return now.isBefore(latest) ? now : latest;
     }
 
-    /** Up to when an answer that comes now is good: an empty one to the end of its wait. */
+    /**
+     * Returns the time up to which an answer received now is complete: the end of the wait for an
+     * empty answer, otherwise the time at which the call was sent.
+     */
     Instant goodUpTo(Instant now, boolean empty) {
         Instant waited = at.plus(patience);
         return empty && !now.isBefore(waited) ? waited : at;
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/ChangeHistory.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/ChangeHistory.java
@@ -5,15 +5,18 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The last changes that a follower has heard of, for those that follow it. */
+/** The most recent changes that a follower has received, kept for the processes it relays to. */
 final class ChangeHistory {
-    /** Some seconds of the reports of hundreds of upstreams; who lacks more asks the store. */
+    /**
+     * Holds some seconds of reports from hundreds of upstreams. A process that lacks older changes
+     * asks the store.
+     */
     private static final int MOST = 4_096;
 
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
     private long from = Long.MAX_VALUE;
 
-    /** Everything was read as of the revision; what came before is not known one by one. */
+    /** Clears the history after a full read at the revision; earlier changes are not available. */
     void startAt(long revision) {
         changes.clear();
         from = revision;
@@ -26,7 +29,9 @@
         }
     }
 
-    /** What has changed after the revision; empty if that part is not kept. */
+    /**
+     * Returns the changes after the revision; empty if the history does not reach back that far.
+     */
     Optional<List<Change>> after(long revision) {
         if (revision < from) {
             return Optional.empty();
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/ChangeListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/ChangeListener.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * Hears what is there and what has changed, on the control thread. Each time it is told how long
- * the silence was before: from the store's last answer to this one.
+ * Receives the followed entries and their changes, on the control thread. Each call passes {@code
+ * silence}, the time from the store's previous answer to this one.
  */
 public interface ChangeListener {
-    /** All there is, as of the revision; what isn't there is gone. */
+    /** Receives all entries as of the revision; keys that are not among them no longer exist. */
     void all(List<Entry> entries, long revision, Duration silence);
 
-    /** Keys that were set or removed. */
+    /** Receives the keys that were set or removed, up to the revision. */
     void changed(List<Change> changes, long revision, Duration silence);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
@@ -22,10 +22,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps up with all keys under a prefix: reads them, asks for changes, and reads them anew when the
- * store has dropped its history. A call that is not answered in time is followed by another beside
- * it, so that what is known is never older than {@link Pace#bound} while the store answers. While
- * it is out, what was heard last stands.
+ * Keeps a view of all keys under a prefix up to date: reads them, polls for changes, and reads them
+ * again when the store has compacted its history. A call that is not answered in time is followed
+ * by a second one in parallel, so that the view is never older than {@link Pace#bound} while the
+ * store answers. During an outage of the store the last view stays valid.
  *
  * <pre>{@code
  * Follower.of("upstreams").under("servers/").in(store).at(pace).on(control).counting(metrics)
@@ -35,23 +35,27 @@
 public final class Follower {
     private static final Logger LOG = LogManager.getLogger(Follower.class);
 
-    /** Half of what a new process may take to be of use; short against every bound. */
+    /**
+     * Half of the time that a new process may take to become useful, and short against every
+     * staleness bound.
+     */
     private static final Duration READ_RETRY = Duration.ofMillis(250);
 
     private static final Duration RETRY = Duration.ofMillis(300);
 
     /**
-     * A store that is about to drop its history may say for so long that nothing has changed when
-     * something has; what a reading then shows is older than the last answers let one think.
+     * A store that is about to compact its history may answer for this long that nothing has
+     * changed although something has. Changes found by the full read that follows may therefore be
+     * older than the last answers suggest.
      */
     private static final Duration MUTE = Duration.ofSeconds(2);
 
     private static final Duration LOOK = Duration.ofMillis(100);
 
-    /** Nobody may have a call held here for longer. */
+    /** The longest time that a call of another process is held here. */
     private static final Duration LONGEST_HELD = Duration.ofSeconds(2);
 
-    /** Calls without an answer; more of them would only add to the load of a slow store. */
+    /** The limit of unanswered calls; more would only add to the load of a slow store. */
     private static final int MOST_OPEN = 8;
 
     private final String name;
@@ -81,21 +85,22 @@
         this.prefix = Objects.requireNonNull(from.prefix, "a follower needs a prefix: under(...)");
         this.store = Objects.requireNonNull(from.store, "a follower needs a store: in(...)");
         this.pace = Objects.requireNonNull(from.pace, "a follower needs a pace: at(...)");
-        this.control = Objects.requireNonNull(from.control, "a follower needs a thread: on(...)");
+        this.control =
+                Objects.requireNonNull(from.control, "a follower needs a control thread: on(...)");
         this.metrics =
                 Objects.requireNonNull(from.metrics, "a follower needs metrics: counting(...)");
         this.relay = from.relay;
-        this.listener = Objects.requireNonNull(listener, "a follower needs somebody to tell");
+        this.listener = Objects.requireNonNull(listener, "a follower needs a listener: tell(...)");
         this.waiters = new Waiters(control);
         this.planned = new Planned(control);
     }
 
-    /** Begins to make a follower; logs and metrics call what it follows by this name. */
+    /** Starts building a follower whose keys are called by this name in logs and metrics. */
     public static FollowerBuilder of(String name) {
         return new FollowerBuilder(name);
     }
 
-    /** Begins; returns this. */
+    /** Starts following and returns this follower. */
     public Follower start() {
         metrics.gauge("store_view_age_ms", "of", name, this::ageMillis);
         read();
@@ -103,29 +108,29 @@
         return this;
     }
 
-    /** What the followed keys begin with. */
+    /** Returns the prefix of the followed keys. */
     public String prefix() {
         return prefix;
     }
 
-    /** True once everything was read. */
+    /** Returns true once all entries have been read for the first time. */
     public boolean everRead() {
         return view.asOf().isPresent();
     }
 
-    /** True while neither a reading nor a call for changes is failing. */
+    /** Returns true while neither full reads nor calls for changes fail and the store is up. */
     public boolean upToDate() {
         return everRead() && !failing && store.up();
     }
 
-    /** How long ago what is known here was surely complete; empty before the first reading. */
+    /** Returns how long ago the view was surely complete; empty before the first full read. */
     public Optional<Duration> age() {
         return view.age(now());
     }
 
     /**
-     * For a listener that is being told news: none of it had happened at this moment. {@link
-     * Instant#MIN} if that isn't known.
+     * Returns a time before which none of the changes happened that a listener is receiving just
+     * now; {@link Instant#MIN} if no such time is known.
      */
     public Instant newsSince() {
         Instant complete = view.asOfBefore();
@@ -133,7 +138,7 @@
         return surely ? complete : complete.minus(MUTE);
     }
 
-    /** Reads everything anew, so that {@link #whenKnown} waits for a reading. */
+    /** Reads all entries again; {@link #whenKnown} then waits for that full read. */
     public void readAnew() {
         if (!reading) {
             reading = true;
@@ -142,9 +147,9 @@
     }
 
     /**
-     * Tells, once, when everything up to the moment is known here; the listener has heard of it
-     * then. Asks for it if need be, together with others who wait. Tells {@code false} if the store
-     * hasn't said so within the limit.
+     * Calls back once: with {@code true} when all changes up to the moment are known here and the
+     * listener has received them, or with {@code false} if the store has not confirmed that within
+     * the limit. Asks the store if needed, in one call for all that wait.
      */
     public void whenKnown(Instant moment, Duration limit, Consumer<Boolean> told) {
         if (view.reaches(moment)) {
@@ -156,9 +161,9 @@
     }
 
     /**
-     * Tells another process what has changed after the revision, as the store would: at once, when
-     * it comes, or that there was nothing at the end of the wait. Tells nothing if that isn't known
-     * here at first hand and of late; the other has to ask the store then.
+     * Answers another process with the changes after the revision, as the store would: at once,
+     * when a change arrives, or with none at the end of the wait. The answer is empty if this view
+     * is outdated or comes from a relay itself; the other process then has to ask the store.
      */
     public void tell(long after, Duration wait, Consumer<Optional<Changes>> told) {
         if (!mayPassOn()) {
@@ -192,7 +197,7 @@
         }
     }
 
-    // One at a time: whoever comes meanwhile is served by the next.
+    // One call at a time: those who arrive while it is under way are served by the next.
     private void askBeside() {
         if (reading || open.contains(beside) || open.size() >= MOST_OPEN) {
             return;
@@ -220,7 +225,10 @@
         open.remove(call);
         if (found == null) {
             if (!failing) {
-                LOG.warn("can't read {} from the store: {}", name, failure.getMessage());
+                LOG.warn(
+                        "failed to read {} from the store, retrying: {}",
+                        name,
+                        failure.getMessage());
             }
             failing = true;
             if (call == newest) {
@@ -229,7 +237,7 @@
             return;
         }
         if (!reading) {
-            // Another reading, sent beside this one, was answered first.
+            // A parallel full read was answered first.
             return;
         }
         reading = false;
@@ -246,10 +254,10 @@
 
     private void ask(Duration patience) {
         if (reading) {
-            // Goes on when the reading is answered.
+            // Polling continues when the full read is answered.
             return;
         }
-        // A call that doesn't wait is one that must know for sure: the store has to say.
+        // A call that doesn't wait is made to confirm the view, which only the store itself can do.
         boolean relayed = !patience.isZero() && relay.available();
         Duration wait = relayed ? pace.atRelay().patience() : patience;
         send(begin(new Call(now(), wait, () -> ask(Duration.ZERO), relayed)));
@@ -280,16 +288,16 @@
         }
     }
 
-    // A call under way when the store goes away is never answered, also after its return, and hides
-    // what happens until it is given up. One beside it needs no more than a moment. Both may still
-    // be answered; what is known already is left out.
+    // A call that is under way when the store becomes unavailable may never be answered, not even
+    // after the store's return, and no change is received until it is given up. A parallel call
+    // costs little. Both may still be answered; changes that are known already are left out.
     private void askBesideUnanswered() {
         metrics.count("store_asks_overdue", "of", name);
-        silent(newest, "no answer yet");
+        silent(newest, "no answer in time");
         newest.again().run();
     }
 
-    // The VM stood still in a pause, or a listener failed at what it was told.
+    // The VM was paused during a planned wait, or a listener threw an exception.
     private void goOn() {
         if (!planned.missing(LOOK)) {
             return;
@@ -332,7 +340,7 @@
     }
 
     private void askNext(Call call) {
-        // The VM stood still since: a call that waits would leave unheard what came meanwhile.
+        // The VM was paused: a call that waits would delay the changes made during the pause.
         boolean old = view.age(now()).orElseThrow().compareTo(bound(call)) > 0;
         if (old) {
             ask(Duration.ZERO);
@@ -348,8 +356,7 @@
         }
     }
 
-    // What a relay tells is as old as its own view, and is on its way as long as a call to it
-    // lasts.
+    // A relay's answer is as old as the relay's own view, plus the duration of the call to it.
     private Duration bound(Call call) {
         return call.relayed() ? pace.bound().plus(pace.atRelay().bound()) : pace.bound();
     }
@@ -363,7 +370,7 @@
             return;
         }
         if (compacted(failure)) {
-            LOG.info("the store has dropped the history of {}, reading it anew", name);
+            LOG.info("the store has compacted the history of {}, reading all of it again", name);
             failing = true;
             readAnew();
             return;
@@ -381,7 +388,7 @@
         }
         silent = true;
         LOG.info(
-                "no changes of {}: a call sent {} ms ago at revision {}: {}; view is {} ms old",
+                "no update of {}: call sent {} ms ago at revision {}: {}; view is {} ms old",
                 name,
                 call.age(now()).toMillis(),
                 view.revision(),
@@ -399,7 +406,8 @@
         if (silent) {
             silent = false;
             LOG.info(
-                    "{} is heard of again: revision {} by {}, asked {} ms ago, view was {} ms old",
+                    "updates of {} resumed: revision {} by {}, call sent {} ms ago, view was {} ms"
+                            + " old",
                     name,
                     revision,
                     source,
@@ -409,7 +417,7 @@
         return view.confirm(goodUpTo, answered, revision);
     }
 
-    /** What an answer was one to. */
+    /** The kind of call that an answer belongs to. */
     private enum Source {
         READING,
         CHANGES
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/FollowerBuilder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/FollowerBuilder.java
@@ -5,7 +5,7 @@
 import io.damaskyoke.platform.PolledStore;
 import java.util.Objects;
 
-/** Gathers what a follower needs; {@link #tell} makes it. */
+/** Collects the settings of a {@link Follower}; {@link #tell} builds it. */
 public final class FollowerBuilder {
     final String name;
     String prefix;
@@ -19,43 +19,43 @@
         this.name = Objects.requireNonNull(name, "a follower needs a name");
     }
 
-    /** What the followed keys begin with. */
+    /** Sets the prefix of the followed keys. */
     public FollowerBuilder under(String given) {
         prefix = given;
         return this;
     }
 
-    /** Where the keys are. */
+    /** Sets the store that holds the keys. */
     public FollowerBuilder in(PolledStore given) {
         store = given;
         return this;
     }
 
-    /** How often it asks. */
+    /** Sets how often the store is polled. */
     public FollowerBuilder at(Pace given) {
         pace = given;
         return this;
     }
 
-    /** The thread that it belongs to. */
+    /** Sets the control thread that the follower runs on. */
     public FollowerBuilder on(ControlThread given) {
         control = given;
         return this;
     }
 
-    /** Where it counts. */
+    /** Sets the metrics that the follower reports to. */
     public FollowerBuilder counting(Metrics given) {
         metrics = given;
         return this;
     }
 
-    /** Who is asked before the store, if somebody is there to ask. */
+    /** Sets the relay that is asked instead of the store while it is available. */
     public FollowerBuilder by(Relay given) {
         relay = given;
         return this;
     }
 
-    /** Makes the follower, which tells the listener from its start on. */
+    /** Builds the follower, which passes entries and changes to the listener once started. */
     public Follower tell(ChangeListener listener) {
         return new Follower(this, listener);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/HeldAsks.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/HeldAsks.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * Calls of other processes that wait for changes here, as calls to the store wait there. Each is
- * answered once: with changes as soon as there are any, with none at the end of its wait, or with
- * nothing if this process doesn't know enough itself.
+ * Long-polling calls of other processes that wait here for changes, as they would at the store.
+ * Each is answered once: with changes as soon as there are any, with none at the end of its wait,
+ * or with an empty answer if this process's own view or history does not suffice.
  */
 final class HeldAsks {
     private final View view;
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Answers those for whom there is something, and those whose wait is over. */
+    /** Answers the calls that have changes to receive or whose wait is over. */
     void answer(Instant now) {
         List<Ask> all = asks;
         asks = new ArrayList<>();
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Nothing is known here for sure any more: all are sent to the store. */
+    /** Rejects all calls with an empty answer, which sends their processes to the store. */
     void turnAway() {
         List<Ask> all = asks;
         asks = new ArrayList<>();
@@ -58,7 +58,7 @@
     private boolean answered(Ask ask, Instant now) {
         Optional<List<Change>> changes = history.after(ask.after());
         boolean ended = !now.isBefore(ask.until());
-        // Who knows more than is known here can't be told that there is nothing new.
+        // A process that has a newer revision than this one can't be told that nothing changed.
         boolean ahead = ask.after() > view.revision();
         if (changes.isEmpty() || ended && ahead) {
             ask.told().accept(Optional.empty());
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Pace.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Pace.java
@@ -4,33 +4,34 @@
 import java.util.Objects;
 
 /**
- * How often the store is asked: {@code new Pace(Duration.ofSeconds(1), Duration.ofMillis(200))}.
+ * How often the store is polled: {@code new Pace(Duration.ofSeconds(1), Duration.ofMillis(200))}.
  *
- * @param patience how long a call may wait for a change
- * @param gap the least time from one call to the next, so that changes in a row are told together
+ * @param patience how long a call may wait at the store for a change
+ * @param gap the least time from one call to the next, so that successive changes arrive together
  */
 public record Pace(Duration patience, Duration gap) {
-    /** How long an answer may be on its way; the platform's store takes milliseconds. */
+    /** The allowed transit time of an answer; the platform's store takes milliseconds. */
     static final Duration ANSWER = Duration.ofMillis(400);
 
-    /** A relay that says nothing is noticed only when its wait is over. */
+    /** The longest wait at a relay: a relay that fails silently is noticed only after it. */
     private static final Duration LONGEST_AT_RELAY = Duration.ofMillis(1_200);
 
-    /** A relay's own calls are a gap apart; this only keeps it from being asked in a loop. */
+    /** A relay's own calls are a gap apart; this only prevents polling it in a tight loop. */
     private static final Duration RELAY_GAP = Duration.ofMillis(20);
 
-    /** Refuses what is negative. */
+    /** Validates that neither duration is negative. */
     public Pace {
         Objects.requireNonNull(patience, "a pace needs a patience");
         Objects.requireNonNull(gap, "a pace needs a gap");
         if (patience.isNegative() || gap.isNegative()) {
-            throw new IllegalArgumentException("patience and gap of a pace can't be negative");
+            throw new IllegalArgumentException(
+                    "patience and gap of a pace must not be negative: " + patience + ", " + gap);
         }
     }
 
     /**
-     * The same where a relay is asked, which holds each call until there is something and at no
-     * price.
+     * Returns this pace adapted to a relay, which holds each call until there is a change and costs
+     * the store nothing.
      */
     public Pace atRelay() {
         boolean longer = patience.compareTo(LONGEST_AT_RELAY) > 0;
@@ -38,8 +39,9 @@
     }
 
     /**
-     * How long after an acknowledgement a change is known at the latest, while the store answers:
-     * the call that was under way when it came back may be one that nobody answers.
+     * Returns the longest time from the acknowledgement of a change until it is known here, while
+     * the store answers. It allows for a call that is never answered because it was under way when
+     * the store became available again.
      */
     public Duration bound() {
         Duration unanswered = patience.plus(ANSWER);
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Planned.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Planned.java
@@ -5,8 +5,8 @@
 import java.time.Instant;
 
 /**
- * One step that is planned, and whether its time is over by the clock: a timer ends as much later
- * as the VM stood still, and what came meanwhile would wait for it.
+ * A timer for at most one step, which also tells by the clock whether the step is overdue. A timer
+ * fires late by as long as the VM was paused, and changes made meanwhile would wait for it.
  */
 final class Planned {
     private final ControlThread control;
@@ -17,7 +17,7 @@
         this.control = control;
     }
 
-    /** Plans a step, in place of one that was planned before. */
+    /** Schedules a step and cancels the one scheduled before. */
     void in(Duration pause, Runnable step) {
         cancel();
         due = control.clock().instant().plus(pause);
@@ -29,7 +29,7 @@
         due = Instant.MAX;
     }
 
-    /** True if nothing is planned, or if it should have run some time ago. */
+    /** Returns true if no step is scheduled, or if it is overdue by at least {@code late}. */
     boolean missing(Duration late) {
         return due.equals(Instant.MAX) || !control.clock().instant().isBefore(due.plus(late));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Relay.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Relay.java
@@ -5,20 +5,20 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * Other processes that follow the same keys in the store and pass on what they hear, so that the
- * store is not asked by each process of a large fleet.
+ * Access to other processes that follow the same keys in the store and pass the changes on, so that
+ * the store is not polled by each process of a large fleet.
  */
 public interface Relay {
-    /** True if one of them can be asked now; else the store is. */
+    /** Returns true if a relay can be asked now; otherwise the store is asked. */
     boolean available();
 
     /**
-     * What the store would tell, with its age. Fails if the one that was asked can't tell, or says
-     * nothing in time; the store is asked then.
+     * Returns the changes after the revision as the store would, with the age of the relay's view.
+     * Fails if the relay can't answer, or doesn't in time; the store is asked then.
      */
     CompletionStage<Changes> changes(String prefix, long after, Duration wait);
 
-    /** No relay: the store is asked each time. */
+    /** Returns a relay that is never available, so that the store is always asked. */
     static Relay none() {
         return new Relay() {
             @Override
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/View.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/View.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.Optional;
 
-/** Up to when and to which revision a part of the store is known here. */
+/** Records up to which time and revision the followed part of the store is known here. */
 final class View {
     private Instant asOf;
     private Instant asOfBefore = Instant.MIN;
@@ -12,10 +12,13 @@
     private long revision;
 
     /**
-     * Takes an answer in: nothing up to that moment is missing. Never goes back. Gives how long the
-     * silence was that it ended.
+     * Records an answer, after which all changes up to the moment are known. The recorded time and
+     * revision never go back. Returns the time between the previous answer of the store and this
+     * one.
      *
-     * @param answered when the store answered; it may have done so a while after {@code moment}
+     * @param moment the time up to which the answer is complete
+     * @param answered when the store answered, which may be a while after {@code moment}
+     * @param upTo the revision up to which the answer is complete
      */
     Duration confirm(Instant moment, Instant answered, long upTo) {
         asOfBefore = asOf == null ? Instant.MIN : asOf;
@@ -32,17 +35,20 @@
         return Optional.ofNullable(asOf);
     }
 
-    /** As of when it was complete before the last answer; {@link Instant#MIN} if it never was. */
+    /**
+     * Returns the time up to which the view was complete before the last answer; {@link
+     * Instant#MIN} if it never was.
+     */
     Instant asOfBefore() {
         return asOfBefore;
     }
 
-    /** True if all up to the moment is known. */
+    /** Returns true if all changes up to the moment are known. */
     boolean reaches(Instant moment) {
         return asOf != null && !asOf.isBefore(moment);
     }
 
-    /** How long ago it was surely complete; empty if nothing was ever read. */
+    /** Returns how long ago the view was surely complete; empty before the first full read. */
     Optional<Duration> age(Instant now) {
         return asOf().map(moment -> Duration.between(moment, now));
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Waiters.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Waiters.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Those who need all up to a moment to be known; each is told once. */
+/** The callbacks that wait until all changes up to a moment are known; each runs once. */
 final class Waiters {
     private final ControlThread control;
     private final List<Waiter> waiting = new ArrayList<>();
@@ -24,7 +24,7 @@
         control.after(limit, () -> giveUp(waiter));
     }
 
-    /** Tells those who need no more than what is known by this view. */
+    /** Completes with {@code true} the callbacks whose moment the view has reached. */
     void release(View view) {
         List<Waiter> served = waiting.stream().filter(each -> view.reaches(each.moment())).toList();
         waiting.removeAll(served);
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Keeps up with what the platform's store holds, and knows at each moment how old that knowledge
- * is.
+ * Follows the keys under a prefix of the platform's store, by polling it or a relay, and tracks the
+ * staleness of the resulting view.
  */
 package io.damaskyoke.follow;
--- a/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
@@ -32,7 +32,7 @@
                     .counting(new Metrics())
                     .tell(new Revisions());
 
-    // Guards against a lost answer that hides all that comes after it.
+    // Guards against a lost answer that blocks all later changes.
     @Test
     void aCallThatIsNotAnsweredIsFollowedByOneBesideIt() {
         read(5);
@@ -42,7 +42,8 @@
         assertEquals(List.of(5L, 7L), heard);
     }
 
-    // Guards against news told twice, or out of order, when two calls are answered crosswise.
+    // Guards against changes delivered twice or out of order when two calls are answered in
+    // reverse.
     @Test
     void anAnswerThatComesLateTellsOnlyWhatIsNew() {
         read(5);
@@ -54,7 +55,7 @@
         assertEquals(List.of(5L, 5L, 7L), store.askedAfter);
     }
 
-    // Guards against a late answer that starts a second chain of calls, and doubles their price.
+    // Guards against a late answer that starts a second chain of calls and doubles the load.
     @Test
     void onlyTheNewestCallLeadsToTheNext() {
         read(5);
@@ -67,7 +68,7 @@
         assertEquals(3, store.asks.size());
     }
 
-    // Guards against a flood of calls to a store that is slow already.
+    // Guards against adding load to a store that is slow already.
     @Test
     void aStoreThatAnswersNothingIsNotFlooded() {
         read(5);
@@ -75,7 +76,7 @@
         assertEquals(8, store.asks.size());
     }
 
-    // Guards against a lost answer to a reading, with which a router would never begin.
+    // Guards against a lost answer to the first full read, after which a router would never start.
     @Test
     void aReadingThatIsNotAnsweredIsFollowedByOneBesideIt() {
         follower.start();
@@ -86,7 +87,8 @@
         assertEquals(List.of(5L), store.askedAfter);
     }
 
-    // Guards against news that is taken for the first after a freeze, seconds after it ended.
+    // Guards against a call that waits after the VM was paused, which would delay for seconds the
+    // changes made during the pause.
     @Test
     void anAnswerThatIsOldWhenItComesIsFollowedByACallThatDoesNotWait() {
         read(5);
@@ -100,7 +102,7 @@
         assertEquals(Duration.ZERO, store.waits.get(store.waits.size() - 1));
     }
 
-    // Guards against a fault in what is told that ends the following for good.
+    // Guards against an exception of a listener that stops the follower for good.
     @Test
     void aListenerThatFailsIsToldTheRest() {
         read(5);
@@ -126,7 +128,7 @@
         read(5);
         pass(Duration.ofMillis(300));
         assertEquals(Optional.of(Duration.ofMillis(300)), follower.age());
-        // An answer tells of the moment at which it was asked for.
+        // An answer with changes is complete only up to the time at which it was asked for.
         store.asks.get(0).complete(HandStore.set(6));
         assertEquals(Optional.of(Duration.ofMillis(300)), follower.age());
     }
@@ -146,7 +148,7 @@
         assertEquals(List.of(true, true, true), told);
     }
 
-    // Guards against a caller that waits for as long as an outage lasts.
+    // Guards against a caller that waits for as long as an outage of the store lasts.
     @Test
     void whoNeedsToKnowIsToldInTimeThatTheStoreDoesNotSay() {
         read(5);
@@ -159,7 +161,7 @@
         assertEquals(List.of(false), told);
     }
 
-    // Guards against serving somebody by an answer that was asked for before he came.
+    // Guards against serving a waiter by an answer to a call that was sent before it arrived.
     @Test
     void whoComesWhileAnAnswerIsUnderWayIsServedByTheNext() {
         read(5);
@@ -199,7 +201,7 @@
         control.advance(duration);
     }
 
-    /** Notes the revisions that it is told. */
+    /** Records the revisions that it receives, and fails at the poison revision. */
     private final class Revisions implements ChangeListener {
         @Override
         public void all(List<Entry> entries, long revision, Duration silence) {
--- a/damaskyoke/src/test/java/io/damaskyoke/follow/HandStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/follow/HandStore.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** A store whose every answer is given by hand: {@code store.asks.get(0).complete(...)}. */
+/** A store whose answers the test completes: {@code store.asks.get(0).complete(...)}. */
 final class HandStore extends OnlyFollowed {
     final List<CompletableFuture<Changes>> asks = new ArrayList<>();
     final List<CompletableFuture<Listing>> readings = new ArrayList<>();
@@ -37,7 +37,7 @@
         return new Entry(key, key.getBytes(StandardCharsets.UTF_8), revision, 1, 0);
     }
 
-    /** An answer that tells of keys set at these revisions, the last of which is the store's. */
+    /** Returns an answer with one change at each revision, the last of which is the store's. */
     static Changes set(long... revisions) {
         List<Change> changes =
                 Arrays.stream(revisions)
