--- a/damaskyoke/src/main/java/io/damaskyoke/http/AnswerListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/AnswerListener.java
@@ -4,27 +4,28 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Hears how a request goes on, on the event loop: a head, then any number of parts, then one end;
- * or a failure at any point, after which nothing more comes.
+ * Receives the response to a request, on the event loop: one head, any number of parts, then one
+ * end; or a failure at any point, which is the last event.
  */
 public interface AnswerListener {
     /**
-     * A connection is open and the request is about to leave: the last moment to set headers that
-     * depend on the time, or to call it off by false, after which nothing more comes.
+     * Called when a connection is open and the request is about to be written: the last opportunity
+     * to set headers that depend on the time. Returning false cancels the request, and no further
+     * event follows.
      */
     default boolean leaves(HttpHeaders headers) {
         return true;
     }
 
-    /** Status and headers have come. */
+    /** Receives the status and the headers. */
     void head(int status, HttpHeaders headers);
 
-    /** A part of the body; the listener owns the buffer and releases it. */
+    /** Receives a part of the body; the listener owns the buffer and releases it. */
     void part(ByteBuf data);
 
-    /** The answer is whole. */
+    /** Called when the response is complete. */
     void end();
 
-    /** There will be no whole answer. */
+    /** Called when the exchange has failed and the response will not be complete. */
     void failed(Failure failure);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ClientCall.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ClientCall.java
@@ -1,10 +1,10 @@
 package io.damaskyoke.http;
 
-/** A request under way, to be called off or held up: {@code client.send(...).cancel()}. */
+/** The handle of a request in progress: {@code client.send(...).cancel()}. */
 public interface ClientCall {
-    /** Closes the connection at once; the listener hears nothing more. */
+    /** Closes the connection at once; the listener receives no further event. */
     void cancel();
 
-    /** Stops or resumes reading the answer, so that a slow reader holds up the sender. */
+    /** Pauses or resumes reading the response, which applies backpressure to the server. */
     void reading(boolean wanted);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
@@ -17,12 +17,18 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** One connection of the client, and the request that it carries. */
+/** A connection of the client to a server, which carries at most one request at a time. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** A server that names no time is taken to close after five seconds, as common ones do. */
+    /**
+     * Used if the server sends no keep-alive timeout: common servers close an idle connection after
+     * five seconds.
+     */
     private static final long USUAL_KEEP_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-    /** The named time is in whole seconds, so it may be up to one less than it says. */
+    /**
+     * Subtracted from the server's keep-alive timeout, which is in whole seconds, so that the
+     * connection may close up to a second earlier.
+     */
     private static final long KEEP_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
     private final HttpClient client;
@@ -38,11 +44,11 @@
 
     private enum State {
         CONNECTING,
-        /** The request is written; its answer has not begun. */
+        /** The request is written; its response has not begun. */
         AWAITING,
-        /** The answer to something else is passing, and is dropped. */
+        /** A response to another request is being received and discarded. */
         SKIPPING,
-        /** The answer is coming in. */
+        /** The response is being received. */
         READING,
         IDLE,
         CLOSED
@@ -101,7 +107,7 @@
             channel.close();
             return;
         }
-        // Opening it may have lasted; whoever waited for the answer may have left meanwhile.
+        // Connecting may have taken a while; the caller may have canceled the request meanwhile.
         client.loop().whenRead(this::writeIfWanted);
     }
 
@@ -114,7 +120,7 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (state == State.IDLE || state == State.CLOSED || !(message instanceof HttpObject)) {
-            // Bytes that no request is waiting for belong to none that comes later, either.
+            // Bytes that answer no request must not be taken for the response to a later one.
             ReferenceCountUtil.release(message);
             discard();
             return;
@@ -258,7 +264,7 @@
         }
     }
 
-    /** The handle that callers hold; it does nothing once its request is over. */
+    /** The caller's handle of one request; it does nothing once the request is over. */
     private final class Call implements ClientCall {
         private final int mine;
 
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ClientRequest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ClientRequest.java
@@ -7,14 +7,17 @@
 import java.util.function.Predicate;
 
 /**
- * A whole request to a server.
+ * A complete HTTP request to a server.
  *
- * @param path path and query as they go on the wire
- * @param body the whole body, perhaps empty; the client releases it
- * @param mine tells from an answer's headers whether it answers this request. A server may send a
- *     second answer to an earlier request on the connection, which must not become this one's
- * @param idleLimit how long a kept connection may have been idle to carry this request; zero for a
- *     new connection always
+ * @param method the HTTP method
+ * @param path the path and query, as sent
+ * @param headers the headers; the client adds Content-Length
+ * @param body the complete body, possibly empty; the client releases it
+ * @param mine tells from a response's headers whether it belongs to this request. A server may send
+ *     a second response to an earlier request on the connection, which must not be taken for the
+ *     response to this one
+ * @param idleLimit how long a pooled connection may have been idle to be reused for this request;
+ *     zero always opens a new connection
  */
 public record ClientRequest(
         HttpMethod method,
--- a/damaskyoke/src/main/java/io/damaskyoke/http/EarlySocket.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/EarlySocket.java
@@ -7,26 +7,30 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * A socket that listens before there is a server: {@code EarlySocket.listen(address)}, and {@link
- * HttpServer#adopt} takes it over. It loads nothing but the virtual machine's own classes.
+ * Opens a server socket before the HTTP server is ready: {@code EarlySocket.listen(address)};
+ * {@link HttpServer#adopt} takes the socket over. It uses only classes of the JDK, so that it
+ * listens before anything else is loaded.
  */
 public final class EarlySocket {
-    /** Connections that may wait to be taken up. */
+    /** The number of connections that may wait to be accepted. */
     private static final int BACKLOG = 1024;
 
     private static final long LOADED_NANOS = System.nanoTime();
 
     private EarlySocket() {}
 
-    /** When this class was loaded, on {@link System#nanoTime()}: with the process's first step. */
+    /**
+     * Returns when this class was loaded, in nanoseconds of {@link System#nanoTime()}; it is loaded
+     * by the first step of the process.
+     */
     public static long loadedNanos() {
         return LOADED_NANOS;
     }
 
     /**
-     * Listens at once.
+     * Opens a non-blocking socket that listens on the address.
      *
-     * @throws HttpException BIND_FAILED if the address is taken
+     * @throws HttpException BIND_FAILED if the address can't be bound
      */
     public static ServerSocketChannel listen(InetSocketAddress at) {
         try {
--- a/damaskyoke/src/main/java/io/damaskyoke/http/Failure.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/Failure.java
@@ -1,14 +1,14 @@
 package io.damaskyoke.http;
 
-/** How an exchange with a server came to nothing, and whether the server may have acted on it. */
+/** Why an exchange with a server failed, and whether the server may have received the request. */
 public enum Failure {
-    /** No connection could be made. */
+    /** No connection could be established. */
     NOT_CONNECTED(false),
-    /** The connection was reset, or ended before the answer began. */
+    /** The connection was reset or closed before the response began. */
     BROKEN(true),
-    /** The connection ended or was reset in the middle of the answer. */
+    /** The connection was reset or closed in the middle of the response. */
     CUT_SHORT(true),
-    /** What came back is no answer in the protocol. */
+    /** The bytes received are not a valid HTTP response. */
     GARBLED(true);
 
     private final boolean mayHaveArrived;
@@ -17,7 +17,7 @@
         this.mayHaveArrived = mayHaveArrived;
     }
 
-    /** False only if not a byte of the request can have reached the server. */
+    /** Returns false only if no byte of the request can have reached the server. */
     public boolean mayHaveArrived() {
         return mayHaveArrived;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpCall.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpCall.java
@@ -16,10 +16,10 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * One request to a server and its answer: {@code call.answer(200, headers, body)}, or {@code
- * call.start(200, headers)}, {@code call.part(data)} and {@code call.end()}.
+ * A request received by the server and its response: {@code call.answer(200, headers, body)}, or
+ * {@code call.start(200, headers)}, {@code call.part(data)} and {@code call.end()}.
  *
- * <p>After the caller has gone, everything is accepted and nothing is sent.
+ * <p>After the caller has disconnected, all methods may still be called and nothing is sent.
  */
 public final class HttpCall {
     private static final Runnable NOTHING = () -> {};
@@ -39,54 +39,55 @@
         this.lastOfCaller = !HttpUtil.isKeepAlive(request);
     }
 
-    /** The method, for example {@code GET}. */
+    /** Returns the method, for example {@code GET}. */
     public String method() {
         return request.method().name();
     }
 
-    /** Path and query as they came. */
+    /** Returns the path and query as received. */
     public String target() {
         return request.uri();
     }
 
-    /** The headers as they came. */
+    /** Returns the headers as received. */
     public HttpHeaders headers() {
         return request.headers();
     }
 
-    /** The whole body; the call owns it until it is over. */
+    /** Returns the complete body; the call owns the buffer until it is over. */
     public ByteBuf body() {
         return request.content();
     }
 
     /**
-     * When the first byte of the request came, as far as is known, on {@link System#nanoTime()}.
+     * Returns when the first byte of the request arrived, as far as is known, in nanoseconds of
+     * {@link System#nanoTime()}.
      */
     public long arrivedNanos() {
         return arrivedNanos;
     }
 
-    /** Runs once if the caller's connection ends before the answer has. */
+    /** Sets the action that runs once if the caller disconnects before the response has ended. */
     public void onGone(Runnable action) {
         gone = action;
     }
 
-    /** Runs each time when the caller has read enough for more to be sent. */
+    /** Sets the action that runs each time the connection becomes writable again. */
     public void onWritable(Runnable action) {
         writable = action;
     }
 
-    /** False while so much is waiting to be sent that the sender should hold back. */
+    /** Returns false while so much data is buffered that the sender should pause. */
     public boolean writable() {
         return connection.writable();
     }
 
-    /** True once it was answered, aborted, or the caller has gone. */
+    /** Returns true once the call was answered or aborted, or the caller has disconnected. */
     public boolean over() {
         return over;
     }
 
-    /** Sends a whole answer; takes over the body. */
+    /** Sends a complete response and takes ownership of the body. */
     public void answer(int status, HttpHeaders headers, ByteBuf body) {
         if (over) {
             body.release();
@@ -109,7 +110,7 @@
         finish(close);
     }
 
-    /** Sends status and headers; the body follows in parts. */
+    /** Sends the status and headers of a chunked response; the body follows in parts. */
     public void start(int status, HttpHeaders headers) {
         if (over) {
             return;
@@ -122,7 +123,7 @@
                         HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers));
     }
 
-    /** Sends a part of the body at once; takes it over. */
+    /** Sends a part of the body at once and takes ownership of the buffer. */
     public void part(ByteBuf data) {
         if (over) {
             data.release();
@@ -131,7 +132,7 @@
         connection.send(new DefaultHttpContent(data));
     }
 
-    /** Ends an answer that was sent in parts. */
+    /** Ends a response that was sent in parts. */
     public void end() {
         if (over) {
             return;
@@ -141,8 +142,8 @@
     }
 
     /**
-     * Breaks the connection off. An answer that was begun then can't look whole to the caller, as
-     * its last chunk is missing.
+     * Closes the connection at once. The caller can't take a response that has begun for complete,
+     * as its last chunk is missing.
      */
     public void abort() {
         if (over) {
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpClient.java
@@ -22,11 +22,12 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests and keeps connections: {@code client.send(endpoint, request, listener)}.
+ * An HTTP client with a connection pool: {@code client.send(endpoint, request, listener)}.
  *
- * <p>A connection carries one request at a time, and is kept only after a whole answer that neither
- * side wanted to be the last. One that gets bytes while idle is closed, since they belong to no
- * request. Belongs to one event loop and is used only there.
+ * <p>A connection carries one request at a time, and returns to the pool only after a complete
+ * response that neither side marked as the last. A connection that receives bytes while idle is
+ * closed, since they belong to no request. The client belongs to one event loop and is used only
+ * there.
  */
 public final class HttpClient {
     private static final int MAX_LINE_BYTES = 16 * 1024;
@@ -40,7 +41,7 @@
     private final Map<Endpoint, ArrayDeque<ClientConnection>> idle = new HashMap<>();
     private final Bootstrap bootstrap;
 
-    /** A client on this loop that gives up on a connection after the time. */
+    /** Creates a client on the loop that abandons a connection attempt after the timeout. */
     public HttpClient(HttpLoop loop, Duration connectTimeout, Metrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
@@ -56,7 +57,7 @@
                                 (int) connectTimeout.toMillis());
     }
 
-    /** Sends the request over a kept or a new connection; the listener hears the rest. */
+    /** Sends the request over a pooled or a new connection; the listener receives the response. */
     public ClientCall send(Endpoint to, ClientRequest request, AnswerListener listener) {
         ClientConnection kept = kept(to, request.idleLimit());
         if (kept != null) {
@@ -78,15 +79,15 @@
         return call;
     }
 
-    /** True if a connection to the server is open that carries nothing. */
+    /** Returns true if the pool has an open idle connection to the server. */
     public boolean keeps(Endpoint server) {
         ArrayDeque<ClientConnection> connections = idle.get(server);
         return connections != null && connections.stream().anyMatch(ClientConnection::open);
     }
 
     /**
-     * Connects to a server and sends nothing: tells whether it takes connections, or empty if there
-     * is no answer in time.
+     * Probes a server by connecting to it without sending anything. Passes true if the connection
+     * was accepted, false if it was refused, or empty if neither happened in time.
      */
     public void reach(Endpoint server, Consumer<Optional<Boolean>> then) {
         metrics.count("http_connects");
@@ -108,7 +109,7 @@
         return refused ? Optional.of(false) : Optional.empty();
     }
 
-    /** Closes the idle connections to a server that is gone or no longer to be trusted. */
+    /** Closes the idle connections to a server that is gone or no longer trusted. */
     public void forget(Endpoint gone) {
         ArrayDeque<ClientConnection> connections = idle.remove(gone);
         if (connections != null) {
@@ -116,7 +117,7 @@
         }
     }
 
-    /** Closes idle connections whose time is over; call it now and then. */
+    /** Closes the idle connections whose keep-alive time has expired; to be called regularly. */
     public void sweep() {
         long now = System.nanoTime();
         for (ArrayDeque<ClientConnection> connections : idle.values()) {
@@ -153,7 +154,7 @@
         }
     }
 
-    // The one used last comes first: it is the least likely to be closed by the other side.
+    // The most recently used one comes first: the server is the least likely to close it.
     private ClientConnection kept(Endpoint to, Duration limit) {
         ArrayDeque<ClientConnection> connections = idle.get(to);
         while (connections != null && !connections.isEmpty()) {
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpException.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpException.java
@@ -2,15 +2,15 @@
 
 import io.damaskyoke.DamaskyokeException;
 
-/** What can go wrong in this package apart from a single exchange, which has {@link Failure}. */
+/** An error of this package outside a single exchange, whose errors are a {@link Failure}. */
 public final class HttpException extends DamaskyokeException {
     private static final long serialVersionUID = 1L;
 
-    /** The reasons. */
+    /** The cause of the error. */
     public enum Code {
-        /** The address can't be listened on. */
+        /** The server can't listen on the address. */
         BIND_FAILED,
-        /** The text names no host and port. */
+        /** The text is not a valid host and port. */
         BAD_ENDPOINT
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpHandler.java
@@ -1,8 +1,8 @@
 package io.damaskyoke.http;
 
-/** Takes in the requests of a server, on its event loop. */
+/** Handles the requests of an {@link HttpServer}, on its event loop. */
 @FunctionalInterface
 public interface HttpHandler {
-    /** Answers the call, now or later; every call must be answered or aborted once. */
+    /** Handles a call, which must be answered or aborted exactly once, now or later. */
     void handle(HttpCall call);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpLoop.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpLoop.java
@@ -8,15 +8,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One thread for sockets, timers and steps, which knows how far it is with reading its sockets:
- * {@code loop.whenRead(step)}.
+ * An event loop of one thread for sockets, timers and tasks, which can defer a task until all
+ * sockets are read: {@code loop.whenRead(step)}.
  *
- * <p>A thread that was held, because its VM's processor was taken away or a step lasted long, finds
- * requests of the last seconds and the ends of their callers together. In the midst of reading it
- * knows only some of them. What must not be done for callers that have left is done after that.
+ * <p>A thread that was stalled, by CPU steal of its VM or by a long task, finds the requests of the
+ * last seconds together with the disconnects of their callers. In the middle of a read pass it has
+ * seen only some of them. Work that must not be done for callers that have disconnected is
+ * therefore deferred until the pass is over.
  */
 public final class HttpLoop implements AutoCloseable {
-    /** Callers' upstreams may work for nobody for half a second after the caller's end came. */
+    /**
+     * The age up to which a read pass counts as recent. An upstream may work for at most half a
+     * second for a caller that has disconnected.
+     */
     private static final long FRESH_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final SocketReads reads = new SocketReads();
@@ -31,32 +35,33 @@
         this.events = (EventLoop) group.next();
     }
 
-    /** A loop with a thread of its own, which begins with its first step. */
+    /** Creates a loop with a thread of its own, which starts with the first task. */
     public static HttpLoop start() {
         return new HttpLoop();
     }
 
-    /** The loop for channels, timers and steps. */
+    /** Returns the Netty event loop for channels, timers and tasks. */
     public EventLoop events() {
         return events;
     }
 
-    /** The same as a group of one. */
+    /** Returns the event loop as a group of one. */
     public EventLoopGroup group() {
         return group;
     }
 
     /**
-     * Runs a step once everything is read that had come to the sockets a moment ago, the ends of
-     * callers above all: now, if that is so. On the loop only.
+     * Runs a step once all sockets have been read recently, so that disconnects of callers are
+     * known: at once if they have been. To be called on the loop only.
      */
     public void whenRead(Runnable step) {
         if (reads.underWay()) {
-            // Ends that are read are told in steps that wait by the time the reading is over.
+            // Disconnects that are read are reported by tasks queued before the read pass is over.
             events.execute(() -> events.execute(() -> whenRead(step)));
         } else if (System.nanoTime() - reads.beganNanos() > FRESH_NANOS) {
-            // A timer that is set here is due only after the next reading. Not again after that: a
-            // thread whose every turn lasts so long must still serve.
+            // A timer that is set here is due only after the next read pass. The step is not
+            // deferred
+            // again after that: a thread whose every iteration takes this long must still serve.
             events.schedule(step, 0, TimeUnit.NANOSECONDS);
         } else {
             step.run();
@@ -67,7 +72,7 @@
         return reads;
     }
 
-    /** Ends the thread; what is open is closed. */
+    /** Stops the thread and closes all open channels. */
     @Override
     public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpServer.java
@@ -23,19 +23,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Serves HTTP/1.1 on one address: {@code HttpServer.start(loop, endpoint, limits, handler)}.
+ * An HTTP/1.1 server on one address: {@code HttpServer.start(loop, endpoint, limits, handler)}.
  *
- * <p>A request reaches the handler whole. Requests on one connection are handled one after the
- * other, so answers can't change places. Belongs to one loop.
+ * <p>The handler receives complete requests. Requests on one connection are handled one after the
+ * other, so that their responses stay in order. The server belongs to one event loop.
  */
 public final class HttpServer implements AutoCloseable {
     private static final int MAX_LINE_BYTES = 8 * 1024;
     private static final int SWEEP_MILLIS = 250;
 
-    /** Callers use a connection up to its idle time; closing it a little later crosses nothing. */
+    /**
+     * Callers reuse a connection up to its idle time; closing it a little later does not race with
+     * a request.
+     */
     private static final Duration IDLE_MARGIN = Duration.ofSeconds(1);
 
-    /** Of one connection; others are waiting for theirs. */
+    /** The limit of reads of one connection in a read pass, so that others get their turn. */
     private static final int READS_A_TURN = 16;
 
     private static final WriteBufferWaterMark WATER_MARK =
@@ -56,9 +59,9 @@
     }
 
     /**
-     * Listens at once; not to be called on the loop itself.
+     * Starts a server that listens on the address; not to be called on the loop itself.
      *
-     * @throws HttpException BIND_FAILED if the address is taken
+     * @throws HttpException BIND_FAILED if the address can't be bound
      */
     public static HttpServer start(
             HttpLoop loop, InetSocketAddress at, HttpLimits limits, HttpHandler handler) {
@@ -70,8 +73,9 @@
     }
 
     /**
-     * Serves what connects to a socket that listens already, as the process opened it before
-     * anything else: callers that came meanwhile wait in its queue. To be called on the loop.
+     * Starts a server on a socket that is already listening, as the process opens it before
+     * anything else; callers that connected meanwhile wait in its backlog. To be called on the
+     * loop.
      */
     public static HttpServer adopt(
             HttpLoop loop, ServerSocketChannel open, HttpLimits limits, HttpHandler handler) {
@@ -83,33 +87,33 @@
         return server;
     }
 
-    /** The port listened on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Changes the limits; those of size for connections that come from now on. */
+    /** Changes the limits; size limits apply only to connections opened from now on. */
     public void limits(HttpLimits given) {
         limits = given;
     }
 
-    /** From now on each answer tells its caller that it was the connection's last. */
+    /** Starts draining: from now on each response tells its caller that the connection closes. */
     public void drain() {
         draining = true;
     }
 
-    /** Closes connections that carry nothing and have not for this long. */
+    /** Closes the connections that have carried no request for longer than {@code idle}. */
     public void closeIdle(Duration idle) {
         long now = System.nanoTime();
         snapshot().forEach(connection -> connection.closeIfIdle(now, idle.toNanos()));
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     public int connections() {
         return connections.size();
     }
 
-    /** Takes no new connections; those that are open go on. */
+    /** Stops accepting connections; open ones continue. */
     public void stopListening() {
         channel.close();
     }
@@ -127,7 +131,7 @@
         return draining;
     }
 
-    /** Hands a request to the handler, unless its caller has left by then. */
+    /** Passes a request to the handler, unless its caller has disconnected by then. */
     void handle(HttpCall call) {
         loop.whenRead(
                 () -> {
@@ -139,7 +143,7 @@
                 });
     }
 
-    /** Requests whose callers had left before they could be served. */
+    /** Returns the number of requests whose callers disconnected before they were handled. */
     public long leftUnserved() {
         return leftUnserved;
     }
@@ -180,8 +184,8 @@
                         });
     }
 
-    // As a rule a read that leaves room in its buffer is the last one of its turn. The end of a
-    // caller that has left would then be known a turn after its request.
+    // By default a read that does not fill its buffer is the last one of its read pass. The
+    // disconnect of a caller would then be known only a pass after its request.
     private static RecvByteBufAllocator toTheEnd() {
         var reads = new AdaptiveRecvByteBufAllocator();
         reads.maxMessagesPerRead(READS_A_TURN);
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ServerConnection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ServerConnection.java
@@ -16,9 +16,9 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
 
-/** One connection of a caller; its requests are taken one after the other. */
+/** A connection of a caller to the server, which handles its requests one after the other. */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
-    /** Requests that a caller may send ahead; beyond, its bytes stay in the kernel. */
+    /** The limit of pipelined requests; bytes beyond it stay in the kernel. */
     private static final int MOST_AHEAD = 4;
 
     private final HttpServer server;
@@ -48,7 +48,7 @@
         return call != null || arrivingSince != 0 || !ahead.isEmpty();
     }
 
-    /** The first bytes of a request have come; called by the handler in front of the decoder. */
+    /** Records the arrival of a request's first bytes; called before the decoder reads them. */
     void arriving() {
         if (arrivingSince == 0) {
             arrivingSince = cameNanos();
@@ -56,15 +56,17 @@
         }
     }
 
-    // A request that is found in the first look at a new connection may have come together with it,
-    // and the look that found the connection was the one after the thread was held.
+    // A request that is found in the first read pass of a new connection may have arrived together
+    // with it, and the pass that accepted the connection was the one that followed the stall.
     private long cameNanos() {
         SocketReads reads = server.reads();
         boolean withConnection = !asked && reads.number() <= openedIn + 1;
         return withConnection ? openedNanos : reads.cameNanos();
     }
 
-    /** Ends what has taken too long: half a request is refused, an idle connection closed. */
+    /**
+     * Enforces the time limits: answers an incomplete request with 408, closes an idle connection.
+     */
     void check(long now, long headerNanos, long idleNanos) {
         if (call == null && arrivingSince != 0 && now - arrivingSince > headerNanos) {
             refuse(HttpResponseStatus.REQUEST_TIMEOUT);
@@ -172,8 +174,8 @@
         return HttpResponseStatus.BAD_REQUEST;
     }
 
-    // What follows a request that can't be read might be taken for a request of its own, so the
-    // connection ends with the refusal.
+    // Bytes after a request that can't be parsed might be taken for a request of their own, so the
+    // connection is closed after the error response.
     private void refuse(HttpResponseStatus status) {
         refused = true;
         if (call != null) {
--- a/damaskyoke/src/main/java/io/damaskyoke/http/SocketReads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/SocketReads.java
@@ -6,14 +6,15 @@
 import io.netty.channel.IoRegistration;
 import java.util.concurrent.TimeUnit;
 
-/** Notes when a loop reads its sockets, around the handler that does. */
+/** Wraps the handler that reads a loop's sockets and records when each read pass takes place. */
 final class SocketReads implements IoHandler {
-    /** A loop that was busy for less finds what has just come. */
+    /** A loop that was busy for less than this finds bytes that have just arrived. */
     private static final long HELD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /**
-     * What is found after a long hold is taken to have come no later than this after the last look:
-     * an upstream that is told of half a second more than its caller has works for nobody.
+     * Bytes found after a long stall are assumed to have arrived no later than this after the last
+     * read pass. An upstream that is given half a second more than its caller has left would work
+     * for nobody.
      */
     private static final long LATEST_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
@@ -30,25 +31,28 @@
         return this;
     }
 
-    /** True in the midst of a reading: some of what has come is read, and some is not. */
+    /** Returns true during a read pass, when only some of the sockets are read. */
     boolean underWay() {
         return underWay;
     }
 
-    /** When the last reading began: what came before is known, once it is over. */
+    /**
+     * Returns when the last read pass began, in nanoseconds of {@link System#nanoTime()}; all bytes
+     * that arrived before are read once it is over.
+     */
     long beganNanos() {
         return beganNanos;
     }
 
-    /** Counts the readings. */
+    /** Returns the number of read passes so far. */
     long number() {
         return number;
     }
 
     /**
-     * When what this reading finds may have come: now, or, if the loop was held since it last
-     * looked at its sockets, in the midst of that time. Nothing tells how long bytes have lain
-     * unread.
+     * Returns the assumed arrival time of the bytes found in this read pass, in nanoseconds of
+     * {@link System#nanoTime()}: now, or within the stall if the loop was stalled since the last
+     * pass. How long bytes have lain unread can't be determined.
      */
     long cameNanos() {
         return heldNanos > HELD_NANOS
@@ -70,7 +74,10 @@
         }
     }
 
-    /** Tells how long what was found took, and so when it was found: a loop may sleep before. */
+    /**
+     * Measures how long handling the ready sockets took, and so when they were found ready: a pass
+     * may begin by sleeping.
+     */
     private static final class Timed implements IoHandlerContext {
         private IoHandlerContext context;
         private long activeNanos;
--- a/damaskyoke/src/main/java/io/damaskyoke/http/StrictRequestDecoder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/StrictRequestDecoder.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * Reads requests whose length can be understood in one way only.
+ * Decodes requests and rejects those with an ambiguous length, which prevents request smuggling.
  *
- * <p>A request with both a length and chunks, or with a transfer coding that isn't known, may end
- * elsewhere for the upstream than here: the rest would run there as a request that nobody was
- * checked for. Such a request is marked as unreadable.
+ * <p>A request with both a Content-Length and a Transfer-Encoding, or with an unknown transfer
+ * coding, may end elsewhere for the upstream than here: the upstream would run the rest as a
+ * request that was never authorized. Such a request is marked as a decoding failure.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     StrictRequestDecoder(HttpDecoderConfig config) {
@@ -30,7 +30,7 @@
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked = codings.size() == 1 && codings.get(0).trim().equalsIgnoreCase("chunked");
         if (!codings.isEmpty() && !chunked) {
-            refuse(message, "a transfer coding that is not known");
+            refuse(message, "unknown transfer coding");
         }
         return super.isContentAlwaysEmpty(message);
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/WholeAnswer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/WholeAnswer.java
@@ -7,28 +7,29 @@
 import java.util.function.Consumer;
 
 /**
- * A small answer, read to its end.
+ * A small response, buffered completely, or the failure of its exchange.
  *
- * @param status 0 if there was none
- * @param failure why there is no whole answer; empty if there is one
+ * @param status the HTTP status; 0 if there is no complete response
+ * @param body the complete body; empty if there is no complete response
+ * @param failure why there is no complete response; empty if there is one
  */
 public record WholeAnswer(int status, byte[] body, Optional<Failure> failure) {
     private static final WholeAnswer EXPIRED =
             new WholeAnswer(0, new byte[0], Optional.of(Failure.BROKEN));
 
-    /** Gathers an answer and hands it on once: whole, failed or expired. */
+    /** Collects a response and passes it on once: complete, failed or expired. */
     public static final class Reader implements AnswerListener {
         private final Consumer<WholeAnswer> then;
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         private int status;
         private boolean over;
 
-        /** A reader that hands the answer to {@code then}, on the event loop. */
+        /** Creates a reader that passes the response to {@code then}, on the event loop. */
         public Reader(Consumer<WholeAnswer> then) {
             this.then = then;
         }
 
-        /** Ends the wait if it is still on; the request may have arrived. */
+        /** Cancels the call if it is not over; its request may have reached the server. */
         public void expire(ClientCall call) {
             if (!over) {
                 call.cancel();
--- a/damaskyoke/src/main/java/io/damaskyoke/http/package-info.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP/1.1 for small VMs, on Netty: one server, and one client that keeps connections. Everything
- * runs on the one event loop that is handed in; nothing here blocks.
+ * An HTTP/1.1 server and a pooling client for small VMs, on Netty. All work runs on the event loop
+ * that is passed in; nothing here blocks.
  */
 package io.damaskyoke.http;
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HeldLoopTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/HeldLoopTest.java
@@ -19,12 +19,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a server makes of requests that came while its thread was held. */
+/** Tests how a server treats requests that arrived while its thread was stalled. */
 class HeldLoopTest {
     private static final int LIMIT_MILLIS = 10_000;
     private static final int CALLERS = 5;
 
-    /** A loop that is held for so long takes what it finds to have come meanwhile. */
+    /** A loop that was stalled for this long dates the requests it finds into the stall. */
     private static final int NOTICED_MILLIS = 250;
 
     private final HttpLoop loop = HttpLoop.start();
@@ -42,8 +42,9 @@
         loop.close();
     }
 
-    // Guards against work for callers that left while the thread was held: a new connection is
-    // taken up in one look at the sockets, its request read in the next, its end in the one after.
+    // Guards against work for callers that disconnected while the thread was stalled: a new
+    // connection is accepted in one read pass, its request read in the next and its end in the
+    // third.
     @Test
     void requestsOfCallersThatLeftOnNewConnectionsAreNotServed() throws Exception {
         CountDownLatch hold = hold();
@@ -59,7 +60,7 @@
         assertEquals(List.of("/stays"), handled);
     }
 
-    // Guards against the same on connections that were open before the thread was held.
+    // Guards against the same on connections that were open before the thread was stalled.
     @Test
     void requestsOfCallersThatLeftOnKeptConnectionsAreNotServed() throws Exception {
         Socket[] callers = new Socket[CALLERS];
@@ -80,7 +81,7 @@
         assertEquals(List.of("/stays"), handled);
     }
 
-    // Guards against a request that lay unread for seconds and is given its whole time again.
+    // Guards against a request that lay unread for seconds and gets its whole timeout again.
     @Test
     void timeIsCountedFromBeforeTheThreadWasHeld() throws Exception {
         try (Socket kept = connect();
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HttpClientTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/HttpClientTest.java
@@ -58,8 +58,8 @@
 
     @Test
     void anAnswerWithFewerBytesThanItSaysIsCutShort() {
-        // The server announces five bytes, sends two and closes. Passed on as a success, the caller
-        // would take half an answer for the whole.
+        // The server declares five bytes, sends two and closes. If that passed for a success, the
+        // caller would take half a response for a complete one.
         String cut = "HTTP/1.1 200 OK\r\nTry: 1\r\nContent-Length: 5\r\n\r\nok" + RawServer.CLOSE;
         try (RawServer server = new RawServer(cut)) {
             assertEquals("CUT_SHORT", ask(server));
@@ -86,7 +86,7 @@
 
     @Test
     void anAnswerWithoutALengthThatIsResetIsCutShort() {
-        // The same bytes, but the connection is reset: nobody knows whether there was more.
+        // The connection is reset, so that it is unknown whether more bytes were to follow.
         String reset = "HTTP/1.1 200 OK\r\nTry: 1\r\n\r\nok" + RawServer.RESET;
         try (RawServer server = new RawServer(reset)) {
             assertEquals("CUT_SHORT", ask(server));
@@ -117,8 +117,9 @@
 
     @Test
     void theLateAnswerToAnEarlierRequestIsPassedOver() {
-        // The server answers the first request twice. The second answer arrives where the next
-        // request's is due, and without a look at whose it is would become that request's answer.
+        // A server may send a second response to an earlier request. It arrives first on the reused
+        // connection, and without a check of its headers would be taken for the next one's
+        // response.
         String other = "HTTP/1.1 200 OK\r\nTry: 0\r\nContent-Length: 5\r\n\r\nother";
         try (RawServer server = new RawServer(other + OK)) {
             assertEquals("200 ok", ask(server));
@@ -156,7 +157,7 @@
         client.send(to, request, new Recorder(outcome));
     }
 
-    /** Tells an answer as its status and body, and a failure as its name. */
+    /** Records a response as its status and body, and a failure as its name. */
     private static final class Recorder implements AnswerListener {
         private final CompletableFuture<String> outcome;
         private final StringBuilder text = new StringBuilder();
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HttpServerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/HttpServerTest.java
@@ -47,7 +47,7 @@
     @Test
     void aCallerThatConnectsBeforeThereIsAServerIsAnswered() throws IOException {
         // A restarted process listens first and serves most of a second later. A caller that
-        // connects meanwhile waits; it would be turned away by a port that nobody listens on.
+        // connects meanwhile waits; a port without a listener would refuse its connection.
         InetAddress loopback = InetAddress.getLoopbackAddress();
         var socket = EarlySocket.listen(new InetSocketAddress(loopback, 0));
         int port = ((InetSocketAddress) socket.getLocalAddress()).getPort();
@@ -64,8 +64,8 @@
 
     @Test
     void aRequestWithTwoLengthsIsRefusedAndEndsTheConnection() throws IOException {
-        // By its length the body holds a whole second request; by its chunks the body ends before
-        // it. Whoever reads it the other way would run a request that nobody was checked for.
+        // By its length the body contains a second request; by its chunks the body ends before it.
+        // An upstream that reads it the other way would run a request that was never authorized.
         String smuggled =
                 "POST /a HTTP/1.1\r\n"
                         + "Host: h\r\n"
@@ -161,7 +161,7 @@
         return "GET " + path + " HTTP/1.1\r\nHost: h\r\n" + close + "\r\n";
     }
 
-    // Sends all and reads until the server closes.
+    // Sends the text and reads until the server closes the connection.
     private String talk(String text) throws IOException {
         try (Socket socket = connect()) {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
--- a/damaskyoke/src/test/java/io/damaskyoke/http/RawServer.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/RawServer.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A server that answers the n-th request on any connection with the n-th text, byte for byte. */
+/** A server that answers its n-th request, on any connection, with the n-th text unchanged. */
 final class RawServer implements AutoCloseable {
     static final String CLOSE = "<close>";
     static final String RESET = "<reset>";
@@ -71,7 +71,7 @@
                 }
             }
         } catch (IOException e) {
-            // The client has closed the connection, which ends this one's work.
+            // The client has closed the connection.
         }
     }
 
