--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Attempt.java
@@ -2,10 +2,10 @@
 
 import io.damaskyoke.control.direct.RouteKind;
 import io.damaskyoke.control.upstreams.Upstream;
-import io.damaskyoke.http.AnswerListener;
 import io.damaskyoke.http.ClientCall;
 import io.damaskyoke.http.ClientRequest;
-import io.damaskyoke.http.Failure;
+import io.damaskyoke.http.ExchangeFailure;
+import io.damaskyoke.http.ResponseListener;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
@@ -16,7 +16,7 @@
 import java.time.Instant;
 
 /** One send of a request to one upstream, and what comes back. */
-final class Attempt implements AnswerListener {
+final class Attempt implements ResponseListener {
     /** A connection that was used a moment ago is hardly ever closed yet by the other side. */
     private static final Duration FRESH = Duration.ofMillis(300);
 
@@ -96,7 +96,7 @@
     // A connection may have taken long to open, or the thread was held: whether the upstream may
     // still be sent to, and the time that is left, are looked at when the bytes leave.
     @Override
-    public boolean leaves(HttpHeaders headers) {
+    public boolean beforeSend(HttpHeaders headers) {
         Instant now = flows.now();
         if (!flow.mayLeave(now)) {
             callOff();
@@ -174,18 +174,18 @@
     }
 
     @Override
-    public void failed(Failure failure) {
+    public void failed(ExchangeFailure failure) {
         if (over) {
             return;
         }
         upstream.requestFailed(flows.now());
         releaseBody();
         finish();
-        boolean broke = failure == Failure.BROKEN || failure == Failure.CUT_SHORT;
-        if (broke || failure == Failure.NOT_CONNECTED) {
+        boolean broke = failure == ExchangeFailure.BROKEN || failure == ExchangeFailure.CUT_SHORT;
+        if (broke || failure == ExchangeFailure.NOT_CONNECTED) {
             flows.lost().connectionLost(upstream);
         }
-        if (failure == Failure.NOT_CONNECTED) {
+        if (failure == ExchangeFailure.NOT_CONNECTED) {
             flows.crashes().unreachable(upstream);
         }
         if (failure.mayHaveArrived() && (answer == null || !answer.notRun())) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -234,7 +234,7 @@
                 settings.availabilityZone(),
                 settings.zones().regions(),
                 clock,
-                loop::whenRead,
+                loop::runAfterRead,
                 new EvenShare(self, members::routerIds));
     }
 
@@ -272,11 +272,11 @@
     private void probe(
             Upstream upstream, boolean trustOpenConnection, Consumer<UpstreamEnds.Sign> then) {
         Endpoint endpoint = upstream.facts().endpoint();
-        if (trustOpenConnection && client.keeps(endpoint)) {
+        if (trustOpenConnection && client.hasIdleConnection(endpoint)) {
             then.accept(UpstreamEnds.Sign.ALIVE);
             return;
         }
-        client.reach(
+        client.probe(
                 endpoint,
                 reached ->
                         then.accept(
@@ -408,7 +408,7 @@
 
     private HttpServer serve(String host, int port, io.damaskyoke.http.HttpHandler handler) {
         return HttpServer.start(
-                loop, new InetSocketAddress(host, port), HttpLimits.usual(), handler);
+                loop, new InetSocketAddress(host, port), HttpLimits.defaults(), handler);
     }
 
     // Starts reading the store before it serves callers, since their requests need what is read.
@@ -418,8 +418,8 @@
         upstreamFollower.start(new UpstreamListener());
         members.onQuarantined(crashes::toldByStore);
         members.start(this::membersChanged);
-        callers = HttpServer.adopt(loop, socket, HttpLimits.usual(), ingress);
-        metrics.gauge("direct_left_before_served", callers::leftUnserved);
+        callers = HttpServer.adopt(loop, socket, HttpLimits.defaults(), ingress);
+        metrics.gauge("direct_left_before_served", callers::abandonedRequests);
         crashes.show();
         new DrainProgress(upstreams).registerGauges(metrics);
         limits.show(metrics);
@@ -432,7 +432,7 @@
         control.every(REPORT_PERIOD, reports::report);
         control.every(GOSSIP_PERIOD, reports::gossip);
         control.every(GOSSIP_PERIOD, limits::tellAgain);
-        control.every(SWEEP_PERIOD, client::sweep);
+        control.every(SWEEP_PERIOD, client::closeExpired);
     }
 
     // No other process has spent this VM's shares of the rate limits since this one started.
@@ -519,7 +519,7 @@
         public void gone(UpstreamFacts last) {
             crashes.gone(last.id());
             leader.upstreamRemoved(last.id());
-            client.forget(last.endpoint());
+            client.closeIdle(last.endpoint());
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Flow.java
@@ -101,7 +101,7 @@
 
     /** Begins: it waits for an upstream, perhaps no time at all. */
     void start() {
-        call.onGone(this::callerGone);
+        call.onDisconnect(this::callerGone);
         call.onWritable(this::callerReads);
         if (!flows.crashes().idle()) {
             boolean known = flows.crashes().knows(digest());
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
@@ -4,7 +4,7 @@
 import io.damaskyoke.control.crashes.RequestDigest;
 import io.damaskyoke.follow.ChangeListener;
 import io.damaskyoke.follow.Follower;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.id.AvailabilityZone;
 import io.damaskyoke.id.VmId;
@@ -72,7 +72,7 @@
             PolledStore store,
             String storePrefix,
             RouterEntry self,
-            Pace pace,
+            PollTiming pace,
             Relay relay,
             Metrics metrics) {
         this.control = control;
@@ -86,8 +86,8 @@
                         .at(pace)
                         .on(control)
                         .counting(metrics)
-                        .by(relay)
-                        .tell(new Listener());
+                        .via(relay)
+                        .build(new Listener());
     }
 
     /** Starts; {@code whenChanged} runs whenever the list of routers or the leader changes. */
@@ -264,7 +264,7 @@
     // While this router is not on its own list it may spend no rate share, and would reject
     // requests until the next change arrives; so its own entry is fetched at once.
     private void fetchOwnEntry() {
-        follower.whenKnown(control.clock().instant(), RETRY_DELAY, known -> {});
+        follower.whenCompleteUpTo(control.clock().instant(), RETRY_DELAY, known -> {});
     }
 
     private void keepAlive() {
@@ -300,7 +300,7 @@
         }
 
         @Override
-        public void all(List<Entry> entries, long revision, Duration silence) {
+        public void entriesRead(List<Entry> entries, long revision, Duration silence) {
             routers.clear();
             leader = Optional.empty();
             entries.forEach(entry -> put(entry.key(), Optional.of(entry)));
@@ -308,7 +308,7 @@
         }
 
         @Override
-        public void changed(List<Change> changes, long revision, Duration silence) {
+        public void entriesChanged(List<Change> changes, long revision, Duration silence) {
             changes.forEach(change -> put(change.key(), change.entry()));
             listChanged();
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorSettingsFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorSettingsFollower.java
@@ -3,7 +3,7 @@
 import io.damaskyoke.control.ControlThread;
 import io.damaskyoke.follow.ChangeListener;
 import io.damaskyoke.follow.Follower;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.KeyValueStore.Change;
@@ -33,7 +33,7 @@
             Dialect dialect,
             ConfigurationHolder configuration,
             ZoneDrains drains,
-            Pace pace,
+            PollTiming pace,
             Relay relay,
             Metrics metrics) {
         this.dialect = dialect;
@@ -46,8 +46,8 @@
                         .at(pace)
                         .on(control)
                         .counting(metrics)
-                        .by(relay)
-                        .tell(this);
+                        .via(relay)
+                        .build(this);
     }
 
     void start() {
@@ -72,11 +72,11 @@
      * newest as of the moment, or with {@code false} if that is not confirmed within the limit.
      */
     void whenKnown(Instant moment, Duration limit, Consumer<Boolean> callback) {
-        follower.whenKnown(moment, limit, callback);
+        follower.whenCompleteUpTo(moment, limit, callback);
     }
 
     @Override
-    public void all(List<Entry> entries, long revision, Duration silence) {
+    public void entriesRead(List<Entry> entries, long revision, Duration silence) {
         Set<String> drained = new HashSet<>();
         for (Entry entry : entries) {
             dialect.drainedZone(entry.key()).ifPresent(drained::add);
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public void changed(List<Change> changes, long revision, Duration silence) {
+    public void entriesChanged(List<Change> changes, long revision, Duration silence) {
         for (Change change : changes) {
             if (change.entry().isPresent()) {
                 apply(change.entry().get());
@@ -102,7 +102,8 @@
     private void apply(Entry entry) {
         Optional<String> zone = dialect.drainedZone(entry.key());
         if (zone.isPresent()) {
-            drains.applyDrain(zone.get(), entry.value(), entry.modRevision(), follower.newsSince());
+            drains.applyDrain(
+                    zone.get(), entry.value(), entry.modRevision(), follower.earliestChangeTime());
         } else if (entry.key().equals(dialect.configurationKey())) {
             configuration.replaceIfNewer(entry.value(), entry.modRevision(), "store");
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerMessageHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerMessageHandler.java
@@ -169,7 +169,7 @@
         if (follower == null) {
             answer.accept(Optional.empty());
         } else {
-            follower.tell(after, wait, answer);
+            follower.answerPoll(after, wait, answer);
         }
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamCalls.java
@@ -4,10 +4,10 @@
 import io.damaskyoke.control.loads.LoadInput;
 import io.damaskyoke.control.loads.OrderOutcome;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
+import io.damaskyoke.http.BufferedResponse;
 import io.damaskyoke.http.ClientRequest;
-import io.damaskyoke.http.Failure;
+import io.damaskyoke.http.ExchangeFailure;
 import io.damaskyoke.http.HttpClient;
-import io.damaskyoke.http.WholeAnswer;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -74,7 +74,7 @@
                 answer -> then.accept(read(from, answer)));
     }
 
-    private Optional<LoadInput.UpstreamReported> read(UpstreamFacts from, WholeAnswer answer) {
+    private Optional<LoadInput.UpstreamReported> read(UpstreamFacts from, BufferedResponse answer) {
         if (answer.failure().isPresent() || answer.status() != OK) {
             return Optional.empty();
         }
@@ -93,16 +93,16 @@
             HttpHeaders headers,
             byte[] body,
             Duration limit,
-            Consumer<WholeAnswer> then) {
+            Consumer<BufferedResponse> then) {
         ClientRequest request =
                 new ClientRequest(
                         method, path, headers, Unpooled.wrappedBuffer(body), any -> true, KEPT);
-        WholeAnswer.Reader reader = new WholeAnswer.Reader(then);
+        BufferedResponse.Reader reader = new BufferedResponse.Reader(then);
         var call = client.send(to.endpoint(), request, reader);
         control.after(limit, () -> reader.expire(call));
     }
 
-    private static OrderOutcome outcome(Failure failure) {
+    private static OrderOutcome outcome(ExchangeFailure failure) {
         return failure.mayHaveArrived() ? OrderOutcome.UNKNOWN : OrderOutcome.REFUSED;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
@@ -7,7 +7,7 @@
 import io.damaskyoke.control.upstreams.UpstreamTable;
 import io.damaskyoke.follow.ChangeListener;
 import io.damaskyoke.follow.Follower;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.KeyValueStore.Change;
@@ -66,7 +66,7 @@
             PolledStore store,
             Dialect dialect,
             UpstreamTable table,
-            Pace pace,
+            PollTiming pace,
             Relay relay,
             Metrics metrics) {
         this.control = control;
@@ -79,8 +79,8 @@
                         .at(pace)
                         .on(control)
                         .counting(metrics)
-                        .by(relay)
-                        .tell(this);
+                        .via(relay)
+                        .build(this);
     }
 
     void start(Listener given) {
@@ -134,11 +134,11 @@
     }
 
     boolean everRead() {
-        return follower.everRead();
+        return follower.hasReadOnce();
     }
 
     @Override
-    public void all(List<Entry> entries, long revision, Duration silence) {
+    public void entriesRead(List<Entry> entries, long revision, Duration silence) {
         boolean first = heardUpTo == 0;
         heardUpTo = revision;
         boolean afterOutage = afterOutage(silence);
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void changed(List<Change> changes, long revision, Duration silence) {
+    public void entriesChanged(List<Change> changes, long revision, Duration silence) {
         heardUpTo = revision;
         boolean afterOutage = afterOutage(silence);
         for (Change change : changes) {
@@ -228,8 +228,8 @@
             return;
         }
         Instant returned = control.clock().instant();
-        follower.readAnew();
-        follower.whenKnown(
+        follower.reload();
+        follower.whenCompleteUpTo(
                 returned,
                 KNOWN_LIMIT,
                 known -> {
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/ChangeListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/ChangeListener.java
@@ -11,8 +11,8 @@
  */
 public interface ChangeListener {
     /** Receives all entries as of the revision; keys that are not among them no longer exist. */
-    void all(List<Entry> entries, long revision, Duration silence);
+    void entriesRead(List<Entry> entries, long revision, Duration silence);
 
     /** Receives the keys that were set or removed, up to the revision. */
-    void changed(List<Change> changes, long revision, Duration silence);
+    void entriesChanged(List<Change> changes, long revision, Duration silence);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
@@ -24,8 +24,9 @@
 /**
  * Keeps a view of all keys under a prefix up to date: reads them, polls for changes, and reads them
  * again when the store has compacted its history. A call that is not answered in time is followed
- * by a second one in parallel, so that the view is never older than {@link Pace#bound} while the
- * store answers. During an outage of the store the last view stays valid.
+ * by a second one in parallel, so that the view is never older than {@link
+ * PollTiming#stalenessBound} while the store answers. During an outage of the store the last view
+ * stays valid.
  *
  * <pre>{@code
  * Follower.of("upstreams").under("servers/").in(store).at(pace).on(control).counting(metrics)
@@ -61,19 +62,19 @@
     private final String name;
     private final String prefix;
     private final PolledStore store;
-    private final Pace pace;
+    private final PollTiming pace;
     private final ControlThread control;
     private final Metrics metrics;
     private final ChangeListener listener;
-    private final View view = new View();
-    private final Set<Call> open = new HashSet<>();
-    private final Waiters waiters;
-    private final Planned planned;
+    private final StoreView view = new StoreView();
+    private final Set<StoreCall> open = new HashSet<>();
+    private final ViewWaiters waiters;
+    private final StepTimer planned;
     private final Relay relay;
     private final ChangeHistory history = new ChangeHistory();
-    private final HeldAsks asks = new HeldAsks(view, history);
-    private Call newest;
-    private Call beside;
+    private final LongPolls asks = new LongPolls(view, history);
+    private StoreCall newest;
+    private StoreCall beside;
     private boolean reading = true;
     private boolean failing;
     private boolean silent;
@@ -91,8 +92,8 @@
                 Objects.requireNonNull(from.metrics, "a follower needs metrics: counting(...)");
         this.relay = from.relay;
         this.listener = Objects.requireNonNull(listener, "a follower needs a listener: tell(...)");
-        this.waiters = new Waiters(control);
-        this.planned = new Planned(control);
+        this.waiters = new ViewWaiters(control);
+        this.planned = new StepTimer(control);
     }
 
     /** Starts building a follower whose keys are called by this name in logs and metrics. */
@@ -114,13 +115,13 @@
     }
 
     /** Returns true once all entries have been read for the first time. */
-    public boolean everRead() {
+    public boolean hasReadOnce() {
         return view.asOf().isPresent();
     }
 
     /** Returns true while neither full reads nor calls for changes fail and the store is up. */
     public boolean upToDate() {
-        return everRead() && !failing && store.up();
+        return hasReadOnce() && !failing && store.up();
     }
 
     /** Returns how long ago the view was surely complete; empty before the first full read. */
@@ -132,14 +133,14 @@
      * Returns a time before which none of the changes happened that a listener is receiving just
      * now; {@link Instant#MIN} if no such time is known.
      */
-    public Instant newsSince() {
-        Instant complete = view.asOfBefore();
+    public Instant earliestChangeTime() {
+        Instant complete = view.previousAsOf();
         boolean surely = !readingTold || complete.equals(Instant.MIN);
         return surely ? complete : complete.minus(MUTE);
     }
 
-    /** Reads all entries again; {@link #whenKnown} then waits for that full read. */
-    public void readAnew() {
+    /** Reads all entries again; {@link #whenCompleteUpTo} then waits for that full read. */
+    public void reload() {
         if (!reading) {
             reading = true;
             read();
@@ -151,7 +152,7 @@
      * listener has received them, or with {@code false} if the store has not confirmed that within
      * the limit. Asks the store if needed, in one call for all that wait.
      */
-    public void whenKnown(Instant moment, Duration limit, Consumer<Boolean> told) {
+    public void whenCompleteUpTo(Instant moment, Duration limit, Consumer<Boolean> told) {
         if (view.reaches(moment)) {
             told.accept(true);
             return;
@@ -165,7 +166,7 @@
      * when a change arrives, or with none at the end of the wait. The answer is empty if this view
      * is outdated or comes from a relay itself; the other process then has to ask the store.
      */
-    public void tell(long after, Duration wait, Consumer<Optional<Changes>> told) {
+    public void answerPoll(long after, Duration wait, Consumer<Optional<Changes>> told) {
         if (!mayPassOn()) {
             told.accept(Optional.empty());
             return;
@@ -175,8 +176,8 @@
     }
 
     private boolean mayPassOn() {
-        boolean sure = everRead() && !reading && !failing && !byRelay;
-        return sure && view.age(now()).orElseThrow().compareTo(pace.bound()) <= 0;
+        boolean sure = hasReadOnce() && !reading && !failing && !byRelay;
+        return sure && view.age(now()).orElseThrow().compareTo(pace.stalenessBound()) <= 0;
     }
 
     private void passOn() {
@@ -184,14 +185,14 @@
             return;
         }
         if (mayPassOn()) {
-            asks.answer(now());
+            asks.answerReady(now());
         } else {
-            asks.turnAway();
+            asks.rejectAll();
         }
     }
 
     private void release() {
-        waiters.release(view);
+        waiters.completeReached(view);
         if (!waiters.isEmpty()) {
             askBeside();
         }
@@ -202,7 +203,7 @@
         if (reading || open.contains(beside) || open.size() >= MOST_OPEN) {
             return;
         }
-        beside = new Call(now(), Duration.ZERO, () -> {});
+        beside = new StoreCall(now(), Duration.ZERO, () -> {});
         open.add(beside);
         send(beside);
     }
@@ -216,12 +217,12 @@
     }
 
     private void read() {
-        Call call = begin(new Call(now(), Duration.ZERO, this::read));
+        StoreCall call = begin(new StoreCall(now(), Duration.ZERO, this::read));
         store.list(prefix)
                 .whenComplete((found, failure) -> control.run(() -> took(call, found, failure)));
     }
 
-    private void took(Call call, Listing found, Throwable failure) {
+    private void took(StoreCall call, Listing found, Throwable failure) {
         open.remove(call);
         if (found == null) {
             if (!failing) {
@@ -232,7 +233,7 @@
             }
             failing = true;
             if (call == newest) {
-                planned.in(READ_RETRY, this::read);
+                planned.schedule(READ_RETRY, this::read);
             }
             return;
         }
@@ -244,10 +245,10 @@
         failing = false;
         byRelay = false;
         history.startAt(found.revision());
-        Instant answered = call.answeredBy(now());
-        Duration silence = confirm(call, call.at(), answered, found.revision(), Source.READING);
+        Instant answered = call.latestAnswerTime(now());
+        Duration silence = confirm(call, call.sentAt(), answered, found.revision(), Source.READING);
         readingTold = true;
-        listener.all(found.entries(), found.revision(), silence);
+        listener.entriesRead(found.entries(), found.revision(), silence);
         ask(pace.patience());
         release();
     }
@@ -260,10 +261,10 @@
         // A call that doesn't wait is made to confirm the view, which only the store itself can do.
         boolean relayed = !patience.isZero() && relay.available();
         Duration wait = relayed ? pace.atRelay().patience() : patience;
-        send(begin(new Call(now(), wait, () -> ask(Duration.ZERO), relayed)));
+        send(begin(new StoreCall(now(), wait, () -> ask(Duration.ZERO), relayed)));
     }
 
-    private void send(Call call) {
+    private void send(StoreCall call) {
         CompletionStage<Changes> told =
                 call.relayed()
                         ? relay.changes(prefix, view.revision(), call.patience())
@@ -272,7 +273,7 @@
                 (changes, failure) -> control.run(() -> answered(call, changes, failure)));
     }
 
-    private Call begin(Call call) {
+    private StoreCall begin(StoreCall call) {
         planned.cancel();
         newest = call;
         open.add(call);
@@ -283,7 +284,7 @@
         passOn();
         if (!open.contains(newest)) {
             goOn();
-        } else if (!now().isBefore(newest.due()) && open.size() < MOST_OPEN) {
+        } else if (!now().isBefore(newest.overdueAt()) && open.size() < MOST_OPEN) {
             askBesideUnanswered();
         }
     }
@@ -294,12 +295,12 @@
     private void askBesideUnanswered() {
         metrics.count("store_asks_overdue", "of", name);
         silent(newest, "no answer in time");
-        newest.again().run();
+        newest.retry().run();
     }
 
     // The VM was paused during a planned wait, or a listener threw an exception.
     private void goOn() {
-        if (!planned.missing(LOOK)) {
+        if (!planned.isMissingOrOverdue(LOOK)) {
             return;
         }
         if (reading) {
@@ -309,7 +310,7 @@
         }
     }
 
-    private void answered(Call call, Changes changes, Throwable failure) {
+    private void answered(StoreCall call, Changes changes, Throwable failure) {
         open.remove(call);
         if (reading) {
             return;
@@ -324,13 +325,13 @@
                         .toList();
         byRelay = call.relayed();
         Duration age = changes.age();
-        Instant goodUpTo = call.goodUpTo(now(), changes.changes().isEmpty()).minus(age);
-        Instant answered = call.answeredBy(now()).minus(age);
+        Instant goodUpTo = call.completeUpTo(now(), changes.changes().isEmpty()).minus(age);
+        Instant answered = call.latestAnswerTime(now()).minus(age);
         Duration silence = confirm(call, goodUpTo, answered, changes.revision(), Source.CHANGES);
         if (!news.isEmpty()) {
             history.add(news);
             readingTold = false;
-            listener.changed(news, news.get(news.size() - 1).revision(), silence);
+            listener.entriesChanged(news, news.get(news.size() - 1).revision(), silence);
         }
         passOn();
         if (call == newest) {
@@ -339,29 +340,31 @@
         release();
     }
 
-    private void askNext(Call call) {
+    private void askNext(StoreCall call) {
         // The VM was paused: a call that waits would delay the changes made during the pause.
         boolean old = view.age(now()).orElseThrow().compareTo(bound(call)) > 0;
         if (old) {
             ask(Duration.ZERO);
             return;
         }
-        Pace asked = call.relayed() ? pace.atRelay() : pace;
-        Instant next = call.at().plus(asked.gap());
+        PollTiming asked = call.relayed() ? pace.atRelay() : pace;
+        Instant next = call.sentAt().plus(asked.gap());
         Duration pause = Duration.between(now(), next);
         if (pause.isNegative() || pause.isZero()) {
             ask(pace.patience());
         } else {
-            planned.in(pause, () -> ask(pace.patience()));
+            planned.schedule(pause, () -> ask(pace.patience()));
         }
     }
 
     // A relay's answer is as old as the relay's own view, plus the duration of the call to it.
-    private Duration bound(Call call) {
-        return call.relayed() ? pace.bound().plus(pace.atRelay().bound()) : pace.bound();
+    private Duration bound(StoreCall call) {
+        return call.relayed()
+                ? pace.stalenessBound().plus(pace.atRelay().stalenessBound())
+                : pace.stalenessBound();
     }
 
-    private void failed(Call call, Throwable failure) {
+    private void failed(StoreCall call, Throwable failure) {
         if (call.relayed()) {
             metrics.count("store_relays_failed", "of", name);
             if (call == newest) {
@@ -372,17 +375,17 @@
         if (compacted(failure)) {
             LOG.info("the store has compacted the history of {}, reading all of it again", name);
             failing = true;
-            readAnew();
+            reload();
             return;
         }
         metrics.count("store_asks_failed", "of", name);
         if (call == newest) {
             silent(call, failure.getMessage());
-            planned.in(RETRY, () -> ask(Duration.ZERO));
+            planned.schedule(RETRY, () -> ask(Duration.ZERO));
         }
     }
 
-    private void silent(Call call, String why) {
+    private void silent(StoreCall call, String why) {
         if (silent) {
             return;
         }
@@ -402,7 +405,7 @@
     }
 
     private Duration confirm(
-            Call call, Instant goodUpTo, Instant answered, long revision, Source source) {
+            StoreCall call, Instant goodUpTo, Instant answered, long revision, Source source) {
         if (silent) {
             silent = false;
             LOG.info(
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/FollowerBuilder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/FollowerBuilder.java
@@ -5,12 +5,12 @@
 import io.damaskyoke.platform.PolledStore;
 import java.util.Objects;
 
-/** Collects the settings of a {@link Follower}; {@link #tell} builds it. */
+/** Collects the settings of a {@link Follower}; {@link #build} builds it. */
 public final class FollowerBuilder {
     final String name;
     String prefix;
     PolledStore store;
-    Pace pace;
+    PollTiming pace;
     ControlThread control;
     Metrics metrics;
     Relay relay = Relay.none();
@@ -32,7 +32,7 @@
     }
 
     /** Sets how often the store is polled. */
-    public FollowerBuilder at(Pace given) {
+    public FollowerBuilder at(PollTiming given) {
         pace = given;
         return this;
     }
@@ -50,13 +50,13 @@
     }
 
     /** Sets the relay that is asked instead of the store while it is available. */
-    public FollowerBuilder by(Relay given) {
+    public FollowerBuilder via(Relay given) {
         relay = given;
         return this;
     }
 
     /** Builds the follower, which passes entries and changes to the listener once started. */
-    public Follower tell(ChangeListener listener) {
+    public Follower build(ChangeListener listener) {
         return new Follower(this, listener);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/HeldAsks.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/LongPolls.java
@@ -14,14 +14,14 @@
  * Each is answered once: with changes as soon as there are any, with none at the end of its wait,
  * or with an empty answer if this process's own view or history does not suffice.
  */
-final class HeldAsks {
-    private final View view;
+final class LongPolls {
+    private final StoreView view;
     private final ChangeHistory history;
     private List<Ask> asks = new ArrayList<>();
 
     private record Ask(long after, Instant until, Consumer<Optional<Changes>> told) {}
 
-    HeldAsks(View view, ChangeHistory history) {
+    LongPolls(StoreView view, ChangeHistory history) {
         this.view = view;
         this.history = history;
     }
@@ -34,7 +34,7 @@
     }
 
     /** Answers the calls that have changes to receive or whose wait is over. */
-    void answer(Instant now) {
+    void answerReady(Instant now) {
         List<Ask> all = asks;
         asks = new ArrayList<>();
         for (Ask ask : all) {
@@ -45,7 +45,7 @@
     }
 
     /** Rejects all calls with an empty answer, which sends their processes to the store. */
-    void turnAway() {
+    void rejectAll() {
         List<Ask> all = asks;
         asks = new ArrayList<>();
         all.forEach(ask -> ask.told().accept(Optional.empty()));
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Pace.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/PollTiming.java
@@ -4,12 +4,13 @@
 import java.util.Objects;
 
 /**
- * How often the store is polled: {@code new Pace(Duration.ofSeconds(1), Duration.ofMillis(200))}.
+ * How often the store is polled: {@code new PollTiming(Duration.ofSeconds(1),
+ * Duration.ofMillis(200))}.
  *
  * @param patience how long a call may wait at the store for a change
  * @param gap the least time from one call to the next, so that successive changes arrive together
  */
-public record Pace(Duration patience, Duration gap) {
+public record PollTiming(Duration patience, Duration gap) {
     /** The allowed transit time of an answer; the platform's store takes milliseconds. */
     static final Duration ANSWER = Duration.ofMillis(400);
 
@@ -20,7 +21,7 @@
     private static final Duration RELAY_GAP = Duration.ofMillis(20);
 
     /** Validates that neither duration is negative. */
-    public Pace {
+    public PollTiming {
         Objects.requireNonNull(patience, "a pace needs a patience");
         Objects.requireNonNull(gap, "a pace needs a gap");
         if (patience.isNegative() || gap.isNegative()) {
@@ -33,9 +34,9 @@
      * Returns this pace adapted to a relay, which holds each call until there is a change and costs
      * the store nothing.
      */
-    public Pace atRelay() {
+    public PollTiming atRelay() {
         boolean longer = patience.compareTo(LONGEST_AT_RELAY) > 0;
-        return new Pace(longer ? LONGEST_AT_RELAY : patience, RELAY_GAP);
+        return new PollTiming(longer ? LONGEST_AT_RELAY : patience, RELAY_GAP);
     }
 
     /**
@@ -43,7 +44,7 @@
      * the store answers. It allows for a call that is never answered because it was under way when
      * the store became available again.
      */
-    public Duration bound() {
+    public Duration stalenessBound() {
         Duration unanswered = patience.plus(ANSWER);
         return unanswered.compareTo(gap) > 0 ? unanswered : gap;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Call.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/StoreCall.java
@@ -7,17 +7,17 @@
  * One outstanding call to the store or to a relay: when it was sent and how long it may take. Calls
  * are compared by identity.
  */
-final class Call {
+final class StoreCall {
     private final Instant at;
     private final Duration patience;
     private final Runnable again;
     private final boolean relayed;
 
-    Call(Instant at, Duration patience, Runnable again) {
+    StoreCall(Instant at, Duration patience, Runnable again) {
         this(at, patience, again, false);
     }
 
-    Call(Instant at, Duration patience, Runnable again, boolean relayed) {
+    StoreCall(Instant at, Duration patience, Runnable again, boolean relayed) {
         this.at = at;
         this.patience = patience;
         this.again = again;
@@ -30,7 +30,7 @@
     }
 
     /** Returns when the call was sent. */
-    Instant at() {
+    Instant sentAt() {
         return at;
     }
 
@@ -40,20 +40,20 @@
     }
 
     /** Returns the step that sends a second call in parallel if this one is overdue. */
-    Runnable again() {
+    Runnable retry() {
         return again;
     }
 
     /** Returns when the call is overdue. */
-    Instant due() {
-        return at.plus(patience).plus(Pace.ANSWER);
+    Instant overdueAt() {
+        return at.plus(patience).plus(PollTiming.ANSWER);
     }
 
     /**
      * Returns the latest time at which the store can have answered. This is earlier than {@code
      * now} if the answer lay unread while the VM was paused.
      */
-    Instant answeredBy(Instant now) {
+    Instant latestAnswerTime(Instant now) {
         Instant latest = at.plus(patience);
         return now.isBefore(latest) ? now : latest;
     }
@@ -62,7 +62,7 @@
      * Returns the time up to which an answer received now is complete: the end of the wait for an
      * empty answer, otherwise the time at which the call was sent.
      */
-    Instant goodUpTo(Instant now, boolean empty) {
+    Instant completeUpTo(Instant now, boolean empty) {
         Instant waited = at.plus(patience);
         return empty && !now.isBefore(waited) ? waited : at;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/View.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/StoreView.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /** Records up to which time and revision the followed part of the store is known here. */
-final class View {
+final class StoreView {
     private Instant asOf;
     private Instant asOfBefore = Instant.MIN;
     private Instant heard;
@@ -39,7 +39,7 @@
      * Returns the time up to which the view was complete before the last answer; {@link
      * Instant#MIN} if it never was.
      */
-    Instant asOfBefore() {
+    Instant previousAsOf() {
         return asOfBefore;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Waiters.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/ViewWaiters.java
@@ -8,13 +8,13 @@
 import java.util.function.Consumer;
 
 /** The callbacks that wait until all changes up to a moment are known; each runs once. */
-final class Waiters {
+final class ViewWaiters {
     private final ControlThread control;
     private final List<Waiter> waiting = new ArrayList<>();
 
     private record Waiter(Instant moment, Consumer<Boolean> told) {}
 
-    Waiters(ControlThread control) {
+    ViewWaiters(ControlThread control) {
         this.control = control;
     }
 
@@ -25,7 +25,7 @@
     }
 
     /** Completes with {@code true} the callbacks whose moment the view has reached. */
-    void release(View view) {
+    void completeReached(StoreView view) {
         List<Waiter> served = waiting.stream().filter(each -> view.reaches(each.moment())).toList();
         waiting.removeAll(served);
         served.forEach(each -> each.told().accept(true));
--- a/damaskyoke/src/main/java/io/damaskyoke/http/WholeAnswer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/BufferedResponse.java
@@ -13,19 +13,19 @@
  * @param body the complete body; empty if there is no complete response
  * @param failure why there is no complete response; empty if there is one
  */
-public record WholeAnswer(int status, byte[] body, Optional<Failure> failure) {
-    private static final WholeAnswer EXPIRED =
-            new WholeAnswer(0, new byte[0], Optional.of(Failure.BROKEN));
+public record BufferedResponse(int status, byte[] body, Optional<ExchangeFailure> failure) {
+    private static final BufferedResponse EXPIRED =
+            new BufferedResponse(0, new byte[0], Optional.of(ExchangeFailure.BROKEN));
 
     /** Collects a response and passes it on once: complete, failed or expired. */
-    public static final class Reader implements AnswerListener {
-        private final Consumer<WholeAnswer> then;
+    public static final class Reader implements ResponseListener {
+        private final Consumer<BufferedResponse> then;
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         private int status;
         private boolean over;
 
         /** Creates a reader that passes the response to {@code then}, on the event loop. */
-        public Reader(Consumer<WholeAnswer> then) {
+        public Reader(Consumer<BufferedResponse> then) {
             this.then = then;
         }
 
@@ -52,15 +52,15 @@
 
         @Override
         public void end() {
-            finish(new WholeAnswer(status, bytes.toByteArray(), Optional.empty()));
+            finish(new BufferedResponse(status, bytes.toByteArray(), Optional.empty()));
         }
 
         @Override
-        public void failed(Failure failure) {
-            finish(new WholeAnswer(0, new byte[0], Optional.of(failure)));
+        public void failed(ExchangeFailure failure) {
+            finish(new BufferedResponse(0, new byte[0], Optional.of(failure)));
         }
 
-        private void finish(WholeAnswer answer) {
+        private void finish(BufferedResponse answer) {
             if (!over) {
                 over = true;
                 then.accept(answer);
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
@@ -36,7 +36,7 @@
     private Channel channel;
     private State state = State.CONNECTING;
     private ClientRequest request;
-    private AnswerListener listener;
+    private ResponseListener listener;
     private boolean keep;
     private long keepNanos = USUAL_KEEP_NANOS;
     private long idleSince;
@@ -76,7 +76,7 @@
         return now - idleSince >= keepNanos;
     }
 
-    ClientCall begin(ClientRequest given, AnswerListener hears) {
+    ClientCall begin(ClientRequest given, ResponseListener hears) {
         request = given;
         listener = hears;
         number++;
@@ -86,10 +86,10 @@
         return new Call(number);
     }
 
-    void notConnected() {
+    void connectFailed() {
         if (state == State.CONNECTING) {
             request.body().release();
-            fail(Failure.NOT_CONNECTED);
+            fail(ExchangeFailure.NOT_CONNECTED);
         }
     }
 
@@ -108,7 +108,7 @@
             return;
         }
         // Connecting may have taken a while; the caller may have canceled the request meanwhile.
-        client.loop().whenRead(this::writeIfWanted);
+        client.loop().runAfterRead(this::writeIfWanted);
     }
 
     private void writeIfWanted() {
@@ -128,7 +128,7 @@
         HttpObject object = (HttpObject) message;
         if (object.decoderResult().isFailure()) {
             ReferenceCountUtil.release(message);
-            fail(state == State.READING ? Failure.CUT_SHORT : Failure.GARBLED);
+            fail(state == State.READING ? ExchangeFailure.CUT_SHORT : ExchangeFailure.GARBLED);
             return;
         }
         if (message instanceof HttpResponse response) {
@@ -141,7 +141,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        notConnected();
+        connectFailed();
         ended();
     }
 
@@ -153,7 +153,7 @@
 
     private void write() {
         HttpHeaders headers = request.headers();
-        if (!listener.leaves(headers)) {
+        if (!listener.beforeSend(headers)) {
             request.body().release();
             listener = null;
             close();
@@ -181,7 +181,7 @@
         if (!HttpUtil.isKeepAlive(response)) {
             keep = false;
         }
-        if (!request.mine().test(headers)) {
+        if (!request.isOwnResponse().test(headers)) {
             state = State.SKIPPING;
             keep = false;
             return;
@@ -224,14 +224,14 @@
     }
 
     private void finish() {
-        AnswerListener told = listener;
+        ResponseListener told = listener;
         listener = null;
         request = null;
         if (keep && channel.isActive()) {
             state = State.IDLE;
             idleSince = System.nanoTime();
             channel.config().setAutoRead(true);
-            client.keep(this);
+            client.addIdle(this);
         } else {
             close();
         }
@@ -242,21 +242,21 @@
         if (state == State.IDLE) {
             discard();
         } else if (state == State.READING) {
-            fail(Failure.CUT_SHORT);
+            fail(ExchangeFailure.CUT_SHORT);
         } else if (state == State.AWAITING || state == State.SKIPPING) {
-            fail(Failure.BROKEN);
+            fail(ExchangeFailure.BROKEN);
         }
     }
 
     private void discard() {
         if (state == State.IDLE) {
-            client.dropped(this);
+            client.removeIdle(this);
         }
         close();
     }
 
-    private void fail(Failure failure) {
-        AnswerListener told = listener;
+    private void fail(ExchangeFailure failure) {
+        ResponseListener told = listener;
         listener = null;
         close();
         if (told != null) {
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ClientRequest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ClientRequest.java
@@ -13,9 +13,9 @@
  * @param path the path and query, as sent
  * @param headers the headers; the client adds Content-Length
  * @param body the complete body, possibly empty; the client releases it
- * @param mine tells from a response's headers whether it belongs to this request. A server may send
- *     a second response to an earlier request on the connection, which must not be taken for the
- *     response to this one
+ * @param isOwnResponse tells from a response's headers whether it belongs to this request. A server
+ *     may send a second response to an earlier request on the connection, which must not be taken
+ *     for the response to this one
  * @param idleLimit how long a pooled connection may have been idle to be reused for this request;
  *     zero always opens a new connection
  */
@@ -24,5 +24,5 @@
         String path,
         HttpHeaders headers,
         ByteBuf body,
-        Predicate<HttpHeaders> mine,
+        Predicate<HttpHeaders> isOwnResponse,
         Duration idleLimit) {}
--- a/damaskyoke/src/main/java/io/damaskyoke/http/Failure.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ExchangeFailure.java
@@ -1,7 +1,7 @@
 package io.damaskyoke.http;
 
 /** Why an exchange with a server failed, and whether the server may have received the request. */
-public enum Failure {
+public enum ExchangeFailure {
     /** No connection could be established. */
     NOT_CONNECTED(false),
     /** The connection was reset or closed before the response began. */
@@ -13,7 +13,7 @@
 
     private final boolean mayHaveArrived;
 
-    Failure(boolean mayHaveArrived) {
+    ExchangeFailure(boolean mayHaveArrived) {
         this.mayHaveArrived = mayHaveArrived;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpCall.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpCall.java
@@ -68,7 +68,7 @@
     }
 
     /** Sets the action that runs once if the caller disconnects before the response has ended. */
-    public void onGone(Runnable action) {
+    public void onDisconnect(Runnable action) {
         gone = action;
     }
 
@@ -154,7 +154,7 @@
         connection.abort();
     }
 
-    void callerGone() {
+    void callerDisconnected() {
         if (over) {
             return;
         }
@@ -163,7 +163,7 @@
         request.release();
     }
 
-    void nowWritable() {
+    void becameWritable() {
         if (!over) {
             writable.run();
         }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpClient.java
@@ -58,7 +58,7 @@
     }
 
     /** Sends the request over a pooled or a new connection; the listener receives the response. */
-    public ClientCall send(Endpoint to, ClientRequest request, AnswerListener listener) {
+    public ClientCall send(Endpoint to, ClientRequest request, ResponseListener listener) {
         ClientConnection kept = kept(to, request.idleLimit());
         if (kept != null) {
             return kept.begin(request, listener);
@@ -73,14 +73,14 @@
                 .addListener(
                         done -> {
                             if (!done.isSuccess()) {
-                                fresh.notConnected();
+                                fresh.connectFailed();
                             }
                         });
         return call;
     }
 
     /** Returns true if the pool has an open idle connection to the server. */
-    public boolean keeps(Endpoint server) {
+    public boolean hasIdleConnection(Endpoint server) {
         ArrayDeque<ClientConnection> connections = idle.get(server);
         return connections != null && connections.stream().anyMatch(ClientConnection::open);
     }
@@ -89,7 +89,7 @@
      * Probes a server by connecting to it without sending anything. Passes true if the connection
      * was accepted, false if it was refused, or empty if neither happened in time.
      */
-    public void reach(Endpoint server, Consumer<Optional<Boolean>> then) {
+    public void probe(Endpoint server, Consumer<Optional<Boolean>> then) {
         metrics.count("http_connects");
         bootstrap
                 .clone()
@@ -110,7 +110,7 @@
     }
 
     /** Closes the idle connections to a server that is gone or no longer trusted. */
-    public void forget(Endpoint gone) {
+    public void closeIdle(Endpoint gone) {
         ArrayDeque<ClientConnection> connections = idle.remove(gone);
         if (connections != null) {
             connections.forEach(ClientConnection::close);
@@ -118,7 +118,7 @@
     }
 
     /** Closes the idle connections whose keep-alive time has expired; to be called regularly. */
-    public void sweep() {
+    public void closeExpired() {
         long now = System.nanoTime();
         for (ArrayDeque<ClientConnection> connections : idle.values()) {
             Iterator<ClientConnection> each = connections.iterator();
@@ -137,7 +137,7 @@
         return loop;
     }
 
-    void keep(ClientConnection connection) {
+    void addIdle(ClientConnection connection) {
         ArrayDeque<ClientConnection> kept =
                 idle.computeIfAbsent(connection.endpoint(), any -> new ArrayDeque<>());
         if (kept.size() >= KEPT_PER_ENDPOINT) {
@@ -147,7 +147,7 @@
         }
     }
 
-    void dropped(ClientConnection connection) {
+    void removeIdle(ClientConnection connection) {
         ArrayDeque<ClientConnection> kept = idle.get(connection.endpoint());
         if (kept != null) {
             kept.remove(connection);
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpException.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpException.java
@@ -2,7 +2,9 @@
 
 import io.damaskyoke.DamaskyokeException;
 
-/** An error of this package outside a single exchange, whose errors are a {@link Failure}. */
+/**
+ * An error of this package outside a single exchange, whose errors are a {@link ExchangeFailure}.
+ */
 public final class HttpException extends DamaskyokeException {
     private static final long serialVersionUID = 1L;
 
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpLimits.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpLimits.java
@@ -12,7 +12,7 @@
  */
 public record HttpLimits(int headerBytes, int bodyBytes, Duration headerTime, Duration idleTime) {
     /** Returns the limits that common servers use: 16 KB, 4 MB, 10 s, 60 s. */
-    public static HttpLimits usual() {
+    public static HttpLimits defaults() {
         return new HttpLimits(16 << 10, 4 << 20, Duration.ofSeconds(10), Duration.ofSeconds(60));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpLoop.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpLoop.java
@@ -9,7 +9,7 @@
 
 /**
  * An event loop of one thread for sockets, timers and tasks, which can defer a task until all
- * sockets are read: {@code loop.whenRead(step)}.
+ * sockets are read: {@code loop.runAfterRead(step)}.
  *
  * <p>A thread that was stalled, by CPU steal of its VM or by a long task, finds the requests of the
  * last seconds together with the disconnects of their callers. In the middle of a read pass it has
@@ -23,7 +23,7 @@
      */
     private static final long FRESH_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    private final SocketReads reads = new SocketReads();
+    private final ReadPassHandler reads = new ReadPassHandler();
     private final EventLoopGroup group;
     private final EventLoop events;
 
@@ -31,7 +31,7 @@
         IoHandlerFactory sockets = NioIoHandler.newFactory();
         this.group =
                 new MultiThreadIoEventLoopGroup(
-                        1, executor -> reads.over(sockets.newHandler(executor)));
+                        1, executor -> reads.wrap(sockets.newHandler(executor)));
         this.events = (EventLoop) group.next();
     }
 
@@ -54,11 +54,11 @@
      * Runs a step once all sockets have been read recently, so that disconnects of callers are
      * known: at once if they have been. To be called on the loop only.
      */
-    public void whenRead(Runnable step) {
-        if (reads.underWay()) {
+    public void runAfterRead(Runnable step) {
+        if (reads.isReading()) {
             // Disconnects that are read are reported by tasks queued before the read pass is over.
-            events.execute(() -> events.execute(() -> whenRead(step)));
-        } else if (System.nanoTime() - reads.beganNanos() > FRESH_NANOS) {
+            events.execute(() -> events.execute(() -> runAfterRead(step)));
+        } else if (System.nanoTime() - reads.passStartNanos() > FRESH_NANOS) {
             // A timer that is set here is due only after the next read pass. The step is not
             // deferred
             // again after that: a thread whose every iteration takes this long must still serve.
@@ -68,7 +68,7 @@
         }
     }
 
-    SocketReads reads() {
+    ReadPassHandler reads() {
         return reads;
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpServer.java
@@ -123,7 +123,7 @@
         channel.close();
     }
 
-    SocketReads reads() {
+    ReadPassHandler reads() {
         return loop.reads();
     }
 
@@ -133,7 +133,7 @@
 
     /** Passes a request to the handler, unless its caller has disconnected by then. */
     void handle(HttpCall call) {
-        loop.whenRead(
+        loop.runAfterRead(
                 () -> {
                     if (call.over()) {
                         leftUnserved++;
@@ -144,7 +144,7 @@
     }
 
     /** Returns the number of requests whose callers disconnected before they were handled. */
-    public long leftUnserved() {
+    public long abandonedRequests() {
         return leftUnserved;
     }
 
@@ -164,7 +164,7 @@
         long now = System.nanoTime();
         long headerNanos = limits.headerTime().toNanos();
         long idleNanos = limits.idleTime().plus(IDLE_MARGIN).toNanos();
-        snapshot().forEach(connection -> connection.check(now, headerNanos, idleNanos));
+        snapshot().forEach(connection -> connection.enforceTimeLimits(now, headerNanos, idleNanos));
     }
 
     private ServerBootstrap bootstrap(ServerSocketChannel socket) {
@@ -204,7 +204,7 @@
                         new ChannelInboundHandlerAdapter() {
                             @Override
                             public void channelRead(ChannelHandlerContext context, Object bytes) {
-                                connection.arriving();
+                                connection.requestBytesArrived();
                                 context.fireChannelRead(bytes);
                             }
                         })
--- a/damaskyoke/src/main/java/io/damaskyoke/http/SocketReads.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ReadPassHandler.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Wraps the handler that reads a loop's sockets and records when each read pass takes place. */
-final class SocketReads implements IoHandler {
+final class ReadPassHandler implements IoHandler {
     /** A loop that was busy for less than this finds bytes that have just arrived. */
     private static final long HELD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -26,13 +26,13 @@
     private long heldNanos;
     private long number;
 
-    SocketReads over(IoHandler given) {
+    ReadPassHandler wrap(IoHandler given) {
         sockets = given;
         return this;
     }
 
     /** Returns true during a read pass, when only some of the sockets are read. */
-    boolean underWay() {
+    boolean isReading() {
         return underWay;
     }
 
@@ -40,12 +40,12 @@
      * Returns when the last read pass began, in nanoseconds of {@link System#nanoTime()}; all bytes
      * that arrived before are read once it is over.
      */
-    long beganNanos() {
+    long passStartNanos() {
         return beganNanos;
     }
 
     /** Returns the number of read passes so far. */
-    long number() {
+    long passCount() {
         return number;
     }
 
@@ -54,7 +54,7 @@
      * {@link System#nanoTime()}: now, or within the stall if the loop was stalled since the last
      * pass. How long bytes have lain unread can't be determined.
      */
-    long cameNanos() {
+    long arrivalNanos() {
         return heldNanos > HELD_NANOS
                 ? foundNanos + Math.min(heldNanos / 2, LATEST_NANOS)
                 : System.nanoTime();
--- a/damaskyoke/src/main/java/io/damaskyoke/http/AnswerListener.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ResponseListener.java
@@ -7,13 +7,13 @@
  * Receives the response to a request, on the event loop: one head, any number of parts, then one
  * end; or a failure at any point, which is the last event.
  */
-public interface AnswerListener {
+public interface ResponseListener {
     /**
      * Called when a connection is open and the request is about to be written: the last opportunity
      * to set headers that depend on the time. Returning false cancels the request, and no further
      * event follows.
      */
-    default boolean leaves(HttpHeaders headers) {
+    default boolean beforeSend(HttpHeaders headers) {
         return true;
     }
 
@@ -27,5 +27,5 @@
     void end();
 
     /** Called when the exchange has failed and the response will not be complete. */
-    void failed(Failure failure);
+    void failed(ExchangeFailure failure);
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ServerConnection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ServerConnection.java
@@ -49,7 +49,7 @@
     }
 
     /** Records the arrival of a request's first bytes; called before the decoder reads them. */
-    void arriving() {
+    void requestBytesArrived() {
         if (arrivingSince == 0) {
             arrivingSince = cameNanos();
             asked = true;
@@ -59,15 +59,15 @@
     // A request that is found in the first read pass of a new connection may have arrived together
     // with it, and the pass that accepted the connection was the one that followed the stall.
     private long cameNanos() {
-        SocketReads reads = server.reads();
-        boolean withConnection = !asked && reads.number() <= openedIn + 1;
-        return withConnection ? openedNanos : reads.cameNanos();
+        ReadPassHandler reads = server.reads();
+        boolean withConnection = !asked && reads.passCount() <= openedIn + 1;
+        return withConnection ? openedNanos : reads.arrivalNanos();
     }
 
     /**
      * Enforces the time limits: answers an incomplete request with 408, closes an idle connection.
      */
-    void check(long now, long headerNanos, long idleNanos) {
+    void enforceTimeLimits(long now, long headerNanos, long idleNanos) {
         if (call == null && arrivingSince != 0 && now - arrivingSince > headerNanos) {
             refuse(HttpResponseStatus.REQUEST_TIMEOUT);
         } else if (!busy() && now - idleSince > idleNanos) {
@@ -108,8 +108,8 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         channel = context.channel();
-        openedNanos = server.reads().cameNanos();
-        openedIn = server.reads().number();
+        openedNanos = server.reads().arrivalNanos();
+        openedIn = server.reads().passCount();
         server.opened(this);
     }
 
@@ -138,7 +138,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (call != null && channel.isWritable()) {
-            call.nowWritable();
+            call.becameWritable();
         }
     }
 
@@ -150,7 +150,7 @@
         HttpCall open = call;
         call = null;
         if (open != null) {
-            open.callerGone();
+            open.callerDisconnected();
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/BlockedEventLoopTest.java
@@ -60,7 +60,7 @@
                             "a",
                             Map.of(),
                             Instant::now,
-                            loop::whenRead,
+                            loop::runAfterRead,
                             (upstream, all) -> (int) all),
                     Instant::now,
                     new Flows.RetryBounds(Duration.ofSeconds(10), 0.2, 10),
@@ -278,7 +278,7 @@
         return HttpServer.start(
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                HttpLimits.usual(),
+                HttpLimits.defaults(),
                 handler);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -6,7 +6,7 @@
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.control.upstreams.UpstreamTable;
 import io.damaskyoke.follow.Follower;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.PolledStore.Changes;
@@ -36,7 +36,7 @@
     private int otherFaults;
     private Instant recoveredAt;
 
-    FollowingRouter(String name, ControlThread world, SimulatedStore store, Pace pace) {
+    FollowingRouter(String name, ControlThread world, SimulatedStore store, PollTiming pace) {
         this(name, world, store, pace, List.of());
     }
 
@@ -45,7 +45,7 @@
             String name,
             ControlThread world,
             SimulatedStore store,
-            Pace pace,
+            PollTiming pace,
             List<FollowingRouter> relays) {
         this.name = name;
         this.world = world;
@@ -109,7 +109,7 @@
      */
     void answerChanges(
             String prefix, long after, Duration wait, Consumer<Optional<Changes>> callback) {
-        control.run(() -> followed.get(prefix).tell(after, wait, callback));
+        control.run(() -> followed.get(prefix).answerPoll(after, wait, callback));
     }
 
     /** Returns the number of calls of this router to the store. */
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LeaderLeaseTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LeaderLeaseTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.damaskyoke.control.TestControlThread;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.metrics.Metrics;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 class LeaderLeaseTest {
-    private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
+    private static final PollTiming PACE = new PollTiming(Duration.ofMillis(2_500), Duration.ZERO);
 
     private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore(control);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/MembershipTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/MembershipTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.damaskyoke.control.TestControlThread;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.metrics.Metrics;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class MembershipTest {
-    private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
+    private static final PollTiming PACE = new PollTiming(Duration.ofMillis(2_500), Duration.ZERO);
 
     private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore(control);
@@ -28,7 +28,7 @@
     @ParameterizedTest
     @ValueSource(longs = {2_000, 2_200, 2_400, 2_600, 2_800, 3_000, 3_200, 3_400, 3_600, 3_800})
     void aRouterWhoseEntryLapsedIsBackOnItsListAsSoonAsItIsRegistered(long lapsesAfter) {
-        Pace pace = new Pace(Duration.ofMillis(2_500), Duration.ofMillis(800));
+        PollTiming pace = new PollTiming(Duration.ofMillis(2_500), Duration.ofMillis(800));
         Membership members =
                 new Membership(
                         control,
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/OrderSimulation.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/OrderSimulation.java
@@ -91,7 +91,7 @@
                         Map.of(SimulatedEngine.SERVICE, service),
                         Map.of(),
                         Map.of(),
-                        HttpLimits.usual());
+                        HttpLimits.defaults());
         routers.forEach(each -> each.configurationChanged(configuration));
         engines.forEach(this::sendHeartbeat);
         world.every(DEMAND_PERIOD, this::reportDemand);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedOrderRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/SimulatedOrderRouter.java
@@ -7,7 +7,7 @@
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamId;
 import io.damaskyoke.control.upstreams.UpstreamTable;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.id.VmId;
 import io.damaskyoke.metrics.Metrics;
@@ -17,7 +17,7 @@
  * The part of a router that is elected as leader and sends orders, on a VM that can be suspended.
  */
 final class SimulatedOrderRouter {
-    private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
+    private static final PollTiming PACE = new PollTiming(Duration.ofMillis(2_500), Duration.ZERO);
     private static final Duration TICK = Duration.ofMillis(50);
 
     private final VmId vm;
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,7 +41,7 @@
     // Guards against a simulation that detects nothing: with this pace, versions were late.
     @Test
     void theSimulationDetectsAPaceThatWaitsTooLongForACall() {
-        Pace naive = new Pace(Duration.ofMillis(2_500), Duration.ofMillis(800));
+        PollTiming naive = new PollTiming(Duration.ofMillis(2_500), Duration.ofMillis(800));
         int late = 0;
         for (int phase = 0; phase < PHASE_COUNT; phase++) {
             StoreWorld world = new StoreWorld(naive);
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -2,7 +2,7 @@
 
 import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.upstreams.DrainedZones;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
@@ -67,12 +67,12 @@
     }
 
     /** Creates a world whose routers follow the configuration at this pace. */
-    StoreWorld(Pace pace) {
+    StoreWorld(PollTiming pace) {
         this(pace, ROUTERS, 0);
     }
 
     /** Creates a world of routers that watch the store, and of routers that use them as relays. */
-    StoreWorld(Pace pace, int watchers, int behindThem) {
+    StoreWorld(PollTiming pace, int watchers, int behindThem) {
         changeConfiguration();
         for (int each = 0; each < UPSTREAMS; each++) {
             addUpstream();
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/TestDialect.java
@@ -85,7 +85,7 @@
     public DirectConfiguration configuration(byte[] value, long revision) {
         long version = Long.parseLong(new String(value, StandardCharsets.UTF_8));
         return new DirectConfiguration(
-                version, revision, List.of(), Map.of(), Map.of(), Map.of(), HttpLimits.usual());
+                version, revision, List.of(), Map.of(), Map.of(), Map.of(), HttpLimits.defaults());
     }
 
     @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/UpstreamFollowerTest.java
@@ -5,7 +5,7 @@
 import io.damaskyoke.control.TestControlThread;
 import io.damaskyoke.control.upstreams.UpstreamFacts;
 import io.damaskyoke.control.upstreams.UpstreamTable;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.FakeStore;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class UpstreamFollowerTest {
-    private static final Pace PACE = new Pace(Duration.ofMillis(2_500), Duration.ZERO);
+    private static final PollTiming PACE = new PollTiming(Duration.ofMillis(2_500), Duration.ZERO);
 
     private final TestControlThread control = new TestControlThread();
     private final FakeStore store = new FakeStore(control);
--- a/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
@@ -17,10 +17,11 @@
 import org.junit.jupiter.api.Test;
 
 class FollowerTest {
-    private static final Pace PACE = new Pace(Duration.ofSeconds(1), Duration.ofMillis(200));
+    private static final PollTiming PACE =
+            new PollTiming(Duration.ofSeconds(1), Duration.ofMillis(200));
 
     private final TestControlThread control = new TestControlThread();
-    private final HandStore store = new HandStore();
+    private final ManualStore store = new ManualStore();
     private final List<Long> heard = new ArrayList<>();
     private long poison;
     private final Follower follower =
@@ -30,15 +31,15 @@
                     .at(PACE)
                     .on(control)
                     .counting(new Metrics())
-                    .tell(new Revisions());
+                    .build(new Revisions());
 
     // Guards against a lost answer that blocks all later changes.
     @Test
     void aCallThatIsNotAnsweredIsFollowedByOneBesideIt() {
         read(5);
-        pass(PACE.bound().plusMillis(100));
+        pass(PACE.stalenessBound().plusMillis(100));
         assertEquals(2, store.asks.size());
-        store.asks.get(1).complete(HandStore.set(7));
+        store.asks.get(1).complete(ManualStore.set(7));
         assertEquals(List.of(5L, 7L), heard);
     }
 
@@ -47,9 +48,9 @@
     @Test
     void anAnswerThatComesLateTellsOnlyWhatIsNew() {
         read(5);
-        pass(PACE.bound().plusMillis(100));
-        store.asks.get(1).complete(HandStore.set(6, 7));
-        store.asks.get(0).complete(HandStore.set(6));
+        pass(PACE.stalenessBound().plusMillis(100));
+        store.asks.get(1).complete(ManualStore.set(6, 7));
+        store.asks.get(0).complete(ManualStore.set(6));
         assertEquals(List.of(5L, 6L, 7L), heard);
         pass(Duration.ofSeconds(1));
         assertEquals(List.of(5L, 5L, 7L), store.askedAfter);
@@ -59,11 +60,11 @@
     @Test
     void onlyTheNewestCallLeadsToTheNext() {
         read(5);
-        pass(PACE.bound().plusMillis(100));
-        store.asks.get(0).complete(HandStore.set(6));
+        pass(PACE.stalenessBound().plusMillis(100));
+        store.asks.get(0).complete(ManualStore.set(6));
         pass(Duration.ofMillis(250));
         assertEquals(2, store.asks.size());
-        store.asks.get(1).complete(HandStore.nothing(6));
+        store.asks.get(1).complete(ManualStore.nothing(6));
         pass(Duration.ofMillis(250));
         assertEquals(3, store.asks.size());
     }
@@ -93,12 +94,12 @@
     void anAnswerThatIsOldWhenItComesIsFollowedByACallThatDoesNotWait() {
         read(5);
         pass(Duration.ofMillis(1_300));
-        store.asks.get(0).complete(HandStore.nothing(5));
+        store.asks.get(0).complete(ManualStore.nothing(5));
         pass(Duration.ofMillis(100));
-        store.asks.get(1).complete(HandStore.nothing(5));
+        store.asks.get(1).complete(ManualStore.nothing(5));
         assertEquals(List.of(PACE.patience(), PACE.patience()), store.waits);
         pass(Duration.ofSeconds(9));
-        store.asks.get(2).complete(HandStore.nothing(5));
+        store.asks.get(2).complete(ManualStore.nothing(5));
         assertEquals(Duration.ZERO, store.waits.get(store.waits.size() - 1));
     }
 
@@ -107,9 +108,9 @@
     void aListenerThatFailsIsToldTheRest() {
         read(5);
         poison = 6;
-        store.asks.get(0).complete(HandStore.set(6));
+        store.asks.get(0).complete(ManualStore.set(6));
         pass(Duration.ofMillis(200));
-        store.asks.get(1).complete(HandStore.set(7));
+        store.asks.get(1).complete(ManualStore.set(7));
         assertEquals(List.of(5L, 7L), heard);
     }
 
@@ -129,7 +130,7 @@
         pass(Duration.ofMillis(300));
         assertEquals(Optional.of(Duration.ofMillis(300)), follower.age());
         // An answer with changes is complete only up to the time at which it was asked for.
-        store.asks.get(0).complete(HandStore.set(6));
+        store.asks.get(0).complete(ManualStore.set(6));
         assertEquals(Optional.of(Duration.ofMillis(300)), follower.age());
     }
 
@@ -138,12 +139,12 @@
         read(5);
         pass(Duration.ofMillis(300));
         List<Boolean> told = new ArrayList<>();
-        follower.whenKnown(now().minusMillis(300), Duration.ofMillis(400), told::add);
+        follower.whenCompleteUpTo(now().minusMillis(300), Duration.ofMillis(400), told::add);
         assertEquals(List.of(true), told);
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
         assertEquals(2, store.asks.size());
-        store.asks.get(1).complete(HandStore.set(6));
+        store.asks.get(1).complete(ManualStore.set(6));
         assertEquals(List.of(5L, 6L), heard);
         assertEquals(List.of(true, true, true), told);
     }
@@ -154,10 +155,10 @@
         read(5);
         pass(Duration.ofMillis(300));
         List<Boolean> told = new ArrayList<>();
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
         pass(Duration.ofMillis(400));
         assertEquals(List.of(false), told);
-        store.asks.get(1).complete(HandStore.nothing(5));
+        store.asks.get(1).complete(ManualStore.nothing(5));
         assertEquals(List.of(false), told);
     }
 
@@ -167,12 +168,12 @@
         read(5);
         pass(Duration.ofMillis(300));
         List<Boolean> told = new ArrayList<>();
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
         pass(Duration.ofMillis(5));
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
-        store.asks.get(1).complete(HandStore.nothing(5));
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
+        store.asks.get(1).complete(ManualStore.nothing(5));
         assertEquals(List.of(true), told);
-        store.asks.get(2).complete(HandStore.nothing(5));
+        store.asks.get(2).complete(ManualStore.nothing(5));
         assertEquals(List.of(true, true), told);
     }
 
@@ -180,7 +181,7 @@
     void anEmptyAnswerAtTheEndOfItsWaitIsGoodUpToThen() {
         read(5);
         pass(PACE.patience().plusMillis(5));
-        store.asks.get(0).complete(HandStore.nothing(8));
+        store.asks.get(0).complete(ManualStore.nothing(8));
         assertEquals(Optional.of(Duration.ofMillis(5)), follower.age());
     }
 
@@ -190,7 +191,7 @@
     }
 
     private static Listing listing(long revision) {
-        return new Listing(List.of(HandStore.entry("k", revision)), revision);
+        return new Listing(List.of(ManualStore.entry("k", revision)), revision);
     }
 
     private Instant now() {
@@ -204,12 +205,12 @@
     /** Records the revisions that it receives, and fails at the poison revision. */
     private final class Revisions implements ChangeListener {
         @Override
-        public void all(List<Entry> entries, long revision, Duration silence) {
+        public void entriesRead(List<Entry> entries, long revision, Duration silence) {
             heard.add(revision);
         }
 
         @Override
-        public void changed(List<Change> changes, long revision, Duration silence) {
+        public void entriesChanged(List<Change> changes, long revision, Duration silence) {
             if (revision == poison) {
                 throw new IllegalStateException("on purpose");
             }
--- a/damaskyoke/src/test/java/io/damaskyoke/follow/HandStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/follow/ManualStore.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletionStage;
 
 /** A store whose answers the test completes: {@code store.asks.get(0).complete(...)}. */
-final class HandStore extends OnlyFollowed {
+final class ManualStore extends OnlyFollowed {
     final List<CompletableFuture<Changes>> asks = new ArrayList<>();
     final List<CompletableFuture<Listing>> readings = new ArrayList<>();
     final List<Long> askedAfter = new ArrayList<>();
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HttpClientTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/HttpClientTest.java
@@ -158,7 +158,7 @@
     }
 
     /** Records a response as its status and body, and a failure as its name. */
-    private static final class Recorder implements AnswerListener {
+    private static final class Recorder implements ResponseListener {
         private final CompletableFuture<String> outcome;
         private final StringBuilder text = new StringBuilder();
 
@@ -183,7 +183,7 @@
         }
 
         @Override
-        public void failed(Failure failure) {
+        public void failed(ExchangeFailure failure) {
             outcome.complete(failure.name());
         }
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HttpServerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/HttpServerTest.java
@@ -56,7 +56,9 @@
             caller.getOutputStream().write(get("/last").getBytes(StandardCharsets.US_ASCII));
             loop.events()
                     .execute(
-                            () -> HttpServer.adopt(loop, socket, HttpLimits.usual(), this::handle));
+                            () ->
+                                    HttpServer.adopt(
+                                            loop, socket, HttpLimits.defaults(), this::handle));
             byte[] start = caller.getInputStream().readNBytes(12);
             assertEquals("HTTP/1.1 200", new String(start, StandardCharsets.US_ASCII));
         }
@@ -139,7 +141,7 @@
 
     private void handle(HttpCall call) {
         handled.add(call.target());
-        call.onGone(() -> gone.complete(call.target()));
+        call.onDisconnect(() -> gone.complete(call.target()));
         if (call.target().equals("/never")) {
             return;
         }
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HeldLoopTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/StalledLoopTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests how a server treats requests that arrived while its thread was stalled. */
-class HeldLoopTest {
+class StalledLoopTest {
     private static final int LIMIT_MILLIS = 10_000;
     private static final int CALLERS = 5;
 
@@ -34,7 +34,7 @@
             HttpServer.start(
                     loop,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    HttpLimits.usual(),
+                    HttpLimits.defaults(),
                     this::handle);
 
     @AfterEach
