--- a/damaskyoke/src/main/java/io/damaskyoke/follow/ChangeHistory.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/ChangeHistory.java
@@ -11,7 +11,7 @@
      * Holds some seconds of reports from hundreds of upstreams. A process that lacks older changes
      * asks the store.
      */
-    private static final int MOST = 4_096;
+    private static final int MAX_CHANGES = 4_096;
 
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
     private long from = Long.MAX_VALUE;
@@ -22,9 +22,9 @@
         from = revision;
     }
 
-    void add(List<Change> news) {
-        changes.addAll(news);
-        while (changes.size() > MOST) {
+    void add(List<Change> newer) {
+        changes.addAll(newer);
+        while (changes.size() > MAX_CHANGES) {
             from = changes.removeFirst().revision();
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
@@ -49,15 +49,15 @@
      * changed although something has. Changes found by the full read that follows may therefore be
      * older than the last answers suggest.
      */
-    private static final Duration MUTE = Duration.ofSeconds(2);
+    private static final Duration COMPACTION_DELAY = Duration.ofSeconds(2);
 
-    private static final Duration LOOK = Duration.ofMillis(100);
+    private static final Duration CHECK_PERIOD = Duration.ofMillis(100);
 
     /** The longest time that a call of another process is held here. */
-    private static final Duration LONGEST_HELD = Duration.ofSeconds(2);
+    private static final Duration MAX_POLL_WAIT = Duration.ofSeconds(2);
 
     /** The limit of unanswered calls; more would only add to the load of a slow store. */
-    private static final int MOST_OPEN = 8;
+    private static final int MAX_OPEN_CALLS = 8;
 
     private final String name;
     private final String prefix;
@@ -69,17 +69,17 @@
     private final StoreView view = new StoreView();
     private final Set<StoreCall> open = new HashSet<>();
     private final ViewWaiters waiters;
-    private final StepTimer planned;
+    private final StepTimer timer;
     private final Relay relay;
     private final ChangeHistory history = new ChangeHistory();
-    private final LongPolls asks = new LongPolls(view, history);
+    private final LongPolls polls = new LongPolls(view, history);
     private StoreCall newest;
-    private StoreCall beside;
+    private StoreCall confirming;
     private boolean reading = true;
     private boolean failing;
     private boolean silent;
-    private boolean byRelay;
-    private boolean readingTold;
+    private boolean fromRelay;
+    private boolean lastFromFullRead;
 
     Follower(FollowerBuilder from, ChangeListener listener) {
         this.name = from.name;
@@ -93,7 +93,7 @@
         this.relay = from.relay;
         this.listener = Objects.requireNonNull(listener, "a follower needs a listener: tell(...)");
         this.waiters = new ViewWaiters(control);
-        this.planned = new StepTimer(control);
+        this.timer = new StepTimer(control);
     }
 
     /** Starts building a follower whose keys are called by this name in logs and metrics. */
@@ -105,7 +105,7 @@
     public Follower start() {
         metrics.gauge("store_view_age_ms", "of", name, this::ageMillis);
         read();
-        control.every(LOOK, this::look);
+        control.every(CHECK_PERIOD, this::checkCalls);
         return this;
     }
 
@@ -135,8 +135,8 @@
      */
     public Instant earliestChangeTime() {
         Instant complete = view.previousAsOf();
-        boolean surely = !readingTold || complete.equals(Instant.MIN);
-        return surely ? complete : complete.minus(MUTE);
+        boolean exact = !lastFromFullRead || complete.equals(Instant.MIN);
+        return exact ? complete : complete.minus(COMPACTION_DELAY);
     }
 
     /** Reads all entries again; {@link #whenCompleteUpTo} then waits for that full read. */
@@ -152,13 +152,13 @@
      * listener has received them, or with {@code false} if the store has not confirmed that within
      * the limit. Asks the store if needed, in one call for all that wait.
      */
-    public void whenCompleteUpTo(Instant moment, Duration limit, Consumer<Boolean> told) {
+    public void whenCompleteUpTo(Instant moment, Duration limit, Consumer<Boolean> callback) {
         if (view.reaches(moment)) {
-            told.accept(true);
+            callback.accept(true);
             return;
         }
-        waiters.add(moment, limit, told);
-        askBeside();
+        waiters.add(moment, limit, callback);
+        askForWaiters();
     }
 
     /**
@@ -166,46 +166,46 @@
      * when a change arrives, or with none at the end of the wait. The answer is empty if this view
      * is outdated or comes from a relay itself; the other process then has to ask the store.
      */
-    public void answerPoll(long after, Duration wait, Consumer<Optional<Changes>> told) {
-        if (!mayPassOn()) {
-            told.accept(Optional.empty());
+    public void answerPoll(long after, Duration wait, Consumer<Optional<Changes>> callback) {
+        if (!canAnswerPolls()) {
+            callback.accept(Optional.empty());
             return;
         }
-        Duration longest = wait.compareTo(LONGEST_HELD) < 0 ? wait : LONGEST_HELD;
-        asks.add(after, now().plus(longest), told, now());
+        Duration longest = wait.compareTo(MAX_POLL_WAIT) < 0 ? wait : MAX_POLL_WAIT;
+        polls.add(after, now().plus(longest), callback, now());
     }
 
-    private boolean mayPassOn() {
-        boolean sure = hasReadOnce() && !reading && !failing && !byRelay;
-        return sure && view.age(now()).orElseThrow().compareTo(pace.stalenessBound()) <= 0;
+    private boolean canAnswerPolls() {
+        boolean current = hasReadOnce() && !reading && !failing && !fromRelay;
+        return current && view.age(now()).orElseThrow().compareTo(pace.stalenessBound()) <= 0;
     }
 
-    private void passOn() {
-        if (asks.isEmpty()) {
+    private void answerPolls() {
+        if (polls.isEmpty()) {
             return;
         }
-        if (mayPassOn()) {
-            asks.answerReady(now());
+        if (canAnswerPolls()) {
+            polls.answerReady(now());
         } else {
-            asks.rejectAll();
+            polls.rejectAll();
         }
     }
 
     private void release() {
         waiters.completeReached(view);
         if (!waiters.isEmpty()) {
-            askBeside();
+            askForWaiters();
         }
     }
 
     // One call at a time: those who arrive while it is under way are served by the next.
-    private void askBeside() {
-        if (reading || open.contains(beside) || open.size() >= MOST_OPEN) {
+    private void askForWaiters() {
+        if (reading || open.contains(confirming) || open.size() >= MAX_OPEN_CALLS) {
             return;
         }
-        beside = new StoreCall(now(), Duration.ZERO, () -> {});
-        open.add(beside);
-        send(beside);
+        confirming = new StoreCall(now(), Duration.ZERO, () -> {});
+        open.add(confirming);
+        send(confirming);
     }
 
     private Instant now() {
@@ -219,10 +219,11 @@
     private void read() {
         StoreCall call = begin(new StoreCall(now(), Duration.ZERO, this::read));
         store.list(prefix)
-                .whenComplete((found, failure) -> control.run(() -> took(call, found, failure)));
+                .whenComplete(
+                        (found, failure) -> control.run(() -> readAnswered(call, found, failure)));
     }
 
-    private void took(StoreCall call, Listing found, Throwable failure) {
+    private void readAnswered(StoreCall call, Listing found, Throwable failure) {
         open.remove(call);
         if (found == null) {
             if (!failing) {
@@ -233,7 +234,7 @@
             }
             failing = true;
             if (call == newest) {
-                planned.schedule(READ_RETRY, this::read);
+                timer.schedule(READ_RETRY, this::read);
             }
             return;
         }
@@ -243,64 +244,64 @@
         }
         reading = false;
         failing = false;
-        byRelay = false;
+        fromRelay = false;
         history.startAt(found.revision());
         Instant answered = call.latestAnswerTime(now());
         Duration silence = confirm(call, call.sentAt(), answered, found.revision(), Source.READING);
-        readingTold = true;
+        lastFromFullRead = true;
         listener.entriesRead(found.entries(), found.revision(), silence);
-        ask(pace.patience());
+        ask(pace.maxWait());
         release();
     }
 
-    private void ask(Duration patience) {
+    private void ask(Duration maxWait) {
         if (reading) {
             // Polling continues when the full read is answered.
             return;
         }
         // A call that doesn't wait is made to confirm the view, which only the store itself can do.
-        boolean relayed = !patience.isZero() && relay.available();
-        Duration wait = relayed ? pace.atRelay().patience() : patience;
+        boolean relayed = !maxWait.isZero() && relay.available();
+        Duration wait = relayed ? pace.atRelay().maxWait() : maxWait;
         send(begin(new StoreCall(now(), wait, () -> ask(Duration.ZERO), relayed)));
     }
 
     private void send(StoreCall call) {
-        CompletionStage<Changes> told =
+        CompletionStage<Changes> answer =
                 call.relayed()
-                        ? relay.changes(prefix, view.revision(), call.patience())
-                        : store.changes(prefix, view.revision(), call.patience());
-        told.whenComplete(
+                        ? relay.changes(prefix, view.revision(), call.maxWait())
+                        : store.changes(prefix, view.revision(), call.maxWait());
+        answer.whenComplete(
                 (changes, failure) -> control.run(() -> answered(call, changes, failure)));
     }
 
     private StoreCall begin(StoreCall call) {
-        planned.cancel();
+        timer.cancel();
         newest = call;
         open.add(call);
         return call;
     }
 
-    private void look() {
-        passOn();
+    private void checkCalls() {
+        answerPolls();
         if (!open.contains(newest)) {
-            goOn();
-        } else if (!now().isBefore(newest.overdueAt()) && open.size() < MOST_OPEN) {
-            askBesideUnanswered();
+            resume();
+        } else if (!now().isBefore(newest.overdueAt()) && open.size() < MAX_OPEN_CALLS) {
+            retryOverdue();
         }
     }
 
     // A call that is under way when the store becomes unavailable may never be answered, not even
     // after the store's return, and no change is received until it is given up. A parallel call
     // costs little. Both may still be answered; changes that are known already are left out.
-    private void askBesideUnanswered() {
+    private void retryOverdue() {
         metrics.count("store_asks_overdue", "of", name);
-        silent(newest, "no answer in time");
+        reportSilence(newest, "no answer in time");
         newest.retry().run();
     }
 
     // The VM was paused during a planned wait, or a listener threw an exception.
-    private void goOn() {
-        if (!planned.isMissingOrOverdue(LOOK)) {
+    private void resume() {
+        if (!timer.isMissingOrOverdue(CHECK_PERIOD)) {
             return;
         }
         if (reading) {
@@ -319,21 +320,22 @@
             failed(call, failure);
             return;
         }
-        List<Change> news =
+        List<Change> unseen =
                 changes.changes().stream()
                         .filter(change -> change.revision() > view.revision())
                         .toList();
-        byRelay = call.relayed();
+        fromRelay = call.relayed();
         Duration age = changes.age();
-        Instant goodUpTo = call.completeUpTo(now(), changes.changes().isEmpty()).minus(age);
+        Instant completeUpTo = call.completeUpTo(now(), changes.changes().isEmpty()).minus(age);
         Instant answered = call.latestAnswerTime(now()).minus(age);
-        Duration silence = confirm(call, goodUpTo, answered, changes.revision(), Source.CHANGES);
-        if (!news.isEmpty()) {
-            history.add(news);
-            readingTold = false;
-            listener.entriesChanged(news, news.get(news.size() - 1).revision(), silence);
+        Duration silence =
+                confirm(call, completeUpTo, answered, changes.revision(), Source.CHANGES);
+        if (!unseen.isEmpty()) {
+            history.add(unseen);
+            lastFromFullRead = false;
+            listener.entriesChanged(unseen, unseen.get(unseen.size() - 1).revision(), silence);
         }
-        passOn();
+        answerPolls();
         if (call == newest) {
             askNext(call);
         }
@@ -342,18 +344,18 @@
 
     private void askNext(StoreCall call) {
         // The VM was paused: a call that waits would delay the changes made during the pause.
-        boolean old = view.age(now()).orElseThrow().compareTo(bound(call)) > 0;
-        if (old) {
+        boolean outdated = view.age(now()).orElseThrow().compareTo(bound(call)) > 0;
+        if (outdated) {
             ask(Duration.ZERO);
             return;
         }
         PollTiming asked = call.relayed() ? pace.atRelay() : pace;
-        Instant next = call.sentAt().plus(asked.gap());
+        Instant next = call.sentAt().plus(asked.minInterval());
         Duration pause = Duration.between(now(), next);
         if (pause.isNegative() || pause.isZero()) {
-            ask(pace.patience());
+            ask(pace.maxWait());
         } else {
-            planned.schedule(pause, () -> ask(pace.patience()));
+            timer.schedule(pause, () -> ask(pace.maxWait()));
         }
     }
 
@@ -380,12 +382,12 @@
         }
         metrics.count("store_asks_failed", "of", name);
         if (call == newest) {
-            silent(call, failure.getMessage());
-            planned.schedule(RETRY, () -> ask(Duration.ZERO));
+            reportSilence(call, failure.getMessage());
+            timer.schedule(RETRY, () -> ask(Duration.ZERO));
         }
     }
 
-    private void silent(StoreCall call, String why) {
+    private void reportSilence(StoreCall call, String why) {
         if (silent) {
             return;
         }
@@ -405,7 +407,7 @@
     }
 
     private Duration confirm(
-            StoreCall call, Instant goodUpTo, Instant answered, long revision, Source source) {
+            StoreCall call, Instant completeUpTo, Instant answered, long revision, Source source) {
         if (silent) {
             silent = false;
             LOG.info(
@@ -417,7 +419,7 @@
                     call.age(now()).toMillis(),
                     ageMillis());
         }
-        return view.confirm(goodUpTo, answered, revision);
+        return view.confirm(completeUpTo, answered, revision);
     }
 
     /** The kind of call that an answer belongs to. */
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/LongPolls.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/LongPolls.java
@@ -17,58 +17,58 @@
 final class LongPolls {
     private final StoreView view;
     private final ChangeHistory history;
-    private List<Ask> asks = new ArrayList<>();
+    private List<Poll> polls = new ArrayList<>();
 
-    private record Ask(long after, Instant until, Consumer<Optional<Changes>> told) {}
+    private record Poll(long after, Instant until, Consumer<Optional<Changes>> callback) {}
 
     LongPolls(StoreView view, ChangeHistory history) {
         this.view = view;
         this.history = history;
     }
 
-    void add(long after, Instant until, Consumer<Optional<Changes>> told, Instant now) {
-        Ask ask = new Ask(after, until, told);
-        if (!answered(ask, now)) {
-            asks.add(ask);
+    void add(long after, Instant until, Consumer<Optional<Changes>> callback, Instant now) {
+        Poll poll = new Poll(after, until, callback);
+        if (!answered(poll, now)) {
+            polls.add(poll);
         }
     }
 
     /** Answers the calls that have changes to receive or whose wait is over. */
     void answerReady(Instant now) {
-        List<Ask> all = asks;
-        asks = new ArrayList<>();
-        for (Ask ask : all) {
-            if (!answered(ask, now)) {
-                asks.add(ask);
+        List<Poll> all = polls;
+        polls = new ArrayList<>();
+        for (Poll poll : all) {
+            if (!answered(poll, now)) {
+                polls.add(poll);
             }
         }
     }
 
     /** Rejects all calls with an empty answer, which sends their processes to the store. */
     void rejectAll() {
-        List<Ask> all = asks;
-        asks = new ArrayList<>();
-        all.forEach(ask -> ask.told().accept(Optional.empty()));
+        List<Poll> all = polls;
+        polls = new ArrayList<>();
+        all.forEach(poll -> poll.callback().accept(Optional.empty()));
     }
 
     boolean isEmpty() {
-        return asks.isEmpty();
+        return polls.isEmpty();
     }
 
-    private boolean answered(Ask ask, Instant now) {
-        Optional<List<Change>> changes = history.after(ask.after());
-        boolean ended = !now.isBefore(ask.until());
+    private boolean answered(Poll poll, Instant now) {
+        Optional<List<Change>> changes = history.after(poll.after());
+        boolean expired = !now.isBefore(poll.until());
         // A process that has a newer revision than this one can't be told that nothing changed.
-        boolean ahead = ask.after() > view.revision();
-        if (changes.isEmpty() || ended && ahead) {
-            ask.told().accept(Optional.empty());
+        boolean ahead = poll.after() > view.revision();
+        if (changes.isEmpty() || expired && ahead) {
+            poll.callback().accept(Optional.empty());
             return true;
         }
-        if (changes.get().isEmpty() && !ended) {
+        if (changes.get().isEmpty() && !expired) {
             return false;
         }
         Duration age = view.age(now).orElseThrow();
-        ask.told().accept(Optional.of(new Changes(changes.get(), view.revision(), age)));
+        poll.callback().accept(Optional.of(new Changes(changes.get(), view.revision(), age)));
         return true;
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/StoreCall.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/StoreCall.java
@@ -8,19 +8,19 @@
  * are compared by identity.
  */
 final class StoreCall {
-    private final Instant at;
-    private final Duration patience;
-    private final Runnable again;
+    private final Instant sentAt;
+    private final Duration maxWait;
+    private final Runnable retry;
     private final boolean relayed;
 
-    StoreCall(Instant at, Duration patience, Runnable again) {
-        this(at, patience, again, false);
+    StoreCall(Instant sentAt, Duration maxWait, Runnable retry) {
+        this(sentAt, maxWait, retry, false);
     }
 
-    StoreCall(Instant at, Duration patience, Runnable again, boolean relayed) {
-        this.at = at;
-        this.patience = patience;
-        this.again = again;
+    StoreCall(Instant sentAt, Duration maxWait, Runnable retry, boolean relayed) {
+        this.sentAt = sentAt;
+        this.maxWait = maxWait;
+        this.retry = retry;
         this.relayed = relayed;
     }
 
@@ -31,22 +31,22 @@
 
     /** Returns when the call was sent. */
     Instant sentAt() {
-        return at;
+        return sentAt;
     }
 
     /** Returns how long the store may wait for a change before it answers. */
-    Duration patience() {
-        return patience;
+    Duration maxWait() {
+        return maxWait;
     }
 
     /** Returns the step that sends a second call in parallel if this one is overdue. */
     Runnable retry() {
-        return again;
+        return retry;
     }
 
     /** Returns when the call is overdue. */
     Instant overdueAt() {
-        return at.plus(patience).plus(PollTiming.ANSWER);
+        return sentAt.plus(maxWait).plus(PollTiming.ANSWER_TIMEOUT);
     }
 
     /**
@@ -54,7 +54,7 @@
      * now} if the answer lay unread while the VM was paused.
      */
     Instant latestAnswerTime(Instant now) {
-        Instant latest = at.plus(patience);
+        Instant latest = sentAt.plus(maxWait);
         return now.isBefore(latest) ? now : latest;
     }
 
@@ -63,11 +63,11 @@
      * empty answer, otherwise the time at which the call was sent.
      */
     Instant completeUpTo(Instant now, boolean empty) {
-        Instant waited = at.plus(patience);
-        return empty && !now.isBefore(waited) ? waited : at;
+        Instant waited = sentAt.plus(maxWait);
+        return empty && !now.isBefore(waited) ? waited : sentAt;
     }
 
     Duration age(Instant now) {
-        return Duration.between(at, now);
+        return Duration.between(sentAt, now);
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/StoreView.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/StoreView.java
@@ -7,8 +7,8 @@
 /** Records up to which time and revision the followed part of the store is known here. */
 final class StoreView {
     private Instant asOf;
-    private Instant asOfBefore = Instant.MIN;
-    private Instant heard;
+    private Instant previousAsOf = Instant.MIN;
+    private Instant lastAnswered;
     private long revision;
 
     /**
@@ -21,14 +21,14 @@
      * @param upTo the revision up to which the answer is complete
      */
     Duration confirm(Instant moment, Instant answered, long upTo) {
-        asOfBefore = asOf == null ? Instant.MIN : asOf;
+        previousAsOf = asOf == null ? Instant.MIN : asOf;
         if (asOf == null || moment.isAfter(asOf)) {
             asOf = moment;
         }
         revision = Math.max(revision, upTo);
-        Instant before = heard == null ? answered : heard;
-        heard = before.isAfter(answered) ? before : answered;
-        return Duration.between(before, heard);
+        Instant before = lastAnswered == null ? answered : lastAnswered;
+        lastAnswered = before.isAfter(answered) ? before : answered;
+        return Duration.between(before, lastAnswered);
     }
 
     Optional<Instant> asOf() {
@@ -40,7 +40,7 @@
      * Instant#MIN} if it never was.
      */
     Instant previousAsOf() {
-        return asOfBefore;
+        return previousAsOf;
     }
 
     /** Returns true if all changes up to the moment are known. */
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/ViewWaiters.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/ViewWaiters.java
@@ -12,32 +12,33 @@
     private final ControlThread control;
     private final List<Waiter> waiting = new ArrayList<>();
 
-    private record Waiter(Instant moment, Consumer<Boolean> told) {}
+    private record Waiter(Instant moment, Consumer<Boolean> callback) {}
 
     ViewWaiters(ControlThread control) {
         this.control = control;
     }
 
-    void add(Instant moment, Duration limit, Consumer<Boolean> told) {
-        Waiter waiter = new Waiter(moment, told);
+    void add(Instant moment, Duration limit, Consumer<Boolean> callback) {
+        Waiter waiter = new Waiter(moment, callback);
         waiting.add(waiter);
-        control.after(limit, () -> giveUp(waiter));
+        control.after(limit, () -> expire(waiter));
     }
 
     /** Completes with {@code true} the callbacks whose moment the view has reached. */
     void completeReached(StoreView view) {
-        List<Waiter> served = waiting.stream().filter(each -> view.reaches(each.moment())).toList();
-        waiting.removeAll(served);
-        served.forEach(each -> each.told().accept(true));
+        List<Waiter> reached =
+                waiting.stream().filter(each -> view.reaches(each.moment())).toList();
+        waiting.removeAll(reached);
+        reached.forEach(each -> each.callback().accept(true));
     }
 
     boolean isEmpty() {
         return waiting.isEmpty();
     }
 
-    private void giveUp(Waiter waiter) {
+    private void expire(Waiter waiter) {
         if (waiting.remove(waiter)) {
-            waiter.told().accept(false);
+            waiter.callback().accept(false);
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
@@ -23,13 +23,13 @@
      * Used if the server sends no keep-alive timeout: common servers close an idle connection after
      * five seconds.
      */
-    private static final long USUAL_KEEP_NANOS = TimeUnit.SECONDS.toNanos(4);
+    private static final long DEFAULT_KEEP_ALIVE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
     /**
      * Subtracted from the server's keep-alive timeout, which is in whole seconds, so that the
      * connection may close up to a second earlier.
      */
-    private static final long KEEP_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+    private static final long KEEP_ALIVE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
     private final HttpClient client;
     private final Endpoint endpoint;
@@ -37,10 +37,10 @@
     private State state = State.CONNECTING;
     private ClientRequest request;
     private ResponseListener listener;
-    private boolean keep;
-    private long keepNanos = USUAL_KEEP_NANOS;
+    private boolean keepAlive;
+    private long keepAliveNanos = DEFAULT_KEEP_ALIVE_NANOS;
     private long idleSince;
-    private int number;
+    private int requestNumber;
 
     private enum State {
         CONNECTING,
@@ -69,21 +69,21 @@
 
     boolean usable(long now, Duration limit) {
         long idle = now - idleSince;
-        return idle < keepNanos && idle < limit.toNanos();
+        return idle < keepAliveNanos && idle < limit.toNanos();
     }
 
     boolean expired(long now) {
-        return now - idleSince >= keepNanos;
+        return now - idleSince >= keepAliveNanos;
     }
 
-    ClientCall begin(ClientRequest given, ResponseListener hears) {
+    ClientCall begin(ClientRequest given, ResponseListener responseListener) {
         request = given;
-        listener = hears;
-        number++;
+        listener = responseListener;
+        requestNumber++;
         if (state == State.IDLE) {
             write();
         }
-        return new Call(number);
+        return new Call(requestNumber);
     }
 
     void connectFailed() {
@@ -142,12 +142,12 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         connectFailed();
-        ended();
+        connectionEnded();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        ended();
+        connectionEnded();
         context.close();
     }
 
@@ -160,7 +160,7 @@
             return;
         }
         state = State.AWAITING;
-        keep = true;
+        keepAlive = true;
         headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().readableBytes());
         channel.writeAndFlush(
                 new DefaultFullHttpRequest(
@@ -179,11 +179,11 @@
         }
         HttpHeaders headers = response.headers();
         if (!HttpUtil.isKeepAlive(response)) {
-            keep = false;
+            keepAlive = false;
         }
         if (!request.isOwnResponse().test(headers)) {
             state = State.SKIPPING;
-            keep = false;
+            keepAlive = false;
             return;
         }
         readKeepAlive(headers.get("Keep-Alive"));
@@ -201,7 +201,7 @@
             return;
         }
         long named = TimeUnit.SECONDS.toNanos(Long.parseLong(digits));
-        keepNanos = Math.max(0, named - KEEP_MARGIN_NANOS);
+        keepAliveNanos = Math.max(0, named - KEEP_ALIVE_MARGIN_NANOS);
     }
 
     private void part(HttpContent content) {
@@ -227,7 +227,7 @@
         ResponseListener told = listener;
         listener = null;
         request = null;
-        if (keep && channel.isActive()) {
+        if (keepAlive && channel.isActive()) {
             state = State.IDLE;
             idleSince = System.nanoTime();
             channel.config().setAutoRead(true);
@@ -238,7 +238,7 @@
         told.end();
     }
 
-    private void ended() {
+    private void connectionEnded() {
         if (state == State.IDLE) {
             discard();
         } else if (state == State.READING) {
@@ -266,10 +266,10 @@
 
     /** The caller's handle of one request; it does nothing once the request is over. */
     private final class Call implements ClientCall {
-        private final int mine;
+        private final int ownNumber;
 
-        Call(int mine) {
-            this.mine = mine;
+        Call(int ownNumber) {
+            this.ownNumber = ownNumber;
         }
 
         @Override
@@ -292,7 +292,7 @@
         }
 
         private boolean current() {
-            return mine == number && state != State.IDLE && state != State.CLOSED;
+            return ownNumber == requestNumber && state != State.IDLE && state != State.CLOSED;
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/Endpoint.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/Endpoint.java
@@ -5,11 +5,11 @@
 
 /** An IP address and a port: {@code Endpoint.parse("10.0.0.7:8080")}. */
 public record Endpoint(String host, int port) {
-    private static final int MOST = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     /** Validates that the host is not empty and the port is between 1 and 65535. */
     public Endpoint {
-        if (host.isEmpty() || port < 1 || port > MOST) {
+        if (host.isEmpty() || port < 1 || port > MAX_PORT) {
             throw new HttpException(
                     Code.BAD_ENDPOINT,
                     "expected a host and a port from 1 to 65535, got " + host + ":" + port);
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpCall.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpCall.java
@@ -28,8 +28,8 @@
     private final FullHttpRequest request;
     private final long arrivedNanos;
     private final boolean lastOfCaller;
-    private Runnable gone = NOTHING;
-    private Runnable writable = NOTHING;
+    private Runnable onDisconnect = NOTHING;
+    private Runnable onWritable = NOTHING;
     private boolean over;
 
     HttpCall(ServerConnection connection, FullHttpRequest request, long arrivedNanos) {
@@ -69,12 +69,12 @@
 
     /** Sets the action that runs once if the caller disconnects before the response has ended. */
     public void onDisconnect(Runnable action) {
-        gone = action;
+        onDisconnect = action;
     }
 
     /** Sets the action that runs each time the connection becomes writable again. */
     public void onWritable(Runnable action) {
-        writable = action;
+        onWritable = action;
     }
 
     /** Returns false while so much data is buffered that the sender should pause. */
@@ -95,7 +95,7 @@
         }
         headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
         headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        boolean close = lastHeader(headers);
+        boolean close = setCloseHeader(headers);
         boolean bodiless = request.method().name().equals("HEAD");
         if (bodiless) {
             body.release();
@@ -117,7 +117,7 @@
         }
         headers.remove(HttpHeaderNames.CONTENT_LENGTH);
         headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        lastHeader(headers);
+        setCloseHeader(headers);
         connection.send(
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers));
@@ -159,17 +159,17 @@
             return;
         }
         over = true;
-        gone.run();
+        onDisconnect.run();
         request.release();
     }
 
     void becameWritable() {
         if (!over) {
-            writable.run();
+            onWritable.run();
         }
     }
 
-    private boolean lastHeader(HttpHeaders headers) {
+    private boolean setCloseHeader(HttpHeaders headers) {
         boolean close = lastOfCaller || connection.draining();
         if (close) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpClient.java
@@ -32,7 +32,7 @@
 public final class HttpClient {
     private static final int MAX_LINE_BYTES = 16 * 1024;
     private static final int MAX_HEADER_BYTES = 64 * 1024;
-    private static final int KEPT_PER_ENDPOINT = 32;
+    private static final int MAX_IDLE_PER_ENDPOINT = 32;
     private static final WriteBufferWaterMark WATER_MARK =
             new WriteBufferWaterMark(32 * 1024, 128 * 1024);
 
@@ -95,10 +95,10 @@
                 .clone()
                 .handler(new ChannelInboundHandlerAdapter())
                 .connect(server.socket())
-                .addListener((ChannelFuture done) -> then.accept(reached(done)));
+                .addListener((ChannelFuture done) -> then.accept(probeResult(done)));
     }
 
-    private static Optional<Boolean> reached(ChannelFuture done) {
+    private static Optional<Boolean> probeResult(ChannelFuture done) {
         if (done.isSuccess()) {
             done.channel().close();
             return Optional.of(true);
@@ -140,7 +140,7 @@
     void addIdle(ClientConnection connection) {
         ArrayDeque<ClientConnection> kept =
                 idle.computeIfAbsent(connection.endpoint(), any -> new ArrayDeque<>());
-        if (kept.size() >= KEPT_PER_ENDPOINT) {
+        if (kept.size() >= MAX_IDLE_PER_ENDPOINT) {
             connection.close();
         } else {
             kept.addFirst(connection);
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpLoop.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpLoop.java
@@ -21,7 +21,7 @@
      * The age up to which a read pass counts as recent. An upstream may work for at most half a
      * second for a caller that has disconnected.
      */
-    private static final long FRESH_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long RECENT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final ReadPassHandler reads = new ReadPassHandler();
     private final EventLoopGroup group;
@@ -58,7 +58,7 @@
         if (reads.isReading()) {
             // Disconnects that are read are reported by tasks queued before the read pass is over.
             events.execute(() -> events.execute(() -> runAfterRead(step)));
-        } else if (System.nanoTime() - reads.passStartNanos() > FRESH_NANOS) {
+        } else if (System.nanoTime() - reads.passStartNanos() > RECENT_NANOS) {
             // A timer that is set here is due only after the next read pass. The step is not
             // deferred
             // again after that: a thread whose every iteration takes this long must still serve.
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpServer.java
@@ -39,7 +39,7 @@
     private static final Duration IDLE_MARGIN = Duration.ofSeconds(1);
 
     /** The limit of reads of one connection in a read pass, so that others get their turn. */
-    private static final int READS_A_TURN = 16;
+    private static final int MAX_READS_PER_PASS = 16;
 
     private static final WriteBufferWaterMark WATER_MARK =
             new WriteBufferWaterMark(32 * 1024, 128 * 1024);
@@ -50,7 +50,7 @@
     private HttpLimits limits;
     private Channel channel;
     private boolean draining;
-    private long leftUnserved;
+    private long abandonedRequests;
 
     private HttpServer(HttpLoop loop, HttpLimits limits, HttpHandler handler) {
         this.loop = loop;
@@ -136,7 +136,7 @@
         loop.runAfterRead(
                 () -> {
                     if (call.over()) {
-                        leftUnserved++;
+                        abandonedRequests++;
                     } else {
                         handler.handle(call);
                     }
@@ -145,7 +145,7 @@
 
     /** Returns the number of requests whose callers disconnected before they were handled. */
     public long abandonedRequests() {
-        return leftUnserved;
+        return abandonedRequests;
     }
 
     void opened(ServerConnection connection) {
@@ -174,7 +174,7 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, toTheEnd())
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, readUntilEmpty())
                 .childHandler(
                         new ChannelInitializer<>() {
                             @Override
@@ -186,9 +186,9 @@
 
     // By default a read that does not fill its buffer is the last one of its read pass. The
     // disconnect of a caller would then be known only a pass after its request.
-    private static RecvByteBufAllocator toTheEnd() {
+    private static RecvByteBufAllocator readUntilEmpty() {
         var reads = new AdaptiveRecvByteBufAllocator();
-        reads.maxMessagesPerRead(READS_A_TURN);
+        reads.maxMessagesPerRead(MAX_READS_PER_PASS);
         reads.respectMaybeMoreData(false);
         return reads;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ReadPassHandler.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ReadPassHandler.java
@@ -9,22 +9,22 @@
 /** Wraps the handler that reads a loop's sockets and records when each read pass takes place. */
 final class ReadPassHandler implements IoHandler {
     /** A loop that was busy for less than this finds bytes that have just arrived. */
-    private static final long HELD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long MIN_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /**
      * Bytes found after a long stall are assumed to have arrived no later than this after the last
      * read pass. An upstream that is given half a second more than its caller has left would work
      * for nobody.
      */
-    private static final long LATEST_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+    private static final long MAX_ARRIVAL_OFFSET_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-    private final Timed timed = new Timed();
+    private final ActiveTimeContext activeTime = new ActiveTimeContext();
     private IoHandler sockets;
-    private boolean underWay;
-    private long beganNanos = System.nanoTime();
-    private long foundNanos = beganNanos;
-    private long heldNanos;
-    private long number;
+    private boolean reading;
+    private long passStartNanos = System.nanoTime();
+    private long lastFoundNanos = passStartNanos;
+    private long stalledNanos;
+    private long passCount;
 
     ReadPassHandler wrap(IoHandler given) {
         sockets = given;
@@ -33,7 +33,7 @@
 
     /** Returns true during a read pass, when only some of the sockets are read. */
     boolean isReading() {
-        return underWay;
+        return reading;
     }
 
     /**
@@ -41,12 +41,12 @@
      * that arrived before are read once it is over.
      */
     long passStartNanos() {
-        return beganNanos;
+        return passStartNanos;
     }
 
     /** Returns the number of read passes so far. */
     long passCount() {
-        return number;
+        return passCount;
     }
 
     /**
@@ -55,22 +55,22 @@
      * pass. How long bytes have lain unread can't be determined.
      */
     long arrivalNanos() {
-        return heldNanos > HELD_NANOS
-                ? foundNanos + Math.min(heldNanos / 2, LATEST_NANOS)
+        return stalledNanos > MIN_STALL_NANOS
+                ? lastFoundNanos + Math.min(stalledNanos / 2, MAX_ARRIVAL_OFFSET_NANOS)
                 : System.nanoTime();
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        underWay = true;
-        number++;
-        beganNanos = System.nanoTime();
-        heldNanos = beganNanos - foundNanos;
+        reading = true;
+        passCount++;
+        passStartNanos = System.nanoTime();
+        stalledNanos = passStartNanos - lastFoundNanos;
         try {
-            return sockets.run(timed.over(context));
+            return sockets.run(activeTime.over(context));
         } finally {
-            underWay = false;
-            foundNanos = System.nanoTime() - timed.activeNanos;
+            reading = false;
+            lastFoundNanos = System.nanoTime() - activeTime.activeNanos;
         }
     }
 
@@ -78,11 +78,11 @@
      * Measures how long handling the ready sockets took, and so when they were found ready: a pass
      * may begin by sleeping.
      */
-    private static final class Timed implements IoHandlerContext {
+    private static final class ActiveTimeContext implements IoHandlerContext {
         private IoHandlerContext context;
         private long activeNanos;
 
-        Timed over(IoHandlerContext given) {
+        ActiveTimeContext over(IoHandlerContext given) {
             context = given;
             activeNanos = 0;
             return this;
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ServerConnection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ServerConnection.java
@@ -19,15 +19,15 @@
 /** A connection of a caller to the server, which handles its requests one after the other. */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
     /** The limit of pipelined requests; bytes beyond it stay in the kernel. */
-    private static final int MOST_AHEAD = 4;
+    private static final int MAX_PIPELINED = 4;
 
     private final HttpServer server;
-    private final ArrayDeque<FullHttpRequest> ahead = new ArrayDeque<>();
+    private final ArrayDeque<FullHttpRequest> pipelined = new ArrayDeque<>();
     private Channel channel;
     private HttpCall call;
     private long openedNanos;
-    private long openedIn;
-    private boolean asked;
+    private long openedInPass;
+    private boolean anyRequestArrived;
     private long arrivingSince;
     private long idleSince = System.nanoTime();
     private boolean refused;
@@ -45,22 +45,22 @@
     }
 
     boolean busy() {
-        return call != null || arrivingSince != 0 || !ahead.isEmpty();
+        return call != null || arrivingSince != 0 || !pipelined.isEmpty();
     }
 
     /** Records the arrival of a request's first bytes; called before the decoder reads them. */
     void requestBytesArrived() {
         if (arrivingSince == 0) {
-            arrivingSince = cameNanos();
-            asked = true;
+            arrivingSince = arrivalNanos();
+            anyRequestArrived = true;
         }
     }
 
     // A request that is found in the first read pass of a new connection may have arrived together
     // with it, and the pass that accepted the connection was the one that followed the stall.
-    private long cameNanos() {
+    private long arrivalNanos() {
         ReadPassHandler reads = server.reads();
-        boolean withConnection = !asked && reads.passCount() <= openedIn + 1;
+        boolean withConnection = !anyRequestArrived && reads.passCount() <= openedInPass + 1;
         return withConnection ? openedNanos : reads.arrivalNanos();
     }
 
@@ -93,8 +93,8 @@
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
             return;
         }
-        if (!ahead.isEmpty()) {
-            begin(ahead.remove());
+        if (!pipelined.isEmpty()) {
+            begin(pipelined.remove());
         }
         channel.config().setAutoRead(true);
     }
@@ -109,7 +109,7 @@
     public void channelActive(ChannelHandlerContext context) {
         channel = context.channel();
         openedNanos = server.reads().arrivalNanos();
-        openedIn = server.reads().passCount();
+        openedInPass = server.reads().passCount();
         server.opened(this);
     }
 
@@ -125,12 +125,12 @@
             refuse(statusOf(cause));
             return;
         }
-        if (call == null && ahead.isEmpty()) {
+        if (call == null && pipelined.isEmpty()) {
             begin(request);
             return;
         }
-        ahead.add(request);
-        if (ahead.size() >= MOST_AHEAD) {
+        pipelined.add(request);
+        if (pipelined.size() >= MAX_PIPELINED) {
             channel.config().setAutoRead(false);
         }
     }
@@ -145,8 +145,8 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         server.closed(this);
-        ahead.forEach(FullHttpRequest::release);
-        ahead.clear();
+        pipelined.forEach(FullHttpRequest::release);
+        pipelined.clear();
         HttpCall open = call;
         call = null;
         if (open != null) {
--- a/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
@@ -22,7 +22,7 @@
 
     private final TestControlThread control = new TestControlThread();
     private final ManualStore store = new ManualStore();
-    private final List<Long> heard = new ArrayList<>();
+    private final List<Long> received = new ArrayList<>();
     private long poison;
     private final Follower follower =
             Follower.of("test")
@@ -35,159 +35,159 @@
 
     // Guards against a lost answer that blocks all later changes.
     @Test
-    void aCallThatIsNotAnsweredIsFollowedByOneBesideIt() {
+    void anOverdueCallIsFollowedByAParallelOne() {
         read(5);
         pass(PACE.stalenessBound().plusMillis(100));
-        assertEquals(2, store.asks.size());
-        store.asks.get(1).complete(ManualStore.set(7));
-        assertEquals(List.of(5L, 7L), heard);
+        assertEquals(2, store.polls.size());
+        store.polls.get(1).complete(ManualStore.set(7));
+        assertEquals(List.of(5L, 7L), received);
     }
 
     // Guards against changes delivered twice or out of order when two calls are answered in
     // reverse.
     @Test
-    void anAnswerThatComesLateTellsOnlyWhatIsNew() {
+    void aLateAnswerDeliversOnlyNewChanges() {
         read(5);
         pass(PACE.stalenessBound().plusMillis(100));
-        store.asks.get(1).complete(ManualStore.set(6, 7));
-        store.asks.get(0).complete(ManualStore.set(6));
-        assertEquals(List.of(5L, 6L, 7L), heard);
+        store.polls.get(1).complete(ManualStore.set(6, 7));
+        store.polls.get(0).complete(ManualStore.set(6));
+        assertEquals(List.of(5L, 6L, 7L), received);
         pass(Duration.ofSeconds(1));
-        assertEquals(List.of(5L, 5L, 7L), store.askedAfter);
+        assertEquals(List.of(5L, 5L, 7L), store.polledAfter);
     }
 
     // Guards against a late answer that starts a second chain of calls and doubles the load.
     @Test
-    void onlyTheNewestCallLeadsToTheNext() {
+    void onlyTheAnswerToTheNewestCallTriggersTheNextCall() {
         read(5);
         pass(PACE.stalenessBound().plusMillis(100));
-        store.asks.get(0).complete(ManualStore.set(6));
+        store.polls.get(0).complete(ManualStore.set(6));
         pass(Duration.ofMillis(250));
-        assertEquals(2, store.asks.size());
-        store.asks.get(1).complete(ManualStore.nothing(6));
+        assertEquals(2, store.polls.size());
+        store.polls.get(1).complete(ManualStore.unchanged(6));
         pass(Duration.ofMillis(250));
-        assertEquals(3, store.asks.size());
+        assertEquals(3, store.polls.size());
     }
 
     // Guards against adding load to a store that is slow already.
     @Test
-    void aStoreThatAnswersNothingIsNotFlooded() {
+    void callsToAStoreThatDoesNotAnswerAreLimited() {
         read(5);
         pass(Duration.ofMinutes(5));
-        assertEquals(8, store.asks.size());
+        assertEquals(8, store.polls.size());
     }
 
     // Guards against a lost answer to the first full read, after which a router would never start.
     @Test
-    void aReadingThatIsNotAnsweredIsFollowedByOneBesideIt() {
+    void anOverdueFullReadIsFollowedByAParallelOne() {
         follower.start();
         pass(Duration.ofMillis(500));
-        store.readings.get(1).complete(listing(5));
-        store.readings.get(0).complete(listing(4));
-        assertEquals(List.of(5L), heard);
-        assertEquals(List.of(5L), store.askedAfter);
+        store.fullReads.get(1).complete(listing(5));
+        store.fullReads.get(0).complete(listing(4));
+        assertEquals(List.of(5L), received);
+        assertEquals(List.of(5L), store.polledAfter);
     }
 
     // Guards against a call that waits after the VM was paused, which would delay for seconds the
     // changes made during the pause.
     @Test
-    void anAnswerThatIsOldWhenItComesIsFollowedByACallThatDoesNotWait() {
+    void anOutdatedAnswerIsFollowedByACallThatDoesNotWait() {
         read(5);
         pass(Duration.ofMillis(1_300));
-        store.asks.get(0).complete(ManualStore.nothing(5));
+        store.polls.get(0).complete(ManualStore.unchanged(5));
         pass(Duration.ofMillis(100));
-        store.asks.get(1).complete(ManualStore.nothing(5));
-        assertEquals(List.of(PACE.patience(), PACE.patience()), store.waits);
+        store.polls.get(1).complete(ManualStore.unchanged(5));
+        assertEquals(List.of(PACE.maxWait(), PACE.maxWait()), store.waits);
         pass(Duration.ofSeconds(9));
-        store.asks.get(2).complete(ManualStore.nothing(5));
+        store.polls.get(2).complete(ManualStore.unchanged(5));
         assertEquals(Duration.ZERO, store.waits.get(store.waits.size() - 1));
     }
 
     // Guards against an exception of a listener that stops the follower for good.
     @Test
-    void aListenerThatFailsIsToldTheRest() {
+    void aListenerThatThrowsReceivesLaterChanges() {
         read(5);
         poison = 6;
-        store.asks.get(0).complete(ManualStore.set(6));
+        store.polls.get(0).complete(ManualStore.set(6));
         pass(Duration.ofMillis(200));
-        store.asks.get(1).complete(ManualStore.set(7));
-        assertEquals(List.of(5L, 7L), heard);
+        store.polls.get(1).complete(ManualStore.set(7));
+        assertEquals(List.of(5L, 7L), received);
     }
 
     @Test
-    void aHistoryThatWasDroppedIsReadAnew() {
+    void allEntriesAreReadAgainAfterACompaction() {
         read(5);
-        store.asks.get(0).completeExceptionally(new PlatformException(Code.COMPACTED, "gone"));
-        store.readings.get(1).complete(listing(9));
-        assertEquals(List.of(5L, 9L), heard);
-        assertEquals(List.of(5L, 9L), store.askedAfter);
+        store.polls.get(0).completeExceptionally(new PlatformException(Code.COMPACTED, "gone"));
+        store.fullReads.get(1).complete(listing(9));
+        assertEquals(List.of(5L, 9L), received);
+        assertEquals(List.of(5L, 9L), store.polledAfter);
     }
 
     @Test
-    void theAgeIsThatOfTheLastAnswer() {
+    void theAgeIsCountedFromWhenTheLastAnswerWasComplete() {
         assertEquals(Optional.empty(), follower.age());
         read(5);
         pass(Duration.ofMillis(300));
         assertEquals(Optional.of(Duration.ofMillis(300)), follower.age());
         // An answer with changes is complete only up to the time at which it was asked for.
-        store.asks.get(0).complete(ManualStore.set(6));
+        store.polls.get(0).complete(ManualStore.set(6));
         assertEquals(Optional.of(Duration.ofMillis(300)), follower.age());
     }
 
     @Test
-    void whoNeedsToKnowIsToldOnceTheStoreHasSaidSo() {
+    void aWaiterIsCalledBackOnceTheStoreHasConfirmedTheView() {
         read(5);
         pass(Duration.ofMillis(300));
-        List<Boolean> told = new ArrayList<>();
-        follower.whenCompleteUpTo(now().minusMillis(300), Duration.ofMillis(400), told::add);
-        assertEquals(List.of(true), told);
-        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
-        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
-        assertEquals(2, store.asks.size());
-        store.asks.get(1).complete(ManualStore.set(6));
-        assertEquals(List.of(5L, 6L), heard);
-        assertEquals(List.of(true, true, true), told);
+        List<Boolean> callbacks = new ArrayList<>();
+        follower.whenCompleteUpTo(now().minusMillis(300), Duration.ofMillis(400), callbacks::add);
+        assertEquals(List.of(true), callbacks);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
+        assertEquals(2, store.polls.size());
+        store.polls.get(1).complete(ManualStore.set(6));
+        assertEquals(List.of(5L, 6L), received);
+        assertEquals(List.of(true, true, true), callbacks);
     }
 
     // Guards against a caller that waits for as long as an outage of the store lasts.
     @Test
-    void whoNeedsToKnowIsToldInTimeThatTheStoreDoesNotSay() {
+    void aWaiterIsCalledBackWithFalseAtItsLimit() {
         read(5);
         pass(Duration.ofMillis(300));
-        List<Boolean> told = new ArrayList<>();
-        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
+        List<Boolean> callbacks = new ArrayList<>();
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
         pass(Duration.ofMillis(400));
-        assertEquals(List.of(false), told);
-        store.asks.get(1).complete(ManualStore.nothing(5));
-        assertEquals(List.of(false), told);
+        assertEquals(List.of(false), callbacks);
+        store.polls.get(1).complete(ManualStore.unchanged(5));
+        assertEquals(List.of(false), callbacks);
     }
 
     // Guards against serving a waiter by an answer to a call that was sent before it arrived.
     @Test
-    void whoComesWhileAnAnswerIsUnderWayIsServedByTheNext() {
+    void aWaiterThatArrivesDuringACallIsServedByTheNextOne() {
         read(5);
         pass(Duration.ofMillis(300));
-        List<Boolean> told = new ArrayList<>();
-        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
+        List<Boolean> callbacks = new ArrayList<>();
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
         pass(Duration.ofMillis(5));
-        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), told::add);
-        store.asks.get(1).complete(ManualStore.nothing(5));
-        assertEquals(List.of(true), told);
-        store.asks.get(2).complete(ManualStore.nothing(5));
-        assertEquals(List.of(true, true), told);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
+        store.polls.get(1).complete(ManualStore.unchanged(5));
+        assertEquals(List.of(true), callbacks);
+        store.polls.get(2).complete(ManualStore.unchanged(5));
+        assertEquals(List.of(true, true), callbacks);
     }
 
     @Test
-    void anEmptyAnswerAtTheEndOfItsWaitIsGoodUpToThen() {
+    void anEmptyAnswerAfterItsWaitIsCompleteUpToTheEndOfTheWait() {
         read(5);
-        pass(PACE.patience().plusMillis(5));
-        store.asks.get(0).complete(ManualStore.nothing(8));
+        pass(PACE.maxWait().plusMillis(5));
+        store.polls.get(0).complete(ManualStore.unchanged(8));
         assertEquals(Optional.of(Duration.ofMillis(5)), follower.age());
     }
 
     private void read(long revision) {
         follower.start();
-        store.readings.get(0).complete(listing(revision));
+        store.fullReads.get(0).complete(listing(revision));
     }
 
     private static Listing listing(long revision) {
@@ -206,7 +206,7 @@
     private final class Revisions implements ChangeListener {
         @Override
         public void entriesRead(List<Entry> entries, long revision, Duration silence) {
-            heard.add(revision);
+            received.add(revision);
         }
 
         @Override
@@ -214,7 +214,7 @@
             if (revision == poison) {
                 throw new IllegalStateException("on purpose");
             }
-            changes.forEach(change -> heard.add(change.revision()));
+            changes.forEach(change -> received.add(change.revision()));
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/follow/ManualStore.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/follow/ManualStore.java
@@ -10,26 +10,26 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** A store whose answers the test completes: {@code store.asks.get(0).complete(...)}. */
+/** A store whose answers the test completes: {@code store.polls.get(0).complete(...)}. */
 final class ManualStore extends OnlyFollowed {
-    final List<CompletableFuture<Changes>> asks = new ArrayList<>();
-    final List<CompletableFuture<Listing>> readings = new ArrayList<>();
-    final List<Long> askedAfter = new ArrayList<>();
+    final List<CompletableFuture<Changes>> polls = new ArrayList<>();
+    final List<CompletableFuture<Listing>> fullReads = new ArrayList<>();
+    final List<Long> polledAfter = new ArrayList<>();
     final List<Duration> waits = new ArrayList<>();
 
     @Override
     public CompletionStage<Changes> changes(String prefix, long after, Duration wait) {
-        askedAfter.add(after);
+        polledAfter.add(after);
         waits.add(wait);
         CompletableFuture<Changes> answer = new CompletableFuture<>();
-        asks.add(answer);
+        polls.add(answer);
         return answer;
     }
 
     @Override
     public CompletionStage<Listing> list(String prefix) {
         CompletableFuture<Listing> answer = new CompletableFuture<>();
-        readings.add(answer);
+        fullReads.add(answer);
         return answer;
     }
 
@@ -46,7 +46,7 @@
         return new Changes(changes, revisions[revisions.length - 1]);
     }
 
-    static Changes nothing(long revision) {
+    static Changes unchanged(long revision) {
         return new Changes(List.of(), revision);
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HttpClientTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/HttpClientTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void anAnswerThatEndsTheConnectionIsNotFollowedByAnother() {
+    void aConnectionThatTheServerClosesIsNotReused() {
         String last =
                 "HTTP/1.1 200 OK\r\nTry: 1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok";
         try (RawServer server = new RawServer(last)) {
@@ -101,14 +101,14 @@
     }
 
     @Test
-    void nonsenseIsNoAnswer() {
+    void anInvalidResponseIsGarbled() {
         try (RawServer server = new RawServer("nonsense\r\n\r\n" + RawServer.CLOSE)) {
             assertEquals("GARBLED", ask(server));
         }
     }
 
     @Test
-    void nothingListensSoNothingWasSent() {
+    void aClosedPortIsReportedAsNotConnected() {
         RawServer server = new RawServer(OK);
         Endpoint gone = server.endpoint();
         server.close();
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void theLateAnswerToAnEarlierRequestIsPassedOver() {
+    void aLateResponseToAnEarlierRequestIsSkipped() {
         // A server may send a second response to an earlier request. It arrives first on the reused
         // connection, and without a check of its headers would be taken for the next one's
         // response.
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void bytesOnAnIdleConnectionEndIt() {
+    void bytesOnAnIdleConnectionCloseIt() {
         try (RawServer server = new RawServer(OK + OK, OK)) {
             assertEquals("200 ok", ask(server));
             assertEquals("200 ok", ask(server));
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HttpServerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/HttpServerTest.java
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aRequestWithTwoLengthsIsRefusedAndEndsTheConnection() throws IOException {
+    void aRequestWithTwoLengthsIsRejectedAndItsConnectionClosed() throws IOException {
         // By its length the body contains a second request; by its chunks the body ends before it.
         // An upstream that reads it the other way would run a request that was never authorized.
         String smuggled =
@@ -108,12 +108,12 @@
     }
 
     @Test
-    void halfARequestIsRefusedAfterItsTime() throws IOException {
+    void anIncompleteRequestTimesOut() throws IOException {
         assertTrue(talk("GET /a HTTP/1.1\r\nHost").startsWith("HTTP/1.1 408"));
     }
 
     @Test
-    void aCallerThatLeavesIsHeardOfAtOnce() throws IOException {
+    void aDisconnectOfTheCallerIsReportedAtOnce() throws IOException {
         try (Socket socket = connect()) {
             socket.getOutputStream().write(get("/never").getBytes(StandardCharsets.US_ASCII));
             socket.getOutputStream().flush();
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aDrainingServerSaysThatEachAnswerIsTheLast() throws IOException {
+    void aDrainingServerClosesEachConnectionAfterItsResponse() throws IOException {
         loop.events().submit(server::drain).syncUninterruptibly();
         String answer = talk(get("/a") + get("/b"));
         assertTrue(answer.toLowerCase().contains("connection: close"), answer);
--- a/damaskyoke/src/test/java/io/damaskyoke/http/StalledLoopTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/StalledLoopTest.java
@@ -25,7 +25,7 @@
     private static final int CALLERS = 5;
 
     /** A loop that was stalled for this long dates the requests it finds into the stall. */
-    private static final int NOTICED_MILLIS = 250;
+    private static final int STALL_MILLIS = 250;
 
     private final HttpLoop loop = HttpLoop.start();
     private final List<String> handled = new CopyOnWriteArrayList<>();
@@ -46,8 +46,8 @@
     // connection is accepted in one read pass, its request read in the next and its end in the
     // third.
     @Test
-    void requestsOfCallersThatLeftOnNewConnectionsAreNotServed() throws Exception {
-        CountDownLatch hold = hold();
+    void requestsOfDisconnectedCallersOnNewConnectionsAreNotServed() throws Exception {
+        CountDownLatch hold = stallLoop();
         for (int each = 0; each < CALLERS; each++) {
             try (Socket caller = connect()) {
                 send(caller, "/left");
@@ -62,14 +62,14 @@
 
     // Guards against the same on connections that were open before the thread was stalled.
     @Test
-    void requestsOfCallersThatLeftOnKeptConnectionsAreNotServed() throws Exception {
+    void requestsOfDisconnectedCallersOnKeptConnectionsAreNotServed() throws Exception {
         Socket[] callers = new Socket[CALLERS];
         for (int each = 0; each < CALLERS; each++) {
             callers[each] = connect();
             ask(callers[each], "/before");
         }
         handled.clear();
-        CountDownLatch hold = hold();
+        CountDownLatch hold = stallLoop();
         for (Socket caller : callers) {
             send(caller, "/left");
             caller.close();
@@ -83,15 +83,15 @@
 
     // Guards against a request that lay unread for seconds and gets its whole timeout again.
     @Test
-    void timeIsCountedFromBeforeTheThreadWasHeld() throws Exception {
+    void theArrivalTimeOfARequestLiesWithinTheStall() throws Exception {
         try (Socket kept = connect();
                 Socket fresh = new Socket()) {
             ask(kept, "/before");
-            CountDownLatch hold = hold();
+            CountDownLatch hold = stallLoop();
             fresh.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port()));
             send(kept, "/kept");
             send(fresh, "/fresh");
-            Thread.sleep(NOTICED_MILLIS);
+            Thread.sleep(STALL_MILLIS);
             long released = System.nanoTime();
             hold.countDown();
             read(kept);
@@ -107,7 +107,7 @@
         call.answer(200, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
     }
 
-    private CountDownLatch hold() throws InterruptedException {
+    private CountDownLatch stallLoop() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch hold = new CountDownLatch(1);
         loop.events()
