--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
@@ -29,8 +29,8 @@
  * stays valid.
  *
  * <pre>{@code
- * Follower.of("upstreams").under("servers/").in(store).at(pace).on(control).counting(metrics)
- *         .tell(listener).start();
+ * Follower.of("upstreams").under("servers/").in(store).at(timing).on(control).counting(metrics)
+ *         .build(listener).start();
  * }</pre>
  */
 public final class Follower {
@@ -62,7 +62,7 @@
     private final String name;
     private final String prefix;
     private final PolledStore store;
-    private final PollTiming pace;
+    private final PollTiming timing;
     private final ControlThread control;
     private final Metrics metrics;
     private final ChangeListener listener;
@@ -85,13 +85,13 @@
         this.name = from.name;
         this.prefix = Objects.requireNonNull(from.prefix, "a follower needs a prefix: under(...)");
         this.store = Objects.requireNonNull(from.store, "a follower needs a store: in(...)");
-        this.pace = Objects.requireNonNull(from.pace, "a follower needs a pace: at(...)");
+        this.timing = Objects.requireNonNull(from.timing, "a follower needs poll timing: at(...)");
         this.control =
                 Objects.requireNonNull(from.control, "a follower needs a control thread: on(...)");
         this.metrics =
                 Objects.requireNonNull(from.metrics, "a follower needs metrics: counting(...)");
         this.relay = from.relay;
-        this.listener = Objects.requireNonNull(listener, "a follower needs a listener: tell(...)");
+        this.listener = Objects.requireNonNull(listener, "a follower needs a listener: build(...)");
         this.waiters = new ViewWaiters(control);
         this.timer = new StepTimer(control);
     }
@@ -177,7 +177,7 @@
 
     private boolean canAnswerPolls() {
         boolean current = hasReadOnce() && !reading && !failing && !fromRelay;
-        return current && view.age(now()).orElseThrow().compareTo(pace.stalenessBound()) <= 0;
+        return current && view.age(now()).orElseThrow().compareTo(timing.stalenessBound()) <= 0;
     }
 
     private void answerPolls() {
@@ -250,7 +250,7 @@
         Duration silence = confirm(call, call.sentAt(), answered, found.revision(), Source.READING);
         lastFromFullRead = true;
         listener.entriesRead(found.entries(), found.revision(), silence);
-        ask(pace.maxWait());
+        ask(timing.maxWait());
         release();
     }
 
@@ -261,7 +261,7 @@
         }
         // A call that doesn't wait is made to confirm the view, which only the store itself can do.
         boolean relayed = !maxWait.isZero() && relay.available();
-        Duration wait = relayed ? pace.atRelay().maxWait() : maxWait;
+        Duration wait = relayed ? timing.atRelay().maxWait() : maxWait;
         send(begin(new StoreCall(now(), wait, () -> ask(Duration.ZERO), relayed)));
     }
 
@@ -349,21 +349,21 @@
             ask(Duration.ZERO);
             return;
         }
-        PollTiming asked = call.relayed() ? pace.atRelay() : pace;
+        PollTiming asked = call.relayed() ? timing.atRelay() : timing;
         Instant next = call.sentAt().plus(asked.minInterval());
         Duration pause = Duration.between(now(), next);
         if (pause.isNegative() || pause.isZero()) {
-            ask(pace.maxWait());
+            ask(timing.maxWait());
         } else {
-            timer.schedule(pause, () -> ask(pace.maxWait()));
+            timer.schedule(pause, () -> ask(timing.maxWait()));
         }
     }
 
     // A relay's answer is as old as the relay's own view, plus the duration of the call to it.
     private Duration bound(StoreCall call) {
         return call.relayed()
-                ? pace.stalenessBound().plus(pace.atRelay().stalenessBound())
-                : pace.stalenessBound();
+                ? timing.stalenessBound().plus(timing.atRelay().stalenessBound())
+                : timing.stalenessBound();
     }
 
     private void failed(StoreCall call, Throwable failure) {
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/FollowerBuilder.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/FollowerBuilder.java
@@ -10,7 +10,7 @@
     final String name;
     String prefix;
     PolledStore store;
-    PollTiming pace;
+    PollTiming timing;
     ControlThread control;
     Metrics metrics;
     Relay relay = Relay.none();
@@ -33,7 +33,7 @@
 
     /** Sets how often the store is polled. */
     public FollowerBuilder at(PollTiming given) {
-        pace = given;
+        timing = given;
         return this;
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class FollowerTest {
-    private static final PollTiming PACE =
+    private static final PollTiming TIMING =
             new PollTiming(Duration.ofSeconds(1), Duration.ofMillis(200));
 
     private final TestControlThread control = new TestControlThread();
@@ -28,7 +28,7 @@
             Follower.of("test")
                     .under("k")
                     .in(store)
-                    .at(PACE)
+                    .at(TIMING)
                     .on(control)
                     .counting(new Metrics())
                     .build(new Revisions());
@@ -37,7 +37,7 @@
     @Test
     void anOverdueCallIsFollowedByAParallelOne() {
         read(5);
-        pass(PACE.stalenessBound().plusMillis(100));
+        pass(TIMING.stalenessBound().plusMillis(100));
         assertEquals(2, store.polls.size());
         store.polls.get(1).complete(ManualStore.set(7));
         assertEquals(List.of(5L, 7L), received);
@@ -48,7 +48,7 @@
     @Test
     void aLateAnswerDeliversOnlyNewChanges() {
         read(5);
-        pass(PACE.stalenessBound().plusMillis(100));
+        pass(TIMING.stalenessBound().plusMillis(100));
         store.polls.get(1).complete(ManualStore.set(6, 7));
         store.polls.get(0).complete(ManualStore.set(6));
         assertEquals(List.of(5L, 6L, 7L), received);
@@ -60,7 +60,7 @@
     @Test
     void onlyTheAnswerToTheNewestCallTriggersTheNextCall() {
         read(5);
-        pass(PACE.stalenessBound().plusMillis(100));
+        pass(TIMING.stalenessBound().plusMillis(100));
         store.polls.get(0).complete(ManualStore.set(6));
         pass(Duration.ofMillis(250));
         assertEquals(2, store.polls.size());
@@ -97,7 +97,7 @@
         store.polls.get(0).complete(ManualStore.unchanged(5));
         pass(Duration.ofMillis(100));
         store.polls.get(1).complete(ManualStore.unchanged(5));
-        assertEquals(List.of(PACE.maxWait(), PACE.maxWait()), store.waits);
+        assertEquals(List.of(TIMING.maxWait(), TIMING.maxWait()), store.waits);
         pass(Duration.ofSeconds(9));
         store.polls.get(2).complete(ManualStore.unchanged(5));
         assertEquals(Duration.ZERO, store.waits.get(store.waits.size() - 1));
@@ -180,7 +180,7 @@
     @Test
     void anEmptyAnswerAfterItsWaitIsCompleteUpToTheEndOfTheWait() {
         read(5);
-        pass(PACE.maxWait().plusMillis(5));
+        pass(TIMING.maxWait().plusMillis(5));
         store.polls.get(0).complete(ManualStore.unchanged(8));
         assertEquals(Optional.of(Duration.ofMillis(5)), follower.age());
     }
