--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -234,7 +234,7 @@
                 settings.availabilityZone(),
                 settings.zones().regions(),
                 clock,
-                loop::whenRead,
+                loop::runAfterRead,
                 new EvenShare(self, members::routerIds));
     }
 
@@ -274,11 +274,11 @@
             boolean trustOpenConnection,
             Consumer<UpstreamCrashDetector.ProbeResult> then) {
         Endpoint endpoint = upstream.facts().endpoint();
-        if (trustOpenConnection && client.keeps(endpoint)) {
+        if (trustOpenConnection && client.hasIdleConnection(endpoint)) {
             then.accept(UpstreamCrashDetector.ProbeResult.ALIVE);
             return;
         }
-        client.reach(
+        client.probe(
                 endpoint,
                 reached ->
                         then.accept(
@@ -412,7 +412,7 @@
 
     private HttpServer serve(String host, int port, io.damaskyoke.http.HttpHandler handler) {
         return HttpServer.start(
-                loop, new InetSocketAddress(host, port), HttpLimits.usual(), handler);
+                loop, new InetSocketAddress(host, port), HttpLimits.defaults(), handler);
     }
 
     // Starts reading the store before it serves callers, since their requests need what is read.
@@ -422,8 +422,8 @@
         upstreamFollower.start(new UpstreamListener());
         members.onQuarantined(crashes::quarantineReadFromStore);
         members.start(this::membersChanged);
-        callers = HttpServer.adopt(loop, socket, HttpLimits.usual(), ingress);
-        metrics.gauge("direct_left_before_served", callers::leftUnserved);
+        callers = HttpServer.adopt(loop, socket, HttpLimits.defaults(), ingress);
+        metrics.gauge("direct_left_before_served", callers::abandonedRequests);
         crashes.registerGauges();
         new DrainProgress(upstreams).registerGauges(metrics);
         limits.registerGauges(metrics);
@@ -436,7 +436,7 @@
         control.every(REPORT_PERIOD, reports::report);
         control.every(GOSSIP_PERIOD, reports::gossip);
         control.every(GOSSIP_PERIOD, limits::announceAgain);
-        control.every(SWEEP_PERIOD, client::sweep);
+        control.every(SWEEP_PERIOD, client::closeExpired);
     }
 
     // No other process has spent this VM's shares of the rate limits since this one started.
@@ -523,7 +523,7 @@
         public void upstreamRemoved(UpstreamFacts last) {
             crashes.upstreamRemoved(last.id());
             leader.upstreamRemoved(last.id());
-            client.forget(last.endpoint());
+            client.closeIdle(last.endpoint());
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardedRequest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardedRequest.java
@@ -104,7 +104,7 @@
 
     /** Queues the request for an upstream, or refuses it if it is quarantined. */
     void start() {
-        call.onGone(this::handleCallerGone);
+        call.onDisconnect(this::handleCallerGone);
         call.onWritable(this::resumeReading);
         if (!inFlight.crashes().isQuarantineEmpty()) {
             boolean mayBeTrial = inFlight.crashes().hasQuarantineEntry(digest());
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamAttempt.java
@@ -2,10 +2,10 @@
 
 import io.damaskyoke.control.direct.RouteKind;
 import io.damaskyoke.control.upstreams.Upstream;
-import io.damaskyoke.http.AnswerListener;
 import io.damaskyoke.http.ClientCall;
 import io.damaskyoke.http.ClientRequest;
-import io.damaskyoke.http.Failure;
+import io.damaskyoke.http.ExchangeFailure;
+import io.damaskyoke.http.ResponseListener;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
@@ -21,7 +21,7 @@
  * <p>The outcome goes to the {@link ForwardedRequest}, which may start another attempt. Crash
  * detection and the upstream's statistics learn of it too.
  */
-final class UpstreamAttempt implements AnswerListener {
+final class UpstreamAttempt implements ResponseListener {
     /**
      * Longest idle time of a pooled connection for requests that must not be repeated. The upstream
      * has hardly ever closed a connection that was used so recently.
@@ -110,7 +110,7 @@
     // The connection may have taken long to open, or the thread may have been delayed. So the
     // upstream's state and the remaining time are checked again when the bytes are written.
     @Override
-    public boolean leaves(HttpHeaders headers) {
+    public boolean beforeSend(HttpHeaders headers) {
         Instant now = inFlight.now();
         if (!forwarded.hasTimeToSend(now)) {
             abandon();
@@ -191,18 +191,18 @@
     }
 
     @Override
-    public void failed(Failure failure) {
+    public void failed(ExchangeFailure failure) {
         if (finished) {
             return;
         }
         upstream.requestFailed(inFlight.now());
         releaseBody();
         finish();
-        boolean broke = failure == Failure.BROKEN || failure == Failure.CUT_SHORT;
-        if (broke || failure == Failure.NOT_CONNECTED) {
+        boolean broke = failure == ExchangeFailure.BROKEN || failure == ExchangeFailure.CUT_SHORT;
+        if (broke || failure == ExchangeFailure.NOT_CONNECTED) {
             inFlight.lostUpstreams().connectionLost(upstream);
         }
-        if (failure == Failure.NOT_CONNECTED) {
+        if (failure == ExchangeFailure.NOT_CONNECTED) {
             inFlight.crashes().upstreamUnreachable(upstream);
         }
         if (failure.mayHaveArrived() && (answer == null || !answer.notRun())) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
@@ -7,7 +7,7 @@
 import io.damaskyoke.control.upstreams.UpstreamTable;
 import io.damaskyoke.follow.ChangeListener;
 import io.damaskyoke.follow.Follower;
-import io.damaskyoke.follow.Pace;
+import io.damaskyoke.follow.PollTiming;
 import io.damaskyoke.follow.Relay;
 import io.damaskyoke.metrics.Metrics;
 import io.damaskyoke.platform.KeyValueStore.Change;
@@ -67,7 +67,7 @@
             PolledStore store,
             Dialect dialect,
             UpstreamTable table,
-            Pace pace,
+            PollTiming pace,
             Relay relay,
             Metrics metrics) {
         this.control = control;
@@ -80,8 +80,8 @@
                         .at(pace)
                         .on(control)
                         .counting(metrics)
-                        .by(relay)
-                        .tell(this);
+                        .via(relay)
+                        .build(this);
     }
 
     void start(Listener given) {
@@ -140,11 +140,11 @@
     }
 
     boolean everRead() {
-        return follower.everRead();
+        return follower.hasReadOnce();
     }
 
     @Override
-    public void all(List<Entry> entries, long revision, Duration silence) {
+    public void entriesRead(List<Entry> entries, long revision, Duration silence) {
         boolean first = readUpTo == 0;
         readUpTo = revision;
         boolean afterOutage = afterOutage(silence);
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void changed(List<Change> changes, long revision, Duration silence) {
+    public void entriesChanged(List<Change> changes, long revision, Duration silence) {
         readUpTo = revision;
         boolean afterOutage = afterOutage(silence);
         for (Change change : changes) {
@@ -236,8 +236,8 @@
             return;
         }
         Instant returned = control.clock().instant();
-        follower.readAnew();
-        follower.whenKnown(
+        follower.reload();
+        follower.whenCompleteUpTo(
                 returned,
                 RECENT_READ_TIMEOUT,
                 known -> {
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/Follower.java
@@ -22,119 +22,125 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Keeps up with all keys under a prefix: reads them, asks for changes, and reads them anew when the
- * store has dropped its history. A call that is not answered in time is followed by another beside
- * it, so that what is known is never older than {@link Pace#bound} while the store answers. While
- * it is out, what was heard last stands.
+ * Keeps a view of all keys under a prefix up to date: reads them, polls for changes, and reads them
+ * again when the store has compacted its history. A call that is not answered in time is followed
+ * by a second one in parallel, so that the view is never older than {@link
+ * PollTiming#stalenessBound} while the store answers. During an outage of the store the last view
+ * stays valid.
  *
  * <pre>{@code
- * Follower.of("upstreams").under("servers/").in(store).at(pace).on(control).counting(metrics)
- *         .tell(listener).start();
+ * Follower.of("upstreams").under("servers/").in(store).at(timing).on(control).counting(metrics)
+ *         .build(listener).start();
  * }</pre>
  */
 public final class Follower {
     private static final Logger LOG = LogManager.getLogger(Follower.class);
 
-    /** Half of what a new process may take to be of use; short against every bound. */
+    /**
+     * Half of the time that a new process may take to become useful, and short against every
+     * staleness bound.
+     */
     private static final Duration READ_RETRY = Duration.ofMillis(250);
 
     private static final Duration RETRY = Duration.ofMillis(300);
 
     /**
-     * A store that is about to drop its history may say for so long that nothing has changed when
-     * something has; what a reading then shows is older than the last answers let one think.
+     * A store that is about to compact its history may answer for this long that nothing has
+     * changed although something has. Changes found by the full read that follows may therefore be
+     * older than the last answers suggest.
      */
-    private static final Duration MUTE = Duration.ofSeconds(2);
+    private static final Duration COMPACTION_DELAY = Duration.ofSeconds(2);
 
-    private static final Duration LOOK = Duration.ofMillis(100);
+    private static final Duration CHECK_PERIOD = Duration.ofMillis(100);
 
-    /** Nobody may have a call held here for longer. */
-    private static final Duration LONGEST_HELD = Duration.ofSeconds(2);
+    /** The longest time that a call of another process is held here. */
+    private static final Duration MAX_POLL_WAIT = Duration.ofSeconds(2);
 
-    /** Calls without an answer; more of them would only add to the load of a slow store. */
-    private static final int MOST_OPEN = 8;
+    /** The limit of unanswered calls; more would only add to the load of a slow store. */
+    private static final int MAX_OPEN_CALLS = 8;
 
     private final String name;
     private final String prefix;
     private final PolledStore store;
-    private final Pace pace;
+    private final PollTiming timing;
     private final ControlThread control;
     private final Metrics metrics;
     private final ChangeListener listener;
-    private final View view = new View();
-    private final Set<Call> open = new HashSet<>();
-    private final Waiters waiters;
-    private final Planned planned;
+    private final StoreView view = new StoreView();
+    private final Set<StoreCall> open = new HashSet<>();
+    private final ViewWaiters waiters;
+    private final StepTimer timer;
     private final Relay relay;
     private final ChangeHistory history = new ChangeHistory();
-    private final HeldAsks asks = new HeldAsks(view, history);
-    private Call newest;
-    private Call beside;
+    private final LongPolls polls = new LongPolls(view, history);
+    private StoreCall newest;
+    private StoreCall confirming;
     private boolean reading = true;
     private boolean failing;
     private boolean silent;
-    private boolean byRelay;
-    private boolean readingTold;
+    private boolean fromRelay;
+    private boolean lastFromFullRead;
 
     Follower(FollowerBuilder from, ChangeListener listener) {
         this.name = from.name;
         this.prefix = Objects.requireNonNull(from.prefix, "a follower needs a prefix: under(...)");
         this.store = Objects.requireNonNull(from.store, "a follower needs a store: in(...)");
-        this.pace = Objects.requireNonNull(from.pace, "a follower needs a pace: at(...)");
-        this.control = Objects.requireNonNull(from.control, "a follower needs a thread: on(...)");
+        this.timing = Objects.requireNonNull(from.timing, "a follower needs poll timing: at(...)");
+        this.control =
+                Objects.requireNonNull(from.control, "a follower needs a control thread: on(...)");
         this.metrics =
                 Objects.requireNonNull(from.metrics, "a follower needs metrics: counting(...)");
         this.relay = from.relay;
-        this.listener = Objects.requireNonNull(listener, "a follower needs somebody to tell");
-        this.waiters = new Waiters(control);
-        this.planned = new Planned(control);
+        this.listener = Objects.requireNonNull(listener, "a follower needs a listener: build(...)");
+        this.waiters = new ViewWaiters(control);
+        this.timer = new StepTimer(control);
     }
 
-    /** Begins to make a follower; logs and metrics call what it follows by this name. */
+    /** Starts building a follower whose keys are called by this name in logs and metrics. */
     public static FollowerBuilder of(String name) {
         return new FollowerBuilder(name);
     }
 
-    /** Begins; returns this. */
+    /** Starts following and returns this follower. */
     public Follower start() {
         metrics.gauge("store_view_age_ms", "of", name, this::ageMillis);
         read();
-        control.every(LOOK, this::look);
+        control.every(CHECK_PERIOD, this::checkCalls);
         return this;
     }
 
-    /** What the followed keys begin with. */
+    /** Returns the prefix of the followed keys. */
     public String prefix() {
         return prefix;
     }
 
-    /** True once everything was read. */
-    public boolean everRead() {
+    /** Returns true once all entries have been read for the first time. */
+    public boolean hasReadOnce() {
         return view.asOf().isPresent();
     }
 
-    /** True while neither a reading nor a call for changes is failing. */
+    /** Returns true while neither full reads nor calls for changes fail and the store is up. */
     public boolean upToDate() {
-        return everRead() && !failing && store.up();
+        return hasReadOnce() && !failing && store.up();
     }
 
-    /** How long ago what is known here was surely complete; empty before the first reading. */
+    /** Returns how long ago the view was surely complete; empty before the first full read. */
     public Optional<Duration> age() {
         return view.age(now());
     }
 
     /**
-     * For a listener that is being told news: none of it had happened at this moment. {@link
-     * Instant#MIN} if that isn't known.
+     * Returns a time before which none of the changes happened that a listener is receiving just
+     * now; {@link Instant#MIN} if no such time is known.
      */
-    public Instant newsSince() {
-        Instant complete = view.asOfBefore();
-        boolean surely = !readingTold || complete.equals(Instant.MIN);
-        return surely ? complete : complete.minus(MUTE);
+    public Instant earliestChangeTime() {
+        Instant complete = view.previousAsOf();
+        boolean exact = !lastFromFullRead || complete.equals(Instant.MIN);
+        return exact ? complete : complete.minus(COMPACTION_DELAY);
     }
 
-    /** Reads everything anew, so that {@link #whenKnown} waits for a reading. */
-    public void readAnew() {
+    /** Reads all entries again; {@link #whenCompleteUpTo} then waits for that full read. */
+    public void reload() {
         if (!reading) {
             reading = true;
             read();
@@ -142,64 +148,64 @@
     }
 
     /**
-     * Tells, once, when everything up to the moment is known here; the listener has heard of it
-     * then. Asks for it if need be, together with others who wait. Tells {@code false} if the store
-     * hasn't said so within the limit.
+     * Calls back once: with {@code true} when all changes up to the moment are known here and the
+     * listener has received them, or with {@code false} if the store has not confirmed that within
+     * the limit. Asks the store if needed, in one call for all that wait.
      */
-    public void whenKnown(Instant moment, Duration limit, Consumer<Boolean> told) {
+    public void whenCompleteUpTo(Instant moment, Duration limit, Consumer<Boolean> callback) {
         if (view.reaches(moment)) {
-            told.accept(true);
+            callback.accept(true);
             return;
         }
-        waiters.add(moment, limit, told);
-        askBeside();
+        waiters.add(moment, limit, callback);
+        askForWaiters();
     }
 
     /**
-     * Tells another process what has changed after the revision, as the store would: at once, when
-     * it comes, or that there was nothing at the end of the wait. Tells nothing if that isn't known
-     * here at first hand and of late; the other has to ask the store then.
+     * Answers another process with the changes after the revision, as the store would: at once,
+     * when a change arrives, or with none at the end of the wait. The answer is empty if this view
+     * is outdated or comes from a relay itself; the other process then has to ask the store.
      */
-    public void tell(long after, Duration wait, Consumer<Optional<Changes>> told) {
-        if (!mayPassOn()) {
-            told.accept(Optional.empty());
+    public void answerPoll(long after, Duration wait, Consumer<Optional<Changes>> callback) {
+        if (!canAnswerPolls()) {
+            callback.accept(Optional.empty());
             return;
         }
-        Duration longest = wait.compareTo(LONGEST_HELD) < 0 ? wait : LONGEST_HELD;
-        asks.add(after, now().plus(longest), told, now());
+        Duration longest = wait.compareTo(MAX_POLL_WAIT) < 0 ? wait : MAX_POLL_WAIT;
+        polls.add(after, now().plus(longest), callback, now());
     }
 
-    private boolean mayPassOn() {
-        boolean sure = everRead() && !reading && !failing && !byRelay;
-        return sure && view.age(now()).orElseThrow().compareTo(pace.bound()) <= 0;
+    private boolean canAnswerPolls() {
+        boolean current = hasReadOnce() && !reading && !failing && !fromRelay;
+        return current && view.age(now()).orElseThrow().compareTo(timing.stalenessBound()) <= 0;
     }
 
-    private void passOn() {
-        if (asks.isEmpty()) {
+    private void answerPolls() {
+        if (polls.isEmpty()) {
             return;
         }
-        if (mayPassOn()) {
-            asks.answer(now());
+        if (canAnswerPolls()) {
+            polls.answerReady(now());
         } else {
-            asks.turnAway();
+            polls.rejectAll();
         }
     }
 
     private void release() {
-        waiters.release(view);
+        waiters.completeReached(view);
         if (!waiters.isEmpty()) {
-            askBeside();
+            askForWaiters();
         }
     }
 
-    // One at a time: whoever comes meanwhile is served by the next.
-    private void askBeside() {
-        if (reading || open.contains(beside) || open.size() >= MOST_OPEN) {
+    // One call at a time: those who arrive while it is under way are served by the next.
+    private void askForWaiters() {
+        if (reading || open.contains(confirming) || open.size() >= MAX_OPEN_CALLS) {
             return;
         }
-        beside = new Call(now(), Duration.ZERO, () -> {});
-        open.add(beside);
-        send(beside);
+        confirming = new StoreCall(now(), Duration.ZERO, () -> {});
+        open.add(confirming);
+        send(confirming);
     }
 
     private Instant now() {
@@ -211,87 +217,91 @@
     }
 
     private void read() {
-        Call call = begin(new Call(now(), Duration.ZERO, this::read));
+        StoreCall call = begin(new StoreCall(now(), Duration.ZERO, this::read));
         store.list(prefix)
-                .whenComplete((found, failure) -> control.run(() -> took(call, found, failure)));
+                .whenComplete(
+                        (found, failure) -> control.run(() -> readAnswered(call, found, failure)));
     }
 
-    private void took(Call call, Listing found, Throwable failure) {
+    private void readAnswered(StoreCall call, Listing found, Throwable failure) {
         open.remove(call);
         if (found == null) {
             if (!failing) {
-                LOG.warn("can't read {} from the store: {}", name, failure.getMessage());
+                LOG.warn(
+                        "failed to read {} from the store, retrying: {}",
+                        name,
+                        failure.getMessage());
             }
             failing = true;
             if (call == newest) {
-                planned.in(READ_RETRY, this::read);
+                timer.schedule(READ_RETRY, this::read);
             }
             return;
         }
         if (!reading) {
-            // Another reading, sent beside this one, was answered first.
+            // A parallel full read was answered first.
             return;
         }
         reading = false;
         failing = false;
-        byRelay = false;
+        fromRelay = false;
         history.startAt(found.revision());
-        Instant answered = call.answeredBy(now());
-        Duration silence = confirm(call, call.at(), answered, found.revision(), Source.READING);
-        readingTold = true;
-        listener.all(found.entries(), found.revision(), silence);
-        ask(pace.patience());
+        Instant answered = call.latestAnswerTime(now());
+        Duration silence = confirm(call, call.sentAt(), answered, found.revision(), Source.READING);
+        lastFromFullRead = true;
+        listener.entriesRead(found.entries(), found.revision(), silence);
+        ask(timing.maxWait());
         release();
     }
 
-    private void ask(Duration patience) {
+    private void ask(Duration maxWait) {
         if (reading) {
-            // Goes on when the reading is answered.
+            // Polling continues when the full read is answered.
             return;
         }
-        // A call that doesn't wait is one that must know for sure: the store has to say.
-        boolean relayed = !patience.isZero() && relay.available();
-        Duration wait = relayed ? pace.atRelay().patience() : patience;
-        send(begin(new Call(now(), wait, () -> ask(Duration.ZERO), relayed)));
+        // A call that doesn't wait is made to confirm the view, which only the store itself can do.
+        boolean relayed = !maxWait.isZero() && relay.available();
+        Duration wait = relayed ? timing.atRelay().maxWait() : maxWait;
+        send(begin(new StoreCall(now(), wait, () -> ask(Duration.ZERO), relayed)));
     }
 
-    private void send(Call call) {
-        CompletionStage<Changes> told =
+    private void send(StoreCall call) {
+        CompletionStage<Changes> answer =
                 call.relayed()
-                        ? relay.changes(prefix, view.revision(), call.patience())
-                        : store.changes(prefix, view.revision(), call.patience());
-        told.whenComplete(
+                        ? relay.changes(prefix, view.revision(), call.maxWait())
+                        : store.changes(prefix, view.revision(), call.maxWait());
+        answer.whenComplete(
                 (changes, failure) -> control.run(() -> answered(call, changes, failure)));
     }
 
-    private Call begin(Call call) {
-        planned.cancel();
+    private StoreCall begin(StoreCall call) {
+        timer.cancel();
         newest = call;
         open.add(call);
         return call;
     }
 
-    private void look() {
-        passOn();
+    private void checkCalls() {
+        answerPolls();
         if (!open.contains(newest)) {
-            goOn();
-        } else if (!now().isBefore(newest.due()) && open.size() < MOST_OPEN) {
-            askBesideUnanswered();
+            resume();
+        } else if (!now().isBefore(newest.overdueAt()) && open.size() < MAX_OPEN_CALLS) {
+            retryOverdue();
         }
     }
 
-    // A call under way when the store goes away is never answered, also after its return, and hides
-    // what happens until it is given up. One beside it needs no more than a moment. Both may still
-    // be answered; what is known already is left out.
-    private void askBesideUnanswered() {
+    // A call that is under way when the store becomes unavailable may never be answered, not even
+    // after the store's return, and no change is received until it is given up. A parallel call
+    // costs little. Both may still be answered; changes that are known already are left out.
+    private void retryOverdue() {
         metrics.count("store_asks_overdue", "of", name);
-        silent(newest, "no answer yet");
-        newest.again().run();
+        reportSilence(newest, "no answer in time");
+        newest.retry().run();
     }
 
-    // The VM stood still in a pause, or a listener failed at what it was told.
-    private void goOn() {
-        if (!planned.missing(LOOK)) {
+    // The VM was paused during a planned wait, or a listener threw an exception.
+    private void resume() {
+        if (!timer.isMissingOrOverdue(CHECK_PERIOD)) {
             return;
         }
         if (reading) {
@@ -301,7 +311,7 @@
         }
     }
 
-    private void answered(Call call, Changes changes, Throwable failure) {
+    private void answered(StoreCall call, Changes changes, Throwable failure) {
         open.remove(call);
         if (reading) {
             return;
@@ -310,51 +320,53 @@
             failed(call, failure);
             return;
         }
-        List<Change> news =
+        List<Change> unseen =
                 changes.changes().stream()
                         .filter(change -> change.revision() > view.revision())
                         .toList();
-        byRelay = call.relayed();
+        fromRelay = call.relayed();
         Duration age = changes.age();
-        Instant goodUpTo = call.goodUpTo(now(), changes.changes().isEmpty()).minus(age);
-        Instant answered = call.answeredBy(now()).minus(age);
-        Duration silence = confirm(call, goodUpTo, answered, changes.revision(), Source.CHANGES);
-        if (!news.isEmpty()) {
-            history.add(news);
-            readingTold = false;
-            listener.changed(news, news.get(news.size() - 1).revision(), silence);
+        Instant completeUpTo = call.completeUpTo(now(), changes.changes().isEmpty()).minus(age);
+        Instant answered = call.latestAnswerTime(now()).minus(age);
+        Duration silence =
+                confirm(call, completeUpTo, answered, changes.revision(), Source.CHANGES);
+        if (!unseen.isEmpty()) {
+            history.add(unseen);
+            lastFromFullRead = false;
+            listener.entriesChanged(unseen, unseen.get(unseen.size() - 1).revision(), silence);
         }
-        passOn();
+        answerPolls();
         if (call == newest) {
             askNext(call);
         }
         release();
     }
 
-    private void askNext(Call call) {
-        // The VM stood still since: a call that waits would leave unheard what came meanwhile.
-        boolean old = view.age(now()).orElseThrow().compareTo(bound(call)) > 0;
-        if (old) {
+    private void askNext(StoreCall call) {
+        // The VM was paused: a call that waits would delay the changes made during the pause.
+        boolean outdated = view.age(now()).orElseThrow().compareTo(bound(call)) > 0;
+        if (outdated) {
             ask(Duration.ZERO);
             return;
         }
-        Pace asked = call.relayed() ? pace.atRelay() : pace;
-        Instant next = call.at().plus(asked.gap());
+        PollTiming asked = call.relayed() ? timing.atRelay() : timing;
+        Instant next = call.sentAt().plus(asked.minInterval());
         Duration pause = Duration.between(now(), next);
         if (pause.isNegative() || pause.isZero()) {
-            ask(pace.patience());
+            ask(timing.maxWait());
         } else {
-            planned.in(pause, () -> ask(pace.patience()));
+            timer.schedule(pause, () -> ask(timing.maxWait()));
         }
     }
 
-    // What a relay tells is as old as its own view, and is on its way as long as a call to it
-    // lasts.
-    private Duration bound(Call call) {
-        return call.relayed() ? pace.bound().plus(pace.atRelay().bound()) : pace.bound();
+    // A relay's answer is as old as the relay's own view, plus the duration of the call to it.
+    private Duration bound(StoreCall call) {
+        return call.relayed()
+                ? timing.stalenessBound().plus(timing.atRelay().stalenessBound())
+                : timing.stalenessBound();
     }
 
-    private void failed(Call call, Throwable failure) {
+    private void failed(StoreCall call, Throwable failure) {
         if (call.relayed()) {
             metrics.count("store_relays_failed", "of", name);
             if (call == newest) {
@@ -363,25 +375,25 @@
             return;
         }
         if (compacted(failure)) {
-            LOG.info("the store has dropped the history of {}, reading it anew", name);
+            LOG.info("the store has compacted the history of {}, reading all of it again", name);
             failing = true;
-            readAnew();
+            reload();
             return;
         }
         metrics.count("store_asks_failed", "of", name);
         if (call == newest) {
-            silent(call, failure.getMessage());
-            planned.in(RETRY, () -> ask(Duration.ZERO));
+            reportSilence(call, failure.getMessage());
+            timer.schedule(RETRY, () -> ask(Duration.ZERO));
         }
     }
 
-    private void silent(Call call, String why) {
+    private void reportSilence(StoreCall call, String why) {
         if (silent) {
             return;
         }
         silent = true;
         LOG.info(
-                "no changes of {}: a call sent {} ms ago at revision {}: {}; view is {} ms old",
+                "no update of {}: call sent {} ms ago at revision {}: {}; view is {} ms old",
                 name,
                 call.age(now()).toMillis(),
                 view.revision(),
@@ -395,21 +407,22 @@
     }
 
     private Duration confirm(
-            Call call, Instant goodUpTo, Instant answered, long revision, Source source) {
+            StoreCall call, Instant completeUpTo, Instant answered, long revision, Source source) {
         if (silent) {
             silent = false;
             LOG.info(
-                    "{} is heard of again: revision {} by {}, asked {} ms ago, view was {} ms old",
+                    "updates of {} resumed: revision {} by {}, call sent {} ms ago, view was {} ms"
+                            + " old",
                     name,
                     revision,
                     source,
                     call.age(now()).toMillis(),
                     ageMillis());
         }
-        return view.confirm(goodUpTo, answered, revision);
+        return view.confirm(completeUpTo, answered, revision);
     }
 
-    /** What an answer was one to. */
+    /** The kind of call that an answer belongs to. */
     private enum Source {
         READING,
         CHANGES
--- a/damaskyoke/src/main/java/io/damaskyoke/follow/Planned.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/follow/StepTimer.java
@@ -5,20 +5,20 @@
 import java.time.Instant;
 
 /**
- * One step that is planned, and whether its time is over by the clock: a timer ends as much later
- * as the VM stood still, and what came meanwhile would wait for it.
+ * A timer for at most one step, which also tells by the clock whether the step is overdue. A timer
+ * fires late by as long as the VM was paused, and changes made meanwhile would wait for it.
  */
-final class Planned {
+final class StepTimer {
     private final ControlThread control;
     private ControlThread.Cancellable timer = () -> {};
     private Instant due = Instant.MAX;
 
-    Planned(ControlThread control) {
+    StepTimer(ControlThread control) {
         this.control = control;
     }
 
-    /** Plans a step, in place of one that was planned before. */
-    void in(Duration pause, Runnable step) {
+    /** Schedules a step and cancels the one scheduled before. */
+    void schedule(Duration pause, Runnable step) {
         cancel();
         due = control.clock().instant().plus(pause);
         timer = control.after(pause, step);
@@ -29,8 +29,8 @@
         due = Instant.MAX;
     }
 
-    /** True if nothing is planned, or if it should have run some time ago. */
-    boolean missing(Duration late) {
+    /** Returns true if no step is scheduled, or if it is overdue by at least {@code late}. */
+    boolean isMissingOrOverdue(Duration late) {
         return due.equals(Instant.MAX) || !control.clock().instant().isBefore(due.plus(late));
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
@@ -17,32 +17,38 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** One connection of the client, and the request that it carries. */
+/** A connection of the client to a server, which carries at most one request at a time. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** A server that names no time is taken to close after five seconds, as common ones do. */
-    private static final long USUAL_KEEP_NANOS = TimeUnit.SECONDS.toNanos(4);
+    /**
+     * Used if the server sends no keep-alive timeout: common servers close an idle connection after
+     * five seconds.
+     */
+    private static final long DEFAULT_KEEP_ALIVE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-    /** The named time is in whole seconds, so it may be up to one less than it says. */
-    private static final long KEEP_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+    /**
+     * Subtracted from the server's keep-alive timeout, which is in whole seconds, so that the
+     * connection may close up to a second earlier.
+     */
+    private static final long KEEP_ALIVE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
     private final HttpClient client;
     private final Endpoint endpoint;
     private Channel channel;
     private State state = State.CONNECTING;
     private ClientRequest request;
-    private AnswerListener listener;
-    private boolean keep;
-    private long keepNanos = USUAL_KEEP_NANOS;
+    private ResponseListener listener;
+    private boolean keepAlive;
+    private long keepAliveNanos = DEFAULT_KEEP_ALIVE_NANOS;
     private long idleSince;
-    private int number;
+    private int requestNumber;
 
     private enum State {
         CONNECTING,
-        /** The request is written; its answer has not begun. */
+        /** The request is written; its response has not begun. */
         AWAITING,
-        /** The answer to something else is passing, and is dropped. */
+        /** A response to another request is being received and discarded. */
         SKIPPING,
-        /** The answer is coming in. */
+        /** The response is being received. */
         READING,
         IDLE,
         CLOSED
@@ -63,27 +69,27 @@
 
     boolean usable(long now, Duration limit) {
         long idle = now - idleSince;
-        return idle < keepNanos && idle < limit.toNanos();
+        return idle < keepAliveNanos && idle < limit.toNanos();
     }
 
     boolean expired(long now) {
-        return now - idleSince >= keepNanos;
+        return now - idleSince >= keepAliveNanos;
     }
 
-    ClientCall begin(ClientRequest given, AnswerListener hears) {
+    ClientCall begin(ClientRequest given, ResponseListener responseListener) {
         request = given;
-        listener = hears;
-        number++;
+        listener = responseListener;
+        requestNumber++;
         if (state == State.IDLE) {
             write();
         }
-        return new Call(number);
+        return new Call(requestNumber);
     }
 
-    void notConnected() {
+    void connectFailed() {
         if (state == State.CONNECTING) {
             request.body().release();
-            fail(Failure.NOT_CONNECTED);
+            fail(ExchangeFailure.NOT_CONNECTED);
         }
     }
 
@@ -101,8 +107,8 @@
             channel.close();
             return;
         }
-        // Opening it may have lasted; whoever waited for the answer may have left meanwhile.
-        client.loop().whenRead(this::writeIfWanted);
+        // Connecting may have taken a while; the caller may have canceled the request meanwhile.
+        client.loop().runAfterRead(this::writeIfWanted);
     }
 
     private void writeIfWanted() {
@@ -114,7 +120,7 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (state == State.IDLE || state == State.CLOSED || !(message instanceof HttpObject)) {
-            // Bytes that no request is waiting for belong to none that comes later, either.
+            // Bytes that answer no request must not be taken for the response to a later one.
             ReferenceCountUtil.release(message);
             discard();
             return;
@@ -122,7 +128,7 @@
         HttpObject object = (HttpObject) message;
         if (object.decoderResult().isFailure()) {
             ReferenceCountUtil.release(message);
-            fail(state == State.READING ? Failure.CUT_SHORT : Failure.GARBLED);
+            fail(state == State.READING ? ExchangeFailure.CUT_SHORT : ExchangeFailure.GARBLED);
             return;
         }
         if (message instanceof HttpResponse response) {
@@ -135,26 +141,26 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        notConnected();
-        ended();
+        connectFailed();
+        connectionEnded();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        ended();
+        connectionEnded();
         context.close();
     }
 
     private void write() {
         HttpHeaders headers = request.headers();
-        if (!listener.leaves(headers)) {
+        if (!listener.beforeSend(headers)) {
             request.body().release();
             listener = null;
             close();
             return;
         }
         state = State.AWAITING;
-        keep = true;
+        keepAlive = true;
         headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().readableBytes());
         channel.writeAndFlush(
                 new DefaultFullHttpRequest(
@@ -173,11 +179,11 @@
         }
         HttpHeaders headers = response.headers();
         if (!HttpUtil.isKeepAlive(response)) {
-            keep = false;
+            keepAlive = false;
         }
-        if (!request.mine().test(headers)) {
+        if (!request.isOwnResponse().test(headers)) {
             state = State.SKIPPING;
-            keep = false;
+            keepAlive = false;
             return;
         }
         readKeepAlive(headers.get("Keep-Alive"));
@@ -195,7 +201,7 @@
             return;
         }
         long named = TimeUnit.SECONDS.toNanos(Long.parseLong(digits));
-        keepNanos = Math.max(0, named - KEEP_MARGIN_NANOS);
+        keepAliveNanos = Math.max(0, named - KEEP_ALIVE_MARGIN_NANOS);
     }
 
     private void part(HttpContent content) {
@@ -218,39 +224,39 @@
     }
 
     private void finish() {
-        AnswerListener told = listener;
+        ResponseListener told = listener;
         listener = null;
         request = null;
-        if (keep && channel.isActive()) {
+        if (keepAlive && channel.isActive()) {
             state = State.IDLE;
             idleSince = System.nanoTime();
             channel.config().setAutoRead(true);
-            client.keep(this);
+            client.addIdle(this);
         } else {
             close();
         }
         told.end();
     }
 
-    private void ended() {
+    private void connectionEnded() {
         if (state == State.IDLE) {
             discard();
         } else if (state == State.READING) {
-            fail(Failure.CUT_SHORT);
+            fail(ExchangeFailure.CUT_SHORT);
         } else if (state == State.AWAITING || state == State.SKIPPING) {
-            fail(Failure.BROKEN);
+            fail(ExchangeFailure.BROKEN);
         }
     }
 
     private void discard() {
         if (state == State.IDLE) {
-            client.dropped(this);
+            client.removeIdle(this);
         }
         close();
     }
 
-    private void fail(Failure failure) {
-        AnswerListener told = listener;
+    private void fail(ExchangeFailure failure) {
+        ResponseListener told = listener;
         listener = null;
         close();
         if (told != null) {
@@ -258,12 +264,12 @@
         }
     }
 
-    /** The handle that callers hold; it does nothing once its request is over. */
+    /** The caller's handle of one request; it does nothing once the request is over. */
     private final class Call implements ClientCall {
-        private final int mine;
+        private final int ownNumber;
 
-        Call(int mine) {
-            this.mine = mine;
+        Call(int ownNumber) {
+            this.ownNumber = ownNumber;
         }
 
         @Override
@@ -286,7 +292,7 @@
         }
 
         private boolean current() {
-            return mine == number && state != State.IDLE && state != State.CLOSED;
+            return ownNumber == requestNumber && state != State.IDLE && state != State.CLOSED;
         }
     }
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpClient.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpClient.java
@@ -22,16 +22,17 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests and keeps connections: {@code client.send(endpoint, request, listener)}.
+ * An HTTP client with a connection pool: {@code client.send(endpoint, request, listener)}.
  *
- * <p>A connection carries one request at a time, and is kept only after a whole answer that neither
- * side wanted to be the last. One that gets bytes while idle is closed, since they belong to no
- * request. Belongs to one event loop and is used only there.
+ * <p>A connection carries one request at a time, and returns to the pool only after a complete
+ * response that neither side marked as the last. A connection that receives bytes while idle is
+ * closed, since they belong to no request. The client belongs to one event loop and is used only
+ * there.
  */
 public final class HttpClient {
     private static final int MAX_LINE_BYTES = 16 * 1024;
     private static final int MAX_HEADER_BYTES = 64 * 1024;
-    private static final int KEPT_PER_ENDPOINT = 32;
+    private static final int MAX_IDLE_PER_ENDPOINT = 32;
     private static final WriteBufferWaterMark WATER_MARK =
             new WriteBufferWaterMark(32 * 1024, 128 * 1024);
 
@@ -40,7 +41,7 @@
     private final Map<Endpoint, ArrayDeque<ClientConnection>> idle = new HashMap<>();
     private final Bootstrap bootstrap;
 
-    /** A client on this loop that gives up on a connection after the time. */
+    /** Creates a client on the loop that abandons a connection attempt after the timeout. */
     public HttpClient(HttpLoop loop, Duration connectTimeout, Metrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
@@ -56,8 +57,8 @@
                                 (int) connectTimeout.toMillis());
     }
 
-    /** Sends the request over a kept or a new connection; the listener hears the rest. */
-    public ClientCall send(Endpoint to, ClientRequest request, AnswerListener listener) {
+    /** Sends the request over a pooled or a new connection; the listener receives the response. */
+    public ClientCall send(Endpoint to, ClientRequest request, ResponseListener listener) {
         ClientConnection kept = kept(to, request.idleLimit());
         if (kept != null) {
             return kept.begin(request, listener);
@@ -72,32 +73,32 @@
                 .addListener(
                         done -> {
                             if (!done.isSuccess()) {
-                                fresh.notConnected();
+                                fresh.connectFailed();
                             }
                         });
         return call;
     }
 
-    /** True if a connection to the server is open that carries nothing. */
-    public boolean keeps(Endpoint server) {
+    /** Returns true if the pool has an open idle connection to the server. */
+    public boolean hasIdleConnection(Endpoint server) {
         ArrayDeque<ClientConnection> connections = idle.get(server);
         return connections != null && connections.stream().anyMatch(ClientConnection::open);
     }
 
     /**
-     * Connects to a server and sends nothing: tells whether it takes connections, or empty if there
-     * is no answer in time.
+     * Probes a server by connecting to it without sending anything. Passes true if the connection
+     * was accepted, false if it was refused, or empty if neither happened in time.
      */
-    public void reach(Endpoint server, Consumer<Optional<Boolean>> then) {
+    public void probe(Endpoint server, Consumer<Optional<Boolean>> then) {
         metrics.count("http_connects");
         bootstrap
                 .clone()
                 .handler(new ChannelInboundHandlerAdapter())
                 .connect(server.socket())
-                .addListener((ChannelFuture done) -> then.accept(reached(done)));
+                .addListener((ChannelFuture done) -> then.accept(probeResult(done)));
     }
 
-    private static Optional<Boolean> reached(ChannelFuture done) {
+    private static Optional<Boolean> probeResult(ChannelFuture done) {
         if (done.isSuccess()) {
             done.channel().close();
             return Optional.of(true);
@@ -108,16 +109,16 @@
         return refused ? Optional.of(false) : Optional.empty();
     }
 
-    /** Closes the idle connections to a server that is gone or no longer to be trusted. */
-    public void forget(Endpoint gone) {
+    /** Closes the idle connections to a server that is gone or no longer trusted. */
+    public void closeIdle(Endpoint gone) {
         ArrayDeque<ClientConnection> connections = idle.remove(gone);
         if (connections != null) {
             connections.forEach(ClientConnection::close);
         }
     }
 
-    /** Closes idle connections whose time is over; call it now and then. */
-    public void sweep() {
+    /** Closes the idle connections whose keep-alive time has expired; to be called regularly. */
+    public void closeExpired() {
         long now = System.nanoTime();
         for (ArrayDeque<ClientConnection> connections : idle.values()) {
             Iterator<ClientConnection> each = connections.iterator();
@@ -136,24 +137,24 @@
         return loop;
     }
 
-    void keep(ClientConnection connection) {
+    void addIdle(ClientConnection connection) {
         ArrayDeque<ClientConnection> kept =
                 idle.computeIfAbsent(connection.endpoint(), any -> new ArrayDeque<>());
-        if (kept.size() >= KEPT_PER_ENDPOINT) {
+        if (kept.size() >= MAX_IDLE_PER_ENDPOINT) {
             connection.close();
         } else {
             kept.addFirst(connection);
         }
     }
 
-    void dropped(ClientConnection connection) {
+    void removeIdle(ClientConnection connection) {
         ArrayDeque<ClientConnection> kept = idle.get(connection.endpoint());
         if (kept != null) {
             kept.remove(connection);
         }
     }
 
-    // The one used last comes first: it is the least likely to be closed by the other side.
+    // The most recently used one comes first: the server is the least likely to close it.
     private ClientConnection kept(Endpoint to, Duration limit) {
         ArrayDeque<ClientConnection> connections = idle.get(to);
         while (connections != null && !connections.isEmpty()) {
--- a/damaskyoke/src/main/java/io/damaskyoke/http/HttpServer.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/HttpServer.java
@@ -23,20 +23,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Serves HTTP/1.1 on one address: {@code HttpServer.start(loop, endpoint, limits, handler)}.
+ * An HTTP/1.1 server on one address: {@code HttpServer.start(loop, endpoint, limits, handler)}.
  *
- * <p>A request reaches the handler whole. Requests on one connection are handled one after the
- * other, so answers can't change places. Belongs to one loop.
+ * <p>The handler receives complete requests. Requests on one connection are handled one after the
+ * other, so that their responses stay in order. The server belongs to one event loop.
  */
 public final class HttpServer implements AutoCloseable {
     private static final int MAX_LINE_BYTES = 8 * 1024;
     private static final int SWEEP_MILLIS = 250;
 
-    /** Callers use a connection up to its idle time; closing it a little later crosses nothing. */
+    /**
+     * Callers reuse a connection up to its idle time; closing it a little later does not race with
+     * a request.
+     */
     private static final Duration IDLE_MARGIN = Duration.ofSeconds(1);
 
-    /** Of one connection; others are waiting for theirs. */
-    private static final int READS_A_TURN = 16;
+    /** The limit of reads of one connection in a read pass, so that others get their turn. */
+    private static final int MAX_READS_PER_PASS = 16;
 
     private static final WriteBufferWaterMark WATER_MARK =
             new WriteBufferWaterMark(32 * 1024, 128 * 1024);
@@ -47,7 +50,7 @@
     private HttpLimits limits;
     private Channel channel;
     private boolean draining;
-    private long leftUnserved;
+    private long abandonedRequests;
 
     private HttpServer(HttpLoop loop, HttpLimits limits, HttpHandler handler) {
         this.loop = loop;
@@ -56,9 +59,9 @@
     }
 
     /**
-     * Listens at once; not to be called on the loop itself.
+     * Starts a server that listens on the address; not to be called on the loop itself.
      *
-     * @throws HttpException BIND_FAILED if the address is taken
+     * @throws HttpException BIND_FAILED if the address can't be bound
      */
     public static HttpServer start(
             HttpLoop loop, InetSocketAddress at, HttpLimits limits, HttpHandler handler) {
@@ -70,8 +73,9 @@
     }
 
     /**
-     * Serves what connects to a socket that listens already, as the process opened it before
-     * anything else: callers that came meanwhile wait in its queue. To be called on the loop.
+     * Starts a server on a socket that is already listening, as the process opens it before
+     * anything else; callers that connected meanwhile wait in its backlog. To be called on the
+     * loop.
      */
     public static HttpServer adopt(
             HttpLoop loop, ServerSocketChannel open, HttpLimits limits, HttpHandler handler) {
@@ -83,33 +87,33 @@
         return server;
     }
 
-    /** The port listened on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Changes the limits; those of size for connections that come from now on. */
+    /** Changes the limits; size limits apply only to connections opened from now on. */
     public void limits(HttpLimits given) {
         limits = given;
     }
 
-    /** From now on each answer tells its caller that it was the connection's last. */
+    /** Starts draining: from now on each response tells its caller that the connection closes. */
     public void drain() {
         draining = true;
     }
 
-    /** Closes connections that carry nothing and have not for this long. */
+    /** Closes the connections that have carried no request for longer than {@code idle}. */
     public void closeIdle(Duration idle) {
         long now = System.nanoTime();
         snapshot().forEach(connection -> connection.closeIfIdle(now, idle.toNanos()));
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     public int connections() {
         return connections.size();
     }
 
-    /** Takes no new connections; those that are open go on. */
+    /** Stops accepting connections; open ones continue. */
     public void stopListening() {
         channel.close();
     }
@@ -119,7 +123,7 @@
         channel.close();
     }
 
-    SocketReads reads() {
+    ReadPassHandler reads() {
         return loop.reads();
     }
 
@@ -127,21 +131,21 @@
         return draining;
     }
 
-    /** Hands a request to the handler, unless its caller has left by then. */
+    /** Passes a request to the handler, unless its caller has disconnected by then. */
     void handle(HttpCall call) {
-        loop.whenRead(
+        loop.runAfterRead(
                 () -> {
                     if (call.over()) {
-                        leftUnserved++;
+                        abandonedRequests++;
                     } else {
                         handler.handle(call);
                     }
                 });
     }
 
-    /** Requests whose callers had left before they could be served. */
-    public long leftUnserved() {
-        return leftUnserved;
+    /** Returns the number of requests whose callers disconnected before they were handled. */
+    public long abandonedRequests() {
+        return abandonedRequests;
     }
 
     void opened(ServerConnection connection) {
@@ -160,7 +164,7 @@
         long now = System.nanoTime();
         long headerNanos = limits.headerTime().toNanos();
         long idleNanos = limits.idleTime().plus(IDLE_MARGIN).toNanos();
-        snapshot().forEach(connection -> connection.check(now, headerNanos, idleNanos));
+        snapshot().forEach(connection -> connection.enforceTimeLimits(now, headerNanos, idleNanos));
     }
 
     private ServerBootstrap bootstrap(ServerSocketChannel socket) {
@@ -170,7 +174,7 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, toTheEnd())
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, readUntilEmpty())
                 .childHandler(
                         new ChannelInitializer<>() {
                             @Override
@@ -180,11 +184,11 @@
                         });
     }
 
-    // As a rule a read that leaves room in its buffer is the last one of its turn. The end of a
-    // caller that has left would then be known a turn after its request.
-    private static RecvByteBufAllocator toTheEnd() {
+    // By default a read that does not fill its buffer is the last one of its read pass. The
+    // disconnect of a caller would then be known only a pass after its request.
+    private static RecvByteBufAllocator readUntilEmpty() {
         var reads = new AdaptiveRecvByteBufAllocator();
-        reads.maxMessagesPerRead(READS_A_TURN);
+        reads.maxMessagesPerRead(MAX_READS_PER_PASS);
         reads.respectMaybeMoreData(false);
         return reads;
     }
@@ -200,7 +204,7 @@
                         new ChannelInboundHandlerAdapter() {
                             @Override
                             public void channelRead(ChannelHandlerContext context, Object bytes) {
-                                connection.arriving();
+                                connection.requestBytesArrived();
                                 context.fireChannelRead(bytes);
                             }
                         })
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ServerConnection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ServerConnection.java
@@ -16,18 +16,18 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
 
-/** One connection of a caller; its requests are taken one after the other. */
+/** A connection of a caller to the server, which handles its requests one after the other. */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
-    /** Requests that a caller may send ahead; beyond, its bytes stay in the kernel. */
-    private static final int MOST_AHEAD = 4;
+    /** The limit of pipelined requests; bytes beyond it stay in the kernel. */
+    private static final int MAX_PIPELINED = 4;
 
     private final HttpServer server;
-    private final ArrayDeque<FullHttpRequest> ahead = new ArrayDeque<>();
+    private final ArrayDeque<FullHttpRequest> pipelined = new ArrayDeque<>();
     private Channel channel;
     private HttpCall call;
     private long openedNanos;
-    private long openedIn;
-    private boolean asked;
+    private long openedInPass;
+    private boolean anyRequestArrived;
     private long arrivingSince;
     private long idleSince = System.nanoTime();
     private boolean refused;
@@ -45,27 +45,29 @@
     }
 
     boolean busy() {
-        return call != null || arrivingSince != 0 || !ahead.isEmpty();
+        return call != null || arrivingSince != 0 || !pipelined.isEmpty();
     }
 
-    /** The first bytes of a request have come; called by the handler in front of the decoder. */
-    void arriving() {
+    /** Records the arrival of a request's first bytes; called before the decoder reads them. */
+    void requestBytesArrived() {
         if (arrivingSince == 0) {
-            arrivingSince = cameNanos();
-            asked = true;
+            arrivingSince = arrivalNanos();
+            anyRequestArrived = true;
         }
     }
 
-    // A request that is found in the first look at a new connection may have come together with it,
-    // and the look that found the connection was the one after the thread was held.
-    private long cameNanos() {
-        SocketReads reads = server.reads();
-        boolean withConnection = !asked && reads.number() <= openedIn + 1;
-        return withConnection ? openedNanos : reads.cameNanos();
+    // A request that is found in the first read pass of a new connection may have arrived together
+    // with it, and the pass that accepted the connection was the one that followed the stall.
+    private long arrivalNanos() {
+        ReadPassHandler reads = server.reads();
+        boolean withConnection = !anyRequestArrived && reads.passCount() <= openedInPass + 1;
+        return withConnection ? openedNanos : reads.arrivalNanos();
     }
 
-    /** Ends what has taken too long: half a request is refused, an idle connection closed. */
-    void check(long now, long headerNanos, long idleNanos) {
+    /**
+     * Enforces the time limits: answers an incomplete request with 408, closes an idle connection.
+     */
+    void enforceTimeLimits(long now, long headerNanos, long idleNanos) {
         if (call == null && arrivingSince != 0 && now - arrivingSince > headerNanos) {
             refuse(HttpResponseStatus.REQUEST_TIMEOUT);
         } else if (!busy() && now - idleSince > idleNanos) {
@@ -91,8 +93,8 @@
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
             return;
         }
-        if (!ahead.isEmpty()) {
-            begin(ahead.remove());
+        if (!pipelined.isEmpty()) {
+            begin(pipelined.remove());
         }
         channel.config().setAutoRead(true);
     }
@@ -106,8 +108,8 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         channel = context.channel();
-        openedNanos = server.reads().cameNanos();
-        openedIn = server.reads().number();
+        openedNanos = server.reads().arrivalNanos();
+        openedInPass = server.reads().passCount();
         server.opened(this);
     }
 
@@ -123,12 +125,12 @@
             refuse(statusOf(cause));
             return;
         }
-        if (call == null && ahead.isEmpty()) {
+        if (call == null && pipelined.isEmpty()) {
             begin(request);
             return;
         }
-        ahead.add(request);
-        if (ahead.size() >= MOST_AHEAD) {
+        pipelined.add(request);
+        if (pipelined.size() >= MAX_PIPELINED) {
             channel.config().setAutoRead(false);
         }
     }
@@ -136,19 +138,19 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (call != null && channel.isWritable()) {
-            call.nowWritable();
+            call.becameWritable();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         server.closed(this);
-        ahead.forEach(FullHttpRequest::release);
-        ahead.clear();
+        pipelined.forEach(FullHttpRequest::release);
+        pipelined.clear();
         HttpCall open = call;
         call = null;
         if (open != null) {
-            open.callerGone();
+            open.callerDisconnected();
         }
     }
 
@@ -172,8 +174,8 @@
         return HttpResponseStatus.BAD_REQUEST;
     }
 
-    // What follows a request that can't be read might be taken for a request of its own, so the
-    // connection ends with the refusal.
+    // Bytes after a request that can't be parsed might be taken for a request of their own, so the
+    // connection is closed after the error response.
     private void refuse(HttpResponseStatus status) {
         refused = true;
         if (call != null) {
--- a/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/follow/FollowerTest.java
@@ -17,178 +17,181 @@
 import org.junit.jupiter.api.Test;
 
 class FollowerTest {
-    private static final Pace PACE = new Pace(Duration.ofSeconds(1), Duration.ofMillis(200));
+    private static final PollTiming TIMING =
+            new PollTiming(Duration.ofSeconds(1), Duration.ofMillis(200));
 
     private final TestControlThread control = new TestControlThread();
-    private final HandStore store = new HandStore();
-    private final List<Long> heard = new ArrayList<>();
+    private final ManualStore store = new ManualStore();
+    private final List<Long> received = new ArrayList<>();
     private long poison;
     private final Follower follower =
             Follower.of("test")
                     .under("k")
                     .in(store)
-                    .at(PACE)
+                    .at(TIMING)
                     .on(control)
                     .counting(new Metrics())
-                    .tell(new Revisions());
+                    .build(new Revisions());
 
-    // Guards against a lost answer that hides all that comes after it.
+    // Guards against a lost answer that blocks all later changes.
     @Test
-    void aCallThatIsNotAnsweredIsFollowedByOneBesideIt() {
+    void anOverdueCallIsFollowedByAParallelOne() {
         read(5);
-        pass(PACE.bound().plusMillis(100));
-        assertEquals(2, store.asks.size());
-        store.asks.get(1).complete(HandStore.set(7));
-        assertEquals(List.of(5L, 7L), heard);
+        pass(TIMING.stalenessBound().plusMillis(100));
+        assertEquals(2, store.polls.size());
+        store.polls.get(1).complete(ManualStore.set(7));
+        assertEquals(List.of(5L, 7L), received);
     }
 
-    // Guards against news told twice, or out of order, when two calls are answered crosswise.
+    // Guards against changes delivered twice or out of order when two calls are answered in
+    // reverse.
     @Test
-    void anAnswerThatComesLateTellsOnlyWhatIsNew() {
+    void aLateAnswerDeliversOnlyNewChanges() {
         read(5);
-        pass(PACE.bound().plusMillis(100));
-        store.asks.get(1).complete(HandStore.set(6, 7));
-        store.asks.get(0).complete(HandStore.set(6));
-        assertEquals(List.of(5L, 6L, 7L), heard);
+        pass(TIMING.stalenessBound().plusMillis(100));
+        store.polls.get(1).complete(ManualStore.set(6, 7));
+        store.polls.get(0).complete(ManualStore.set(6));
+        assertEquals(List.of(5L, 6L, 7L), received);
         pass(Duration.ofSeconds(1));
-        assertEquals(List.of(5L, 5L, 7L), store.askedAfter);
+        assertEquals(List.of(5L, 5L, 7L), store.polledAfter);
     }
 
-    // Guards against a late answer that starts a second chain of calls, and doubles their price.
+    // Guards against a late answer that starts a second chain of calls and doubles the load.
     @Test
-    void onlyTheNewestCallLeadsToTheNext() {
+    void onlyTheAnswerToTheNewestCallTriggersTheNextCall() {
         read(5);
-        pass(PACE.bound().plusMillis(100));
-        store.asks.get(0).complete(HandStore.set(6));
+        pass(TIMING.stalenessBound().plusMillis(100));
+        store.polls.get(0).complete(ManualStore.set(6));
         pass(Duration.ofMillis(250));
-        assertEquals(2, store.asks.size());
-        store.asks.get(1).complete(HandStore.nothing(6));
+        assertEquals(2, store.polls.size());
+        store.polls.get(1).complete(ManualStore.unchanged(6));
         pass(Duration.ofMillis(250));
-        assertEquals(3, store.asks.size());
+        assertEquals(3, store.polls.size());
     }
 
-    // Guards against a flood of calls to a store that is slow already.
+    // Guards against adding load to a store that is slow already.
     @Test
-    void aStoreThatAnswersNothingIsNotFlooded() {
+    void callsToAStoreThatDoesNotAnswerAreLimited() {
         read(5);
         pass(Duration.ofMinutes(5));
-        assertEquals(8, store.asks.size());
+        assertEquals(8, store.polls.size());
     }
 
-    // Guards against a lost answer to a reading, with which a router would never begin.
+    // Guards against a lost answer to the first full read, after which a router would never start.
     @Test
-    void aReadingThatIsNotAnsweredIsFollowedByOneBesideIt() {
+    void anOverdueFullReadIsFollowedByAParallelOne() {
         follower.start();
         pass(Duration.ofMillis(500));
-        store.readings.get(1).complete(listing(5));
-        store.readings.get(0).complete(listing(4));
-        assertEquals(List.of(5L), heard);
-        assertEquals(List.of(5L), store.askedAfter);
+        store.fullReads.get(1).complete(listing(5));
+        store.fullReads.get(0).complete(listing(4));
+        assertEquals(List.of(5L), received);
+        assertEquals(List.of(5L), store.polledAfter);
     }
 
-    // Guards against news that is taken for the first after a freeze, seconds after it ended.
+    // Guards against a call that waits after the VM was paused, which would delay for seconds the
+    // changes made during the pause.
     @Test
-    void anAnswerThatIsOldWhenItComesIsFollowedByACallThatDoesNotWait() {
+    void anOutdatedAnswerIsFollowedByACallThatDoesNotWait() {
         read(5);
         pass(Duration.ofMillis(1_300));
-        store.asks.get(0).complete(HandStore.nothing(5));
+        store.polls.get(0).complete(ManualStore.unchanged(5));
         pass(Duration.ofMillis(100));
-        store.asks.get(1).complete(HandStore.nothing(5));
-        assertEquals(List.of(PACE.patience(), PACE.patience()), store.waits);
+        store.polls.get(1).complete(ManualStore.unchanged(5));
+        assertEquals(List.of(TIMING.maxWait(), TIMING.maxWait()), store.waits);
         pass(Duration.ofSeconds(9));
-        store.asks.get(2).complete(HandStore.nothing(5));
+        store.polls.get(2).complete(ManualStore.unchanged(5));
         assertEquals(Duration.ZERO, store.waits.get(store.waits.size() - 1));
     }
 
-    // Guards against a fault in what is told that ends the following for good.
+    // Guards against an exception of a listener that stops the follower for good.
     @Test
-    void aListenerThatFailsIsToldTheRest() {
+    void aListenerThatThrowsReceivesLaterChanges() {
         read(5);
         poison = 6;
-        store.asks.get(0).complete(HandStore.set(6));
+        store.polls.get(0).complete(ManualStore.set(6));
         pass(Duration.ofMillis(200));
-        store.asks.get(1).complete(HandStore.set(7));
-        assertEquals(List.of(5L, 7L), heard);
+        store.polls.get(1).complete(ManualStore.set(7));
+        assertEquals(List.of(5L, 7L), received);
     }
 
     @Test
-    void aHistoryThatWasDroppedIsReadAnew() {
+    void allEntriesAreReadAgainAfterACompaction() {
         read(5);
-        store.asks.get(0).completeExceptionally(new PlatformException(Code.COMPACTED, "gone"));
-        store.readings.get(1).complete(listing(9));
-        assertEquals(List.of(5L, 9L), heard);
-        assertEquals(List.of(5L, 9L), store.askedAfter);
+        store.polls.get(0).completeExceptionally(new PlatformException(Code.COMPACTED, "gone"));
+        store.fullReads.get(1).complete(listing(9));
+        assertEquals(List.of(5L, 9L), received);
+        assertEquals(List.of(5L, 9L), store.polledAfter);
     }
 
     @Test
-    void theAgeIsThatOfTheLastAnswer() {
+    void theAgeIsCountedFromWhenTheLastAnswerWasComplete() {
         assertEquals(Optional.empty(), follower.age());
         read(5);
         pass(Duration.ofMillis(300));
         assertEquals(Optional.of(Duration.ofMillis(300)), follower.age());
-        // An answer tells of the moment at which it was asked for.
-        store.asks.get(0).complete(HandStore.set(6));
+        // An answer with changes is complete only up to the time at which it was asked for.
+        store.polls.get(0).complete(ManualStore.set(6));
         assertEquals(Optional.of(Duration.ofMillis(300)), follower.age());
     }
 
     @Test
-    void whoNeedsToKnowIsToldOnceTheStoreHasSaidSo() {
+    void aWaiterIsCalledBackOnceTheStoreHasConfirmedTheView() {
         read(5);
         pass(Duration.ofMillis(300));
-        List<Boolean> told = new ArrayList<>();
-        follower.whenKnown(now().minusMillis(300), Duration.ofMillis(400), told::add);
-        assertEquals(List.of(true), told);
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
-        assertEquals(2, store.asks.size());
-        store.asks.get(1).complete(HandStore.set(6));
-        assertEquals(List.of(5L, 6L), heard);
-        assertEquals(List.of(true, true, true), told);
-    }
-
-    // Guards against a caller that waits for as long as an outage lasts.
+        List<Boolean> callbacks = new ArrayList<>();
+        follower.whenCompleteUpTo(now().minusMillis(300), Duration.ofMillis(400), callbacks::add);
+        assertEquals(List.of(true), callbacks);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
+        assertEquals(2, store.polls.size());
+        store.polls.get(1).complete(ManualStore.set(6));
+        assertEquals(List.of(5L, 6L), received);
+        assertEquals(List.of(true, true, true), callbacks);
+    }
+
+    // Guards against a caller that waits for as long as an outage of the store lasts.
     @Test
-    void whoNeedsToKnowIsToldInTimeThatTheStoreDoesNotSay() {
+    void aWaiterIsCalledBackWithFalseAtItsLimit() {
         read(5);
         pass(Duration.ofMillis(300));
-        List<Boolean> told = new ArrayList<>();
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
+        List<Boolean> callbacks = new ArrayList<>();
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
         pass(Duration.ofMillis(400));
-        assertEquals(List.of(false), told);
-        store.asks.get(1).complete(HandStore.nothing(5));
-        assertEquals(List.of(false), told);
+        assertEquals(List.of(false), callbacks);
+        store.polls.get(1).complete(ManualStore.unchanged(5));
+        assertEquals(List.of(false), callbacks);
     }
 
-    // Guards against serving somebody by an answer that was asked for before he came.
+    // Guards against serving a waiter by an answer to a call that was sent before it arrived.
     @Test
-    void whoComesWhileAnAnswerIsUnderWayIsServedByTheNext() {
+    void aWaiterThatArrivesDuringACallIsServedByTheNextOne() {
         read(5);
         pass(Duration.ofMillis(300));
-        List<Boolean> told = new ArrayList<>();
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
+        List<Boolean> callbacks = new ArrayList<>();
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
         pass(Duration.ofMillis(5));
-        follower.whenKnown(now(), Duration.ofMillis(400), told::add);
-        store.asks.get(1).complete(HandStore.nothing(5));
-        assertEquals(List.of(true), told);
-        store.asks.get(2).complete(HandStore.nothing(5));
-        assertEquals(List.of(true, true), told);
+        follower.whenCompleteUpTo(now(), Duration.ofMillis(400), callbacks::add);
+        store.polls.get(1).complete(ManualStore.unchanged(5));
+        assertEquals(List.of(true), callbacks);
+        store.polls.get(2).complete(ManualStore.unchanged(5));
+        assertEquals(List.of(true, true), callbacks);
     }
 
     @Test
-    void anEmptyAnswerAtTheEndOfItsWaitIsGoodUpToThen() {
+    void anEmptyAnswerAfterItsWaitIsCompleteUpToTheEndOfTheWait() {
         read(5);
-        pass(PACE.patience().plusMillis(5));
-        store.asks.get(0).complete(HandStore.nothing(8));
+        pass(TIMING.maxWait().plusMillis(5));
+        store.polls.get(0).complete(ManualStore.unchanged(8));
         assertEquals(Optional.of(Duration.ofMillis(5)), follower.age());
     }
 
     private void read(long revision) {
         follower.start();
-        store.readings.get(0).complete(listing(revision));
+        store.fullReads.get(0).complete(listing(revision));
     }
 
     private static Listing listing(long revision) {
-        return new Listing(List.of(HandStore.entry("k", revision)), revision);
+        return new Listing(List.of(ManualStore.entry("k", revision)), revision);
     }
 
     private Instant now() {
@@ -199,19 +202,19 @@
         control.advance(duration);
     }
 
-    /** Notes the revisions that it is told. */
+    /** Records the revisions that it receives, and fails at the poison revision. */
     private final class Revisions implements ChangeListener {
         @Override
-        public void all(List<Entry> entries, long revision, Duration silence) {
-            heard.add(revision);
+        public void entriesRead(List<Entry> entries, long revision, Duration silence) {
+            received.add(revision);
         }
 
         @Override
-        public void changed(List<Change> changes, long revision, Duration silence) {
+        public void entriesChanged(List<Change> changes, long revision, Duration silence) {
             if (revision == poison) {
                 throw new IllegalStateException("on purpose");
             }
-            changes.forEach(change -> heard.add(change.revision()));
+            changes.forEach(change -> received.add(change.revision()));
         }
     }
 }
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HttpServerTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/HttpServerTest.java
@@ -47,7 +47,7 @@
     @Test
     void aCallerThatConnectsBeforeThereIsAServerIsAnswered() throws IOException {
         // A restarted process listens first and serves most of a second later. A caller that
-        // connects meanwhile waits; it would be turned away by a port that nobody listens on.
+        // connects meanwhile waits; a port without a listener would refuse its connection.
         InetAddress loopback = InetAddress.getLoopbackAddress();
         var socket = EarlySocket.listen(new InetSocketAddress(loopback, 0));
         int port = ((InetSocketAddress) socket.getLocalAddress()).getPort();
@@ -56,16 +56,18 @@
             caller.getOutputStream().write(get("/last").getBytes(StandardCharsets.US_ASCII));
             loop.events()
                     .execute(
-                            () -> HttpServer.adopt(loop, socket, HttpLimits.usual(), this::handle));
+                            () ->
+                                    HttpServer.adopt(
+                                            loop, socket, HttpLimits.defaults(), this::handle));
             byte[] start = caller.getInputStream().readNBytes(12);
             assertEquals("HTTP/1.1 200", new String(start, StandardCharsets.US_ASCII));
         }
     }
 
     @Test
-    void aRequestWithTwoLengthsIsRefusedAndEndsTheConnection() throws IOException {
-        // By its length the body holds a whole second request; by its chunks the body ends before
-        // it. Whoever reads it the other way would run a request that nobody was checked for.
+    void aRequestWithTwoLengthsIsRejectedAndItsConnectionClosed() throws IOException {
+        // By its length the body contains a second request; by its chunks the body ends before it.
+        // An upstream that reads it the other way would run a request that was never authorized.
         String smuggled =
                 "POST /a HTTP/1.1\r\n"
                         + "Host: h\r\n"
@@ -106,12 +108,12 @@
     }
 
     @Test
-    void halfARequestIsRefusedAfterItsTime() throws IOException {
+    void anIncompleteRequestTimesOut() throws IOException {
         assertTrue(talk("GET /a HTTP/1.1\r\nHost").startsWith("HTTP/1.1 408"));
     }
 
     @Test
-    void aCallerThatLeavesIsHeardOfAtOnce() throws IOException {
+    void aDisconnectOfTheCallerIsReportedAtOnce() throws IOException {
         try (Socket socket = connect()) {
             socket.getOutputStream().write(get("/never").getBytes(StandardCharsets.US_ASCII));
             socket.getOutputStream().flush();
@@ -130,7 +132,7 @@
     }
 
     @Test
-    void aDrainingServerSaysThatEachAnswerIsTheLast() throws IOException {
+    void aDrainingServerClosesEachConnectionAfterItsResponse() throws IOException {
         loop.events().submit(server::drain).syncUninterruptibly();
         String answer = talk(get("/a") + get("/b"));
         assertTrue(answer.toLowerCase().contains("connection: close"), answer);
@@ -139,7 +141,7 @@
 
     private void handle(HttpCall call) {
         handled.add(call.target());
-        call.onGone(() -> gone.complete(call.target()));
+        call.onDisconnect(() -> gone.complete(call.target()));
         if (call.target().equals("/never")) {
             return;
         }
@@ -161,7 +163,7 @@
         return "GET " + path + " HTTP/1.1\r\nHost: h\r\n" + close + "\r\n";
     }
 
-    // Sends all and reads until the server closes.
+    // Sends the text and reads until the server closes the connection.
     private String talk(String text) throws IOException {
         try (Socket socket = connect()) {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
--- a/damaskyoke/src/test/java/io/damaskyoke/http/HeldLoopTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/http/StalledLoopTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a server makes of requests that came while its thread was held. */
-class HeldLoopTest {
+/** Tests how a server treats requests that arrived while its thread was stalled. */
+class StalledLoopTest {
     private static final int LIMIT_MILLIS = 10_000;
     private static final int CALLERS = 5;
 
-    /** A loop that is held for so long takes what it finds to have come meanwhile. */
-    private static final int NOTICED_MILLIS = 250;
+    /** A loop that was stalled for this long dates the requests it finds into the stall. */
+    private static final int STALL_MILLIS = 250;
 
     private final HttpLoop loop = HttpLoop.start();
     private final List<String> handled = new CopyOnWriteArrayList<>();
@@ -34,7 +34,7 @@
             HttpServer.start(
                     loop,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    HttpLimits.usual(),
+                    HttpLimits.defaults(),
                     this::handle);
 
     @AfterEach
@@ -42,11 +42,12 @@
         loop.close();
     }
 
-    // Guards against work for callers that left while the thread was held: a new connection is
-    // taken up in one look at the sockets, its request read in the next, its end in the one after.
+    // Guards against work for callers that disconnected while the thread was stalled: a new
+    // connection is accepted in one read pass, its request read in the next and its end in the
+    // third.
     @Test
-    void requestsOfCallersThatLeftOnNewConnectionsAreNotServed() throws Exception {
-        CountDownLatch hold = hold();
+    void requestsOfDisconnectedCallersOnNewConnectionsAreNotServed() throws Exception {
+        CountDownLatch hold = stallLoop();
         for (int each = 0; each < CALLERS; each++) {
             try (Socket caller = connect()) {
                 send(caller, "/left");
@@ -59,16 +60,16 @@
         assertEquals(List.of("/stays"), handled);
     }
 
-    // Guards against the same on connections that were open before the thread was held.
+    // Guards against the same on connections that were open before the thread was stalled.
     @Test
-    void requestsOfCallersThatLeftOnKeptConnectionsAreNotServed() throws Exception {
+    void requestsOfDisconnectedCallersOnKeptConnectionsAreNotServed() throws Exception {
         Socket[] callers = new Socket[CALLERS];
         for (int each = 0; each < CALLERS; each++) {
             callers[each] = connect();
             ask(callers[each], "/before");
         }
         handled.clear();
-        CountDownLatch hold = hold();
+        CountDownLatch hold = stallLoop();
         for (Socket caller : callers) {
             send(caller, "/left");
             caller.close();
@@ -80,17 +81,17 @@
         assertEquals(List.of("/stays"), handled);
     }
 
-    // Guards against a request that lay unread for seconds and is given its whole time again.
+    // Guards against a request that lay unread for seconds and gets its whole timeout again.
     @Test
-    void timeIsCountedFromBeforeTheThreadWasHeld() throws Exception {
+    void theArrivalTimeOfARequestLiesWithinTheStall() throws Exception {
         try (Socket kept = connect();
                 Socket fresh = new Socket()) {
             ask(kept, "/before");
-            CountDownLatch hold = hold();
+            CountDownLatch hold = stallLoop();
             fresh.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port()));
             send(kept, "/kept");
             send(fresh, "/fresh");
-            Thread.sleep(NOTICED_MILLIS);
+            Thread.sleep(STALL_MILLIS);
             long released = System.nanoTime();
             hold.countDown();
             read(kept);
@@ -106,7 +107,7 @@
         call.answer(200, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
     }
 
-    private CountDownLatch hold() throws InterruptedException {
+    private CountDownLatch stallLoop() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch hold = new CountDownLatch(1);
         loop.events()
