--- a/damaskyoke/src/main/java/io/damaskyoke/control/direct/Route.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/direct/Route.java
@@ -64,18 +64,18 @@
      * Returns how long a caller waits for an event of a stream, the first one included, before it
      * disconnects.
      */
-    public Duration patience() {
-        Duration patience = MIN_PATIENCE;
-        Duration byObjective = objective.multipliedBy(OBJECTIVES_PER_PATIENCE);
+    public Duration maxEventWait() {
+        Duration wait = MIN_EVENT_WAIT;
+        Duration byObjective = objective.multipliedBy(OBJECTIVES_PER_EVENT_WAIT);
         Duration byGap =
-                gapObjective.orElse(Duration.ZERO).multipliedBy(GAP_OBJECTIVES_PER_PATIENCE);
-        patience = patience.compareTo(byObjective) < 0 ? byObjective : patience;
-        return patience.compareTo(byGap) < 0 ? byGap : patience;
+                gapObjective.orElse(Duration.ZERO).multipliedBy(GAP_OBJECTIVES_PER_EVENT_WAIT);
+        wait = wait.compareTo(byObjective) < 0 ? byObjective : wait;
+        return wait.compareTo(byGap) < 0 ? byGap : wait;
     }
 
     /** The callers' own figures, as published to all services, as are the next two. */
-    private static final Duration MIN_PATIENCE = Duration.ofSeconds(2);
+    private static final Duration MIN_EVENT_WAIT = Duration.ofSeconds(2);
 
-    private static final int OBJECTIVES_PER_PATIENCE = 4;
-    private static final int GAP_OBJECTIVES_PER_PATIENCE = 8;
+    private static final int OBJECTIVES_PER_EVENT_WAIT = 4;
+    private static final int GAP_OBJECTIVES_PER_EVENT_WAIT = 8;
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingInterval.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/control/placement/PollingInterval.java
@@ -5,7 +5,7 @@
 
 /**
  * Computes how long a process waits between two reads of the placement table, so that all processes
- * together stay below a limit: {@code pace.next(2_780)}.
+ * together stay below a limit: {@code interval.next(2_780)}.
  */
 public final class PollingInterval {
     /** Reads per second of all processes together; the store serves 2,000. */
@@ -25,7 +25,9 @@
 
     private final Random random;
 
-    /** Creates a pace whose jitter keeps processes that started together from reading together. */
+    /**
+     * Creates an interval whose jitter keeps processes that started together from reading together.
+     */
     public PollingInterval(Random random) {
         this.random = random;
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReporter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DemandReporter.java
@@ -47,7 +47,7 @@
             PeerRouters peers,
             LeaderLease lease,
             LoadCoordinator coordinator,
-            UpstreamDispatcher dispatch,
+            UpstreamDispatcher dispatcher,
             ConfigurationHolder configuration,
             ZoneDrains drains,
             UpstreamTable upstreams,
@@ -77,7 +77,7 @@
 
     /** Reports the demand to the leader, or to this router's planner, if a report is due. */
     void report() {
-        LoadInput.DemandReported demand = dependencies.dispatch().demand(self);
+        LoadInput.DemandReported demand = dependencies.dispatcher().demand(self);
         if (dependencies.lease().held()) {
             dependencies.coordinator().demandReported(demand);
             return;
@@ -113,7 +113,7 @@
      */
     void gossip() {
         announceHeldModels();
-        send(Optional.empty(), dependencies.dispatch().demand(self));
+        send(Optional.empty(), dependencies.dispatcher().demand(self));
     }
 
     /**
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DenialConfirmation.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DenialConfirmation.java
@@ -53,7 +53,7 @@
         }
         waitingCount++;
         metrics.count("direct_denials_checked");
-        operatorFollower.whenKnown(
+        operatorFollower.whenCompleteUpTo(
                 clock.instant().minus(MAX_CONFIGURATION_AGE),
                 CONFIRMATION_TIMEOUT,
                 current -> {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/DirectRouter.java
@@ -91,20 +91,20 @@
     private final UpstreamTable upstreams;
     private final StoreRelays relays;
     private final Membership members;
-    private final PeerRouters neighbours;
+    private final PeerRouters peers;
     private final LeaderLease lease;
-    private final LoadCoordinator leader;
+    private final LoadCoordinator coordinator;
     private final LeaderHandOver handOver;
     private final ConfigurationHolder configuration;
     private final DemandReporter reports;
     private final UpstreamFollower upstreamFollower;
     private final ZoneDrains drains;
     private final OperatorSettingsFollower operatorFollower;
-    private final UpstreamDispatcher dispatch;
+    private final UpstreamDispatcher dispatcher;
     private final PoisonRequestDetector crashes;
-    private final LostUpstreamAnnouncer lost;
+    private final LostUpstreamAnnouncer lostUpstreams;
     private final DeclaredLimits limits;
-    private final InFlightRequests flows;
+    private final InFlightRequests inFlight;
     private final RateAdmission rates;
     private final RatePeers ratePeers;
     private final Ingress ingress;
@@ -132,35 +132,35 @@
         this.store = stores.open(settings, client, control, metrics);
         this.relays = new StoreRelays(control, this::relaySources, this::requestChanges);
         this.members = membership();
-        this.neighbours = new PeerRouters(control, members);
+        this.peers = new PeerRouters(control, members);
         this.lease = new LeaderLease(control, store, members, self, lag);
-        this.handOver = new LeaderHandOver(control, store, lease, neighbours, members);
+        this.handOver = new LeaderHandOver(control, store, lease, peers, members);
         UpstreamClient calls = new UpstreamClient(client, dialect, control);
-        this.leader = new LoadCoordinator(control, upstreams, lease, calls, self, neighbours);
+        this.coordinator = new LoadCoordinator(control, upstreams, lease, calls, self, peers);
         this.configuration = new ConfigurationHolder(dialect, this::applyConfiguration);
         this.upstreamFollower = upstreamFollower();
         this.drains = zoneDrains();
         this.operatorFollower = operatorFollower();
-        this.dispatch = dispatch();
+        this.dispatcher = createDispatcher();
         this.reports = reports();
         this.crashes =
                 new PoisonRequestDetector(
                         control,
-                        crashNews(),
+                        crashAnnouncer(),
                         this::probe,
                         members::watchesStore,
                         this::isFirstWatcher,
                         metrics);
-        this.lost = new LostUpstreamAnnouncer(clock, upstreams, neighbours);
-        this.limits = new DeclaredLimits(clock, upstreams, neighbours);
-        this.flows = flows();
+        this.lostUpstreams = new LostUpstreamAnnouncer(clock, upstreams, peers);
+        this.limits = new DeclaredLimits(clock, upstreams, peers);
+        this.inFlight = createInFlightRequests();
         Timeline timeline = Timeline.of(settings.vm(), HybridClock.over(clock), TIMELINE_EVENTS);
         this.rates = rates(timeline);
         this.ratePeers = new RatePeers(control, rates);
         this.ingress = ingress();
         this.network = network(timeline);
         ratePeers.over(network);
-        neighbours.start(network, new PeerMessageHandler(newsParts(), this::replicasChanged));
+        peers.start(network, new PeerMessageHandler(messageDependencies(), this::replicasChanged));
         ServerSocketChannel socket =
                 open.orElseGet(() -> EarlySocket.listen(settings.callers().socket()));
         control.run(() -> startServing(socket));
@@ -203,7 +203,7 @@
 
     /** Returns true if the load balancer should send callers here. */
     public boolean ready() {
-        return !stopping && configuration.current().isPresent() && upstreamFollower.everRead();
+        return !stopping && configuration.current().isPresent() && upstreamFollower.hasReadOnce();
     }
 
     /**
@@ -217,8 +217,8 @@
         }
         stopped = true;
         stopping = true;
-        LOG.info("stopping, {} requests open", flows.size());
-        new GracefulShutdown(control, callers, settings.grace(), flows).run(lease::close);
+        LOG.info("stopping, {} requests open", inFlight.size());
+        new GracefulShutdown(control, callers, settings.grace(), inFlight).run(lease::close);
         // Last, since a router that is not listed may not spend its share of the rate limits, and
         // would refuse requests that still arrive until the balancer notices.
         control.run(members::deregister);
@@ -228,7 +228,7 @@
         LOG.info("stopped");
     }
 
-    private UpstreamDispatcher dispatch() {
+    private UpstreamDispatcher createDispatcher() {
         return new UpstreamDispatcher(
                 upstreams,
                 settings.availabilityZone(),
@@ -245,27 +245,35 @@
                         control,
                         store,
                         members,
-                        neighbours,
+                        peers,
                         lease,
-                        leader,
-                        dispatch,
+                        coordinator,
+                        dispatcher,
                         configuration,
                         drains,
                         upstreams,
                         lag));
     }
 
-    private InFlightRequests flows() {
+    private InFlightRequests createInFlightRequests() {
         InFlightRequests.RetryBounds bounds =
                 new InFlightRequests.RetryBounds(
                         settings.retryWindow(), settings.retryRatio(), settings.retryExtra());
         return new InFlightRequests(
-                dialect, client, dispatch, clock, bounds, members::size, crashes, lost, limits);
+                dialect,
+                client,
+                dispatcher,
+                clock,
+                bounds,
+                members::size,
+                crashes,
+                lostUpstreams,
+                limits);
     }
 
-    private CrashAnnouncer crashNews() {
+    private CrashAnnouncer crashAnnouncer() {
         return new StoringCrashAnnouncer(
-                neighbours.crashNews(),
+                peers.crashAnnouncer(),
                 new QuarantineStore(control, store, members.quarantinePrefix()));
     }
 
@@ -302,15 +310,15 @@
                 self, settings.availabilityZone(), settings.peer().host(), settings.peer().port());
     }
 
-    private PeerMessageHandler.Dependencies newsParts() {
+    private PeerMessageHandler.Dependencies messageDependencies() {
         return new PeerMessageHandler.Dependencies(
                 clock,
-                neighbours,
+                peers,
                 members,
-                leader,
+                coordinator,
                 handOver,
                 crashes,
-                lost,
+                lostUpstreams,
                 limits,
                 reports,
                 configuration,
@@ -327,14 +335,14 @@
                 store,
                 settings.storePrefix(),
                 entry(),
-                StorePaces.ROUTERS,
+                StorePollTimings.ROUTERS,
                 relays,
                 metrics);
     }
 
     private UpstreamFollower upstreamFollower() {
         return new UpstreamFollower(
-                control, store, dialect, upstreams, StorePaces.UPSTREAMS, relays, metrics);
+                control, store, dialect, upstreams, StorePollTimings.UPSTREAMS, relays, metrics);
     }
 
     private ZoneDrains zoneDrains() {
@@ -352,7 +360,7 @@
                 dialect,
                 configuration,
                 drains,
-                StorePaces.CONFIGURATION,
+                StorePollTimings.CONFIGURATION,
                 relays,
                 metrics);
     }
@@ -370,7 +378,7 @@
     }
 
     private boolean requestChanges(VmId to, long number, String prefix, long after, Duration wait) {
-        return neighbours.fetchChanges(to, number, prefix, after, wait);
+        return peers.fetchChanges(to, number, prefix, after, wait);
     }
 
     private Ingress ingress() {
@@ -379,7 +387,7 @@
                 configuration,
                 operatorFollower,
                 rates,
-                flows,
+                inFlight,
                 incarnation,
                 new Random(),
                 metrics);
@@ -405,7 +413,7 @@
                 .metrics(metrics)
                 .eventLoops(loop.group())
                 .addListener(ratePeers)
-                .addListener(neighbours)
+                .addListener(peers)
                 .build()
                 .start();
     }
@@ -417,7 +425,7 @@
 
     // Starts reading the store before it serves callers, since their requests need what is read.
     private void startServing(ServerSocketChannel socket) {
-        dispatch.onModelUnavailable(reports::reportSoon);
+        dispatcher.onModelUnavailable(reports::reportSoon);
         operatorFollower.start();
         upstreamFollower.start(new UpstreamListener());
         members.onQuarantined(crashes::quarantineReadFromStore);
@@ -427,11 +435,11 @@
         crashes.registerGauges();
         new DrainProgress(upstreams).registerGauges(metrics);
         limits.registerGauges(metrics);
-        leader.registerMetrics(metrics);
-        metrics.gauge("models_unserved", flows.unservedModels()::unservedCount);
+        coordinator.registerMetrics(metrics);
+        metrics.gauge("models_unserved", inFlight.unservedModels()::unservedCount);
         String address = settings.peer().host() + ':' + settings.peer().port();
         rates.start(ratePeers, address, Map.of(), LIST_PERIOD, processStart());
-        leader.start(this::replicasChanged);
+        coordinator.start(this::replicasChanged);
         control.every(CHECK_PERIOD, this::check);
         control.every(REPORT_PERIOD, reports::report);
         control.every(GOSSIP_PERIOD, reports::gossip);
@@ -452,24 +460,21 @@
         }
         handOver.check();
         ingress.refuseExpired();
-        dispatch.tick();
-        flows.enforceTimeouts();
+        dispatcher.tick();
+        inFlight.enforceTimeouts();
     }
 
     // If all routers are slow, a change of leader would only interrupt orders and gain nothing.
     private boolean anotherRouterIsFaster() {
         Duration limit = lag.average().dividedBy(RESIGN_LAG_RATIO);
-        return neighbours
-                .lowestReportedLag()
-                .filter(least -> least.compareTo(limit) < 0)
-                .isPresent();
+        return peers.lowestReportedLag().filter(least -> least.compareTo(limit) < 0).isPresent();
     }
 
     private void applyConfiguration(DirectConfiguration now) {
         callers.limits(now.limits());
-        dispatch.setEngineServices(now.modelServices());
+        dispatcher.setEngineServices(now.modelServices());
         upstreams.setColdLimits(ColdLimits.of(now, settings.cold()));
-        leader.configurationChanged(now);
+        coordinator.configurationChanged(now);
         Map<WorkspaceId, Workspace> limited = new HashMap<>();
         for (WorkspaceSpec workspace : now.workspaces().values()) {
             if (workspace.hasRateLimit()) {
@@ -481,16 +486,19 @@
     }
 
     private void membersChanged() {
-        neighbours.refresh();
+        peers.refresh();
         rates.listChanged();
         reports.announceHeldModels();
     }
 
     private void replicasChanged() {
-        dispatch.tick();
+        dispatcher.tick();
     }
 
-    /** Applies changes of drained zones to dispatch and leader, after the table has them. */
+    /**
+     * Applies changes of drained zones to dispatcher and load coordinator, after the table has
+     * them.
+     */
     private final class DrainListener implements ZoneDrains.Listener {
         @Override
         public void drained(String zone) {
@@ -505,8 +513,8 @@
         // The upstreams of a zone may be cold when operators drain it and when they restore it.
         private void changed(String zone) {
             upstreams.markPossiblyCold(zone, clock.instant());
-            leader.drainedZonesChanged(upstreams.zones().all().keySet());
-            dispatch.tick();
+            coordinator.drainedZonesChanged(upstreams.zones().all().keySet());
+            dispatcher.tick();
         }
     }
 
@@ -515,14 +523,14 @@
         @Override
         public void upstreamListed(UpstreamFacts facts) {
             crashes.upstreamListed(facts);
-            leader.upstreamListed(facts);
-            dispatch.sendQueued(facts.service());
+            coordinator.upstreamListed(facts);
+            dispatcher.sendQueued(facts.service());
         }
 
         @Override
         public void upstreamRemoved(UpstreamFacts last) {
             crashes.upstreamRemoved(last.id());
-            leader.upstreamRemoved(last.id());
+            coordinator.upstreamRemoved(last.id());
             client.closeIdle(last.endpoint());
         }
     }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardedRequest.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/ForwardedRequest.java
@@ -115,7 +115,7 @@
             }
             trial = mayBeTrial;
         }
-        inFlight.dispatch().enqueue(this);
+        inFlight.dispatcher().enqueue(this);
     }
 
     /** Returns the digest that identifies the request, whichever id it comes with. */
@@ -313,7 +313,7 @@
 
     private void handleDeadline() {
         lastReason = "deadline exceeded";
-        inFlight.dispatch().remove(this);
+        inFlight.dispatcher().remove(this);
         if (neverSent()) {
             refuse(
                     Refusal.notRun(
@@ -342,7 +342,7 @@
      */
     void stop(boolean noMoreTime) {
         if (neverSent()) {
-            inFlight.dispatch().remove(this);
+            inFlight.dispatcher().remove(this);
             refuse(
                     Refusal.notRun(RefusalCode.STOPPING, "this router is shutting down")
                             .retryAfter(Duration.ZERO));
@@ -370,7 +370,7 @@
     void requeueUnsent(String reason) {
         undoSend();
         lastReason = reason;
-        inFlight.dispatch().enqueue(this);
+        inFlight.dispatcher().enqueue(this);
     }
 
     /** Retries or refuses the request, which was sent and failed, so that it may have run. */
@@ -400,7 +400,7 @@
 
     private void retryWithinBudget(boolean notRun) {
         if (inFlight.takeRetry(service)) {
-            inFlight.dispatch().enqueue(this);
+            inFlight.dispatcher().enqueue(this);
         } else if (answerStarted) {
             abort("retry budget exhausted");
         } else if (notRun && possibleRuns == 0) {
@@ -459,7 +459,7 @@
     }
 
     private void handleCallerGone() {
-        inFlight.dispatch().remove(this);
+        inFlight.dispatcher().remove(this);
         cancelAttempt(IncompleteRunCause.CALLER_GONE);
         if (possibleRuns == 0) {
             admission.refundTokens().run();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/GracefulShutdown.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/GracefulShutdown.java
@@ -36,14 +36,14 @@
     private final ControlThread control;
     private final HttpServer callers;
     private final Duration grace;
-    private final InFlightRequests flows;
+    private final InFlightRequests inFlight;
 
     GracefulShutdown(
-            ControlThread control, HttpServer callers, Duration grace, InFlightRequests flows) {
+            ControlThread control, HttpServer callers, Duration grace, InFlightRequests inFlight) {
         this.control = control;
         this.callers = callers;
         this.grace = grace;
-        this.flows = flows;
+        this.inFlight = inFlight;
     }
 
     /**
@@ -64,15 +64,15 @@
         while (System.nanoTime() < deadline) {
             runOnControl(() -> callers.closeIdle(IDLE_BEFORE_CLOSE));
             if (System.nanoTime() > deadline - WAITING_REFUSAL_TIME.toNanos()) {
-                runOnControl(() -> flows.stop(false));
+                runOnControl(() -> inFlight.stop(false));
             }
-            boolean done = callOnControl(() -> flows.size() == 0 && callers.connections() == 0);
+            boolean done = callOnControl(() -> inFlight.size() == 0 && callers.connections() == 0);
             if (done) {
                 return;
             }
             sleepUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(POLL_MILLIS));
         }
-        runOnControl(() -> flows.stop(true));
+        runOnControl(() -> inFlight.stop(true));
         sleepUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(POLL_MILLIS));
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/InFlightRequests.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/InFlightRequests.java
@@ -16,7 +16,7 @@
 final class InFlightRequests {
     private final Dialect dialect;
     private final HttpClient client;
-    private final UpstreamDispatcher dispatch;
+    private final UpstreamDispatcher dispatcher;
     private final InstantSource clock;
     private final RetryBounds retryBounds;
     private final SlidingMaximum routerCount;
@@ -40,7 +40,7 @@
     InFlightRequests(
             Dialect dialect,
             HttpClient client,
-            UpstreamDispatcher dispatch,
+            UpstreamDispatcher dispatcher,
             InstantSource clock,
             RetryBounds retryBounds,
             IntSupplier routerCount,
@@ -49,7 +49,7 @@
             DeclaredLimits limitedUpstreams) {
         this.dialect = dialect;
         this.client = client;
-        this.dispatch = dispatch;
+        this.dispatcher = dispatcher;
         this.clock = clock;
         this.retryBounds = retryBounds;
         this.routerCount = new SlidingMaximum(routerCount, clock, retryBounds.window());
@@ -67,8 +67,8 @@
         return client;
     }
 
-    UpstreamDispatcher dispatch() {
-        return dispatch;
+    UpstreamDispatcher dispatcher() {
+        return dispatcher;
     }
 
     PoisonRequestDetector crashes() {
@@ -101,7 +101,7 @@
      * Sends queued requests of the service, as the capacity of one of its upstreams has changed.
      */
     void sendQueued(String service) {
-        dispatch.sendQueued(service);
+        dispatcher.sendQueued(service);
     }
 
     boolean takeRetry(String service) {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Ingress.java
@@ -198,7 +198,7 @@
             refundTokens.run();
             return;
         }
-        request.model().ifPresent(inFlight.dispatch()::recordArrival);
+        request.model().ifPresent(inFlight.dispatcher()::recordArrival);
         ForwardedRequest.Admission admission =
                 new ForwardedRequest.Admission(
                         workspace.map(spec -> spec.workspace().id()),
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/Membership.java
@@ -72,7 +72,7 @@
             PolledStore store,
             String storePrefix,
             RouterEntry self,
-            PollTiming pace,
+            PollTiming timing,
             Relay relay,
             Metrics metrics) {
         this.control = control;
@@ -83,7 +83,7 @@
                 Follower.of("routers")
                         .under(prefix + FLEET)
                         .in(store)
-                        .at(pace)
+                        .at(timing)
                         .on(control)
                         .counting(metrics)
                         .via(relay)
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorSettingsFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/OperatorSettingsFollower.java
@@ -33,7 +33,7 @@
             Dialect dialect,
             ConfigurationHolder configuration,
             ZoneDrains drains,
-            PollTiming pace,
+            PollTiming timing,
             Relay relay,
             Metrics metrics) {
         this.dialect = dialect;
@@ -43,7 +43,7 @@
                 Follower.of("configuration")
                         .under(dialect.operatorPrefix())
                         .in(store)
-                        .at(pace)
+                        .at(timing)
                         .on(control)
                         .counting(metrics)
                         .via(relay)
@@ -71,7 +71,7 @@
      * Calls back once: with {@code true} when the configuration in force is confirmed to be the
      * newest as of the moment, or with {@code false} if that is not confirmed within the limit.
      */
-    void whenKnown(Instant moment, Duration limit, Consumer<Boolean> callback) {
+    void whenCompleteUpTo(Instant moment, Duration limit, Consumer<Boolean> callback) {
         follower.whenCompleteUpTo(moment, limit, callback);
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouterFrames.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouterFrames.java
@@ -150,14 +150,14 @@
         return runTimes;
     }
 
-    static Frame limit(DeclaredLimits.Announcement news, boolean passOn) {
+    static Frame limit(DeclaredLimits.Announcement announcement, boolean passOn) {
         UpstreamLimit limit =
                 UpstreamLimit.newBuilder()
-                        .setUpstream(news.upstream().value())
-                        .setStartedAt(news.startedAt())
-                        .setNamed(news.limit().isDeclared())
-                        .setPerSecond(news.limit().perSecond())
-                        .setAgeMs((int) news.age().toMillis())
+                        .setUpstream(announcement.upstream().value())
+                        .setStartedAt(announcement.startedAt())
+                        .setNamed(announcement.limit().isDeclared())
+                        .setPerSecond(announcement.limit().perSecond())
+                        .setAgeMs((int) announcement.age().toMillis())
                         .setPassOn(passOn)
                         .build();
         return Frame.newBuilder().setUpstreamLimit(limit).build();
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouters.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/PeerRouters.java
@@ -225,7 +225,7 @@
     }
 
     /** Returns the sender of announcements about requests that crash upstreams. */
-    CrashAnnouncer crashNews() {
+    CrashAnnouncer crashAnnouncer() {
         return new PeerCrashAnnouncer(
                 control.clock(),
                 new PeerCrashAnnouncer.FrameSender() {
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/StorePaces.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/StorePollTimings.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 
 /** Sets how often a direct router polls the store for each kind of key. */
-final class StorePaces {
+final class StorePollTimings {
     /** The operators' configuration, which must be in force within 2 s. */
     static final PollTiming CONFIGURATION =
             new PollTiming(Duration.ofMillis(1_200), Duration.ofMillis(400));
@@ -17,5 +17,5 @@
     static final PollTiming ROUTERS =
             new PollTiming(Duration.ofMillis(2_500), Duration.ofMillis(800));
 
-    private StorePaces() {}
+    private StorePollTimings() {}
 }
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/TimeBudget.java
@@ -11,8 +11,10 @@
  * it is sent, and between two received parts of its answer.
  */
 final class TimeBudget {
-    /** The fraction of the route's patience that may pass before a request is sent. */
-    private static final double PATIENCE_FRACTION = 0.8;
+    /**
+     * The fraction of the time a caller waits for an event that may pass before a request is sent.
+     */
+    private static final double EVENT_WAIT_FRACTION = 0.8;
 
     /** The fraction of the total time that may pass before a request is sent. */
     private static final double SEND_TIME_FRACTION = 0.6;
@@ -67,8 +69,8 @@
         if (route.kind() != RouteKind.STREAMING) {
             return byTime;
         }
-        Duration byPatience = fractionOf(route.patience(), PATIENCE_FRACTION);
-        return byPatience.compareTo(byTime) < 0 ? byPatience : byTime;
+        Duration byEventWait = fractionOf(route.maxEventWait(), EVENT_WAIT_FRACTION);
+        return byEventWait.compareTo(byTime) < 0 ? byEventWait : byTime;
     }
 
     /** Returns the time within which a request must be sent to usually meet its objective. */
--- a/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/direct/UpstreamFollower.java
@@ -67,7 +67,7 @@
             PolledStore store,
             Dialect dialect,
             UpstreamTable table,
-            PollTiming pace,
+            PollTiming timing,
             Relay relay,
             Metrics metrics) {
         this.control = control;
@@ -77,7 +77,7 @@
                 Follower.of("upstreams")
                         .under(dialect.upstreamPrefix())
                         .in(store)
-                        .at(pace)
+                        .at(timing)
                         .on(control)
                         .counting(metrics)
                         .via(relay)
@@ -139,7 +139,7 @@
         return follower;
     }
 
-    boolean everRead() {
+    boolean hasReadOnce() {
         return follower.hasReadOnce();
     }
 
--- a/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
+++ b/damaskyoke/src/main/java/io/damaskyoke/http/ClientConnection.java
@@ -224,7 +224,7 @@
     }
 
     private void finish() {
-        ResponseListener told = listener;
+        ResponseListener notified = listener;
         listener = null;
         request = null;
         if (keepAlive && channel.isActive()) {
@@ -235,7 +235,7 @@
         } else {
             close();
         }
-        told.end();
+        notified.end();
     }
 
     private void connectionEnded() {
@@ -256,11 +256,11 @@
     }
 
     private void fail(ExchangeFailure failure) {
-        ResponseListener told = listener;
+        ResponseListener notified = listener;
         listener = null;
         close();
-        if (told != null) {
-            told.failed(failure);
+        if (notified != null) {
+            notified.failed(failure);
         }
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingPlacementFeedTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/control/placement/PollingPlacementFeedTest.java
@@ -50,9 +50,9 @@
     void aSuspicionIsReadThreeTimesBeforeTheGrantMayBeRevokedInAFleetOfAnySize() {
         // Guards against an agent that reads too seldom to find that it is suspected: its grant is
         // revoked and the model is loaded elsewhere while it still holds it.
-        PollingInterval pace = new PollingInterval(new Random(1));
+        PollingInterval interval = new PollingInterval(new Random(1));
         for (int i = 0; i < 1_000; i++) {
-            assertTrue(pace.next(1_000_000).multipliedBy(3).toMillis() < 15_000);
+            assertTrue(interval.next(1_000_000).multipliedBy(3).toMillis() < 15_000);
         }
     }
 
@@ -95,8 +95,8 @@
     }
 
     private static Supplier<Duration> pause(int processes, long seed) {
-        PollingInterval pace = new PollingInterval(new Random(seed));
-        return () -> pace.next(processes);
+        PollingInterval interval = new PollingInterval(new Random(seed));
+        return () -> interval.next(processes);
     }
 
     private void feed(Supplier<Duration> pause) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/AllowedRegionsDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/AllowedRegionsDispatchTest.java
@@ -24,7 +24,7 @@
 
     private final Instant now = Instant.ofEpochSecond(100);
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final UpstreamDispatcher dispatch =
+    private final UpstreamDispatcher dispatcher =
             new UpstreamDispatcher(
                     upstreams,
                     "kochi-a",
@@ -68,7 +68,7 @@
     }
 
     private void enqueue(AllowedRegions allowedRegions) {
-        dispatch.enqueue(new RecordingRequest(now, allowedRegions, outcomes));
+        dispatcher.enqueue(new RecordingRequest(now, allowedRegions, outcomes));
     }
 
     private void addUpstream(String id, String zone) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/ColdStartRouter.java
@@ -30,7 +30,7 @@
     private final VmId name;
     private final UpstreamShare share;
     private UpstreamTable upstreams;
-    private UpstreamDispatcher dispatch;
+    private UpstreamDispatcher dispatcher;
     private int incarnation;
     private Instant cutOffUntil = Instant.MIN;
     private Instant lastDeliveryAt = Instant.MIN;
@@ -67,7 +67,7 @@
         int own = ++incarnation;
         upstreams = new UpstreamTable();
         upstreams.setColdLimits(Map.of(ColdStartSimulation.SERVICE, simulation.limit()));
-        dispatch =
+        dispatcher =
                 new UpstreamDispatcher(
                         upstreams, "zone-0", Map.of(), simulation::now, Runnable::run, share);
         Map<String, UpstreamFacts> read = Map.copyOf(simulation.list());
@@ -93,7 +93,7 @@
                 TICK,
                 () -> {
                     if (incarnation == own) {
-                        dispatch.tick();
+                        dispatcher.tick();
                         tick(own);
                     }
                 });
@@ -145,7 +145,7 @@
             return;
         }
         Request request = new Request();
-        dispatch.enqueue(request);
+        dispatcher.enqueue(request);
         if (!request.sent) {
             simulation.recordQueued();
         }
@@ -208,7 +208,7 @@
             connectionLost(upstream);
             upstream.requestNotSent();
             upstream.requestFinished(null);
-            dispatch.enqueue(this);
+            dispatcher.enqueue(this);
         }
 
         private void finish(Upstream upstream, ColdStartUpstream engine, long engineIncarnation) {
@@ -223,7 +223,7 @@
                 simulation.recordRefused();
             }
             upstream.requestFinished(null);
-            dispatch.sendQueued(ColdStartSimulation.SERVICE);
+            dispatcher.sendQueued(ColdStartSimulation.SERVICE);
         }
 
         @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/DrainedZoneDispatchTest.java
@@ -22,7 +22,7 @@
     private final UpstreamTable upstreams =
             new UpstreamTable(new DrainedZones(Duration.ofSeconds(5)));
     private final Instant now = Instant.ofEpochSecond(100);
-    private final UpstreamDispatcher dispatch =
+    private final UpstreamDispatcher dispatcher =
             new UpstreamDispatcher(
                     upstreams,
                     "a",
@@ -37,7 +37,7 @@
         addUpstream("here", "a");
         addUpstream("there", "b");
         upstreams.zones().drain("a", now);
-        dispatch.enqueue(request());
+        dispatcher.enqueue(request());
         assertEquals(List.of("to there"), outcomes);
     }
 
@@ -47,7 +47,7 @@
         addUpstream("closed", "b");
         upstreams.zones().drain("a", now);
         upstreams.zones().drain("b", Instant.MIN);
-        dispatch.enqueue(request());
+        dispatcher.enqueue(request());
         assertEquals(List.of("to here"), outcomes);
     }
 
@@ -58,7 +58,7 @@
         addUpstream("there", "b");
         upstreams.zones().drain("a", Instant.MIN);
         upstreams.zones().drain("b", Instant.MIN);
-        dispatch.enqueue(request());
+        dispatcher.enqueue(request());
         assertEquals(List.of("no upstream"), outcomes);
     }
 
@@ -67,13 +67,13 @@
     void aQueuedRequestIsRefusedWhenTheLastZoneCloses() {
         addUpstream("here", "a");
         for (int each = 0; each < 6; each++) {
-            dispatch.enqueue(request());
+            dispatcher.enqueue(request());
         }
         assertEquals(6, outcomes.size());
-        dispatch.enqueue(request());
+        dispatcher.enqueue(request());
         assertEquals(6, outcomes.size());
         upstreams.zones().drain("a", Instant.MIN);
-        dispatch.tick();
+        dispatcher.tick();
         assertEquals("no upstream", outcomes.get(6));
     }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/FollowingRouter.java
@@ -36,8 +36,8 @@
     private int otherFaults;
     private Instant recoveredAt;
 
-    FollowingRouter(String name, ControlThread world, SimulatedStore store, PollTiming pace) {
-        this(name, world, store, pace, List.of());
+    FollowingRouter(String name, ControlThread world, SimulatedStore store, PollTiming timing) {
+        this(name, world, store, timing, List.of());
     }
 
     /** Creates a router that asks these relays before it asks the store. */
@@ -45,7 +45,7 @@
             String name,
             ControlThread world,
             SimulatedStore store,
-            PollTiming pace,
+            PollTiming timing,
             List<FollowingRouter> relays) {
         this.name = name;
         this.world = world;
@@ -60,12 +60,18 @@
         Relay relay = relays.isEmpty() ? Relay.none() : links.relay();
         OperatorSettingsFollower settings =
                 new OperatorSettingsFollower(
-                        control, path, dialect, configuration, drains, pace, relay, metrics);
+                        control, path, dialect, configuration, drains, timing, relay, metrics);
         followed.put(settings.follower().prefix(), settings.follower());
         settings.start();
         this.follower =
                 new UpstreamFollower(
-                        control, path, dialect, upstreams, StorePaces.UPSTREAMS, relay, metrics);
+                        control,
+                        path,
+                        dialect,
+                        upstreams,
+                        StorePollTimings.UPSTREAMS,
+                        relay,
+                        metrics);
         followed.put(follower.follower().prefix(), follower.follower());
         follower.start(new IgnoredUpstreams());
     }
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/LimitSimulationRouter.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/LimitSimulationRouter.java
@@ -22,7 +22,7 @@
     private final VmId name;
     private final UpstreamShare share;
     private UpstreamTable upstreams;
-    private UpstreamDispatcher dispatch;
+    private UpstreamDispatcher dispatcher;
     private DeclaredLimits limits;
     private int incarnation;
 
@@ -42,7 +42,7 @@
     /** Kills the router; it starts again later without its state. */
     void restart() {
         incarnation++;
-        dispatch = null;
+        dispatcher = null;
         simulation.engines().forEach(engine -> engine.routerRestarted(name));
         simulation.time.after(DOWN, this::start);
     }
@@ -51,11 +51,11 @@
         int own = ++incarnation;
         upstreams = new UpstreamTable();
         simulation.engines().forEach(engine -> upstreams.put(engine.facts(), simulation.now()));
-        dispatch =
+        dispatcher =
                 new UpstreamDispatcher(
                         upstreams, "a", Map.of(), simulation::now, Runnable::run, share);
         limits = new DeclaredLimits(simulation::now, upstreams, new SimulatedAnnouncer());
-        every(own, TICK, () -> dispatch.tick());
+        every(own, TICK, () -> dispatcher.tick());
         every(own, ANNOUNCEMENT_INTERVAL, () -> limits.announceAgain());
     }
 
@@ -71,15 +71,15 @@
     }
 
     void sendRequest() {
-        if (dispatch != null) {
-            dispatch.enqueue(new Request());
+        if (dispatcher != null) {
+            dispatcher.enqueue(new Request());
         }
     }
 
     void announcementReceived(DeclaredLimits.Announcement announcement, boolean passOn) {
-        if (dispatch != null) {
+        if (dispatcher != null) {
             limits.announcementReceived(announcement, passOn);
-            dispatch.tick();
+            dispatcher.tick();
         }
     }
 
@@ -130,7 +130,7 @@
             engine.answerPassedOnBy(name);
             limits.limitReceived(upstream, engine.limit(), sentAt);
             simulation.recordServed();
-            dispatch.sendQueued(LimitSimulation.SERVICE);
+            dispatcher.sendQueued(LimitSimulation.SERVICE);
         }
 
         @Override
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/MembershipTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/MembershipTest.java
@@ -28,14 +28,14 @@
     @ParameterizedTest
     @ValueSource(longs = {2_000, 2_200, 2_400, 2_600, 2_800, 3_000, 3_200, 3_400, 3_600, 3_800})
     void aRouterWhoseEntryLapsedIsBackOnItsListAsSoonAsItIsRegistered(long lapsesAfter) {
-        PollTiming pace = new PollTiming(Duration.ofMillis(2_500), Duration.ofMillis(800));
+        PollTiming timing = new PollTiming(Duration.ofMillis(2_500), Duration.ofMillis(800));
         Membership members =
                 new Membership(
                         control,
                         store,
                         "p",
                         new RouterEntry(VmId.of("one"), "a", "127.0.0.1", 1),
-                        pace,
+                        timing,
                         Relay.none(),
                         new Metrics());
         members.start(() -> {});
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/RareModelWorld.java
@@ -75,7 +75,7 @@
     private final SimulatedWeightStore weights;
     private final Map<UpstreamId, RareModelEngine> engines = new TreeMap<>();
     private final UpstreamTable upstreams = new UpstreamTable();
-    private final UpstreamDispatcher dispatch;
+    private final UpstreamDispatcher dispatcher;
     private final Map<String, RequestCounts> counts = new TreeMap<>();
     private final TestControlThread time = new TestControlThread();
     private LoadPlanner planner = new LoadPlanner(LoadSettings.defaults());
@@ -94,10 +94,10 @@
         this.random = new Random(seed);
         this.weights = new SimulatedWeightStore(atFullSpeed);
         this.spec = spec((int) (count * MODELS_PER_ENGINE));
-        this.dispatch =
+        this.dispatcher =
                 new UpstreamDispatcher(
                         upstreams, "a", Map.of(), this::now, Runnable::run, (id, all) -> (int) all);
-        dispatch.setEngineServices(
+        dispatcher.setEngineServices(
                 List.of(new ServiceSpec(SERVICE, 1, Duration.ZERO, 0, Optional.of(spec))));
         for (int each = 0; each < count; each++) {
             RareModelEngine engine =
@@ -225,7 +225,7 @@
                 feedPlanner(new LoadInput.Tick());
             }
             if (now().toEpochMilli() % 50 == 0) {
-                dispatch.tick();
+                dispatcher.tick();
             }
         }
     }
@@ -238,7 +238,7 @@
     }
 
     private void reportDemand() {
-        feedPlanner(dispatch.demand(VmId.of("router")));
+        feedPlanner(dispatcher.demand(VmId.of("router")));
     }
 
     private void feedPlanner(LoadInput input) {
@@ -267,7 +267,7 @@
             upstreams
                     .find(announcement.upstream())
                     .ifPresent(each -> each.leaderAnnounced(announcement.held(), now()));
-            dispatch.tick();
+            dispatcher.tick();
         }
     }
 
@@ -338,8 +338,8 @@
             count.first = count.first == null ? now() : count.first;
             count.last = now();
             asked += isRetry ? 0 : 1;
-            dispatch.recordArrival(model);
-            dispatch.enqueue(this);
+            dispatcher.recordArrival(model);
+            dispatcher.enqueue(this);
         }
 
         @Override
@@ -364,7 +364,7 @@
             if (!engine.serves(model.model())) {
                 upstream.leaderContradicted();
                 pausedUntil.put(engine.id(), now().plus(MISSING_MODEL_PAUSE));
-                dispatch.enqueue(this);
+                dispatcher.enqueue(this);
                 return;
             }
             upstream.requestAssigned(model, now());
@@ -377,7 +377,7 @@
                     () -> {
                         engine.finishRun(model.model());
                         upstream.requestFinished(model);
-                        dispatch.sendQueued(SERVICE);
+                        dispatcher.sendQueued(SERVICE);
                     });
         }
 
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StorePromisesTest.java
@@ -38,7 +38,7 @@
         assertNone(violations);
     }
 
-    // Guards against a simulation that detects nothing: with this pace, versions were late.
+    // Guards against a simulation that detects nothing: with this timing, versions were late.
     @Test
     void theSimulationDetectsAPaceThatWaitsTooLongForACall() {
         PollTiming naive = new PollTiming(Duration.ofMillis(2_500), Duration.ofMillis(800));
@@ -137,7 +137,7 @@
     void aFrozenRelayDelaysChangesOnlyBriefly() {
         List<String> violations = new ArrayList<>();
         for (int phase = 0; phase < PHASE_COUNT; phase++) {
-            StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
+            StoreWorld world = new StoreWorld(StorePollTimings.CONFIGURATION, 2, 3);
             world.advance(PHASE_LENGTH.multipliedBy(phase));
             world.freeze(world.routers().get(0), Duration.ofSeconds(5));
             world.changeConfiguration();
@@ -153,7 +153,7 @@
     void entriesThatExpireInAnOutageAreAwaitedBehindRelays() {
         List<String> violations = new ArrayList<>();
         for (int phase = 0; phase < PHASE_COUNT; phase++) {
-            StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
+            StoreWorld world = new StoreWorld(StorePollTimings.CONFIGURATION, 2, 3);
             String expired = world.liveUpstreams().get(0);
             world.advance(PHASE_LENGTH.multipliedBy(phase));
             world.cutAll(SimulatedStorePath.State.SILENT, Duration.ofMillis(2_600));
@@ -170,8 +170,8 @@
     @ParameterizedTest
     @CsvSource({"2, 4", "5, 28", "12, 88", "12, 288"})
     void onlyWatchersCallTheStore(int watchers, int behind) {
-        StoreWorld world = new StoreWorld(StorePaces.CONFIGURATION, watchers, behind);
-        StoreWorld alone = new StoreWorld(StorePaces.CONFIGURATION, watchers, 0);
+        StoreWorld world = new StoreWorld(StorePollTimings.CONFIGURATION, watchers, behind);
+        StoreWorld alone = new StoreWorld(StorePollTimings.CONFIGURATION, watchers, 0);
         long before = world.storeCalls() - alone.storeCalls();
         world.advance(Duration.ofSeconds(20));
         alone.advance(Duration.ofSeconds(20));
@@ -204,7 +204,7 @@
     }
 
     private static StoreWorld behindRelays() {
-        return new StoreWorld(StorePaces.CONFIGURATION, 2, 3);
+        return new StoreWorld(StorePollTimings.CONFIGURATION, 2, 3);
     }
 
     private static List<String> violationsOf(StoreWorld world, long seed, boolean drains) {
--- a/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
+++ b/damaskyoke/src/test/java/io/damaskyoke/direct/StoreWorld.java
@@ -63,27 +63,27 @@
     private int upstreamCount;
 
     StoreWorld() {
-        this(StorePaces.CONFIGURATION);
+        this(StorePollTimings.CONFIGURATION);
     }
 
     /** Creates a world whose routers follow the configuration at this pace. */
-    StoreWorld(PollTiming pace) {
-        this(pace, ROUTERS, 0);
+    StoreWorld(PollTiming timing) {
+        this(timing, ROUTERS, 0);
     }
 
     /** Creates a world of routers that watch the store, and of routers that use them as relays. */
-    StoreWorld(PollTiming pace, int watchers, int behindThem) {
+    StoreWorld(PollTiming timing, int watchers, int behindThem) {
         changeConfiguration();
         for (int each = 0; each < UPSTREAMS; each++) {
             addUpstream();
         }
         for (int each = 0; each < watchers; each++) {
-            routers.add(new FollowingRouter("router-" + each, world, store, pace));
+            routers.add(new FollowingRouter("router-" + each, world, store, timing));
         }
         List<FollowingRouter> relays = List.copyOf(routers);
         for (int each = 0; each < behindThem; each++) {
             String name = "behind-" + each;
-            routers.add(new FollowingRouter(name, world, store, pace, relays));
+            routers.add(new FollowingRouter(name, world, store, timing, relays));
         }
         world.every(GOSSIP, this::gossip);
         advance(BOUND);
